--- a/cmd/maddergap/badday.go
+++ b/cmd/maddergap/badday.go
@@ -6,7 +6,7 @@
 	"os"
 	"time"
 
-	"maddergap/internal/badday"
+	"maddergap/internal/scenario"
 )
 
 type baddayCmd struct {
@@ -24,9 +24,9 @@
 var errRules = errors.New("a rule is broken")
 
 func (c *baddayCmd) Run(io *streams) error {
-	size := badday.Short
+	size := scenario.Short
 	if c.Long {
-		size = badday.Long
+		size = scenario.Long
 	}
 	if c.Length > 0 {
 		size.Length = c.Length
@@ -37,7 +37,7 @@
 	if size.Length < 2*time.Second || size.Length > time.Hour || size.Rate > 1e5 {
 		return usage{fmt.Errorf("a day of %v at %g a second is out of range (2s to 1h, up to 100000)", size.Length, size.Rate)}
 	}
-	plan := badday.Draw(c.Seed, size)
+	plan := scenario.Draw(c.Seed, size)
 	fmt.Fprintf(io.out, "day of seed %d: %d heads, %d nodes, %v, %d requests\n", c.Seed, size.Heads, size.Nodes, size.Length, len(plan.Jobs))
 	for _, s := range plan.Story {
 		fmt.Fprintln(io.out, " ", s)
@@ -62,7 +62,7 @@
 		if err != nil {
 			return 0, false, err
 		}
-		report, err := badday.Run(&badday.Options{Plan: plan, Dir: dir, Exe: []string{exe}, HeadArgs: args, Flood: c.Flood, Tries: c.Tries, Progress: io.err})
+		report, err := scenario.Run(&scenario.Options{Plan: plan, Dir: dir, Exe: []string{exe}, HeadArgs: args, Flood: c.Flood, Tries: c.Tries, Progress: io.err})
 		if err != nil {
 			return 0, false, err
 		}
--- a/cmd/maddergap/demo.go
+++ b/cmd/maddergap/demo.go
@@ -9,10 +9,10 @@
 	"syscall"
 	"time"
 
-	"maddergap/internal/conf"
+	"maddergap/internal/config"
 	"maddergap/internal/daemon"
+	"maddergap/internal/fakenode"
 	"maddergap/internal/nodelist"
-	"maddergap/internal/standin"
 )
 
 type nodeCmd struct {
@@ -32,7 +32,7 @@
 }
 
 func (c *nodeCmd) Run(io *streams) error {
-	o := standin.Options{Listen: c.Listen, Name: c.Name, Record: c.Record, Cores: c.Cores, Queue: c.Queue, Unit: c.Unit,
+	o := fakenode.Options{Listen: c.Listen, Name: c.Name, Record: c.Record, Cores: c.Cores, Queue: c.Queue, Unit: c.Unit,
 		UnitTime: c.UnitTime, Cold: c.Cold, From: c.From, Multiple: c.Multiple, Window: c.Window}
 	if c.Epoch > 0 {
 		o.Epoch = time.UnixMilli(c.Epoch)
@@ -42,11 +42,11 @@
 		if err != nil {
 			return err
 		}
-		if o.Script, err = standin.ParseScript(c.Script, data); err != nil {
+		if o.Script, err = fakenode.ParseScript(c.Script, data); err != nil {
 			return err
 		}
 	}
-	n, err := standin.Start(o)
+	n, err := fakenode.Start(o)
 	if err != nil {
 		return err
 	}
@@ -93,7 +93,7 @@
 	defer os.RemoveAll(dir)
 	var list []nodelist.Node
 	for i := range c.Nodes {
-		n, err := standin.Start(standin.Options{Listen: "127.0.0.1:0", Name: fmt.Sprint("n", i), Cores: 4, Queue: 256, UnitTime: 100 * time.Microsecond})
+		n, err := fakenode.Start(fakenode.Options{Listen: "127.0.0.1:0", Name: fmt.Sprint("n", i), Cores: 4, Queue: 256, UnitTime: 100 * time.Microsecond})
 		if err != nil {
 			return err
 		}
@@ -108,7 +108,7 @@
 	if err := nodelist.Replace(filepath.Join(dir, "nodes.list"), list); err != nil {
 		return err
 	}
-	conf, err := conf.Load(file)
+	conf, err := config.Load(file)
 	if err != nil {
 		return usage{err}
 	}
--- a/cmd/maddergap/descriptors_test.go
+++ b/cmd/maddergap/descriptors_test.go
@@ -13,8 +13,8 @@
 
 	"golang.org/x/sys/unix"
 
+	"maddergap/internal/fakenode"
 	"maddergap/internal/nodelist"
-	"maddergap/internal/standin"
 )
 
 // Descriptors run out in the middle of requests, the limit really reached: each
@@ -22,7 +22,7 @@
 // recovers by itself when there are descriptors again.
 func TestDescriptorsRunOut(t *testing.T) {
 	dir := t.TempDir()
-	node, err := standin.Start(standin.Options{Listen: "127.0.0.1:0", Name: "n0", Cores: 8, Queue: 64, UnitTime: 150 * time.Millisecond})
+	node, err := fakenode.Start(fakenode.Options{Listen: "127.0.0.1:0", Name: "n0", Cores: 8, Queue: 64, UnitTime: 150 * time.Millisecond})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/maddergap/flood.go
+++ b/cmd/maddergap/flood.go
@@ -9,10 +9,10 @@
 	"path/filepath"
 	"time"
 
-	"maddergap/internal/child"
+	"maddergap/internal/fakenode"
 	"maddergap/internal/flood"
 	"maddergap/internal/nodelist"
-	"maddergap/internal/standin"
+	"maddergap/internal/subprocess"
 )
 
 type floodCmd struct {
@@ -76,7 +76,7 @@
 		r.Others.Write(io.out, "others")
 		return nil
 	}
-	node, err := standin.Start(standin.Options{Listen: "127.0.0.1:0", Name: "n0", Cores: 16, Queue: 1024, UnitTime: 2 * time.Millisecond, Forget: true})
+	node, err := fakenode.Start(fakenode.Options{Listen: "127.0.0.1:0", Name: "n0", Cores: 16, Queue: 1024, UnitTime: 2 * time.Millisecond, Forget: true})
 	if err != nil {
 		return err
 	}
@@ -145,7 +145,7 @@
 	if err != nil {
 		return nil, err
 	}
-	head, err := child.Start(addr, nil, exe, "serve", "--config", file)
+	head, err := subprocess.Start(addr, nil, exe, "serve", "--config", file)
 	if err != nil {
 		return nil, err
 	}
@@ -159,7 +159,7 @@
 		if err := os.WriteFile(other, []byte(fmt.Sprintf(floodConf, press.Target, admit)), 0o644); err != nil {
 			return nil, err
 		}
-		second, err := child.Start(press.Target, nil, exe, "serve", "--config", other)
+		second, err := subprocess.Start(press.Target, nil, exe, "serve", "--config", other)
 		if err != nil {
 			return nil, err
 		}
--- a/cmd/maddergap/main.go
+++ b/cmd/maddergap/main.go
@@ -15,9 +15,9 @@
 
 	"github.com/alecthomas/kong"
 
-	"maddergap/internal/badday"
-	"maddergap/internal/conf"
+	"maddergap/internal/config"
 	"maddergap/internal/daemon"
+	"maddergap/internal/scenario"
 )
 
 type cli struct {
@@ -87,13 +87,13 @@
 	case s.Platform:
 		return s.platform(io)
 	}
-	c, err := conf.Load(s.Config)
+	c, err := config.Load(s.Config)
 	if err != nil {
 		return err
 	}
 	var core daemon.CoreOf
 	if s.PassThrough {
-		core = badday.PassThrough
+		core = scenario.PassThrough
 	}
 	if c.Processes > 1 && s.Worker < 0 {
 		return s.supervise(c, io)
@@ -108,7 +108,7 @@
 }
 
 // serve runs a head until SIGINT or SIGTERM; SIGHUP reloads.
-func serve(w *daemon.Worker, core daemon.CoreOf, c *conf.Config, std *streams, ready func(*daemon.Daemon, *slog.Logger)) error {
+func serve(w *daemon.Worker, core daemon.CoreOf, c *config.Config, std *streams, ready func(*daemon.Daemon, *slog.Logger)) error {
 	out := std.err
 	if c.Log != "" {
 		f, err := os.OpenFile(c.Log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
@@ -163,7 +163,7 @@
 }
 
 func (s *checkCmd) Run(io *streams) error {
-	c, err := conf.Load(s.Config)
+	c, err := config.Load(s.Config)
 	if err != nil {
 		return err
 	}
--- a/cmd/maddergap/main_test.go
+++ b/cmd/maddergap/main_test.go
@@ -17,10 +17,10 @@
 	"testing"
 	"time"
 
-	"maddergap/internal/badday"
+	"maddergap/internal/fakenode"
 	"maddergap/internal/flood"
 	"maddergap/internal/nodelist"
-	"maddergap/internal/standin"
+	"maddergap/internal/scenario"
 )
 
 // asProgram makes the test binary be the program, so that processes can be tested.
@@ -141,7 +141,7 @@
 // theirs comes twice.
 func TestKilledInFlood(t *testing.T) {
 	dir := t.TempDir()
-	node, err := standin.Start(standin.Options{Listen: "127.0.0.1:0", Name: "n0", Cores: 8, Queue: 64, UnitTime: 5 * time.Millisecond})
+	node, err := fakenode.Start(fakenode.Options{Listen: "127.0.0.1:0", Name: "n0", Cores: 8, Queue: 64, UnitTime: 5 * time.Millisecond})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -210,7 +210,7 @@
 
 func TestKilledAndBack(t *testing.T) {
 	dir := t.TempDir()
-	node, err := standin.Start(standin.Options{Listen: "127.0.0.1:0", Name: "n0", Cores: 2, Queue: 64, UnitTime: 50 * time.Millisecond})
+	node, err := fakenode.Start(fakenode.Options{Listen: "127.0.0.1:0", Name: "n0", Cores: 2, Queue: 64, UnitTime: 50 * time.Millisecond})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -259,9 +259,9 @@
 	}
 	os.Setenv(asProgram, "1")
 	defer os.Unsetenv(asProgram)
-	size := badday.Short
+	size := scenario.Short
 	size.Rate = 150 // what two cores bear beside other tests
-	report, err := badday.Run(&badday.Options{Plan: badday.Draw(1, size), Dir: t.TempDir(), Exe: []string{os.Args[0]}, Late: time.Second, Flood: true})
+	report, err := scenario.Run(&scenario.Options{Plan: scenario.Draw(1, size), Dir: t.TempDir(), Exe: []string{os.Args[0]}, Late: time.Second, Flood: true})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/maddergap/workers.go
+++ b/cmd/maddergap/workers.go
@@ -10,16 +10,16 @@
 	"strings"
 	"syscall"
 
-	"maddergap/internal/conf"
+	"maddergap/internal/config"
 	"maddergap/internal/daemon"
-	"maddergap/internal/loop"
-	"maddergap/internal/workers"
+	"maddergap/internal/eventloop"
+	"maddergap/internal/supervisor"
 )
 
 // supervise runs the processes of a configuration: it opens the listeners, which they
 // share, starts them and starts again the one that ends or hangs. It serves nothing
 // itself. SIGHUP goes to all of them.
-func (s *serveCmd) supervise(c *conf.Config, io *streams) error {
+func (s *serveCmd) supervise(c *config.Config, io *streams) error {
 	l, err := daemon.Listeners(c)
 	if err != nil {
 		return err
@@ -62,7 +62,7 @@
 	defer signal.Stop(signals)
 	log := slog.New(slog.NewJSONHandler(io.err, nil))
 	log.Info("processes share the listeners", "processes", c.Processes, "listen", c.Listen, "pid", os.Getpid())
-	return workers.Run(ctx, workers.Options{Workers: c.Processes, StopTime: c.StopTime, Log: log, Files: files, Stopped: shut,
+	return supervisor.Run(ctx, supervisor.Options{Workers: c.Processes, StopTime: c.StopTime, Log: log, Files: files, Stopped: shut,
 		Command: func(i int) *exec.Cmd {
 			cmd := exec.Command(exe, "serve", "--config", s.Config, "--worker", fmt.Sprint(i), "--queues", strings.Join(queues, ","))
 			cmd.Stdout, cmd.Stderr = io.out, io.err
@@ -77,12 +77,12 @@
 	}
 	w := &daemon.Worker{Index: s.Worker}
 	for part := range strings.SplitSeq(s.Queues, ",") {
-		var q loop.Queue
+		var q eventloop.Queue
 		if _, err := fmt.Sscanf(strings.ReplaceAll(part, ":", " "), "%d %d %t", &q.FD, &q.Key, &q.Sorted); err != nil {
 			return nil, usage{fmt.Errorf("--queues %q: %w", s.Queues, err)}
 		}
 		w.Queues = append(w.Queues, q)
 	}
-	w.Beat = os.NewFile(uintptr(workers.BeatFD(len(w.Queues))), "beat")
+	w.Beat = os.NewFile(uintptr(supervisor.BeatFD(len(w.Queues))), "beat")
 	return w, nil
 }
--- a/cmd/maddergap/workers_test.go
+++ b/cmd/maddergap/workers_test.go
@@ -16,8 +16,8 @@
 	"testing"
 	"time"
 
+	"maddergap/internal/fakenode"
 	"maddergap/internal/nodelist"
-	"maddergap/internal/standin"
 )
 
 type lockedBuffer struct {
@@ -50,7 +50,7 @@
 // is back by itself, and a stop ends all.
 func TestProcesses(t *testing.T) {
 	dir := t.TempDir()
-	node, err := standin.Start(standin.Options{Listen: "127.0.0.1:0", Name: "n0", Cores: 8, Queue: 256, UnitTime: 2 * time.Millisecond})
+	node, err := fakenode.Start(fakenode.Options{Listen: "127.0.0.1:0", Name: "n0", Cores: 8, Queue: 256, UnitTime: 2 * time.Millisecond})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/benchlink/main.go
+++ b/cmd/simadapter/main.go
@@ -1,4 +1,4 @@
-// Command benchlink puts the decision module on the simulator's wire. It maps
+// Command simadapter puts the decision module on the simulator's wire. It maps
 // wire messages to the module's events and its actions back, and decides nothing.
 package main
 
@@ -9,22 +9,22 @@
 	"os"
 	"strings"
 
-	"maddergap/internal/sitesettings"
-	"maddergap/internal/wire"
-	"maddergap/logic"
+	"maddergap/internal/settings"
+	"maddergap/internal/simwire"
+	"maddergap/scheduler"
 )
 
 func main() {
 	if err := run(os.Stdin, os.Stdout); err != nil {
-		fmt.Fprintln(os.Stderr, "benchlink:", err)
+		fmt.Fprintln(os.Stderr, "simadapter:", err)
 		os.Exit(1)
 	}
 }
 
 // run answers batches from in until it ends.
 func run(in io.Reader, out io.Writer) error {
-	r, w := wire.NewReader(in), bufio.NewWriterSize(out, 1<<20)
-	heads := map[string]*logic.Scheduler{}
+	r, w := simwire.NewReader(in), bufio.NewWriterSize(out, 1<<20)
+	heads := map[string]*scheduler.Scheduler{}
 	for {
 		b, err := r.Read()
 		if err == io.EOF {
@@ -43,9 +43,9 @@
 
 // answer hands each instance its events of the batch, split where it is stopped
 // or started, and writes what it does.
-func answer(w io.Writer, heads map[string]*logic.Scheduler, b wire.Batch) {
+func answer(w io.Writer, heads map[string]*scheduler.Scheduler, b simwire.Batch) {
 	var order []string
-	events := map[string][]wire.Event{}
+	events := map[string][]simwire.Event{}
 	for _, e := range b.Events {
 		if _, seen := events[e.Head]; !seen {
 			order = append(order, e.Head)
@@ -53,7 +53,7 @@
 		events[e.Head] = append(events[e.Head], e)
 	}
 	for _, id := range order {
-		if text := serve(w, heads, id, sitesettings.Micros(b.Clock), events[id]); text != "" {
+		if text := serve(w, heads, id, settings.Micros(b.Clock), events[id]); text != "" {
 			delete(heads, id)
 			fmt.Fprintf(w, "broken %s %s\n", id, strings.ReplaceAll(text, "\n", " "))
 		}
@@ -61,13 +61,13 @@
 }
 
 // serve runs one instance over its events; it returns the text of a fault.
-func serve(w io.Writer, heads map[string]*logic.Scheduler, id string, now logic.Time, evs []wire.Event) (fault string) {
+func serve(w io.Writer, heads map[string]*scheduler.Scheduler, id string, now scheduler.Time, evs []simwire.Event) (fault string) {
 	defer func() {
 		if p := recover(); p != nil {
 			fault = fmt.Sprint("panic: ", p)
 		}
 	}()
-	var pending []logic.Event
+	var pending []scheduler.Event
 	flush := func() {
 		if h := heads[id]; h != nil && len(pending) > 0 {
 			for _, a := range h.Handle(now, pending) {
@@ -80,7 +80,7 @@
 		switch e.Kind {
 		case "boot":
 			pending = nil // meant for the life before
-			h, err := logic.New(e.Site.Settings(), e.Entropy, now)
+			h, err := scheduler.New(e.Site.Settings(), e.Entropy, now)
 			if err != nil {
 				return err.Error()
 			}
@@ -98,56 +98,56 @@
 	return ""
 }
 
-func event(e wire.Event) logic.Event {
+func event(e simwire.Event) scheduler.Event {
 	switch e.Kind {
 	case "registry":
-		l := logic.List{Full: e.How == "F" || e.How == "C", Failed: e.How == "X"}
+		l := scheduler.List{Full: e.How == "F" || e.How == "C", Failed: e.How == "X"}
 		for _, it := range e.Items {
-			l.Entries = append(l.Entries, logic.Entry{Node: it.Shelf, Zone: it.Zone, Shard: it.Cluster,
-				State: states[it.Condition], Started: sitesettings.Micros(it.UpSince)})
+			l.Entries = append(l.Entries, scheduler.Entry{Node: it.Shelf, Zone: it.Zone, Shard: it.Cluster,
+				State: states[it.Condition], Started: settings.Micros(it.UpSince)})
 		}
 		return l
 	case "job_in":
-		return logic.Arrival{ID: e.Job, Shard: e.Cell, Plan: e.Plan, Class: e.Service, Key: e.Key,
-			Volume: e.User, Left: sitesettings.Micros(e.Grace), Units: e.Weight, Hosts: e.Writers, Again: e.Again}
+		return scheduler.Arrival{ID: e.Job, Shard: e.Cell, Plan: e.Plan, Class: e.Service, Key: e.Key,
+			Volume: e.User, Left: settings.Micros(e.Grace), Units: e.Weight, Hosts: e.Writers, Again: e.Again}
 	case "ended":
 		o, known := outcomes[e.How]
 		if !known {
-			o = logic.Failed
+			o = scheduler.Failed
 		}
 		held, says := e.Telemetry["concurrent"]
 		waiting, saysWaiting := e.Telemetry["depth"]
-		return logic.Ended{ID: e.Job, Attempt: e.N, Node: e.Shelf, Outcome: o, Took: sitesettings.Micros(e.Took),
+		return scheduler.Ended{ID: e.Job, Attempt: e.N, Node: e.Shelf, Outcome: o, Took: settings.Micros(e.Took),
 			Closed:   e.Terminal,
 			Reported: max(held, waiting), Reports: says || saysWaiting}
 	case "begun":
-		return logic.Begun{ID: e.Job, Attempt: e.N}
+		return scheduler.Begun{ID: e.Job, Attempt: e.N}
 	case "dropped":
-		return logic.Dropped{ID: e.Job}
+		return scheduler.Dropped{ID: e.Job}
 	case "bell":
-		return logic.Wake{}
+		return scheduler.Wake{}
 	}
 	return nil // probe results and messages: the module sends neither
 }
 
-var states = map[string]logic.NodeState{"SERVING": logic.Serving, "DRAINING": logic.Draining,
-	"DELETED": logic.Gone}
+var states = map[string]scheduler.NodeState{"SERVING": scheduler.Serving, "DRAINING": scheduler.Draining,
+	"DELETED": scheduler.Gone}
 
-var outcomes = map[string]logic.Outcome{"done": logic.OK, "err": logic.Failed, "busy": logic.Full,
-	"etimedout": logic.TimedOut, "econnrefused": logic.ConnectFailed, "econnreset": logic.Reset,
-	"ecanceled": logic.Cancelled, "skipped": logic.Moot}
+var outcomes = map[string]scheduler.Outcome{"done": scheduler.OK, "err": scheduler.Failed, "busy": scheduler.Full,
+	"etimedout": scheduler.TimedOut, "econnrefused": scheduler.ConnectFailed, "econnreset": scheduler.Reset,
+	"ecanceled": scheduler.Cancelled, "skipped": scheduler.Moot}
 
-func writeAction(w io.Writer, id string, a logic.Action) {
+func writeAction(w io.Writer, id string, a scheduler.Action) {
 	switch a := a.(type) {
-	case logic.Send:
+	case scheduler.Send:
 		fmt.Fprintf(w, "dispatch %s %d %s 0\n", id, a.ID, a.Node)
-	case logic.Refuse:
+	case scheduler.Refuse:
 		fmt.Fprintf(w, "shed %s %d %d\n", id, a.ID, a.RetryAfter.Microseconds())
-	case logic.Fail:
+	case scheduler.Fail:
 		fmt.Fprintf(w, "drop_request %s %d\n", id, a.ID)
-	case logic.WakeIn:
+	case scheduler.WakeIn:
 		fmt.Fprintf(w, "arm %s %d w\n", id, a.In.Microseconds())
-	case logic.Watch:
+	case scheduler.Watch:
 		fmt.Fprintf(w, "track %s 1\n", id)
 	}
 }
--- a/internal/admit/admit.go
+++ b/internal/admission/admit.go
@@ -1,4 +1,4 @@
-// Package admit decides about connections, not requests: which are accepted,
+// Package admission decides about connections, not requests: which are accepted,
 // which are refused with an answer or closed, and which idle one gives way. It is
 // told of arrivals, requests and closings. It is pure: no I/O, no clock, chance
 // from its seed alone, and every table has a bound.
@@ -11,7 +11,7 @@
 //   - a connection with a request taken is never closed for room;
 //   - no request is begun for which the buffers of all have no room;
 //   - an address that used its rate up is not forgotten for one that did not.
-package admit
+package admission
 
 import (
 	"container/list"
--- a/internal/admit/admit_test.go
+++ b/internal/admission/admit_test.go
@@ -1,4 +1,4 @@
-package admit
+package admission
 
 import (
 	"fmt"
--- a/internal/audit/answers.go
+++ b/internal/audit/answers.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"maddergap/internal/standin"
+	"maddergap/internal/fakenode"
 )
 
 // answers is rule 1: one final answer in time for each request taken, and
@@ -41,7 +41,7 @@
 
 // begun judges one attempt against its client: whether that is there still, and the time that
 // is left to it.
-func (j *judge) begun(r *Rule, c *Client, e *standin.Entry) {
+func (j *judge) begun(r *Rule, c *Client, e *fakenode.Entry) {
 	if gone := c.GaveUp; j.in.CancelGrace > 0 && gone > 0 && e.In > gone+j.in.CancelGrace.Microseconds()+j.blur() {
 		r.breach("%s was sent to %s %v after its client had left", c.Trace, e.Node, time.Duration(e.In-gone)*time.Microsecond)
 	}
--- a/internal/audit/audit.go
+++ b/internal/audit/audit.go
@@ -9,8 +9,8 @@
 	"slices"
 	"time"
 
-	"maddergap/internal/standin"
-	"maddergap/logic"
+	"maddergap/internal/fakenode"
+	"maddergap/scheduler"
 )
 
 // Rule is a verdict on one rule.
@@ -36,15 +36,15 @@
 // judge is a run with its records joined.
 type judge struct {
 	in       Input
-	classes  []logic.Class
+	classes  []scheduler.Class
 	clients  map[string]*Client
-	attempts map[string][]*standin.Entry // by trace, in order of arrival
-	all      []*standin.Entry            // the same of all
+	attempts map[string][]*fakenode.Entry // by trace, in order of arrival
+	all      []*fakenode.Entry            // the same of all
 }
 
 // Judge judges a run.
 func Judge(in Input) *Report {
-	j := &judge{in: in, classes: in.Config.Logic.Classes, clients: map[string]*Client{}, attempts: map[string][]*standin.Entry{}}
+	j := &judge{in: in, classes: in.Config.Logic.Classes, clients: map[string]*Client{}, attempts: map[string][]*fakenode.Entry{}}
 	for i := range in.Clients {
 		j.clients[in.Clients[i].Trace] = &in.Clients[i]
 	}
@@ -54,7 +54,7 @@
 		j.attempts[t] = append(j.attempts[t], e)
 		j.all = append(j.all, e)
 	}
-	byIn := func(a, b *standin.Entry) int { return cmp.Compare(a.In, b.In) }
+	byIn := func(a, b *fakenode.Entry) int { return cmp.Compare(a.In, b.In) }
 	slices.SortStableFunc(j.all, byIn)
 	for _, list := range j.attempts {
 		slices.SortStableFunc(list, byIn)
--- a/internal/audit/audit_test.go
+++ b/internal/audit/audit_test.go
@@ -7,14 +7,14 @@
 	"testing"
 	"time"
 
-	"maddergap/internal/conf"
-	"maddergap/internal/standin"
-	"maddergap/logic"
+	"maddergap/internal/config"
+	"maddergap/internal/fakenode"
+	"maddergap/scheduler"
 )
 
-func config(t *testing.T) *conf.Config {
+func testConfig(t *testing.T) *config.Config {
 	t.Helper()
-	c, err := conf.Parse("t", []byte(`listen 127.0.0.1:0
+	c, err := config.Parse("t", []byte(`listen 127.0.0.1:0
 nodes n
 heads 2
 class read effect safe aim 100ms deadline 1s worth 2 late 0.5
@@ -39,7 +39,7 @@
 
 func trace(i int) string { return fmt.Sprintf("%032x", i) }
 
-func attempt(i int, node string, in int64, e standin.Entry) standin.Entry {
+func attempt(i int, node string, in int64, e fakenode.Entry) fakenode.Entry {
 	e.Trace, e.Node, e.In = "00-"+trace(i)+"-0000000000000001-00", node, in
 	return e
 }
@@ -65,16 +65,16 @@
 func TestEachRule(t *testing.T) {
 	fine := client(1, 0, Client{Answers: 1, Status: 200, Units: 1})
 	at := second + 1000
-	ran := standin.Entry{Ran: at + 10, Out: at + 20, Status: 200, Units: 1}
-	full := standin.Entry{Status: 503, Out: at + 10}
+	ran := fakenode.Entry{Ran: at + 10, Out: at + 20, Status: 200, Units: 1}
+	full := fakenode.Entry{Status: 503, Out: at + 10}
 	for _, c := range []struct {
 		name    string
 		clients []Client
-		nodes   []standin.Entry
+		nodes   []fakenode.Entry
 		change  func(*Input)
 		want    []int
 	}{
-		{"all well", []Client{fine}, []standin.Entry{attempt(1, "n", at, ran)}, nil, nil},
+		{"all well", []Client{fine}, []fakenode.Entry{attempt(1, "n", at, ran)}, nil, nil},
 		{"no answer", []Client{client(1, 0, Client{Lost: 3 * second})}, nil, nil, []int{1}},
 		{"no answer of a killed head", []Client{client(1, 0, Client{Lost: 3 * second})}, nil,
 			func(in *Input) { in.Down = []Span{{"0", 2 * second, 4 * second}} }, nil},
@@ -83,45 +83,45 @@
 		{"gave up", []Client{client(1, 0, Client{GaveUp: 2 * second})}, nil, nil, nil},
 		{"two answers", []Client{client(1, 0, Client{Answers: 2, Status: 200, Answered: at})}, nil, nil, []int{1}},
 		{"late", []Client{client(1, 0, Client{Answers: 1, Status: 200, Answered: 3 * second})}, nil, nil, []int{1}},
-		{"sent after the answer", []Client{fine}, []standin.Entry{attempt(1, "n", 2*second, ran)}, nil, []int{1}},
-		{"belongs to nobody", []Client{fine}, []standin.Entry{attempt(9, "n", at, ran)}, nil, []int{1}},
-		{"safe twice", []Client{fine}, []standin.Entry{attempt(1, "n", at, ran), attempt(1, "n", at+1, ran)}, nil, nil},
+		{"sent after the answer", []Client{fine}, []fakenode.Entry{attempt(1, "n", 2*second, ran)}, nil, []int{1}},
+		{"belongs to nobody", []Client{fine}, []fakenode.Entry{attempt(9, "n", at, ran)}, nil, []int{1}},
+		{"safe twice", []Client{fine}, []fakenode.Entry{attempt(1, "n", at, ran), attempt(1, "n", at+1, ran)}, nil, nil},
 		{"unsafe twice", []Client{client(1, 1, Client{Answers: 1, Status: 200})},
-			[]standin.Entry{attempt(1, "n", at, ran), attempt(1, "m", at+1, ran)}, nil, []int{2}},
+			[]fakenode.Entry{attempt(1, "n", at, ran), attempt(1, "m", at+1, ran)}, nil, []int{2}},
 		{"unsafe again though it may run", []Client{client(1, 1, Client{Answers: 1, Status: 200})},
-			[]standin.Entry{attempt(1, "n", at, standin.Entry{}), attempt(1, "m", at+1, ran)}, nil, []int{2}},
+			[]fakenode.Entry{attempt(1, "n", at, fakenode.Entry{}), attempt(1, "m", at+1, ran)}, nil, []int{2}},
 		{"unsafe again after full", []Client{client(1, 1, Client{Answers: 1, Status: 200})},
-			[]standin.Entry{attempt(1, "n", at, full), attempt(1, "m", at+1, ran)}, nil, nil},
-		{"refused, but ran", []Client{client(1, 1, Client{Answers: 1, Status: 503})}, []standin.Entry{attempt(1, "n", at, ran)}, nil, []int{2}},
-		{"failed, and ran", []Client{client(1, 1, Client{Answers: 1, Status: 504})}, []standin.Entry{attempt(1, "n", at, ran)}, nil, nil},
+			[]fakenode.Entry{attempt(1, "n", at, full), attempt(1, "m", at+1, ran)}, nil, nil},
+		{"refused, but ran", []Client{client(1, 1, Client{Answers: 1, Status: 503})}, []fakenode.Entry{attempt(1, "n", at, ran)}, nil, []int{2}},
+		{"failed, and ran", []Client{client(1, 1, Client{Answers: 1, Status: 504})}, []fakenode.Entry{attempt(1, "n", at, ran)}, nil, nil},
 		{"keyed in its window", []Client{client(1, 2, Client{Answers: 1, Status: 200, Deadline: 9 * second, Answered: 4 * second})},
-			[]standin.Entry{attempt(1, "n", at, standin.Entry{}), attempt(1, "n", at+second, ran)}, nil, nil},
+			[]fakenode.Entry{attempt(1, "n", at, fakenode.Entry{}), attempt(1, "n", at+second, ran)}, nil, nil},
 		{"keyed past its window", []Client{client(1, 2, Client{Answers: 1, Status: 200, Deadline: 9 * second, Answered: 5 * second})},
-			[]standin.Entry{attempt(1, "n", at, standin.Entry{}), attempt(1, "n", at+3*second, ran)}, nil, []int{2}},
-		{"drained in its grace", []Client{fine}, []standin.Entry{attempt(1, "n", at, ran)},
+			[]fakenode.Entry{attempt(1, "n", at, fakenode.Entry{}), attempt(1, "n", at+3*second, ran)}, nil, []int{2}},
+		{"drained in its grace", []Client{fine}, []fakenode.Entry{attempt(1, "n", at, ran)},
 			func(in *Input) { in.Drains = []Span{{"n", at - second/4, 0}} }, nil},
-		{"drained past its grace", []Client{fine}, []standin.Entry{attempt(1, "n", at, ran)},
+		{"drained past its grace", []Client{fine}, []fakenode.Entry{attempt(1, "n", at, ran)},
 			func(in *Input) { in.Drains = []Span{{"n", at - second, 0}} }, []int{3}},
-		{"another drained", []Client{fine}, []standin.Entry{attempt(1, "n", at, ran)},
+		{"another drained", []Client{fine}, []fakenode.Entry{attempt(1, "n", at, ran)},
 			func(in *Input) { in.Drains = []Span{{"m", at - second, 0}} }, nil},
-		{"fell", []Client{fine}, []standin.Entry{attempt(1, "n", at, standin.Entry{Fell: true, Status: 200, Out: at})}, nil, []int{4}},
+		{"fell", []Client{fine}, []fakenode.Entry{attempt(1, "n", at, fakenode.Entry{Fell: true, Status: 200, Out: at})}, nil, []int{4}},
 		{"in turn", []Client{client(1, 3, Client{Answers: 1, Status: 200, Key: "k"}), client(2, 3, Client{Sent: second + 5, Answers: 1, Status: 200, Key: "k"})},
-			[]standin.Entry{attempt(1, "n", at, ran), attempt(2, "n", at+30, ran)}, nil, nil},
+			[]fakenode.Entry{attempt(1, "n", at, ran), attempt(2, "n", at+30, ran)}, nil, nil},
 		{"beside another", []Client{client(1, 3, Client{Answers: 1, Status: 200, Key: "k"}), client(2, 3, Client{Answers: 1, Status: 200, Key: "k"})},
-			[]standin.Entry{attempt(1, "n", at, standin.Entry{Out: at + second/2, Status: 200}), attempt(2, "n", at+30, ran)}, nil, []int{5}},
+			[]fakenode.Entry{attempt(1, "n", at, fakenode.Entry{Out: at + second/2, Status: 200}), attempt(2, "n", at+30, ran)}, nil, []int{5}},
 		{"out of turn", []Client{client(1, 3, Client{Answers: 1, Status: 200, Key: "k"}),
 			client(2, 3, Client{Sent: 2 * second, Answers: 1, Status: 200, Key: "k", Answered: 2*second + 9})},
-			[]standin.Entry{attempt(1, "n", 2*second, standin.Entry{Out: 2*second + 10, Status: 200}), attempt(2, "n", 2*second-5, standin.Entry{Out: 2*second - 1})},
+			[]fakenode.Entry{attempt(1, "n", 2*second, fakenode.Entry{Out: 2*second + 10, Status: 200}), attempt(2, "n", 2*second-5, fakenode.Entry{Out: 2*second - 1})},
 			func(in *Input) { in.Clients[0].Answered, in.Clients[0].Deadline = 2*second+10, 3*second }, []int{5}},
 		{"other keys", []Client{client(1, 3, Client{Answers: 1, Status: 200, Key: "k"}), client(2, 3, Client{Answers: 1, Status: 200, Key: "j"})},
-			[]standin.Entry{attempt(1, "n", at, standin.Entry{Out: at + second/2}), attempt(2, "n", at+30, ran)}, nil, nil},
-		{"budget", []Client{fine}, []standin.Entry{attempt(1, "n", at, ran), attempt(1, "n", at+1, ran), attempt(1, "n", at+2, ran)}, nil, []int{6}},
-		{"within the limit", []Client{client(1, 0, Client{Volume: "v", Units: 10, Answers: 1, Status: 200})}, []standin.Entry{attempt(1, "n", at, ran)}, nil, nil},
+			[]fakenode.Entry{attempt(1, "n", at, fakenode.Entry{Out: at + second/2}), attempt(2, "n", at+30, ran)}, nil, nil},
+		{"budget", []Client{fine}, []fakenode.Entry{attempt(1, "n", at, ran), attempt(1, "n", at+1, ran), attempt(1, "n", at+2, ran)}, nil, []int{6}},
+		{"within the limit", []Client{client(1, 0, Client{Volume: "v", Units: 10, Answers: 1, Status: 200})}, []fakenode.Entry{attempt(1, "n", at, ran)}, nil, nil},
 		{"over the limit", []Client{client(1, 0, Client{Volume: "v", Units: 10, Answers: 1, Status: 200}),
 			client(2, 0, Client{Volume: "v", Units: 10, Answers: 1, Status: 200})},
-			[]standin.Entry{attempt(1, "n", at, ran), attempt(2, "n", at+1, ran)}, nil, []int{7}},
+			[]fakenode.Entry{attempt(1, "n", at, ran), attempt(2, "n", at+1, ran)}, nil, []int{7}},
 	} {
-		in := Input{Config: config(t), Clients: c.clients, Nodes: c.nodes, Grace: 500 * time.Millisecond,
+		in := Input{Config: testConfig(t), Clients: c.clients, Nodes: c.nodes, Grace: 500 * time.Millisecond,
 			Blur: 20 * time.Millisecond, Late: 50 * time.Millisecond, Cold: Cold{Rate: 10, From: 0.2, For: time.Second, Multiple: 2, Window: time.Second}}
 		if c.change != nil {
 			c.change(&in)
@@ -138,7 +138,7 @@
 }
 
 func TestWorth(t *testing.T) {
-	r := Judge(Input{Config: config(t), Clients: []Client{
+	r := Judge(Input{Config: testConfig(t), Clients: []Client{
 		client(1, 0, Client{Answers: 1, Status: 200, Units: 2, Answered: second + 50_000}),
 		client(2, 0, Client{Answers: 1, Status: 200, Units: 1, Answered: second + 500_000}),
 		client(3, 1, Client{Answers: 1, Status: 503, Units: 1}),
@@ -153,8 +153,8 @@
 func TestPlatformRules(t *testing.T) {
 	const start = int64(1_000_000_000)
 	ms := func(n int64) int64 { return start + n*1000 }
-	config := &conf.Config{Logic: logic.Settings{Classes: []logic.Class{{Name: "read", Effect: logic.Safe}}, Plans: []logic.Plan{{}}},
-		Volumes: []conf.Volume{{Name: "v"}}}
+	config := &config.Config{Logic: scheduler.Settings{Classes: []scheduler.Class{{Name: "read", Effect: scheduler.Safe}}, Plans: []scheduler.Plan{{}}},
+		Volumes: []config.Volume{{Name: "v"}}}
 	base := func() Input {
 		return Input{Config: config, Grace: 500 * time.Millisecond, CancelGrace: 100 * time.Millisecond, ToldSlack: 150 * time.Millisecond,
 			Blur: 10 * time.Millisecond,
@@ -162,40 +162,40 @@
 	}
 	answered := Client{Trace: "a", Volume: "v", Sent: ms(0), Deadline: ms(1000), Answered: ms(900), Answers: 1, Status: 200, Units: 1}
 	left := Client{Trace: "a", Volume: "v", Sent: ms(0), Deadline: ms(1000), GaveUp: ms(100), Units: 1}
-	sent := func(at int64) standin.Entry {
-		return standin.Entry{Node: "n", Trace: "a", In: ms(at), Ran: ms(at + 1), Out: ms(at + 2), Status: 200, Units: 1}
+	sent := func(at int64) fakenode.Entry {
+		return fakenode.Entry{Node: "n", Trace: "a", In: ms(at), Ran: ms(at + 1), Out: ms(at + 2), Status: 200, Units: 1}
 	}
 	cases := []struct {
 		name   string
 		change func(in *Input)
 		broken []int
 	}{
-		{"begins as its client leaves", func(in *Input) { in.Clients, in.Nodes = []Client{left}, []standin.Entry{sent(205)} }, nil},
-		{"begins for a client that left", func(in *Input) { in.Clients, in.Nodes = []Client{left}, []standin.Entry{sent(215)} }, []int{1}},
+		{"begins as its client leaves", func(in *Input) { in.Clients, in.Nodes = []Client{left}, []fakenode.Entry{sent(205)} }, nil},
+		{"begins for a client that left", func(in *Input) { in.Clients, in.Nodes = []Client{left}, []fakenode.Entry{sent(215)} }, []int{1}},
 		{"tells what is left", func(in *Input) {
 			e := sent(500)
 			e.Told = 650_000
-			in.Clients, in.Nodes = []Client{answered}, []standin.Entry{e}
+			in.Clients, in.Nodes = []Client{answered}, []fakenode.Entry{e}
 		}, nil},
 		{"tells more than is left", func(in *Input) {
 			e := sent(500)
 			e.Told = 670_000
-			in.Clients, in.Nodes = []Client{answered}, []standin.Entry{e}
+			in.Clients, in.Nodes = []Client{answered}, []fakenode.Entry{e}
 		}, []int{1}},
 		{"within the grace", func(in *Input) {
-			in.Clients, in.Nodes = []Client{answered}, []standin.Entry{sent(505)}
+			in.Clients, in.Nodes = []Client{answered}, []fakenode.Entry{sent(505)}
 			in.Notices = []Notice{{Head: 0, Node: "n", From: ms(0)}}
 		}, nil},
 		{"after the grace", func(in *Input) {
-			in.Clients, in.Nodes = []Client{answered}, []standin.Entry{sent(515)}
+			in.Clients, in.Nodes = []Client{answered}, []fakenode.Entry{sent(515)}
 			in.Notices = []Notice{{Head: 0, Node: "n", From: ms(0)}}
 		}, []int{3}},
 		{"another head was notified", func(in *Input) {
-			in.Clients, in.Nodes = []Client{answered}, []standin.Entry{sent(515)}
+			in.Clients, in.Nodes = []Client{answered}, []fakenode.Entry{sent(515)}
 			in.Notices = []Notice{{Head: 1, Node: "n", From: ms(0)}}
 		}, nil},
 		{"it serves again", func(in *Input) {
-			in.Clients, in.Nodes = []Client{answered}, []standin.Entry{sent(700)}
+			in.Clients, in.Nodes = []Client{answered}, []fakenode.Entry{sent(700)}
 			in.Notices = []Notice{{Head: 0, Node: "n", From: ms(0), To: ms(600)}}
 		}, nil},
 		{"a cold node at its bound", func(in *Input) { in.crowd(answered, sent, 14) }, nil},
@@ -219,7 +219,7 @@
 }
 
 // crowd sends a node so many requests right after its start.
-func (in *Input) crowd(client Client, sent func(int64) standin.Entry, size int) {
+func (in *Input) crowd(client Client, sent func(int64) fakenode.Entry, size int) {
 	in.Starts = []Span{{Name: "n", From: sent(0).In}}
 	for i := range size {
 		c, e := client, sent(100)
--- a/internal/audit/cold.go
+++ b/internal/audit/cold.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"maddergap/internal/standin"
+	"maddergap/internal/fakenode"
 )
 
 // cold is rule 4: the sum over any window against a multiple of what the node
@@ -17,7 +17,7 @@
 		r.Bound = 1
 	}
 	for _, s := range j.in.Starts {
-		var window []*standin.Entry
+		var window []*fakenode.Entry
 		sum := 0.0
 		for _, e := range j.all {
 			age := time.Duration(e.In-s.From) * time.Microsecond
@@ -46,7 +46,7 @@
 
 // blamed tells whether what a cold node got in a window is the doing of heads that had been
 // notified of its start.
-func (j *judge) blamed(start Span, window []*standin.Entry) bool {
+func (j *judge) blamed(start Span, window []*fakenode.Entry) bool {
 	if len(j.in.Told) == 0 {
 		return true
 	}
@@ -61,7 +61,7 @@
 }
 
 // told tells whether the head of an attempt had been notified of a node's start.
-func (j *judge) told(start Span, e *standin.Entry) bool {
+func (j *judge) told(start Span, e *fakenode.Entry) bool {
 	c := j.clients[traceID(e.Trace)]
 	return c != nil && slices.ContainsFunc(j.in.Told, func(n Notice) bool {
 		return n.Head == c.Head && n.Node == start.Name && n.From >= start.From && n.From <= e.In
--- a/internal/audit/effects.go
+++ b/internal/audit/effects.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"maddergap/internal/standin"
-	"maddergap/logic"
+	"maddergap/internal/fakenode"
+	"maddergap/scheduler"
 )
 
 // effects is rule 2.
@@ -16,7 +16,7 @@
 			continue
 		}
 		class := &j.classes[c.Class]
-		if class.Effect == logic.Safe {
+		if class.Effect == scheduler.Safe {
 			continue
 		}
 		ran := 0
@@ -27,16 +27,16 @@
 			if i == 0 || notRun(list[i-1]) {
 				continue
 			}
-			if class.Effect == logic.Unsafe {
+			if class.Effect == scheduler.Unsafe {
 				r.breach("%s (%s) was sent again to %s though the attempt before may have run", t, class.Name, e.Node)
 			} else if late := time.Duration(e.In-list[0].In) * time.Microsecond; late > class.Window+j.in.Blur {
 				r.breach("%s (%s) was sent again after %v, its nodes remember %v", t, class.Name, late, class.Window)
 			}
 		}
-		if class.Effect == logic.Unsafe && ran > 1 {
+		if class.Effect == scheduler.Unsafe && ran > 1 {
 			r.breach("%s (%s) ran %d times", t, class.Name, ran)
 		}
-		if c.Status == 503 && ran > 0 && class.Effect == logic.Unsafe {
+		if c.Status == 503 && ran > 0 && class.Effect == scheduler.Unsafe {
 			r.breach("%s (%s) was refused, but ran", t, class.Name)
 		}
 	}
@@ -45,4 +45,4 @@
 }
 
 // notRun tells whether a node said of an attempt that it did not run.
-func notRun(e *standin.Entry) bool { return e.Status == 503 && e.Ran == 0 }
+func notRun(e *fakenode.Entry) bool { return e.Status == 503 && e.Ran == 0 }
--- a/internal/audit/order.go
+++ b/internal/audit/order.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"maddergap/internal/standin"
+	"maddergap/internal/fakenode"
 )
 
 // order is rule 5: of one key nothing runs beside another, and in the order sent.
@@ -14,7 +14,7 @@
 	r := Rule{Number: 5, Name: "order kept", Unit: "requests beside or before their turn", Bound: 0}
 	type run struct {
 		c *Client
-		e *standin.Entry
+		e *fakenode.Entry
 	}
 	keys := map[string][]run{}
 	for t, list := range j.attempts {
--- a/internal/audit/records.go
+++ b/internal/audit/records.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"maddergap/internal/conf"
-	"maddergap/internal/standin"
+	"maddergap/internal/config"
+	"maddergap/internal/fakenode"
 )
 
 // Client is the record of one request, as its client saw it; times are
@@ -36,9 +36,9 @@
 
 // Input is what a run left behind.
 type Input struct {
-	Config  *conf.Config
+	Config  *config.Config
 	Clients []Client
-	Nodes   []standin.Entry
+	Nodes   []fakenode.Entry
 	Down    []Span        // heads ("0", "1", ...) that were killed, until they served again
 	Drains  []Span        // nodes, from when the heads were told
 	Notices []Notice      // nodes that a head was notified of, where heads are notified apart
--- a/internal/bench/bench.go
+++ b/internal/bench/bench.go
@@ -21,9 +21,9 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"maddergap/internal/child"
+	"maddergap/internal/fakenode"
 	"maddergap/internal/nodelist"
-	"maddergap/internal/standin"
+	"maddergap/internal/subprocess"
 )
 
 // Options of a measurement.
@@ -63,12 +63,12 @@
 
 // process is one that is measured.
 type process struct {
-	*child.Process
+	*subprocess.Process
 	addr string
 }
 
 func start(addr string, argv ...string) (*process, error) {
-	p, err := child.Start(addr, nil, argv...)
+	p, err := subprocess.Start(addr, nil, argv...)
 	return &process{p, addr}, err
 }
 
@@ -190,11 +190,11 @@
 }
 
 // nodes starts stand-ins with objects in them.
-func (o *Options) nodes(n int) ([]*standin.Node, error) {
-	var out []*standin.Node
+func (o *Options) nodes(n int) ([]*fakenode.Node, error) {
+	var out []*fakenode.Node
 	var list []nodelist.Node
 	for i := range n {
-		s, err := standin.Start(standin.Options{Listen: "127.0.0.1:0", Name: fmt.Sprint("n", i), Cores: 64, Queue: 4096, Forget: true})
+		s, err := fakenode.Start(fakenode.Options{Listen: "127.0.0.1:0", Name: fmt.Sprint("n", i), Cores: 64, Queue: 4096, Forget: true})
 		if err != nil {
 			return out, err
 		}
--- a/internal/conf/conf.go
+++ b/internal/config/conf.go
@@ -1,4 +1,4 @@
-package conf
+package config
 
 import (
 	"errors"
@@ -10,10 +10,10 @@
 	"strings"
 	"time"
 
-	"maddergap/internal/admit"
+	"maddergap/internal/admission"
 	"maddergap/internal/http1"
 	"maddergap/internal/syscalls"
-	"maddergap/logic"
+	"maddergap/scheduler"
 )
 
 // Config is what a file says, checked.
@@ -30,7 +30,7 @@
 	Seed    uint64   // of what is spread by chance, 0: drawn at start
 	Volumes []Volume
 	Routes  []Route
-	Logic   logic.Settings
+	Logic   scheduler.Settings
 	// Deadlines are the time of a class's clients, by class.
 	Deadlines []time.Duration
 
@@ -57,7 +57,7 @@
 	// PaceAfter is over; 0: any.
 	BodyPace, AnswerPace int64
 	PaceAfter            time.Duration
-	Admit                admit.Config
+	Admit                admission.Config
 	Header               http1.Limits
 }
 
@@ -84,9 +84,9 @@
 		AnswerMargin: 20 * time.Millisecond, HeaderTime: 10 * time.Second, IdleTime: 60 * time.Second,
 		StallTime: 10 * time.Second, StopTime: 10 * time.Second, NodeIdle: 20 * time.Second, NodeConns: 64,
 		DialTime: time.Second, ListingMax: 8 << 20, BodyPace: 100, AnswerPace: 1000, PaceAfter: 30 * time.Second, Sizes: 1 << 14, Clients: 8192, Processes: 1, Header: http1.DefaultLimits,
-		Admit: admit.Config{V6Bits: 64, Wide4: 24, Wide6: 48, Entries: 1 << 14, Learned: 1024, Forget: 10 * time.Minute,
+		Admit: admission.Config{V6Bits: 64, Wide4: 24, Wide6: 48, Entries: 1 << 14, Learned: 1024, Forget: 10 * time.Minute,
 			AnswerRate: 50, AnswerBurst: 100, KnownMultiple: 4, IdleUnderPress: time.Second},
-		Logic: logic.Settings{Heads: 1, MostUnits: 1, MeanUnits: 1, ShareWorth: 0.3}}
+		Logic: scheduler.Settings{Heads: 1, MostUnits: 1, MeanUnits: 1, ShareWorth: 0.3}}
 }
 
 // What every client connection may hold whatever the others do, and what all may
@@ -437,11 +437,11 @@
 
 func (p *parser) class(line int, a *Args) {
 	n, ok := p.name(line, a, "class")
-	c := logic.Class{Name: n, Worth: 1}
+	c := scheduler.Class{Name: n, Worth: 1}
 	var deadline time.Duration
 	pairs(a, map[string]func(string){
-		"effect":   func(k string) { c.Effect = logic.Effect(a.OneOf(k, "safe", "keyed", "unsafe")) },
-		"group":    func(k string) { c.Group = logic.Group(a.OneOf(k, "all", "zone", "cell")) },
+		"effect":   func(k string) { c.Effect = scheduler.Effect(a.OneOf(k, "safe", "keyed", "unsafe")) },
+		"group":    func(k string) { c.Group = scheduler.Group(a.OneOf(k, "all", "zone", "cell")) },
 		"window":   func(k string) { c.Window = a.Duration(k, 0) },
 		"aim":      func(k string) { c.Aim = a.Duration(k, time.Millisecond) },
 		"deadline": func(k string) { deadline = a.Duration(k, time.Millisecond) },
@@ -454,9 +454,9 @@
 		return
 	case deadline < c.Aim:
 		a.Fault("the deadline %v is before the aim %v", deadline, c.Aim)
-	case c.Effect == logic.Keyed && c.Window == 0:
+	case c.Effect == scheduler.Keyed && c.Window == 0:
 		a.Fault("a keyed class needs a window: how long its nodes drop repeats")
-	case c.Effect != logic.Keyed && c.Window > 0:
+	case c.Effect != scheduler.Keyed && c.Window > 0:
 		a.Fault("only a keyed class has a window")
 	}
 	p.classes[n] = len(p.c.Logic.Classes)
@@ -466,7 +466,7 @@
 
 func (p *parser) plan(line int, a *Args) {
 	n, ok := p.name(line, a, "plan")
-	pl := logic.Plan{Name: n, Weight: 1, Price: 1}
+	pl := scheduler.Plan{Name: n, Weight: 1, Price: 1}
 	pairs(a, map[string]func(string){
 		"rate":    func(k string) { pl.Rate = a.Float(k) },
 		"reserve": func(k string) { pl.Reserve = a.Float(k) },
--- a/internal/conf/conf_test.go
+++ b/internal/config/conf_test.go
@@ -1,4 +1,4 @@
-package conf
+package config
 
 import (
 	"errors"
--- a/internal/conf/lines.go
+++ b/internal/config/lines.go
@@ -1,7 +1,7 @@
-// Package conf reads the configuration of a head: one directive a line, words
+// Package config reads the configuration of a head: one directive a line, words
 // split by white space, # begins a comment. A file is checked in full; every
 // mistake is told with file, line and reason, and a file with one is not used.
-package conf
+package config
 
 import (
 	"errors"
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -16,22 +16,22 @@
 	"golang.org/x/net/bpf"
 	"golang.org/x/sys/unix"
 
-	"maddergap/internal/admit"
-	"maddergap/internal/conf"
-	"maddergap/internal/head"
-	"maddergap/internal/loop"
+	"maddergap/internal/admission"
+	"maddergap/internal/config"
+	"maddergap/internal/eventloop"
+	"maddergap/internal/gateway"
 	"maddergap/internal/nodelist"
+	"maddergap/internal/supervisor"
 	"maddergap/internal/syscalls"
-	"maddergap/internal/workers"
-	"maddergap/logic"
+	"maddergap/scheduler"
 )
 
 // Daemon is a head on its loop.
 type Daemon struct {
-	c           *conf.Config
+	c           *config.Config
 	log         *slog.Logger
-	loop        *loop.Loop
-	head        *head.Head
+	loop        *eventloop.Loop
+	head        *gateway.Head
 	addrs       []string
 	obs         *observer
 	stop        atomic.Bool
@@ -64,17 +64,17 @@
 const pollNodes = 5 * time.Second
 
 // CoreOf makes what decides in the module's place.
-type CoreOf func(s logic.Settings, seed uint64, now logic.Time) (head.Core, error)
+type CoreOf func(s scheduler.Settings, seed uint64, now scheduler.Time) (gateway.Core, error)
 
 // Worker says that a daemon is one of several processes that share listeners.
 type Worker struct {
 	Index  int
-	Queues []loop.Queue
+	Queues []eventloop.Queue
 	Beat   *os.File // written to while the loop turns; when its other end is gone, so is the head
 }
 
 // part is what this process serves by.
-func (w *Worker) part(c *conf.Config) *conf.Config {
+func (w *Worker) part(c *config.Config) *config.Config {
 	if w == nil {
 		return c
 	}
@@ -82,11 +82,11 @@
 }
 
 // New opens listeners and reads the node list; nothing is served before Run.
-func New(c *conf.Config, log *slog.Logger) (*Daemon, error) { return NewWith(nil, nil, c, log) }
+func New(c *config.Config, log *slog.Logger) (*Daemon, error) { return NewWith(nil, nil, c, log) }
 
 // NewWith is New as a worker, nil for a head by itself, and with a core in the
 // module's place, for comparisons and tests.
-func NewWith(w *Worker, core CoreOf, c *conf.Config, log *slog.Logger) (*Daemon, error) {
+func NewWith(w *Worker, core CoreOf, c *config.Config, log *slog.Logger) (*Daemon, error) {
 	c = w.part(c)
 	data, err := os.ReadFile(c.Nodes)
 	if err != nil {
@@ -100,10 +100,10 @@
 	// listened to, and room to see that a known one has come.
 	most, told := c.Clients+64, c.Admit.AnswerBurst+2*int(c.Admit.AnswerRate)
 	if limit, few := tooFew(most + told + keptDescriptors); few {
-		return nil, &conf.Mistake{File: c.File, Reason: fmt.Sprintf("clients %d, with refusals and %d descriptors kept for nodes and files, needs %d descriptors; the limit is %d",
+		return nil, &config.Mistake{File: c.File, Reason: fmt.Sprintf("clients %d, with refusals and %d descriptors kept for nodes and files, needs %d descriptors; the limit is %d",
 			c.Clients, keptDescriptors, most+told+keptDescriptors, limit)}
 	}
-	l, err := loop.NewOn(calls(c), most, told)
+	l, err := eventloop.NewOn(calls(c), most, told)
 	if err != nil {
 		return nil, err
 	}
@@ -161,15 +161,17 @@
 		return err
 	}
 	if core == nil {
-		core = func(s logic.Settings, seed uint64, now logic.Time) (head.Core, error) { return logic.New(s, seed, now) }
+		core = func(s scheduler.Settings, seed uint64, now scheduler.Time) (gateway.Core, error) {
+			return scheduler.New(s, seed, now)
+		}
 	}
 	decides, err := core(d.c.Logic, seed, d.loop.Now())
 	if err != nil {
 		return err
 	}
-	d.head = head.NewWith(decides, d.c, seed, d.loop.Now(), d.loop.Start(), d.obs)
+	d.head = gateway.NewWith(decides, d.c, seed, d.loop.Now(), d.loop.Start(), d.obs)
 	d.loop.Head, d.loop.Woken = d.head, d.woken
-	d.loop.Turned = func(t *loop.Turn) { d.turns.took(d.loop.Now(), t) }
+	d.loop.Turned = func(t *eventloop.Turn) { d.turns.took(d.loop.Now(), t) }
 	return nil
 }
 
@@ -194,7 +196,7 @@
 
 // calls are the system calls of a head: those of the system, or with failures for tests and
 // rehearsals.
-func calls(c *conf.Config) syscalls.Calls {
+func calls(c *config.Config) syscalls.Calls {
 	if c.Inject == nil {
 		return syscalls.Linux{}
 	}
@@ -205,7 +207,7 @@
 func (d *Daemon) Addrs() []string { return d.addrs }
 
 // Counts are the head's sums, to be read when Run has returned.
-func (d *Daemon) Counts() head.Counts { return d.head.Counts() }
+func (d *Daemon) Counts() gateway.Counts { return d.head.Counts() }
 
 // Stop ends Run: listeners close, requests taken get their answers, within the
 // stop time. It may be called from any goroutine.
@@ -295,7 +297,7 @@
 	if d.service != nil {
 		return d.service.again(d)
 	}
-	c, err := conf.Load(d.c.File)
+	c, err := config.Load(d.c.File)
 	if err != nil {
 		return err
 	}
@@ -332,7 +334,7 @@
 	}
 	if d.worker != nil {
 		go func() {
-			if workers.Beat(d.worker.Beat, func() bool { d.loop.Wake(); return d.alive.Swap(false) }, quit) != nil {
+			if supervisor.Beat(d.worker.Beat, func() bool { d.loop.Wake(); return d.alive.Swap(false) }, quit) != nil {
 				d.Stop() // who started it is gone
 			}
 		}()
@@ -407,7 +409,7 @@
 
 // CheckNodes reads the node list of a configuration and holds that every shard
 // of every volume has a node.
-func CheckNodes(c *conf.Config) (int, error) {
+func CheckNodes(c *config.Config) (int, error) {
 	data, err := os.ReadFile(c.Nodes)
 	if err != nil {
 		return 0, err
@@ -424,7 +426,7 @@
 	for _, v := range c.Volumes {
 		for _, s := range v.Shards {
 			if !have[s] {
-				errs = append(errs, &conf.Mistake{File: c.Nodes, Reason: fmt.Sprintf("no node has shard %d of volume %s", s, v.Name)})
+				errs = append(errs, &config.Mistake{File: c.Nodes, Reason: fmt.Sprintf("no node has shard %d of volume %s", s, v.Name)})
 			}
 		}
 	}
@@ -435,8 +437,8 @@
 func (d *Daemon) MetricsAddr() string { return d.metricsAddr }
 
 // Listeners opens the listeners of a configuration for processes to share.
-func Listeners(c *conf.Config) (*loop.Loop, error) {
-	l, err := loop.New(0, 0)
+func Listeners(c *config.Config) (*eventloop.Loop, error) {
+	l, err := eventloop.New(0, 0)
 	if err != nil {
 		return nil, err
 	}
@@ -450,4 +452,4 @@
 }
 
 // sorter is the program that lets known clients wait in a queue of their own.
-func sorter(c *conf.Config) []bpf.RawInstruction { return c.Admit.Sorter(admit.NetworkHeader) }
+func sorter(c *config.Config) []bpf.RawInstruction { return c.Admit.Sorter(admission.NetworkHeader) }
--- a/internal/daemon/metrics.go
+++ b/internal/daemon/metrics.go
@@ -8,10 +8,10 @@
 	"github.com/prometheus/client_golang/prometheus"
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 
-	"maddergap/internal/admit"
-	"maddergap/internal/guard"
-	"maddergap/internal/head"
-	"maddergap/internal/loop"
+	"maddergap/internal/admission"
+	"maddergap/internal/eventloop"
+	"maddergap/internal/gateway"
+	"maddergap/internal/invariant"
 )
 
 // publishEvery is how often the loop leaves its sums for other goroutines.
@@ -26,8 +26,8 @@
 
 // published is what other goroutines may read of a head.
 type published struct {
-	head.Counts
-	longest [loop.Parts + 1]time.Duration
+	gateway.Counts
+	longest [eventloop.Parts + 1]time.Duration
 }
 
 func sum(list []uint64) (n uint64) {
@@ -88,21 +88,21 @@
 	}
 	for p, took := range c.longest {
 		name := "whole"
-		if p < int(loop.Parts) {
-			name = loop.Part(p).String()
+		if p < int(eventloop.Parts) {
+			name = eventloop.Part(p).String()
 		}
 		ch <- prometheus.MustNewConstMetric(turnDesc, prometheus.GaugeValue, took.Seconds(), name)
 	}
-	for o, n := range map[head.Outcome]uint64{head.Served: c.Served, head.Refused: c.Refused, head.Failed: c.Failed, head.Left: c.Left} {
+	for o, n := range map[gateway.Outcome]uint64{gateway.Served: c.Served, gateway.Refused: c.Refused, gateway.Failed: c.Failed, gateway.Left: c.Left} {
 		count(requestsDesc, n, o.String())
 	}
 	count(attemptsDesc, c.Attempts)
 	count(badDesc, c.Bad)
 	count(preemptedDesc, c.Preempted)
-	for r := admit.None + 1; r < admit.Reasons; r++ {
+	for r := admission.None + 1; r < admission.Reasons; r++ {
 		count(turnedDesc, c.Turned[r], r.String())
 	}
-	for r := guard.None + 1; r < guard.Rules; r++ {
+	for r := invariant.None + 1; r < invariant.Rules; r++ {
 		count(withheldDesc, c.Guard.Withheld[r], r.String())
 		count(brokenDesc, c.Guard.Broken[r], r.String())
 	}
--- a/internal/daemon/observer.go
+++ b/internal/daemon/observer.go
@@ -16,12 +16,12 @@
 
 	"golang.org/x/time/rate"
 
-	"maddergap/internal/admit"
-	"maddergap/internal/conf"
-	"maddergap/internal/guard"
-	"maddergap/internal/head"
+	"maddergap/internal/admission"
+	"maddergap/internal/config"
+	"maddergap/internal/gateway"
+	"maddergap/internal/invariant"
 	"maddergap/internal/membership"
-	"maddergap/logic"
+	"maddergap/scheduler"
 )
 
 // observer writes requests to the log and spans to the trace file.
@@ -39,7 +39,7 @@
 	unlogged   int
 }
 
-func newObserver(c *conf.Config, log *slog.Logger, start time.Time) (*observer, error) {
+func newObserver(c *config.Config, log *slog.Logger, start time.Time) (*observer, error) {
 	o := &observer{log: log, quiet: c.Quiet, start: start, turns: rate.NewLimiter(turnLines, turnLines), violations: rate.NewLimiter(turnLines, turnLines)}
 	if c.Traces == "" {
 		return o, nil
@@ -73,7 +73,7 @@
 type spanKey struct{}
 
 func (given) NewIDs(ctx context.Context) (trace.TraceID, trace.SpanID) {
-	s := ctx.Value(spanKey{}).(*head.Span)
+	s := ctx.Value(spanKey{}).(*gateway.Span)
 	return s.Trace, s.ID
 }
 
@@ -82,7 +82,7 @@
 	return id
 }
 
-func (o *observer) span(s *head.Span, kind trace.SpanKind, name string, failed string, attrs ...attribute.KeyValue) {
+func (o *observer) span(s *gateway.Span, kind trace.SpanKind, name string, failed string, attrs ...attribute.KeyValue) {
 	if o.tracer == nil || !s.Sampled {
 		return
 	}
@@ -102,9 +102,9 @@
 }
 
 // Request logs a request's end and its span.
-func (o *observer) Request(s *head.Span) {
+func (o *observer) Request(s *gateway.Span) {
 	failed := ""
-	if s.Outcome != head.Served {
+	if s.Outcome != gateway.Served {
 		failed = s.Outcome.String()
 	}
 	o.span(s, trace.SpanKindServer, s.Method, failed, attribute.String("client.address", s.Client), attribute.Int("maddergap.attempts", s.Attempts))
@@ -123,7 +123,7 @@
 const turnLines = 5
 
 // Turned logs a connection that was not admitted, or counts it for the next line.
-func (o *observer) Turned(client netip.AddrPort, why admit.Reason, told bool) {
+func (o *observer) Turned(client netip.AddrPort, why admission.Reason, told bool) {
 	if !o.turns.Allow() {
 		o.untold++
 		return
@@ -136,12 +136,12 @@
 // membersNamed is how many nodes a line about a change of the list names.
 const membersNamed = 8
 
-var stateNames = map[logic.NodeState]string{logic.Serving: "serving", logic.Draining: "draining", logic.Gone: "gone"}
+var stateNames = map[scheduler.NodeState]string{scheduler.Serving: "serving", scheduler.Draining: "draining", scheduler.Gone: "gone"}
 
 // Members logs what changed of the node list: how many nodes by their new state, and the
 // first of them by name.
 func (o *observer) Members(changes []membership.Change) {
-	counts := map[logic.NodeState]int{}
+	counts := map[scheduler.NodeState]int{}
 	var named []string
 	for i := range changes {
 		e := &changes[i].Entry
@@ -150,13 +150,13 @@
 			named = append(named, e.Node+" "+stateNames[e.State])
 		}
 	}
-	o.log.LogAttrs(context.Background(), slog.LevelInfo, "members changed", slog.Int("serving", counts[logic.Serving]),
-		slog.Int("draining", counts[logic.Draining]), slog.Int("gone", counts[logic.Gone]), slog.Any("first", named))
+	o.log.LogAttrs(context.Background(), slog.LevelInfo, "members changed", slog.Int("serving", counts[scheduler.Serving]),
+		slog.Int("draining", counts[scheduler.Draining]), slog.Int("gone", counts[scheduler.Gone]), slog.Any("first", named))
 }
 
 // Violation logs an invariant that was broken, or an attempt that was not begun for it, or
 // counts it for the next line.
-func (o *observer) Violation(v guard.Violation) {
+func (o *observer) Violation(v invariant.Violation) {
 	if !o.violations.Allow() {
 		o.unlogged++
 		return
@@ -171,17 +171,17 @@
 	o.unlogged = 0
 }
 
-var outcomes = map[logic.Outcome]string{logic.OK: "ok", logic.Failed: "failed", logic.Full: "full", logic.TimedOut: "timed out",
-	logic.ConnectFailed: "no connection", logic.Reset: "reset", logic.Cancelled: "cancelled", logic.Moot: "not sent"}
+var outcomes = map[scheduler.Outcome]string{scheduler.OK: "ok", scheduler.Failed: "failed", scheduler.Full: "full", scheduler.TimedOut: "timed out",
+	scheduler.ConnectFailed: "no connection", scheduler.Reset: "reset", scheduler.Cancelled: "cancelled", scheduler.Moot: "not sent"}
 
 // Attempt logs an attempt that did not bring an answer, and every one's span.
-func (o *observer) Attempt(s *head.Span) {
+func (o *observer) Attempt(s *gateway.Span) {
 	failed := ""
-	if s.Ended != logic.OK {
+	if s.Ended != scheduler.OK {
 		failed = outcomes[s.Ended]
 	}
 	o.span(s, trace.SpanKindClient, "attempt", failed, attribute.String("maddergap.node", s.Node), attribute.Int("maddergap.attempt", s.Attempt))
-	if o.quiet || s.Ended == logic.OK {
+	if o.quiet || s.Ended == scheduler.OK {
 		return
 	}
 	o.log.LogAttrs(context.Background(), slog.LevelWarn, "attempt", slog.String("request", s.Request),
--- a/internal/daemon/platform.go
+++ b/internal/daemon/platform.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"maddergap/internal/discovery"
-	"maddergap/internal/loop"
+	"maddergap/internal/eventloop"
 	"maddergap/internal/nodelist"
 	"maddergap/internal/platform"
 )
@@ -41,7 +41,7 @@
 	if limit, few := tooFew(c.Bounds.Descriptors()); few {
 		return nil, fmt.Errorf("%s: the bounds need %d descriptors, the limit is %d", c.Conf.File, c.Bounds.Descriptors(), limit)
 	}
-	l, err := loop.NewOn(calls(c.Conf), c.Bounds.Accepted(), c.Bounds.Told)
+	l, err := eventloop.NewOn(calls(c.Conf), c.Bounds.Accepted(), c.Bounds.Told)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/daemon/turns.go
+++ b/internal/daemon/turns.go
@@ -8,7 +8,7 @@
 	"github.com/prometheus/client_golang/prometheus"
 	"golang.org/x/time/rate"
 
-	"maddergap/internal/loop"
+	"maddergap/internal/eventloop"
 )
 
 // What the log tells of turns: those in which somebody waited for longer than can
@@ -23,7 +23,7 @@
 type turns struct {
 	log     *slog.Logger
 	seconds prometheus.Histogram
-	longest [2][loop.Parts + 1]time.Duration // of this minute and the last; the last place is the whole turn's
+	longest [2][eventloop.Parts + 1]time.Duration // of this minute and the last; the last place is the whole turn's
 	began   time.Duration
 	lines   *rate.Limiter
 	untold  int
@@ -36,14 +36,14 @@
 }
 
 // took is told of each turn.
-func (t *turns) took(now time.Duration, turn *loop.Turn) {
+func (t *turns) took(now time.Duration, turn *eventloop.Turn) {
 	if now >= t.began+turnWindow {
-		t.longest[1], t.longest[0], t.began = t.longest[0], [loop.Parts + 1]time.Duration{}, now
+		t.longest[1], t.longest[0], t.began = t.longest[0], [eventloop.Parts + 1]time.Duration{}, now
 	}
 	sum := turn.Sum()
 	t.seconds.Observe(sum.Seconds())
 	most := &t.longest[0]
-	most[loop.Parts] = max(most[loop.Parts], sum)
+	most[eventloop.Parts] = max(most[eventloop.Parts], sum)
 	for p, d := range turn.Took {
 		most[p] = max(most[p], d)
 	}
@@ -57,7 +57,7 @@
 	attrs := []slog.Attr{slog.Duration("took", sum), slog.Int("events", turn.Events), slog.Int("others_not_logged", t.untold)}
 	for p, d := range turn.Took {
 		if d >= time.Millisecond {
-			attrs = append(attrs, slog.Duration(loop.Part(p).String(), d))
+			attrs = append(attrs, slog.Duration(eventloop.Part(p).String(), d))
 		}
 	}
 	t.log.LogAttrs(context.Background(), slog.LevelWarn, "a long turn of the loop", attrs...)
@@ -65,7 +65,7 @@
 }
 
 // most is the longest of this minute and the last, by part.
-func (t *turns) most() (most [loop.Parts + 1]time.Duration) {
+func (t *turns) most() (most [eventloop.Parts + 1]time.Duration) {
 	for p := range most {
 		most[p] = max(t.longest[0][p], t.longest[1][p])
 	}
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -16,7 +16,7 @@
 	"slices"
 	"time"
 
-	"maddergap/internal/head"
+	"maddergap/internal/gateway"
 	"maddergap/internal/membership"
 	"maddergap/internal/nodelist"
 )
@@ -93,7 +93,7 @@
 }
 
 // Step tells what to do next, and when to ask again at the latest.
-func (c *Client) Step(now Time) (head.FeedOp, Time) {
+func (c *Client) Step(now Time) (gateway.FeedOp, Time) {
 	c.expire(now)
 	if len(c.calls) >= c.pacing.most && now >= c.next && c.mayCall(now) {
 		c.makeRoom()
@@ -101,17 +101,17 @@
 	if len(c.closing) > 0 {
 		conn := c.closing[0]
 		c.closing = c.closing[1:]
-		return head.FeedOp{Conn: conn, Close: true}, 0
+		return gateway.FeedOp{Conn: conn, Close: true}, 0
 	}
 	for _, k := range c.calls {
 		if k.state == connected && now >= k.notBefore {
-			return head.FeedOp{Conn: k.conn, Write: c.ask(k, now)}, 0
+			return gateway.FeedOp{Conn: k.conn, Write: c.ask(k, now)}, 0
 		}
 	}
 	if now >= c.next && c.mayCall(now) {
 		return c.dial(now), 0
 	}
-	return head.FeedOp{}, c.wakeAt(now)
+	return gateway.FeedOp{}, c.wakeAt(now)
 }
 
 // mayCall tells whether nothing that is under way stands for another call: where calls do
@@ -151,13 +151,13 @@
 	return max(at, now+1)
 }
 
-func (c *Client) dial(now Time) head.FeedOp {
+func (c *Client) dial(now Time) gateway.FeedOp {
 	c.lastID++
 	k := &call{conn: c.lastID, began: now, deadline: now + dialTimeout}
 	c.behind = c.behind || len(c.calls) > 0 // what is under way is late
 	c.calls = append(c.calls, k)
 	c.booked(now)
-	return head.FeedOp{Conn: k.conn, Dial: c.addr}
+	return gateway.FeedOp{Conn: k.conn, Dial: c.addr}
 }
 
 // booked sets when the call behind one that begins now is made.
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"maddergap/internal/nodelist"
-	"maddergap/logic"
+	"maddergap/scheduler"
 )
 
 func TestWholeListThenWatches(t *testing.T) {
@@ -22,14 +22,14 @@
 		news, ok := r.c.List()
 		nodes, full := news.Nodes, news.Full
 		want := nodelist.Node{Name: "a", Addr: "10.0.0.9:1", Zone: 1, Shard: 2, Started: time.UnixMilli(1700000000123)}
-		if !ok || !full || len(nodes) != 2 || nodes[0] != want || nodes[1].State != logic.Draining {
+		if !ok || !full || len(nodes) != 2 || nodes[0] != want || nodes[1].State != scheduler.Draining {
 			t.Fatalf("%v %v %+v", ok, full, nodes)
 		}
 		if r.asked != "GET /api/targets?from=41&hold_ms=120 HTTP/1.1" {
 			t.Fatalf("asked %q next, and not at once", r.asked)
 		}
 		r.answer(list(43, false, entry("a", "removed")), n)
-		if news, ok = r.c.List(); !ok || news.Full || len(news.Nodes) != 1 || news.Nodes[0].State != logic.Gone {
+		if news, ok = r.c.List(); !ok || news.Full || len(news.Nodes) != 1 || news.Nodes[0].State != scheduler.Gone {
 			t.Fatalf("%v %+v", ok, news)
 		}
 		r.answer(list(43, false), n)
@@ -114,7 +114,7 @@
 	r.answer(list(1, true, entry("a", "resting"), strings.Replace(entry("b", "up"), "z1", "moon", 1)), 99)
 	news, ok := r.c.List()
 	nodes := news.Nodes
-	if !ok || nodes[0].State != logic.Draining || nodes[1].Zone != 2 {
+	if !ok || nodes[0].State != scheduler.Draining || nodes[1].Zone != 2 {
 		t.Errorf("%v %+v", ok, nodes)
 	}
 }
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -10,7 +10,7 @@
 	"github.com/valyala/fastjson"
 
 	"maddergap/internal/nodelist"
-	"maddergap/logic"
+	"maddergap/scheduler"
 )
 
 const (
@@ -37,7 +37,7 @@
 	Since   float64 `json:"since_ms"`
 }
 
-var states = map[string]logic.NodeState{"up": logic.Serving, "draining": logic.Draining, "removed": logic.Gone}
+var states = map[string]scheduler.NodeState{"up": scheduler.Serving, "draining": scheduler.Draining, "removed": scheduler.Gone}
 
 // zoneTable numbers zones: those of the settings in their order, others as they appear.
 type zoneTable map[string]int
@@ -65,12 +65,12 @@
 func (z zoneTable) node(e *Entry) (nodelist.Node, error) {
 	state, ok := states[e.Status]
 	if !ok { // guards against words of a later day: nothing new is sent where it is not known to be up
-		state = logic.Draining
+		state = scheduler.Draining
 	}
 	if e.Name == "" || len(e.Name) > maxName {
 		return nodelist.Node{}, fmt.Errorf("an endpoint has no name, or one too long")
 	}
-	if _, err := netip.ParseAddrPort(e.Address); err != nil && state != logic.Gone {
+	if _, err := netip.ParseAddrPort(e.Address); err != nil && state != scheduler.Gone {
 		return nodelist.Node{}, fmt.Errorf("endpoint %s: the address %.60q is none", e.Name, e.Address)
 	}
 	if !(e.Since >= 0 && e.Since < 1e15) {
--- a/internal/discovery/resume_test.go
+++ b/internal/discovery/resume_test.go
@@ -4,7 +4,7 @@
 	"testing"
 
 	"maddergap/internal/nodelist"
-	"maddergap/logic"
+	"maddergap/scheduler"
 )
 
 // A head that knows a list from before asks for what changed since, where lists are asked for,
@@ -24,11 +24,11 @@
 	}
 	r.answer(list(43, false, entry("b", "draining"), entry("c", "up")), 99)
 	news, ok := r.c.List()
-	states := map[string]logic.NodeState{}
+	states := map[string]scheduler.NodeState{}
 	for _, n := range news.Nodes {
 		states[n.Name] = n.State
 	}
-	if !ok || !news.Full || len(states) != 3 || states["b"] != logic.Draining || states["a"] != logic.Serving {
+	if !ok || !news.Full || len(states) != 3 || states["b"] != scheduler.Draining || states["a"] != scheduler.Serving {
 		t.Errorf("%v %+v", ok, news)
 	}
 
--- a/internal/agent/agent.go
+++ b/internal/discoverytest/agent.go
@@ -1,7 +1,7 @@
-// Package agent is a stand-in for discovery: the agent on a head's machine, which is sent the
+// Package discoverytest is a stand-in for discovery: the agent on a head's machine, which is sent the
 // node list and tells it over HTTP. Agents can be down, slow, or silent on open watches, and
 // note from when each change counts for their head. It is for tests and rehearsals.
-package agent
+package discoverytest
 
 import (
 	"bufio"
--- a/internal/agent/agent_test.go
+++ b/internal/discoverytest/agent_test.go
@@ -1,4 +1,4 @@
-package agent
+package discoverytest
 
 import (
 	"testing"
--- a/internal/e2e/e2e_test.go
+++ b/internal/e2e/e2e_test.go
@@ -21,10 +21,10 @@
 	"github.com/studio-b12/gowebdav"
 	"go.uber.org/goleak"
 
-	"maddergap/internal/conf"
+	"maddergap/internal/config"
 	"maddergap/internal/daemon"
+	"maddergap/internal/fakenode"
 	"maddergap/internal/nodelist"
-	"maddergap/internal/standin"
 )
 
 func TestMain(m *testing.M) {
@@ -83,7 +83,7 @@
 	if err := os.WriteFile(file, []byte(headConf+more), 0o644); err != nil {
 		t.Fatal(err)
 	}
-	c, err := conf.Load(file)
+	c, err := config.Load(file)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -121,16 +121,16 @@
 	}
 }
 
-func standins(t *testing.T, n int, o standin.Options) ([]*standin.Node, []string) {
+func standins(t *testing.T, n int, o fakenode.Options) ([]*fakenode.Node, []string) {
 	t.Helper()
-	var nodes []*standin.Node
+	var nodes []*fakenode.Node
 	var addrs []string
 	for i := range n {
 		o.Listen, o.Name = "127.0.0.1:0", fmt.Sprint("n", i)
 		if o.Queue == 0 {
 			o.Queue, o.Cores = 64, 4
 		}
-		node, err := standin.Start(o)
+		node, err := fakenode.Start(o)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -211,7 +211,7 @@
 
 // A client library of others' does all it can through the head.
 func TestClientLibrary(t *testing.T) {
-	_, addrs := standins(t, 2, standin.Options{})
+	_, addrs := standins(t, 2, fakenode.Options{})
 	s := start(t, "", addrs...)
 	c := gowebdav.NewClient("http://"+s.addr, "", "")
 	tr := &http.Transport{}
@@ -285,7 +285,7 @@
 
 // RFC 4918, method by method, through the head.
 func TestClass2(t *testing.T) {
-	_, addrs := standins(t, 2, standin.Options{})
+	_, addrs := standins(t, 2, fakenode.Options{})
 	s := start(t, "", addrs...)
 	tr := &http.Transport{}
 	defer tr.CloseIdleConnections()
@@ -394,7 +394,7 @@
 // writes by its own token; a lock on a collection covers what is below it, and a
 // lock of what is not there yet makes it.
 func TestSharedLocks(t *testing.T) {
-	_, addrs := standins(t, 1, standin.Options{})
+	_, addrs := standins(t, 1, fakenode.Options{})
 	s := start(t, "", addrs[0], addrs[0])
 	tr := &http.Transport{}
 	defer tr.CloseIdleConnections()
@@ -457,7 +457,7 @@
 
 // A node takes a segment-write and never answers; once well it is used again.
 func TestSilentNode(t *testing.T) {
-	nodes, addrs := standins(t, 1, standin.Options{Script: []standin.Step{{Fault: standin.Silent, From: 0, To: 2 * time.Second}}})
+	nodes, addrs := standins(t, 1, fakenode.Options{Script: []fakenode.Step{{Fault: fakenode.Silent, From: 0, To: 2 * time.Second}}})
 	s := start(t, "", addrs[0], addrs[0])
 	began := time.Now()
 	c, r := s.dial(put("/feed-a/s", "segment"))
@@ -493,7 +493,7 @@
 
 // A client gives up in the middle of a body: no node ever runs half of it.
 func TestHalfBodyNeverRuns(t *testing.T) {
-	nodes, addrs := standins(t, 1, standin.Options{})
+	nodes, addrs := standins(t, 1, fakenode.Options{})
 	s := start(t, "body hold 16k rate 1m\n", addrs[0], addrs[0])
 	c, _ := s.dial(put("/feed-a/s", strings.Repeat("x", 1<<20))[:100<<10])
 	time.Sleep(100 * time.Millisecond)
@@ -511,7 +511,7 @@
 
 // A client gives up in the middle of an answer; the window's slots come back.
 func TestClientLeavesAnswer(t *testing.T) {
-	_, addrs := standins(t, 1, standin.Options{})
+	_, addrs := standins(t, 1, fakenode.Options{})
 	s := start(t, "", addrs[0], addrs[0])
 	_, r := s.dial(put("/feed-a/big", strings.Repeat("x", 8<<20)))
 	s.answer(r, "PUT")
@@ -615,7 +615,7 @@
 
 // SIGTERM's path: listeners close, what was taken is answered, then the end.
 func TestStopUnderWay(t *testing.T) {
-	_, addrs := standins(t, 1, standin.Options{UnitTime: 300 * time.Millisecond, Cores: 4, Queue: 10})
+	_, addrs := standins(t, 1, fakenode.Options{UnitTime: 300 * time.Millisecond, Cores: 4, Queue: 10})
 	s := start(t, "", addrs[0], addrs[0])
 	type result struct {
 		status int
@@ -646,7 +646,7 @@
 
 // A broken node list leaves the last good one in force; a good one is followed.
 func TestNodeListFollowed(t *testing.T) {
-	_, addrs := standins(t, 2, standin.Options{})
+	_, addrs := standins(t, 2, fakenode.Options{})
 	s := start(t, "", addrs[0], addrs[0])
 	_, r := s.dial(put("/feed-a/s", "first"))
 	s.answer(r, "PUT")
@@ -679,7 +679,7 @@
 
 // Reload is all or nothing.
 func TestReload(t *testing.T) {
-	_, addrs := standins(t, 1, standin.Options{})
+	_, addrs := standins(t, 1, fakenode.Options{})
 	s := start(t, "", addrs[0], addrs[0])
 	file := filepath.Join(s.dir, "m.conf")
 	for text, want := range map[string]string{headConf + "haeds 3\n": "unknown directive", headConf + "heads 3\n": "change with a restart only"} {
@@ -700,7 +700,7 @@
 func startError(t *testing.T, more string) error {
 	dir := t.TempDir()
 	nodelist.Replace(filepath.Join(dir, "nodes.list"), []nodelist.Node{{Name: "n0", Addr: "127.0.0.1:1"}})
-	c, err := conf.Parse(filepath.Join(dir, "m.conf"), []byte(headConf+more))
+	c, err := config.Parse(filepath.Join(dir, "m.conf"), []byte(headConf+more))
 	if err != nil {
 		return err
 	}
--- a/internal/e2e/flood_test.go
+++ b/internal/e2e/flood_test.go
@@ -13,9 +13,9 @@
 	"testing"
 	"time"
 
-	"maddergap/internal/conf"
+	"maddergap/internal/config"
 	"maddergap/internal/daemon"
-	"maddergap/internal/standin"
+	"maddergap/internal/fakenode"
 )
 
 const floodConf = `clients 64
@@ -76,7 +76,7 @@
 		"many in a known prefix": func(i int) string { return fmt.Sprintf("127.9.%d.%d", 100+i%2000/200, i%200+1) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			_, addrs := standins(t, 1, standin.Options{})
+			_, addrs := standins(t, 1, fakenode.Options{})
 			s := start(t, floodConf, addrs[0], addrs[0])
 			before, beforeReader := s.from("127.0.7.7")
 			io.WriteString(before, put("/feed-a/x", "segment"))
@@ -128,7 +128,7 @@
 
 // Who is turned away hears so, with Retry-After, though its request is on the way.
 func TestTurnedAwayHearsSo(t *testing.T) {
-	_, addrs := standins(t, 1, standin.Options{})
+	_, addrs := standins(t, 1, fakenode.Options{})
 	s := start(t, "clients 4\n", addrs[0], addrs[0])
 	var held []net.Conn
 	for range 4 {
@@ -167,7 +167,7 @@
 
 // The metrics tell of requests and of connections turned away, by reason.
 func TestMetrics(t *testing.T) {
-	_, addrs := standins(t, 1, standin.Options{})
+	_, addrs := standins(t, 1, fakenode.Options{})
 	s := start(t, "clients 4\nmetrics 127.0.0.1:0\n", addrs[0], addrs[0])
 	for range 6 {
 		c, r := s.dial(get("/feed-a/x"))
@@ -192,7 +192,7 @@
 // Many readers that take nothing of large answers: each is held to its bound and
 // dropped in its time, and others are served meanwhile.
 func TestManySlowReaders(t *testing.T) {
-	_, addrs := standins(t, 1, standin.Options{})
+	_, addrs := standins(t, 1, fakenode.Options{})
 	s := start(t, "clients 1200\nadmit reserve 50 answers 20 answers-burst 20\nknown 127.9.0.0/16\nbuffer 16k\nbuffers 8m\n", addrs[0], addrs[0])
 	c, r := s.from("127.9.0.1")
 	io.WriteString(c, put("/feed-a/x", strings.Repeat("x", 4<<20)))
@@ -222,7 +222,7 @@
 // Connections that come while a head stops are refused by the kernel, or closed
 // unanswered without a request taken; those with one get their answer.
 func TestFloodWhileStopping(t *testing.T) {
-	nodes, addrs := standins(t, 1, standin.Options{UnitTime: 200 * time.Millisecond, Cores: 4, Queue: 64})
+	nodes, addrs := standins(t, 1, fakenode.Options{UnitTime: 200 * time.Millisecond, Cores: 4, Queue: 64})
 	s := start(t, floodConf, addrs[0], addrs[0])
 	c, r := s.from("127.9.0.1")
 	io.WriteString(c, put("/feed-a/taken", "x"))
@@ -269,7 +269,7 @@
 // A head that has just come up, knowing nothing, into a flood serves the
 // clients on its list at once.
 func TestRestartInFlood(t *testing.T) {
-	_, addrs := standins(t, 1, standin.Options{})
+	_, addrs := standins(t, 1, fakenode.Options{})
 	quit := make(chan struct{})
 	done := make(chan struct{})
 	s := start(t, floodConf, addrs[0], addrs[0])
@@ -305,7 +305,7 @@
 
 // A reload in the middle changes caps and drops nobody.
 func TestReloadOfCaps(t *testing.T) {
-	_, addrs := standins(t, 1, standin.Options{})
+	_, addrs := standins(t, 1, fakenode.Options{})
 	s := start(t, "clients 50\n", addrs[0], addrs[0])
 	c, r := s.from("127.0.8.1")
 	s.ask(c, r)
@@ -330,7 +330,7 @@
 // One that connects again at once after every refusal gets nothing by it, costs no
 // one else anything, and has its place when there is room.
 func TestReconnectsAtOnce(t *testing.T) {
-	_, addrs := standins(t, 1, standin.Options{})
+	_, addrs := standins(t, 1, fakenode.Options{})
 	s := start(t, "clients 20\nadmit address 4 reserve 4 answers 20 answers-burst 20\nknown 127.9.0.0/16\n", addrs[0], addrs[0])
 	var mine []net.Conn
 	for range 4 { // served, so that none gives way to the next
@@ -376,7 +376,7 @@
 
 // A peer that half-closes behind its request, in a flood, still gets the answer.
 func TestHalfCloseInFlood(t *testing.T) {
-	_, addrs := standins(t, 1, standin.Options{UnitTime: 50 * time.Millisecond, Cores: 16, Queue: 64})
+	_, addrs := standins(t, 1, fakenode.Options{UnitTime: 50 * time.Millisecond, Cores: 16, Queue: 64})
 	s := start(t, floodConf, addrs[0], addrs[0])
 	s.flood(200, func(i int) string { return fmt.Sprintf("127.20.0.%d", i%200+1) })
 	for i := range 10 {
@@ -394,11 +394,11 @@
 
 // Two listen queues of one address let no second head in beside the first.
 func TestSecondHeadIsKeptOut(t *testing.T) {
-	_, addrs := standins(t, 1, standin.Options{})
+	_, addrs := standins(t, 1, fakenode.Options{})
 	s := start(t, floodConf, addrs[0], addrs[0])
 	file := filepath.Join(s.dir, "second.conf")
 	os.WriteFile(file, []byte(strings.Replace(headConf, "listen 127.0.0.1:0", "listen "+s.addr, 1)+floodConf), 0o644)
-	c, err := conf.Load(file)
+	c, err := config.Load(file)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/e2e/outage_test.go
+++ b/internal/e2e/outage_test.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"maddergap/internal/discovery"
-	"maddergap/internal/lagwatch"
+	"maddergap/internal/stallwatch"
 )
 
 // An agent is silent while discovery is down, and what it has when it is back counts as
@@ -39,7 +39,7 @@
 // early enough for a head that is held up meanwhile.
 func TestReturnOfDiscovery(t *testing.T) {
 	const heads = 12
-	rig := lagwatch.Start()
+	rig := stallwatch.Start()
 	defer rig.Stop()
 	var measured sync.Mutex
 	var waits []time.Duration
--- a/internal/e2e/platform_test.go
+++ b/internal/e2e/platform_test.go
@@ -17,9 +17,9 @@
 	"testing"
 	"time"
 
-	"maddergap/internal/agent"
 	"maddergap/internal/daemon"
 	"maddergap/internal/discovery"
+	"maddergap/internal/discoverytest"
 	"maddergap/internal/platform"
 	"maddergap/internal/syscalls"
 )
@@ -124,14 +124,14 @@
 
 // stubDiscovery is discovery on the head's machine.
 type stubDiscovery struct {
-	*agent.Agent
-	registry *agent.Registry
+	*discoverytest.Agent
+	registry *discoverytest.Registry
 	addr     string
 }
 
 func newStubDiscovery(t *testing.T, nodes ...*stubNode) *stubDiscovery {
 	t.Helper()
-	d := &stubDiscovery{registry: agent.NewRegistry()}
+	d := &stubDiscovery{registry: discoverytest.NewRegistry()}
 	var entries []discovery.Entry
 	for i, n := range nodes {
 		entries = append(entries, endpointOf(fmt.Sprint("s", i), n, i, "up"))
--- a/internal/e2e/wire_test.go
+++ b/internal/e2e/wire_test.go
@@ -13,13 +13,13 @@
 
 	"golang.org/x/sys/unix"
 
-	"maddergap/internal/standin"
+	"maddergap/internal/fakenode"
 )
 
 // Shapes by which requests are smuggled, and headers past their bounds: each is
 // answered as RFC 9112 says, the connection ends, and no node hears of it.
 func TestShapesThatAreRefused(t *testing.T) {
-	nodes, addrs := standins(t, 1, standin.Options{})
+	nodes, addrs := standins(t, 1, fakenode.Options{})
 	s := start(t, "", addrs[0], addrs[0])
 	const hidden = "GET /feed-a/hidden HTTP/1.1\r\nHost: h\r\n\r\n"
 	for name, c := range map[string]struct {
@@ -61,7 +61,7 @@
 }
 
 func TestPipelinedExpectChunkedHead(t *testing.T) {
-	_, addrs := standins(t, 1, standin.Options{})
+	_, addrs := standins(t, 1, fakenode.Options{})
 	s := start(t, "", addrs[0], addrs[0])
 	_, r := s.dial(put("/feed-a/p", "one") + get("/feed-a/p") + "HEAD /feed-a/p HTTP/1.1\r\nHost: h\r\n\r\n" + put("/feed-a/p", "three") + get("/feed-a/p"))
 	for i, want := range []struct {
@@ -134,7 +134,7 @@
 // one that stops is not; others are served meanwhile.
 // A header line that ends with a bare LF is refused at once, not with 408 at header-time.
 func TestBareLineFeed(t *testing.T) {
-	_, addrs := standins(t, 1, standin.Options{})
+	_, addrs := standins(t, 1, fakenode.Options{})
 	s := start(t, "", addrs[0], addrs[0])
 	_, r := s.dial("GET /feed-a/x HTTP/1.1\nHost: h\n\n")
 	if status, _, _ := s.answer(r, "GET"); status != 400 {
@@ -143,7 +143,7 @@
 }
 
 func TestSlowClients(t *testing.T) {
-	_, addrs := standins(t, 1, standin.Options{})
+	_, addrs := standins(t, 1, fakenode.Options{})
 	s := start(t, "", addrs[0], addrs[0])
 	stuck, stuckReader := s.dial("GET /feed-a/s HT") // header-time is 1 s
 	half, halfReader := s.dial(put("/feed-a/s", "segment")[:60])
@@ -204,7 +204,7 @@
 
 // A shard that does not answer makes the listing fail, plainly.
 func TestListingWithSilentShard(t *testing.T) {
-	_, addrs := standins(t, 1, standin.Options{})
+	_, addrs := standins(t, 1, fakenode.Options{})
 	silent := peer(t, func(_ int, c net.Conn, r *bufio.Reader) { io.Copy(io.Discard, r) })
 	s := start(t, "", addrs[0], silent)
 	began := time.Now()
--- a/internal/loop/faults_test.go
+++ b/internal/eventloop/faults_test.go
@@ -1,4 +1,4 @@
-package loop
+package eventloop
 
 import (
 	"testing"
--- a/internal/loop/loop.go
+++ b/internal/eventloop/loop.go
@@ -1,7 +1,7 @@
-// Package loop drives one head over real sockets: one epoll instance, one
+// Package eventloop drives one head over real sockets: one epoll instance, one
 // goroutine, level triggered. It alone touches descriptors and the clock; it
 // knows nothing of HTTP and decides nothing.
-package loop
+package eventloop
 
 import (
 	"errors"
@@ -14,7 +14,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"maddergap/internal/head"
+	"maddergap/internal/gateway"
 	"maddergap/internal/syscalls"
 )
 
@@ -67,7 +67,7 @@
 
 // Loop is an epoll loop around a head.
 type Loop struct {
-	Head *head.Head
+	Head *gateway.Head
 
 	// Watched is called when a watched file was replaced or written.
 	Watched func()
@@ -104,7 +104,7 @@
 
 type sock struct {
 	fd       int // -1: none
-	id       head.ConnID
+	id       gateway.ConnID
 	addr     string // of a node
 	wanted   uint32 // events it should be watched for
 	events   uint32 // events it is watched for
@@ -369,7 +369,7 @@
 	}
 }
 
-func (l *Loop) put(id head.ConnID, s sock) {
+func (l *Loop) put(id gateway.ConnID, s sock) {
 	for id.Slot() >= len(l.conns) {
 		l.conns = append(l.conns, sock{fd: -1})
 	}
@@ -381,7 +381,7 @@
 }
 
 // sock finds the descriptor of a connection, nil where there is none any more.
-func (l *Loop) sock(id head.ConnID) *sock {
+func (l *Loop) sock(id gateway.ConnID) *sock {
 	if s := id.Slot(); s < len(l.conns) && l.conns[s].fd >= 0 && l.conns[s].id == id {
 		return &l.conns[s]
 	}
@@ -401,7 +401,7 @@
 	*s = sock{fd: -1}
 }
 
-func (l *Loop) lost(id head.ConnID) {
+func (l *Loop) lost(id gateway.ConnID) {
 	if s := l.sock(id); s != nil {
 		l.let(s, false)
 	}
@@ -438,7 +438,7 @@
 func (s *sock) unwatched() bool { return !s.watched || s.wanted&^s.events != 0 }
 
 // watchConn begins to watch a connection.
-func (l *Loop) watchConn(id head.ConnID) {
+func (l *Loop) watchConn(id gateway.ConnID) {
 	if s := l.sock(id); s != nil {
 		l.arm(s)
 	}
@@ -451,7 +451,7 @@
 		code, err := l.calls.SocketError(s.fd)
 		switch {
 		case err != nil || code != 0 && local(code):
-			a := head.Action{Op: head.Dial, Conn: id, Addr: s.addr}
+			a := gateway.Action{Op: gateway.Dial, Conn: id, Addr: s.addr}
 			l.let(s, false)
 			l.postpone(a)
 			return
@@ -565,7 +565,7 @@
 			return next
 		}
 		for _, a := range acts {
-			if a.Op == head.Dial {
+			if a.Op == gateway.Dial {
 				l.dial(a)
 				continue
 			}
@@ -575,18 +575,18 @@
 				continue
 			}
 			switch a.Op {
-			case head.Flush:
+			case gateway.Flush:
 				l.write(s)
-			case head.Pause:
+			case gateway.Pause:
 				l.want(s, s.wanted&^(unix.EPOLLIN|unix.EPOLLRDHUP))
-			case head.Resume:
+			case gateway.Resume:
 				if !s.shut && !s.dialing {
 					l.want(s, s.wanted|unix.EPOLLIN|unix.EPOLLRDHUP)
 				}
-			case head.Shut:
+			case gateway.Shut:
 				l.shutdown(s)
-			case head.Close, head.Abort:
-				l.let(s, a.Op == head.Abort)
+			case gateway.Close, gateway.Abort:
+				l.let(s, a.Op == gateway.Abort)
 			}
 		}
 	}
@@ -594,7 +594,7 @@
 
 // dial begins a connection. A failure of the head's own machine is not the other side's: it
 // is begun later.
-func (l *Loop) dial(a head.Action) {
+func (l *Loop) dial(a gateway.Action) {
 	if len(l.redials.waiting) > 0 && l.Now() < l.redials.backoff.at { // it would fail like those
 		l.redials.waiting = append(l.redials.waiting, a)
 		l.Head.Stalled(l.Now(), a.Conn)
--- a/internal/loop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -1,4 +1,4 @@
-package loop
+package eventloop
 
 import (
 	"fmt"
@@ -10,9 +10,9 @@
 
 	"golang.org/x/sys/unix"
 
-	"maddergap/internal/admit"
-	"maddergap/internal/conf"
-	"maddergap/internal/head"
+	"maddergap/internal/admission"
+	"maddergap/internal/config"
+	"maddergap/internal/gateway"
 	"maddergap/internal/nodelist"
 )
 
@@ -27,9 +27,9 @@
 known 127.9.0.0/16
 `
 
-func newLoop(t *testing.T, listeners int, more string) (*Loop, *head.Head, []string) {
+func newLoop(t *testing.T, listeners int, more string) (*Loop, *gateway.Head, []string) {
 	t.Helper()
-	c, err := conf.Parse("m.conf", []byte(loopConf+more))
+	c, err := config.Parse("m.conf", []byte(loopConf+more))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -38,7 +38,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(l.Close)
-	h, err := head.New(c, 1, l.Now(), l.Start(), nil)
+	h, err := gateway.New(c, 1, l.Now(), l.Start(), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -46,7 +46,7 @@
 	l.Head = h
 	var addrs []string
 	for range listeners {
-		a, err := l.Listen("127.0.0.1:0", c.Admit.Sorter(admit.NetworkHeader))
+		a, err := l.Listen("127.0.0.1:0", c.Admit.Sorter(admission.NetworkHeader))
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/loop/retry.go
+++ b/internal/eventloop/retry.go
@@ -1,4 +1,4 @@
-package loop
+package eventloop
 
 import (
 	"errors"
@@ -7,7 +7,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"maddergap/internal/head"
+	"maddergap/internal/gateway"
 )
 
 // Failures of the head's own machine: they say nothing of the other side, pass, and are met
@@ -46,13 +46,13 @@
 
 // redials are connections that could not be begun yet for a failure of the machine's own.
 type redials struct {
-	waiting []head.Action
+	waiting []gateway.Action
 	backoff backoff
 }
 
 // forget gives one up and tells whether it waited.
-func (r *redials) forget(id head.ConnID) bool {
-	i := slices.IndexFunc(r.waiting, func(a head.Action) bool { return a.Conn == id })
+func (r *redials) forget(id gateway.ConnID) bool {
+	i := slices.IndexFunc(r.waiting, func(a gateway.Action) bool { return a.Conn == id })
 	if i < 0 {
 		return false
 	}
@@ -73,7 +73,7 @@
 
 // postpone has a connection begun later; the head is told that this is not the other side's
 // doing.
-func (l *Loop) postpone(a head.Action) {
+func (l *Loop) postpone(a gateway.Action) {
 	l.redials.waiting = append(l.redials.waiting, a)
 	l.redials.backoff.fail(l.Now())
 	l.Head.Stalled(l.Now(), a.Conn)
@@ -97,7 +97,7 @@
 // stalled are connections on which a call failed for a while: what is watched of them is not
 // what should be, or a write or shutdown is owed.
 type stalled struct {
-	ids []head.ConnID
+	ids []gateway.ConnID
 	at  time.Duration
 }
 
@@ -140,7 +140,7 @@
 
 // pollUnwatched serves the connections whose events epoll cannot tell now.
 func (l *Loop) pollUnwatched() {
-	var ids []head.ConnID
+	var ids []gateway.ConnID
 	var fds []unix.PollFd
 	for _, id := range l.stalled.ids {
 		if s := l.sock(id); s != nil && s.unwatched() {
--- a/internal/standin/faults.go
+++ b/internal/fakenode/faults.go
@@ -1,15 +1,15 @@
-// Package standin is a stand-in storage node: an object store that speaks
+// Package fakenode is a stand-in storage node: an object store that speaks
 // WebDAV (golang.org/x/net/webdav), behind a bounded queue with a service time
 // by units, with faults that follow a script, and a record of every request as
 // it passed on the socket. It is for tests and rehearsals, never for data.
-package standin
+package fakenode
 
 import (
 	"errors"
 	"fmt"
 	"time"
 
-	"maddergap/internal/conf"
+	"maddergap/internal/config"
 )
 
 // Fault is what a node does wrong.
@@ -38,12 +38,12 @@
 //
 //	from TIME to TIME silent|pause|slow FACTOR|refuse|reset|restart
 func ParseScript(file string, data []byte) ([]Step, error) {
-	lines, err := conf.Lines(file, data)
+	lines, err := config.Lines(file, data)
 	errs := []error{err}
 	var steps []Step
 	for _, l := range lines {
 		var s Step
-		a := conf.ArgsOf(l)
+		a := config.ArgsOf(l)
 		if l.Words[0] != "from" {
 			a.Fault("unknown directive %.40q, want from", l.Words[0])
 		}
@@ -60,7 +60,7 @@
 			a.Fault("slow wants a factor of 1 or more")
 		}
 		if err := a.Err(); err != nil {
-			errs = append(errs, &conf.Mistake{File: file, Line: l.Number, Reason: err.Error()})
+			errs = append(errs, &config.Mistake{File: file, Line: l.Number, Reason: err.Error()})
 		}
 		steps = append(steps, s)
 	}
--- a/internal/standin/node.go
+++ b/internal/fakenode/node.go
@@ -1,4 +1,4 @@
-package standin
+package fakenode
 
 import (
 	"bufio"
--- a/internal/standin/store.go
+++ b/internal/fakenode/store.go
@@ -1,4 +1,4 @@
-package standin
+package fakenode
 
 import (
 	"bytes"
@@ -14,10 +14,10 @@
 
 	"golang.org/x/net/webdav"
 
-	"maddergap/internal/dav"
+	gatewaydav "maddergap/internal/webdav"
 )
 
-// store is webdav's memory store with what RFC 4918 and 9110 ask beyond it:
+// store is x/net/webdav's memory store with what RFC 4918 and 9110 ask beyond it:
 // conditions by entity tag on writes, the If header, locks, and the status of a
 // missing parent.
 type store struct {
@@ -144,7 +144,7 @@
 	case "PROPFIND", "PROPPATCH":
 		body, err := io.ReadAll(r.Body)
 		r.Body = io.NopCloser(bytes.NewReader(body))
-		if err != nil || !dav.PrefixesBound(body) {
+		if err != nil || !gatewaydav.PrefixesBound(body) {
 			return 400, "the XML binds a prefix to no namespace"
 		}
 	case "PUT":
--- a/internal/flood/flood.go
+++ b/internal/flood/flood.go
@@ -21,7 +21,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 	"golang.org/x/sys/unix"
 
-	"maddergap/internal/child"
+	"maddergap/internal/subprocess"
 )
 
 // Patterns of a flood.
@@ -119,7 +119,7 @@
 // Press runs the flood of some options, without known clients or others, by the
 // command with these first arguments, in a process of its own.
 func Press(o Options, exe ...string) (*Fate, error) {
-	out, err := child.Output(append(slices.Clone(exe), "flood", "--json", "--target", o.Target, "--path", o.Path, "--pattern", o.Pattern,
+	out, err := subprocess.Output(append(slices.Clone(exe), "flood", "--json", "--target", o.Target, "--path", o.Path, "--pattern", o.Pattern,
 		"--sources", fmt.Sprint(len(o.Sources)), "--tries", fmt.Sprint(o.Tries), "--at-once", fmt.Sprint(o.AtOnce),
 		"--length", o.Length.String(), "--known", "0", "--others", "0")...)
 	if err != nil {
--- a/internal/head/accept.go
+++ b/internal/gateway/accept.go
@@ -1,10 +1,10 @@
-package head
+package gateway
 
 import (
 	"net/netip"
 	"time"
 
-	"maddergap/internal/admit"
+	"maddergap/internal/admission"
 	"maddergap/internal/http1"
 )
 
@@ -71,7 +71,7 @@
 }
 
 // turned counts what was not admitted.
-func (h *Head) turned(client netip.AddrPort, why admit.Reason, told bool) {
+func (h *Head) turned(client netip.AddrPort, why admission.Reason, told bool) {
 	h.counts.Turned[why]++
 	if h.observer != nil {
 		h.observer.Turned(client, why, told)
@@ -80,7 +80,7 @@
 
 // turnAnswer is the whole answer to a connection that is turned away (RFC 9110
 // 15.6.4). It is made anew for each reason once a second, for its date.
-func (h *Head) turnAnswer(why admit.Reason) []byte {
+func (h *Head) turnAnswer(why admission.Reason) []byte {
 	t := &h.turnTexts[why]
 	if s := h.origin.Add(h.now).Unix(); t.text == nil || t.of != s {
 		text := notAdmitted(why) + "\n"
@@ -97,7 +97,7 @@
 	of   int64 // second
 }
 
-func notAdmitted(why admit.Reason) string {
+func notAdmitted(why admission.Reason) string {
 	return "too many connections (" + why.String() + "); trying again does no harm"
 }
 
--- a/internal/head/answer.go
+++ b/internal/gateway/answer.go
@@ -1,4 +1,4 @@
-package head
+package gateway
 
 import (
 	"bytes"
@@ -6,9 +6,9 @@
 	"strconv"
 	"time"
 
-	"maddergap/internal/dav"
 	"maddergap/internal/http1"
-	"maddergap/logic"
+	"maddergap/internal/webdav"
+	"maddergap/scheduler"
 )
 
 // RanHeader says in a node's 503 that the request was turned away before it
@@ -21,7 +21,7 @@
 	at.status = r.Status
 	v := h.protocol.verdict(r)
 	at.verdict, at.report, at.reports = v.Outcome, v.Report, v.Reports
-	if v.Outcome != logic.OK {
+	if v.Outcome != scheduler.OK {
 		return true // for the module alone; the body is swallowed
 	}
 	return h.protocol.answerHead(h, at)
@@ -104,7 +104,7 @@
 	ex.answer.reason = reason
 	h.respond(ex, status, []byte(reason+"\n"), func(b []byte) []byte {
 		if status == 405 {
-			b = http1.AppendField(b, "Allow", []byte(dav.Allow))
+			b = http1.AppendField(b, "Allow", []byte(webdav.Allow))
 		}
 		return b
 	})
--- a/internal/head/attempt.go
+++ b/internal/gateway/attempt.go
@@ -1,9 +1,9 @@
-package head
+package gateway
 
 import (
 	"time"
 
-	"maddergap/logic"
+	"maddergap/scheduler"
 )
 
 // attempt is one sending of a request to a node.
@@ -20,7 +20,7 @@
 	stalled   bool // the head's own machine holds it up
 	chunked   bool // its body goes out in chunks
 	begun     bool // the module was told that its answer streams
-	verdict   logic.Outcome
+	verdict   scheduler.Outcome
 	discarded int64 // bytes of an answer that nobody is given
 	report    float64
 	reports   bool
@@ -36,7 +36,7 @@
 func (at *attempt) out() bool { return at.sent && len(at.conn.pending()) == 0 }
 
 // end tells the module how an attempt ended.
-func (h *Head) end(at *attempt, o logic.Outcome) {
+func (h *Head) end(at *attempt, o scheduler.Outcome) {
 	if at.ended {
 		return
 	}
@@ -50,7 +50,7 @@
 	if ex.attempts.upload == at {
 		ex.attempts.upload = nil
 	}
-	h.events = append(h.events, logic.Ended{ID: ex.id, Attempt: at.number, Node: at.node, Outcome: o, Took: h.now - at.began,
+	h.events = append(h.events, scheduler.Ended{ID: ex.id, Attempt: at.number, Node: at.node, Outcome: o, Took: h.now - at.began,
 		Closed: ex.answer.final, Spent: ex.body.spent, Reported: at.report, Reports: at.reports})
 	if h.observer != nil {
 		h.span = Span{Request: h.requestID(ex.id), Trace: ex.trace.id, ID: at.span, Parent: ex.trace.span, Sampled: ex.trace.sampled,
@@ -62,12 +62,12 @@
 }
 
 // broken ends a connection that cannot be used further, and its attempt.
-func (h *Head) broken(c *conn, o logic.Outcome) {
+func (h *Head) broken(c *conn, o scheduler.Outcome) {
 	at := c.at
 	c.at = nil
 	h.drop(c, Abort)
 	if at != nil {
-		if at.verdict != logic.OK && c.inBody {
+		if at.verdict != scheduler.OK && c.inBody {
 			o = at.verdict // its status was read
 		}
 		h.end(at, o)
@@ -77,7 +77,7 @@
 // breakOff ends an attempt that is of no use any more.
 func (h *Head) breakOff(at *attempt) {
 	if !at.ended {
-		h.broken(at.conn, logic.Cancelled)
+		h.broken(at.conn, scheduler.Cancelled)
 	}
 }
 
@@ -89,9 +89,9 @@
 	switch {
 	case at.ended || c == nil || at.out():
 	case c.connected:
-		h.broken(c, logic.Cancelled)
+		h.broken(c, scheduler.Cancelled)
 	default:
 		c.at = nil
-		h.end(at, logic.Moot)
+		h.end(at, scheduler.Moot)
 	}
 }
--- a/internal/head/bench_test.go
+++ b/internal/gateway/bench_test.go
@@ -1,17 +1,17 @@
-package head
+package gateway
 
 import (
 	"net/netip"
 	"testing"
 	"time"
 
-	"maddergap/internal/conf"
+	"maddergap/internal/config"
 	"maddergap/internal/nodelist"
 )
 
 // One kept-alive GET from a client through to a node and back, module included.
 func BenchmarkRequest(b *testing.B) {
-	c, err := conf.Parse("m.conf", []byte(rigConf))
+	c, err := config.Parse("m.conf", []byte(rigConf))
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/head/buffered.go
+++ b/internal/gateway/buffered.go
@@ -1,10 +1,10 @@
-package head
+package gateway
 
 import (
 	"time"
 
 	"maddergap/internal/http1"
-	"maddergap/logic"
+	"maddergap/scheduler"
 )
 
 // Speak has clients and nodes spoken to in another protocol than WebDAV. It is
@@ -62,7 +62,7 @@
 func (w buffered) answerDone(h *Head, at *attempt) {
 	ex := at.ex
 	if ex.answer.final { // its client has left: the node did its part
-		h.end(at, logic.OK)
+		h.end(at, scheduler.OK)
 		return
 	}
 	ex.answer.final, ex.answer.from, ex.answer.status = true, at, at.conn.resp.Status
@@ -74,17 +74,17 @@
 		b := http1.AppendInt(http1.AppendStatus(cl.out, ex.answer.status), "Content-Length", int64(len(at.body)))
 		cl.out = append(h.endHeader(b, cl, ex), at.body...)
 	}
-	h.end(at, logic.OK)
+	h.end(at, scheduler.OK)
 	h.reportEnd(ex, Served)
 	h.answered(ex)
 }
 
 // truncated: what did not come whole was not run.
-func (w buffered) truncated() logic.Outcome { return logic.ConnectFailed }
+func (w buffered) truncated() scheduler.Outcome { return scheduler.ConnectFailed }
 
 func (w buffered) allowsEarlyAnswer() bool { return false }
 
-func (w buffered) malformed() logic.Outcome { return logic.Failed }
+func (w buffered) malformed() scheduler.Outcome { return scheduler.Failed }
 
 func (w buffered) retryAfter(b []byte, after time.Duration) []byte {
 	return w.p.AppendRetryAfter(b, after)
--- a/internal/head/buffers.go
+++ b/internal/gateway/buffers.go
@@ -1,4 +1,4 @@
-package head
+package gateway
 
 // buffer returns an empty buffer; done with it, release takes it back.
 func (h *Head) buffer() []byte {
--- a/internal/head/client.go
+++ b/internal/gateway/client.go
@@ -1,9 +1,9 @@
-package head
+package gateway
 
 import (
 	"time"
 
-	"maddergap/logic"
+	"maddergap/scheduler"
 )
 
 // giveUp answers a client whose request's header does not come, and ends with it.
@@ -140,7 +140,7 @@
 	}
 	ex.answer.final, ex.clientLeftAt = true, h.now
 	h.counts.Left++
-	h.events = append(h.events, logic.Dropped{ID: ex.id})
+	h.events = append(h.events, scheduler.Dropped{ID: ex.id})
 	h.reportEnd(ex, Left)
 	if at := ex.attempts.upload; at != nil && !ex.body.whole {
 		h.breakOff(at)
--- a/internal/head/conn.go
+++ b/internal/gateway/conn.go
@@ -1,4 +1,4 @@
-package head
+package gateway
 
 import (
 	"container/heap"
@@ -7,7 +7,7 @@
 	"time"
 
 	"maddergap/internal/http1"
-	"maddergap/logic"
+	"maddergap/scheduler"
 )
 
 // conn is a connection of either kind.
@@ -317,7 +317,7 @@
 	c.postponed = c.postponed || !c.connected
 	if at := c.at; at != nil && !at.stalled {
 		at.stalled = true
-		h.events = append(h.events, logic.Stalled{ID: at.ex.id, Attempt: at.number})
+		h.events = append(h.events, scheduler.Stalled{ID: at.ex.id, Attempt: at.number})
 	}
 }
 
@@ -325,7 +325,7 @@
 func (h *Head) resumed(at *attempt) {
 	if at != nil && at.stalled {
 		at.stalled = false
-		h.events = append(h.events, logic.Resumed{ID: at.ex.id, Attempt: at.number})
+		h.events = append(h.events, scheduler.Resumed{ID: at.ex.id, Attempt: at.number})
 	}
 }
 
--- a/internal/head/crossing_random_test.go
+++ b/internal/gateway/crossing_random_test.go
@@ -1,4 +1,4 @@
-package head
+package gateway
 
 import (
 	"fmt"
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 
 	"maddergap/internal/nodelist"
-	"maddergap/logic"
+	"maddergap/scheduler"
 )
 
 // seat is what a random history knows of one request.
@@ -160,9 +160,9 @@
 					}
 					delete(x.wire, d)
 				case what == 9: // a list
-					state := rapid.SampledFrom([]logic.NodeState{logic.Serving, logic.Draining}).Draw(rt, "state")
+					state := rapid.SampledFrom([]scheduler.NodeState{scheduler.Serving, scheduler.Draining}).Draw(rt, "state")
 					x.h.Nodes(x.now, []nodelist.Node{{Name: "n0", Addr: "node:0", State: state}, {Name: "n2", Addr: "node:2"}})
-					x.told = state == logic.Draining
+					x.told = state == scheduler.Draining
 				case what == 10:
 					x.now += time.Duration(rapid.IntRange(1, 400).Draw(rt, "ms")) * time.Millisecond
 				case what == 11 && !stopped && rapid.IntRange(0, 5).Draw(rt, "stop") == 0:
--- a/internal/head/crossing_test.go
+++ b/internal/gateway/crossing_test.go
@@ -1,4 +1,4 @@
-package head
+package gateway
 
 import (
 	"testing"
@@ -6,7 +6,7 @@
 
 	"maddergap/internal/http1"
 	"maddergap/internal/nodelist"
-	"maddergap/logic"
+	"maddergap/scheduler"
 )
 
 // held is a protocol whose messages are held whole, as a platform's.
@@ -17,7 +17,7 @@
 	if string(r.Method) == "PUT" {
 		class = 1
 	}
-	return Ask{ID: string(r.Get("id")), Arrival: logic.Arrival{Class: class, Volume: "v", Units: 1, Hosts: 1, Left: 800 * time.Millisecond}}
+	return Ask{ID: string(r.Get("id")), Arrival: scheduler.Arrival{Class: class, Volume: "v", Units: 1, Hosts: 1, Left: 800 * time.Millisecond}}
 }
 func (held) Open(*Ask) *http1.Error { return nil }
 func (held) Closed(string, Outcome) {}
@@ -25,13 +25,13 @@
 	b = append(append(append(b, r.Method...), " /"...), r.Get("id")...)
 	return http1.AppendInt(append(b, " HTTP/1.1\r\n"...), "Left-Ms", int64(left/time.Millisecond))
 }
-func (held) Verdict(r *http1.Response) Verdict                 { return Verdict{Outcome: logic.OK} }
+func (held) Verdict(r *http1.Response) Verdict                 { return Verdict{Outcome: scheduler.OK} }
 func (held) AppendRetryAfter(b []byte, _ time.Duration) []byte { return b }
 func (held) MostAnswer() (one, all int64)                      { return 1 << 16, 1 << 18 }
 func (held) Stall() time.Duration                              { return 250 * time.Millisecond }
 func ask(id string) string                                     { return get("/", "id: "+id) }
 func newHeldRig(t *testing.T) *rig                             { r := newRig(t, ""); r.h.Speak(held{}); return r }
-func (r *rig) tell(state logic.NodeState) {
+func (r *rig) tell(state scheduler.NodeState) {
 	r.h.Nodes(r.now, []nodelist.Node{{Name: "n0", Addr: "node:0", State: state}, {Name: "n2", Addr: "node:2"}})
 	r.run()
 }
@@ -123,7 +123,7 @@
 		}
 		r.h.EOF(r.now, c)
 		r.run()
-		r.tell(logic.Serving)
+		r.tell(scheduler.Serving)
 		r.pass(time.Second)
 		if len(r.dials) != 0 {
 			t.Errorf("%q is sent for a client that has gone", r.take(r.node(0)))
@@ -176,7 +176,7 @@
 	r.late = true
 	c := r.client(ask("a"))
 	n := r.node(0)
-	r.tell(logic.Draining)
+	r.tell(scheduler.Draining)
 	r.h.Connected(r.now, n)
 	r.pass(50 * time.Millisecond)
 	if got := r.take(n); got != "" {
--- a/internal/head/exchange.go
+++ b/internal/gateway/exchange.go
@@ -1,9 +1,9 @@
-package head
+package gateway
 
 import (
 	"time"
 
-	"maddergap/internal/conf"
+	"maddergap/internal/config"
 	"maddergap/internal/http1"
 	"maddergap/internal/route"
 )
@@ -18,8 +18,8 @@
 	req         http1.Request
 	place       route.Place
 	job         route.Job
-	volume      *conf.Volume // as the configuration was when it came
-	ask         Ask          // what the module is told of it
+	volume      *config.Volume // as the configuration was when it came
+	ask         Ask            // what the module is told of it
 
 	headerAt     Time // when its header was whole
 	takenAt      Time // when the module was told
--- a/internal/head/head.go
+++ b/internal/gateway/head.go
@@ -1,4 +1,4 @@
-// Package head is one head: it takes what happens on client and node
+// Package gateway is one head: it takes what happens on client and node
 // connections, tells the decision module, and carries out what that decides.
 // It is sans-I/O: bytes, a clock reading and events go in, bytes and actions
 // come out. It opens no descriptor, reads no clock, starts no goroutine and
@@ -8,7 +8,7 @@
 // A driver calls Accept, Connected, Data, EOF, Closed, Wrote, Nodes as things
 // happen, then Advance until that returns no action, and Advance again not
 // later than the time it gave.
-package head
+package gateway
 
 import (
 	"container/heap"
@@ -18,16 +18,16 @@
 	"reflect"
 	"time"
 
-	"maddergap/internal/admit"
-	"maddergap/internal/conf"
-	"maddergap/internal/guard"
+	"maddergap/internal/admission"
+	"maddergap/internal/config"
+	"maddergap/internal/invariant"
 	"maddergap/internal/membership"
 	"maddergap/internal/route"
-	"maddergap/logic"
+	"maddergap/scheduler"
 )
 
 // Time is a clock reading, as the module's.
-type Time = logic.Time
+type Time = scheduler.Time
 
 // ConnID names a connection: a slot, and how often the slot was used before.
 type ConnID uint64
@@ -58,18 +58,18 @@
 
 // Core decides: the module, or in its place what a comparison or a test wants.
 type Core interface {
-	Handle(now Time, events []logic.Event) []logic.Action
+	Handle(now Time, events []scheduler.Event) []scheduler.Action
 }
 
 // Head is one head. It is not safe for concurrent use.
 type Head struct {
-	config    *conf.Config
+	config    *config.Config
 	routes    *route.Table
-	admission *admit.Admission
+	admission *admission.Admission
 	core      Core
 	protocol  protocol
 	observer  Observer
-	guard     guard.Guard
+	guard     invariant.Guard
 	feeding   feeding
 
 	now      Time
@@ -79,8 +79,8 @@
 	date     []byte // the Date field of the second dateOf
 	dateOf   int64
 
-	events       []logic.Event // to be told to the core
-	actions      []Action      // for the driver
+	events       []scheduler.Event // to be told to the core
+	actions      []Action          // for the driver
 	spareActions []Action
 	wakeAt       Time // when the core wants to be woken
 	lag          lag
@@ -110,7 +110,7 @@
 	bufferPool   [][]byte
 	heldBytes    int64 // of all client connections
 	answerBytes  int64 // of answers that are held until they are whole
-	turnTexts    [admit.Reasons]turnText
+	turnTexts    [admission.Reasons]turnText
 
 	stopping bool
 	leaving  bool // clients are told that their connection ends
@@ -120,8 +120,8 @@
 
 // New returns a head. The seed is for what is spread by chance among heads.
 // origin is the wall-clock time of the head's Time zero.
-func New(c *conf.Config, seed uint64, now Time, origin time.Time, obs Observer) (*Head, error) {
-	core, err := logic.New(c.Logic, seed, now)
+func New(c *config.Config, seed uint64, now Time, origin time.Time, obs Observer) (*Head, error) {
+	core, err := scheduler.New(c.Logic, seed, now)
 	if err != nil {
 		return nil, err
 	}
@@ -129,8 +129,8 @@
 }
 
 // NewWith returns a head with a core in the module's place.
-func NewWith(core Core, c *conf.Config, seed uint64, now Time, origin time.Time, obs Observer) *Head {
-	admission, err := admit.New(c.Admit, seed)
+func NewWith(core Core, c *config.Config, seed uint64, now Time, origin time.Time, obs Observer) *Head {
+	admission, err := admission.New(c.Admit, seed)
 	if err != nil { // never: the configuration is checked
 		panic(err)
 	}
@@ -140,7 +140,7 @@
 		routes:      route.NewTable(c, nil),
 		admission:   admission,
 		core:        core,
-		protocol:    webdav{},
+		protocol:    webdavProtocol{},
 		observer:    obs,
 		origin:      origin,
 		rand:        r,
@@ -159,7 +159,7 @@
 
 // Reload takes a new configuration. What the module was told at start cannot
 // change while it runs; then nothing is applied.
-func (h *Head) Reload(c *conf.Config) error {
+func (h *Head) Reload(c *config.Config) error {
 	if !reflect.DeepEqual(c.Logic, h.config.Logic) {
 		return fmt.Errorf("classes, plans, heads, cold, budget, units and attempts change with a restart only")
 	}
@@ -192,7 +192,7 @@
 	}
 	if h.now >= h.wakeAt {
 		h.wakeAt = never
-		h.events = append(h.events, logic.Wake{})
+		h.events = append(h.events, scheduler.Wake{})
 	}
 	feedNext := h.advanceFeed()
 	for len(h.events) > 0 || len(h.readyClients) > 0 {
@@ -224,15 +224,15 @@
 }
 
 // carryOut does what the module decided.
-func (h *Head) carryOut(a logic.Action) {
+func (h *Head) carryOut(a scheduler.Action) {
 	switch a := a.(type) {
-	case logic.Send:
+	case scheduler.Send:
 		h.send(h.requests[a.ID], a.Node, a.By)
-	case logic.Refuse:
+	case scheduler.Refuse:
 		h.refuse(h.requests[a.ID], a.RetryAfter)
-	case logic.Fail:
+	case scheduler.Fail:
 		h.fail(h.requests[a.ID])
-	case logic.WakeIn:
+	case scheduler.WakeIn:
 		h.wakeAt = h.now + a.In // in place of the one before, as the module counts on
 	}
 }
--- a/internal/head/head_test.go
+++ b/internal/gateway/head_test.go
@@ -1,4 +1,4 @@
-package head
+package gateway
 
 import (
 	"fmt"
@@ -7,9 +7,9 @@
 	"testing"
 	"time"
 
-	"maddergap/internal/conf"
+	"maddergap/internal/config"
 	"maddergap/internal/nodelist"
-	"maddergap/logic"
+	"maddergap/scheduler"
 )
 
 // The seam: one whole request through a head, no descriptor, no real clock.
@@ -28,7 +28,7 @@
 	r.say(n, "def")
 	r.want("the answer", r.take(c), "HTTP/1.1 200 OK\r\n", "Content-Length: 6\r\n", "ETag: \"e\"", "X-Request-Id: ", "\r\n\r\nabcdef")
 	r.wantFinals(map[Outcome]int{Served: 1})
-	if s := r.spans[0]; s.Node != "n0" || s.Ended != logic.OK || s.Parent != r.spans[1].ID || fmt.Sprintf("%x", r.spans[1].Parent) != "b7ad6b7169203331" {
+	if s := r.spans[0]; s.Node != "n0" || s.Ended != scheduler.OK || s.Parent != r.spans[1].ID || fmt.Sprintf("%x", r.spans[1].Parent) != "b7ad6b7169203331" {
 		t.Errorf("spans %+v", r.spans)
 	}
 	// The kept connections serve the next request.
@@ -631,12 +631,12 @@
 	wakes []Time
 }
 
-func (c *timed) Handle(now Time, events []logic.Event) (acts []logic.Action) {
+func (c *timed) Handle(now Time, events []scheduler.Event) (acts []scheduler.Action) {
 	for _, e := range events {
-		if _, ok := e.(logic.Wake); ok {
+		if _, ok := e.(scheduler.Wake); ok {
 			c.wakes = append(c.wakes, now)
 		} else if len(c.ask) > 0 {
-			acts = append(acts, logic.WakeIn{In: c.ask[0]})
+			acts = append(acts, scheduler.WakeIn{In: c.ask[0]})
 			c.ask = c.ask[1:]
 		}
 	}
@@ -682,7 +682,7 @@
 	r := newRig(t, "")
 	c := r.client(get("/feed-b/s/x"))
 	n := r.node(0)
-	less, err := conf.Parse("rig", []byte(strings.Replace(rigConf, "volume feed-b plan p shards 0,1\n", "", 1)))
+	less, err := config.Parse("rig", []byte(strings.Replace(rigConf, "volume feed-b plan p shards 0,1\n", "", 1)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -696,7 +696,7 @@
 	if r.spans[1].Volume != "feed-b" {
 		t.Errorf("%+v", r.spans[1])
 	}
-	if other, _ := conf.Parse("rig", []byte(rigConf+"heads 3\n")); r.h.Reload(other) == nil {
+	if other, _ := config.Parse("rig", []byte(rigConf+"heads 3\n")); r.h.Reload(other) == nil {
 		t.Error("the number of heads changed under way")
 	}
 }
--- a/internal/head/invariants.go
+++ b/internal/gateway/invariants.go
@@ -1,20 +1,20 @@
-package head
+package gateway
 
 import (
-	"maddergap/internal/guard"
-	"maddergap/logic"
+	"maddergap/internal/invariant"
+	"maddergap/scheduler"
 )
 
 // guarded describes an attempt to the guard.
-func (h *Head) guarded(at *attempt) guard.Attempt {
+func (h *Head) guarded(at *attempt) invariant.Attempt {
 	ex := at.ex
-	a := guard.Attempt{Request: ex.id, Node: at.node, Number: at.number, InForce: h.listInForce, ClientLeft: ex.clientLeftAt, Deadline: ex.deadline,
+	a := invariant.Attempt{Request: ex.id, Node: at.node, Number: at.number, InForce: h.listInForce, ClientLeft: ex.clientLeftAt, Deadline: ex.deadline,
 		Timeout: at.timeout, Earlier: h.earlier(at)}
 	n := h.nodes[at.node]
 	if n == nil {
 		return a
 	}
-	a.Serving, a.Changed = n.listed && n.state == logic.Serving, n.changed
+	a.Serving, a.Changed = n.listed && n.state == scheduler.Serving, n.changed
 	if c := at.conn; c != nil && (c.node != n || c.addr != n.addr || c.started != n.started) {
 		a.Serving = false
 	}
@@ -22,23 +22,23 @@
 }
 
 // classOf is the class of a request, as it is configured.
-func (h *Head) classOf(ex *exchange) *logic.Class {
+func (h *Head) classOf(ex *exchange) *scheduler.Class {
 	return &h.config.Logic.Classes[ex.ask.Arrival.Class]
 }
 
 // earlier tells what became of a request's attempts before this one.
-func (h *Head) earlier(at *attempt) guard.Earlier {
+func (h *Head) earlier(at *attempt) invariant.Earlier {
 	ex, class := at.ex, h.classOf(at.ex)
-	e := guard.Earlier{Effect: class.Effect, Out: ex.attempts.inFlight - 1, Ran: ex.attempts.mayHaveRun.known}
-	if class.Effect != logic.Keyed || !e.Ran {
+	e := invariant.Earlier{Effect: class.Effect, Out: ex.attempts.inFlight - 1, Ran: ex.attempts.mayHaveRun.known}
+	if class.Effect != scheduler.Keyed || !e.Ran {
 		return e
 	}
 	e.Until = ex.attempts.mayHaveRun.began + class.Window
 	n := h.nodes[at.node]
 	switch class.Group {
-	case logic.GroupZone:
+	case scheduler.GroupZone:
 		e.Grouped = n != nil && n.zone == ex.attempts.mayHaveRun.zone
-	case logic.GroupCell:
+	case scheduler.GroupCell:
 		e.Grouped = n != nil && n.shard == ex.attempts.mayHaveRun.shard
 	default:
 		e.Grouped = true
@@ -47,7 +47,7 @@
 }
 
 // violated reports what the guard found, with the client's name for the request.
-func (h *Head) violated(v guard.Violation) {
+func (h *Head) violated(v invariant.Violation) {
 	if ex := h.requests[v.Request]; ex != nil {
 		v.Name = h.nameOf(ex)
 	}
@@ -65,7 +65,7 @@
 // maySend asks whether an attempt may begin, as the module decides on it.
 func (h *Head) maySend(at *attempt) bool {
 	a := h.guarded(at)
-	return h.guard.MayBegin(h.now, &a) == guard.None
+	return h.guard.MayBegin(h.now, &a) == invariant.None
 }
 
 // mayBegin asks whether the attempt of a connection may begin, as its first byte is about to
@@ -73,11 +73,11 @@
 func (h *Head) mayBegin(c *conn) bool {
 	at := c.at
 	a := h.guarded(at)
-	if at.timeout > 0 && h.now < at.ex.deadline && guard.Outdated(h.now, at.ex.deadline, at.timeout) {
+	if at.timeout > 0 && h.now < at.ex.deadline && invariant.Outdated(h.now, at.ex.deadline, at.timeout) {
 		h.encode(c)
 		a.Timeout = at.timeout
 	}
-	if h.guard.MayBegin(h.now, &a) == guard.None {
+	if h.guard.MayBegin(h.now, &a) == invariant.None {
 		return true
 	}
 	h.withhold(c)
@@ -91,7 +91,7 @@
 	c.at = nil
 	h.release(c.out)
 	c.out, c.wrote = nil, 0
-	h.end(at, logic.Moot)
+	h.end(at, scheduler.Moot)
 	h.park(c)
 }
 
@@ -102,7 +102,7 @@
 }
 
 // mayRun notes that an attempt may have run, by how it ended.
-func (h *Head) mayRun(at *attempt, o logic.Outcome) {
+func (h *Head) mayRun(at *attempt, o scheduler.Outcome) {
 	ex := at.ex
 	if ex.attempts.mayHaveRun.known || o.ProvesNotRun() {
 		return
--- a/internal/head/invariants_test.go
+++ b/internal/gateway/invariants_test.go
@@ -1,20 +1,20 @@
-package head
+package gateway
 
 import (
 	"strings"
 	"testing"
 	"time"
 
-	"maddergap/internal/guard"
+	"maddergap/internal/invariant"
 	"maddergap/internal/membership"
 	"maddergap/internal/nodelist"
-	"maddergap/logic"
+	"maddergap/scheduler"
 )
 
 // careless is a core that sends what it is told, in place of the module.
-type careless struct{ actions []logic.Action }
+type careless struct{ actions []scheduler.Action }
 
-func (c *careless) Handle(logic.Time, []logic.Event) []logic.Action {
+func (c *careless) Handle(scheduler.Time, []scheduler.Event) []scheduler.Action {
 	actions := c.actions
 	c.actions = nil
 	return actions
@@ -39,55 +39,55 @@
 
 // What the module must never ask for is withheld, counted by its rule and reported.
 func TestGuardWithholds(t *testing.T) {
-	send := logic.Send{ID: 1, Node: "n0"}
+	send := scheduler.Send{ID: 1, Node: "n0"}
 	tests := []struct {
 		name    string
 		arrange func(r *rig, c *careless, client ConnID)
-		want    guard.Rule
+		want    invariant.Rule
 	}{
 		{"a node that drains", func(r *rig, c *careless, _ ConnID) {
-			r.h.members(membership.News{Nodes: []nodelist.Node{{Name: "n0", Addr: "node:0", State: logic.Draining}}})
-			c.actions = []logic.Action{send}
-		}, guard.Drain},
+			r.h.members(membership.News{Nodes: []nodelist.Node{{Name: "n0", Addr: "node:0", State: scheduler.Draining}}})
+			c.actions = []scheduler.Action{send}
+		}, invariant.Drain},
 		{"a node that drains while its connection comes up", func(r *rig, c *careless, _ ConnID) {
 			r.late = true
-			c.actions = []logic.Action{send}
-			r.h.events = append(r.h.events, logic.Wake{})
+			c.actions = []scheduler.Action{send}
+			r.h.events = append(r.h.events, scheduler.Wake{})
 			r.run()
-			r.h.members(membership.News{Nodes: []nodelist.Node{{Name: "n0", Addr: "node:0", State: logic.Draining}}})
+			r.h.members(membership.News{Nodes: []nodelist.Node{{Name: "n0", Addr: "node:0", State: scheduler.Draining}}})
 			r.run()
 			r.h.Connected(r.now, r.dials[0])
-		}, guard.Drain},
+		}, invariant.Drain},
 		{"a write that may have run", func(r *rig, c *careless, _ ConnID) {
-			c.actions = []logic.Action{send}
-			r.h.events = append(r.h.events, logic.Wake{})
+			c.actions = []scheduler.Action{send}
+			r.h.events = append(r.h.events, scheduler.Wake{})
 			r.run()
 			r.sentToNodes()
 			r.h.Closed(r.now, r.dials[0])
-			c.actions = []logic.Action{send}
-		}, guard.Repeat},
+			c.actions = []scheduler.Action{send}
+		}, invariant.Repeat},
 		{"a write that is still out", func(r *rig, c *careless, _ ConnID) {
-			c.actions = []logic.Action{send}
-			r.h.events = append(r.h.events, logic.Wake{})
+			c.actions = []scheduler.Action{send}
+			r.h.events = append(r.h.events, scheduler.Wake{})
 			r.run()
 			r.sentToNodes()
-			c.actions = []logic.Action{send}
-		}, guard.Repeat},
+			c.actions = []scheduler.Action{send}
+		}, invariant.Repeat},
 		{"past its client's time", func(r *rig, c *careless, _ ConnID) {
 			r.pass(2 * time.Second)
-			c.actions = []logic.Action{send}
-		}, guard.Deadline},
+			c.actions = []scheduler.Action{send}
+		}, invariant.Deadline},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			r, c, client := carelessRig(t)
 			test.arrange(r, c, client)
-			r.h.events = append(r.h.events, logic.Wake{})
+			r.h.events = append(r.h.events, scheduler.Wake{})
 			r.run()
 			if n := r.sentToNodes(); n != 0 {
 				t.Errorf("%d requests went out", n)
 			}
-			if counts := r.h.Counts().Guard; counts.Withheld[test.want] != 1 || counts.Broken != (guard.Counts{}).Broken {
+			if counts := r.h.Counts().Guard; counts.Withheld[test.want] != 1 || counts.Broken != (invariant.Counts{}).Broken {
 				t.Errorf("counted %+v, want one of %v withheld", counts, test.want)
 			}
 			if len(r.violations) != 1 || r.violations[0].Rule != test.want || r.violations[0].Name == "" {
@@ -100,20 +100,20 @@
 // What went out all the same, and what ended without its answer, is found after the fact.
 func TestGuardFindsWhatIsBroken(t *testing.T) {
 	r, c, client := carelessRig(t)
-	c.actions = []logic.Action{logic.Send{ID: 1, Node: "n0"}}
-	r.h.events = append(r.h.events, logic.Wake{})
+	c.actions = []scheduler.Action{scheduler.Send{ID: 1, Node: "n0"}}
+	r.h.events = append(r.h.events, scheduler.Wake{})
 	r.late = true
 	r.run()
 	r.h.Connected(r.now, r.dials[0])
 	out := r.h.Out(r.now, r.dials[0]) // the head is held up between this and the write
-	r.h.members(membership.News{Nodes: []nodelist.Node{{Name: "n0", Addr: "node:0", State: logic.Draining}}})
+	r.h.members(membership.News{Nodes: []nodelist.Node{{Name: "n0", Addr: "node:0", State: scheduler.Draining}}})
 	r.now += 200 * time.Millisecond
 	r.h.Wrote(r.now, r.dials[0], len(out))
 	r.h.drop(r.h.conn(client), Close)
 	r.h.reportEnd(r.h.requests[1], Refused)
 	r.h.reportEnd(r.h.requests[1], Refused)
 	broken := r.h.Counts().Guard.Broken
-	for _, rule := range []guard.Rule{guard.Drain, guard.Close, guard.Answer} {
+	for _, rule := range []invariant.Rule{invariant.Drain, invariant.Close, invariant.Answer} {
 		if broken[rule] != 1 {
 			t.Errorf("%v: counted %d times", rule, broken[rule])
 		}
@@ -129,8 +129,8 @@
 	for _, others := range []bool{false, true} {
 		r, c, _ := carelessRig(t)
 		r.late = true
-		c.actions = []logic.Action{logic.Send{ID: 1, Node: "n0"}}
-		r.h.events = append(r.h.events, logic.Wake{})
+		c.actions = []scheduler.Action{scheduler.Send{ID: 1, Node: "n0"}}
+		r.h.events = append(r.h.events, scheduler.Wake{})
 		r.run()
 		r.h.Stalled(r.now, r.dials[0])
 		if others {
@@ -138,9 +138,9 @@
 			r.h.lastConnected = r.now
 		}
 		r.pass(r.h.config.DialTime + time.Millisecond)
-		want := logic.Moot
+		want := scheduler.Moot
 		if others {
-			want = logic.ConnectFailed
+			want = scheduler.ConnectFailed
 		}
 		if n := len(r.spans); n != 1 || r.spans[0].Ended != want {
 			t.Errorf("others %v: %+v, want %v", others, r.spans, want)
--- a/internal/head/listing.go
+++ b/internal/gateway/listing.go
@@ -1,13 +1,13 @@
-package head
+package gateway
 
 import (
 	"bytes"
 	"errors"
 	"time"
 
-	"maddergap/internal/dav"
 	"maddergap/internal/http1"
 	"maddergap/internal/route"
+	"maddergap/internal/webdav"
 )
 
 // listing is a PROPFIND that the head answers itself: of the volumes, or of a
@@ -31,7 +31,7 @@
 	l, depth := ex.listing, string(ex.req.Get("depth"))
 	l.parent = ex
 	if l.volumes {
-		find, err := dav.ParsePropfind(ex.body.held)
+		find, err := webdav.ParsePropfind(ex.body.held)
 		if err != nil {
 			h.answerOwn(ex, 400, err.Error())
 			return
@@ -42,7 +42,7 @@
 		}
 		ex.answer.reason = "list of volumes"
 		h.counts.Own++
-		h.respond(ex, 207, dav.ListVolumes(find, names, depth), nil)
+		h.respond(ex, 207, webdav.ListVolumes(find, names, depth), nil)
 		return
 	}
 	h.admission.Taken(h.now, uint64(ex.client.id))
@@ -73,7 +73,7 @@
 func (h *Head) partData(p *exchange, data []byte) bool {
 	l := p.listing
 	if l.size += len(data); l.size > h.config.ListingMax {
-		l.bad, l.reason = 507, dav.ErrTooLarge.Error()
+		l.bad, l.reason = 507, webdav.ErrTooLarge.Error()
 		return false
 	}
 	l.bodies[p.part] = append(l.bodies[p.part], data...)
@@ -111,9 +111,9 @@
 		h.counts.Own++
 		h.respond(ex, 503, []byte(ex.answer.reason+"\n"), func(b []byte) []byte { return appendRetryAfter(b, l.after) })
 	default:
-		body, err := dav.Merge(l.bodies, h.config.ListingMax)
+		body, err := webdav.Merge(l.bodies, h.config.ListingMax)
 		switch {
-		case errors.Is(err, dav.ErrTooLarge):
+		case errors.Is(err, webdav.ErrTooLarge):
 			h.answerOwn(ex, 507, err.Error())
 		case err != nil:
 			h.answerOwn(ex, 502, err.Error())
--- a/internal/head/members.go
+++ b/internal/gateway/members.go
@@ -1,9 +1,9 @@
-package head
+package gateway
 
 import (
 	"maddergap/internal/membership"
 	"maddergap/internal/nodelist"
-	"maddergap/logic"
+	"maddergap/scheduler"
 )
 
 // node is where a storage node is reached.
@@ -16,7 +16,7 @@
 	listed      bool
 	// keepsOpen: a connection was still open when it had rested, and none was ended sooner since.
 	keepsOpen bool
-	state     logic.NodeState
+	state     scheduler.NodeState
 	changed   Time // when the head was notified of this state
 }
 
@@ -33,7 +33,7 @@
 	if len(changes) == 0 {
 		return
 	}
-	entries := make([]logic.Entry, 0, len(changes))
+	entries := make([]scheduler.Entry, 0, len(changes))
 	for i := range changes {
 		h.member(&changes[i])
 		entries = append(entries, changes[i].Entry)
@@ -41,7 +41,7 @@
 	if h.observer != nil {
 		h.observer.Members(changes)
 	}
-	h.events = append(h.events, logic.List{Entries: entries})
+	h.events = append(h.events, scheduler.List{Entries: entries})
 }
 
 // member carries a change of one node out on its connections.
@@ -56,7 +56,7 @@
 	}
 	n.state, n.started, n.addr = c.Entry.State, c.Entry.Started, c.Addr
 	n.zone, n.shard = c.Entry.Zone, c.Entry.Shard
-	n.listed = n.state != logic.Gone
+	n.listed = n.state != scheduler.Gone
 	if c.Moved {
 		n.keepsOpen = false
 	}
--- a/internal/head/members_bench_test.go
+++ b/internal/gateway/members_bench_test.go
@@ -1,4 +1,4 @@
-package head
+package gateway
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 
 	"maddergap/internal/membership"
 	"maddergap/internal/nodelist"
-	"maddergap/logic"
+	"maddergap/scheduler"
 )
 
 // memberList is a list of so many nodes, one shard for each four.
@@ -22,12 +22,12 @@
 // BenchmarkMembers is what a list costs the head and the module: the first one, a whole list
 // of which nothing changed, and one node that drains and comes back.
 func BenchmarkMembers(b *testing.B) {
-	settings := logic.Settings{Heads: 300, Classes: []logic.Class{{Name: "read", Aim: 100 * time.Millisecond, Worth: 1}},
-		Plans: []logic.Plan{{Weight: 1, Price: 1}}, MostUnits: 4, MeanUnits: 1}
+	settings := scheduler.Settings{Heads: 300, Classes: []scheduler.Class{{Name: "read", Aim: 100 * time.Millisecond, Worth: 1}},
+		Plans: []scheduler.Plan{{Weight: 1, Price: 1}}, MostUnits: 4, MeanUnits: 1}
 	for _, size := range []int{200, 800, 3200} {
 		nodes := memberList(size)
 		fresh := func() *Head {
-			core, err := logic.New(settings, 1, 0)
+			core, err := scheduler.New(settings, 1, 0)
 			if err != nil {
 				b.Fatal(err)
 			}
@@ -56,7 +56,7 @@
 			one := nodes[size/2 : size/2+1]
 			for i := range b.N {
 				change := []nodelist.Node{one[0]}
-				change[0].State = logic.NodeState(i % 2)
+				change[0].State = scheduler.NodeState(i % 2)
 				h.members(membership.News{Nodes: change})
 				h.Advance(time.Second)
 			}
--- a/internal/head/node.go
+++ b/internal/gateway/node.go
@@ -1,8 +1,8 @@
-package head
+package gateway
 
 import (
 	"maddergap/internal/http1"
-	"maddergap/logic"
+	"maddergap/scheduler"
 )
 
 // discardMost is how much of an answer that nobody is given is read to keep its
@@ -97,7 +97,7 @@
 		return p, false
 	}
 	if err := http1.ParseResponse(p[:n], &c.resp, at.ex.method, h.config.Header); err != nil {
-		h.broken(c, logic.Failed)
+		h.broken(c, scheduler.Failed)
 		return nil, false
 	}
 	if !h.protocol.allowsEarlyAnswer() && !at.out() { // of an earlier request: this one has not come whole
@@ -107,7 +107,7 @@
 	p = p[n:]
 	if c.resp.Status < 200 {
 		if c.interim++; c.interim > http1.InterimMax {
-			h.broken(c, logic.Failed)
+			h.broken(c, scheduler.Failed)
 			return nil, false
 		}
 		return p, true
@@ -150,7 +150,7 @@
 	}
 	if !at.begun {
 		at.begun = true
-		h.events = append(h.events, logic.Begun{ID: at.ex.id, Attempt: at.number})
+		h.events = append(h.events, scheduler.Begun{ID: at.ex.id, Attempt: at.number})
 	}
 	if !c.paused {
 		h.setDeadline(c, h.now+h.config.StallTime)
@@ -202,27 +202,27 @@
 		h.forget(c, false)
 	}
 	switch {
-	case c.inBody && at.verdict != logic.OK:
+	case c.inBody && at.verdict != scheduler.OK:
 		h.end(at, at.verdict)
 	case !c.connected:
 		h.end(at, h.unconnected(c, at))
 	case !at.written: // a kept connection that closed just then: proven not to have run
-		h.end(at, logic.Moot)
+		h.end(at, scheduler.Moot)
 	case !out:
 		h.end(at, h.protocol.truncated())
 	default:
-		h.end(at, logic.Reset)
+		h.end(at, scheduler.Reset)
 	}
 }
 
 // unconnected is the outcome of an attempt whose connection did not come up: the node's
 // failure, unless the head's own machine held it up. Where others came up meanwhile it is of
 // that node all the same, as where there is no route to it.
-func (h *Head) unconnected(c *conn, at *attempt) logic.Outcome {
+func (h *Head) unconnected(c *conn, at *attempt) scheduler.Outcome {
 	if c.postponed && h.lastConnected <= at.began {
-		return logic.Moot
+		return scheduler.Moot
 	}
-	return logic.ConnectFailed
+	return scheduler.ConnectFailed
 }
 
 func (h *Head) nodeExpired(c *conn) {
@@ -238,11 +238,11 @@
 	case !at.written: // the head's own machine held it up: it never ran
 		c.at = nil
 		h.drop(c, Abort)
-		h.end(at, logic.Moot)
+		h.end(at, scheduler.Moot)
 	case at.ex.answer.from == at, at.buffered && h.now < at.ex.deadline: // the answer stopped in its middle
 		h.broken(c, h.protocol.malformed())
 	default: // the client's time is up; a later answer is nobody's
 		at.ex.attempts.timedOut = true
-		h.broken(c, logic.TimedOut)
+		h.broken(c, scheduler.TimedOut)
 	}
 }
--- a/internal/head/observer.go
+++ b/internal/gateway/observer.go
@@ -1,13 +1,13 @@
-package head
+package gateway
 
 import (
 	"net/netip"
 	"time"
 
-	"maddergap/internal/admit"
-	"maddergap/internal/guard"
+	"maddergap/internal/admission"
+	"maddergap/internal/invariant"
 	"maddergap/internal/membership"
-	"maddergap/logic"
+	"maddergap/scheduler"
 )
 
 // Outcome is the final answer of a request.
@@ -42,7 +42,7 @@
 	Attempts int     // of a request
 	Attempt  int     // of an attempt: its number
 	Node     string  // of an attempt
-	Ended    logic.Outcome
+	Ended    scheduler.Outcome
 	Reason   string // why the head itself answered
 }
 
@@ -50,22 +50,22 @@
 type Observer interface {
 	Request(*Span)
 	Attempt(*Span)
-	Members([]membership.Change)                               // what changed of the node list
-	Violation(guard.Violation)                                 // an invariant that was broken, or an attempt that was withheld
-	Turned(client netip.AddrPort, why admit.Reason, told bool) // a connection that was not admitted
+	Members([]membership.Change)                                   // what changed of the node list
+	Violation(invariant.Violation)                                 // an invariant that was broken, or an attempt that was withheld
+	Turned(client netip.AddrPort, why admission.Reason, told bool) // a connection that was not admitted
 }
 
 // Counts are sums since the start.
 type Counts struct {
-	Taken, Served, Refused, Failed, Left uint64                // requests given to the module, and how they ended
-	Attempts, Own, Bad                   uint64                // sends; answers of the head's own; requests refused as malformed
-	Clients, NodeConns                   int                   // connections now
-	Preempted                            uint64                // idle connections closed for others
-	Turned                               [admit.Reasons]uint64 // connections and requests not admitted
-	Admitted                             admit.Counts
+	Taken, Served, Refused, Failed, Left uint64                    // requests given to the module, and how they ended
+	Attempts, Own, Bad                   uint64                    // sends; answers of the head's own; requests refused as malformed
+	Clients, NodeConns                   int                       // connections now
+	Preempted                            uint64                    // idle connections closed for others
+	Turned                               [admission.Reasons]uint64 // connections and requests not admitted
+	Admitted                             admission.Counts
 	Held                                 int64 // bytes held for clients
 	Lag                                  time.Duration
-	Guard                                guard.Counts // attempts withheld, invariants broken
+	Guard                                invariant.Counts // attempts withheld, invariants broken
 }
 
 // Counts returns the sums.
--- a/internal/head/pool.go
+++ b/internal/gateway/pool.go
@@ -1,11 +1,11 @@
-package head
+package gateway
 
 import (
 	"container/list"
 	"slices"
 	"time"
 
-	"maddergap/logic"
+	"maddergap/scheduler"
 )
 
 // restTime is how long a kept connection rests before it is used again, if another can be.
@@ -29,7 +29,7 @@
 			return c
 		}
 	}
-	if !n.keepsOpen && h.classOf(ex).Effect == logic.Unsafe && h.spareFor(n) {
+	if !n.keepsOpen && h.classOf(ex).Effect == scheduler.Unsafe && h.spareFor(n) {
 		return nil
 	}
 	return n.idle[0]
--- a/internal/head/protocol.go
+++ b/internal/gateway/protocol.go
@@ -1,10 +1,10 @@
-package head
+package gateway
 
 import (
 	"time"
 
 	"maddergap/internal/http1"
-	"maddergap/logic"
+	"maddergap/scheduler"
 )
 
 // protocol is what a protocol has of its own between clients, head and nodes: reading a
@@ -25,11 +25,11 @@
 	answerData(h *Head, at *attempt, data []byte) bool
 	answerDone(h *Head, at *attempt)
 	// truncated is the outcome of an attempt whose connection broke when it had gone out in part.
-	truncated() logic.Outcome
+	truncated() scheduler.Outcome
 	// allowsEarlyAnswer tells whether a node may answer before the request has come whole.
 	allowsEarlyAnswer() bool
 	// malformed is the outcome of one whose answer's body cannot be read.
-	malformed() logic.Outcome
+	malformed() scheduler.Outcome
 	retryAfter(b []byte, after time.Duration) []byte
 	// endMeansGone tells whether a client that sends no more has left.
 	endMeansGone() bool
@@ -39,7 +39,7 @@
 
 // Verdict is what an answer's header says of its attempt.
 type Verdict struct {
-	Outcome logic.Outcome
+	Outcome scheduler.Outcome
 	Report  float64 // requests that the node said it held or had waiting
 	Reports bool    // it said so
 }
@@ -53,7 +53,7 @@
 	ID     string // the client's name for the request
 	// Arrival is what the module is told, but for its ID. Left counts from the
 	// request's last byte.
-	Arrival logic.Arrival
+	Arrival scheduler.Arrival
 }
 
 // Protocol is one whose messages are small: requests and answers are held whole, and
--- a/internal/head/rig_test.go
+++ b/internal/gateway/rig_test.go
@@ -1,4 +1,4 @@
-package head
+package gateway
 
 import (
 	"fmt"
@@ -9,9 +9,9 @@
 	"testing"
 	"time"
 
-	"maddergap/internal/admit"
-	"maddergap/internal/conf"
-	"maddergap/internal/guard"
+	"maddergap/internal/admission"
+	"maddergap/internal/config"
+	"maddergap/internal/invariant"
 	"maddergap/internal/membership"
 	"maddergap/internal/nodelist"
 )
@@ -52,7 +52,7 @@
 	spans  []Span
 	turned []string
 	// violations are what the guard withheld or found.
-	violations []guard.Violation
+	violations []invariant.Violation
 }
 
 func (r *rig) Request(s *Span) { r.spans = append(r.spans, *s) }
@@ -60,15 +60,15 @@
 
 func (r *rig) Members([]membership.Change) {}
 
-func (r *rig) Violation(v guard.Violation) { r.violations = append(r.violations, v) }
+func (r *rig) Violation(v invariant.Violation) { r.violations = append(r.violations, v) }
 
-func (r *rig) Turned(_ netip.AddrPort, why admit.Reason, _ bool) {
+func (r *rig) Turned(_ netip.AddrPort, why admission.Reason, _ bool) {
 	r.turned = append(r.turned, why.String())
 }
 
 func newRig(t *testing.T, more string) *rig {
 	t.Helper()
-	c, err := conf.Parse("rig", []byte(rigConf+more))
+	c, err := config.Parse("rig", []byte(rigConf+more))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/head/send.go
+++ b/internal/gateway/send.go
@@ -1,8 +1,8 @@
-package head
+package gateway
 
 import (
 	"maddergap/internal/http1"
-	"maddergap/logic"
+	"maddergap/scheduler"
 )
 
 // send starts an attempt, as the module decided.
@@ -20,11 +20,11 @@
 	kept := h.keptFor(ex, n)
 	switch {
 	case ex.answer.final: // it got its answer in this very turn
-		h.end(at, logic.Moot)
+		h.end(at, scheduler.Moot)
 	case !h.maySend(at):
-		h.end(at, logic.Moot)
+		h.end(at, scheduler.Moot)
 	case kept == nil && (n.conns >= h.config.NodeConns || !h.roomForNode()):
-		h.end(at, logic.ConnectFailed) // nothing was sent
+		h.end(at, scheduler.ConnectFailed) // nothing was sent
 	case kept != nil:
 		h.unpark(kept)
 		kept.at, at.conn = at, kept
--- a/internal/head/status.go
+++ b/internal/gateway/status.go
@@ -1,6 +1,6 @@
-package head
+package gateway
 
-import "maddergap/logic"
+import "maddergap/scheduler"
 
 // Sockets is what crosses the sockets to a node now.
 type Sockets struct {
@@ -11,12 +11,12 @@
 
 // NodeStatus is one node: what the scheduler holds of it, and what is on its sockets.
 type NodeStatus struct {
-	logic.NodeStatus
+	scheduler.NodeStatus
 	Sockets
 }
 
 // statusTeller is a core that tells what it holds.
-type statusTeller interface{ Status() []logic.NodeStatus }
+type statusTeller interface{ Status() []scheduler.NodeStatus }
 
 // Status compares what the scheduler holds of load and health with the sockets, node by node.
 // A node of the sockets that the scheduler has forgotten is told with its name alone.
@@ -43,7 +43,7 @@
 	}
 	for name, s := range on {
 		if s.Open > 0 {
-			all = append(all, NodeStatus{logic.NodeStatus{Node: name}, s})
+			all = append(all, NodeStatus{scheduler.NodeStatus{Node: name}, s})
 		}
 	}
 	return all
--- a/internal/head/stop.go
+++ b/internal/gateway/stop.go
@@ -1,11 +1,11 @@
-package head
+package gateway
 
 import (
 	"maps"
 	"slices"
 	"time"
 
-	"maddergap/logic"
+	"maddergap/scheduler"
 )
 
 // Leave tells clients with their next answer that their connection ends; requests go on
@@ -43,7 +43,7 @@
 		if ex.answer.final {
 			continue
 		}
-		h.events = append(h.events, logic.Dropped{ID: ex.id})
+		h.events = append(h.events, scheduler.Dropped{ID: ex.id})
 		if ex.attempts.latest != nil {
 			h.cancel(ex.attempts.latest)
 		}
--- a/internal/head/trace.go
+++ b/internal/gateway/trace.go
@@ -1,4 +1,4 @@
-package head
+package gateway
 
 import (
 	"encoding/binary"
--- a/internal/head/webdav.go
+++ b/internal/gateway/webdav.go
@@ -1,24 +1,24 @@
-package head
+package gateway
 
 import (
 	"errors"
 	"time"
 
-	"maddergap/internal/dav"
 	"maddergap/internal/http1"
 	"maddergap/internal/route"
-	"maddergap/logic"
+	"maddergap/internal/webdav"
+	"maddergap/scheduler"
 )
 
-// webdav is the protocol of the head's own front: bodies and answers stream, a
+// webdavProtocol is the protocol of the head's own front: bodies and answers stream, a
 // PROPFIND may be gathered from several nodes.
-type webdav struct{}
+type webdavProtocol struct{}
 
-func (webdav) begin(h *Head, c *conn, ex *exchange) {
+func (webdavProtocol) begin(h *Head, c *conn, ex *exchange) {
 	r := &ex.req
 	h.traceOf(ex)
 	if ex.method == "OPTIONS" && string(r.Target) == "*" {
-		h.judged(c, ex, dav.Verdict{Do: dav.Options})
+		h.judged(c, ex, webdav.Verdict{Do: webdav.Options})
 		return
 	}
 	path, _, err := route.Path(string(r.Target))
@@ -33,20 +33,20 @@
 		h.answerOwn(ex, status, err.Error())
 		return
 	}
-	h.judged(c, ex, dav.Judge(h.routes, ex.method, ex.place, string(r.Get("depth")), string(r.Get("destination")), string(r.Host)))
+	h.judged(c, ex, webdav.Judge(h.routes, ex.method, ex.place, string(r.Get("depth")), string(r.Get("destination")), string(r.Host)))
 }
 
-func (webdav) arrival(h *Head, ex *exchange) *http1.Error {
+func (webdavProtocol) arrival(h *Head, ex *exchange) *http1.Error {
 	if ex.listing == nil && ex.body.whole && ex.req.Length < 0 { // now its length is known
 		ex.job = h.job(ex, ex.body.received)
 	}
 	v, j := ex.volume, &ex.job
-	ex.ask.Arrival = logic.Arrival{Shard: ex.place.Shard, Plan: v.Plan, Class: j.Class, Key: j.Key, Volume: v.Name, Left: j.Time,
+	ex.ask.Arrival = scheduler.Arrival{Shard: ex.place.Shard, Plan: v.Plan, Class: j.Class, Key: j.Key, Volume: v.Name, Left: j.Time,
 		Units: j.Units, Hosts: v.Hosts}
 	return nil
 }
 
-func (webdav) appendRequest(h *Head, b []byte, at *attempt) []byte {
+func (webdavProtocol) appendRequest(h *Head, b []byte, at *attempt) []byte {
 	ex, r := at.ex, &at.ex.req
 	b = append(append(b, ex.method...), ' ')
 	b = append(append(b, originForm(r.Target)...), " HTTP/1.1\r\n"...)
@@ -60,21 +60,21 @@
 	return append(appendTrace(append(b, "traceparent: "...), ex.trace.id, at.span, ex.trace.sampled), "\r\n"...)
 }
 
-func (webdav) verdict(r *http1.Response) (v Verdict) {
+func (webdavProtocol) verdict(r *http1.Response) (v Verdict) {
 	v.Report, v.Reports = loadReport(r.Get("endpoint-load-metrics"))
 	switch r.Status {
 	case 503:
-		v.Outcome = logic.Failed
+		v.Outcome = scheduler.Failed
 		if http1.Is(r.Get(RanHeader), "no") {
-			v.Outcome = logic.Full
+			v.Outcome = scheduler.Full
 		}
 	case 500, 502, 504:
-		v.Outcome = logic.Failed
+		v.Outcome = scheduler.Failed
 	}
 	return v
 }
 
-func (webdav) answerHead(h *Head, at *attempt) bool {
+func (webdavProtocol) answerHead(h *Head, at *attempt) bool {
 	ex, r := at.ex, &at.conn.resp
 	if ex.answer.final || ex.answer.from != nil {
 		return true // swallowed
@@ -114,12 +114,12 @@
 	return true
 }
 
-func (webdav) answerData(h *Head, at *attempt, data []byte) bool {
+func (webdavProtocol) answerData(h *Head, at *attempt, data []byte) bool {
 	ex := at.ex
 	switch {
 	case ex.listing != nil:
 		if !h.partData(ex, data) {
-			h.broken(at.conn, logic.Cancelled)
+			h.broken(at.conn, scheduler.Cancelled)
 		}
 	default:
 		cl := ex.client
@@ -136,36 +136,38 @@
 	return true
 }
 
-func (webdav) answerDone(h *Head, at *attempt) {
+func (webdavProtocol) answerDone(h *Head, at *attempt) {
 	ex, c := at.ex, at.conn
 	ex.answer.final = true
 	h.counts.Served++
 	if ex.listing != nil {
 		h.reportEnd(ex, Served)
 		h.partDone(ex)
-		h.end(at, logic.OK)
+		h.end(at, scheduler.OK)
 		return
 	}
 	h.learn(ex, c)
 	if ex.answer.chunked {
 		ex.client.out = http1.AppendLastChunk(ex.client.out)
 	}
-	h.end(at, logic.OK)
+	h.end(at, scheduler.OK)
 	h.reportEnd(ex, Served)
 	h.answered(ex)
 }
 
-func (webdav) truncated() logic.Outcome { return logic.Reset }
+func (webdavProtocol) truncated() scheduler.Outcome { return scheduler.Reset }
 
-func (webdav) allowsEarlyAnswer() bool { return true }
+func (webdavProtocol) allowsEarlyAnswer() bool { return true }
 
-func (webdav) malformed() logic.Outcome { return logic.Reset }
+func (webdavProtocol) malformed() scheduler.Outcome { return scheduler.Reset }
 
-func (webdav) retryAfter(b []byte, after time.Duration) []byte { return appendRetryAfter(b, after) }
+func (webdavProtocol) retryAfter(b []byte, after time.Duration) []byte {
+	return appendRetryAfter(b, after)
+}
 
-func (webdav) endMeansGone() bool { return false }
+func (webdavProtocol) endMeansGone() bool { return false }
 
-func (webdav) finished(*exchange, Outcome) {}
+func (webdavProtocol) finished(*exchange, Outcome) {}
 
 // learn remembers how large a resource is.
 func (h *Head) learn(ex *exchange, c *conn) {
@@ -177,29 +179,29 @@
 	}
 }
 
-func (h *Head) judged(c *conn, ex *exchange, v dav.Verdict) {
+func (h *Head) judged(c *conn, ex *exchange, v webdav.Verdict) {
 	switch v.Do {
-	case dav.Answer:
+	case webdav.Answer:
 		h.answerOwn(ex, v.Status, v.Reason)
-	case dav.Options:
+	case webdav.Options:
 		ex.answer.reason = "options"
 		h.counts.Own++
 		h.respond(ex, 200, nil, func(b []byte) []byte {
-			b = http1.AppendField(b, "Allow", []byte(dav.Allow))
-			b = http1.AppendField(b, "DAV", []byte(dav.Compliance))
+			b = http1.AppendField(b, "Allow", []byte(webdav.Allow))
+			b = http1.AppendField(b, "DAV", []byte(webdav.Compliance))
 			return http1.AppendField(b, "MS-Author-Via", []byte("DAV"))
 		})
-	case dav.ListRoot, dav.Gather:
+	case webdav.ListRoot, webdav.Gather:
 		if ex.req.Length > int64(h.config.BodyHold) {
 			h.answerOwn(ex, 413, "the body of a PROPFIND is longer than can be held")
 			return
 		}
-		ex.listing = &listing{volumes: v.Do == dav.ListRoot}
+		ex.listing = &listing{volumes: v.Do == webdav.ListRoot}
 		h.invite(c, ex)
 		if ex.body.whole {
 			h.list(ex)
 		}
-	case dav.Forward:
+	case webdav.Forward:
 		ex.volume = &h.config.Volumes[ex.place.Volume]
 		ex.job = h.job(ex, ex.req.Length)
 		if ex.req.Length > int64(h.config.BodyHold) && ex.req.Expect {
--- a/internal/guard/guard.go
+++ b/internal/invariant/guard.go
@@ -1,19 +1,19 @@
-// Package guard holds the invariants of what a head does on its connections, apart from the
+// Package invariant holds the invariants of what a head does on its connections, apart from the
 // module that decides it: when an attempt may begin, when it may be a repeat, that a request
 // has one final answer, and that no connection ends without it. It is asked at the one place
 // where bytes are handed to a node's connection, and told at the one place where they were
 // written. What it withholds and what it finds broken is counted by rule. It is pure.
-package guard
+package invariant
 
 import (
 	"fmt"
 	"time"
 
-	"maddergap/logic"
+	"maddergap/scheduler"
 )
 
 // Time is a reading of the head's monotonic clock.
-type Time = logic.Time
+type Time = scheduler.Time
 
 // Rule is an invariant.
 type Rule uint8
@@ -76,7 +76,7 @@
 
 // Earlier is what became of the attempts before it.
 type Earlier struct {
-	Effect  logic.Effect
+	Effect  scheduler.Effect
 	Out     int  // attempts that are still out
 	Ran     bool // one may have run
 	Until   Time // a keyed repeat begins before that
@@ -86,14 +86,14 @@
 // mayRepeat tells whether the attempt can run without running twice.
 func (e *Earlier) mayRepeat(now Time) bool {
 	switch {
-	case e.Effect == logic.Safe:
+	case e.Effect == scheduler.Safe:
 		return true
 	case e.Out > 0:
-		return e.Effect == logic.Keyed && e.Grouped && now < e.Until
+		return e.Effect == scheduler.Keyed && e.Grouped && now < e.Until
 	case !e.Ran:
 		return true
 	}
-	return e.Effect == logic.Keyed && e.Grouped && now < e.Until
+	return e.Effect == scheduler.Keyed && e.Grouped && now < e.Until
 }
 
 // Violation is an invariant that was broken, or would have been.
--- a/internal/guard/guard_test.go
+++ b/internal/invariant/guard_test.go
@@ -1,10 +1,10 @@
-package guard
+package invariant
 
 import (
 	"testing"
 	"time"
 
-	"maddergap/logic"
+	"maddergap/scheduler"
 )
 
 const now = 24 * time.Hour
@@ -16,7 +16,7 @@
 // Each rule, broken on purpose: at once it is withheld; once written it counts as broken past
 // what a held-up head may take, and not before.
 func TestRules(t *testing.T) {
-	keyed := Earlier{Effect: logic.Keyed, Ran: true, Grouped: true, Until: now + time.Second}
+	keyed := Earlier{Effect: scheduler.Keyed, Ran: true, Grouped: true, Until: now + time.Second}
 	tests := []struct {
 		name   string
 		change func(a *Attempt)
@@ -35,10 +35,10 @@
 		{"was encoded just now", func(a *Attempt) { a.Timeout += 15 * time.Millisecond }, None, false},
 		{"tells a little more than is left", func(a *Attempt) { a.Timeout += 100 * time.Millisecond }, Deadline, false},
 		{"tells more than is left", func(a *Attempt) { a.Timeout += 200 * time.Millisecond }, Deadline, true},
-		{"safe repeat", func(a *Attempt) { a.Earlier = Earlier{Effect: logic.Safe, Ran: true, Out: 1} }, None, false},
-		{"unsafe, none ran", func(a *Attempt) { a.Earlier = Earlier{Effect: logic.Unsafe} }, None, false},
-		{"unsafe, may have run", func(a *Attempt) { a.Earlier = Earlier{Effect: logic.Unsafe, Ran: true} }, Repeat, true},
-		{"unsafe, still out", func(a *Attempt) { a.Earlier = Earlier{Effect: logic.Unsafe, Out: 1} }, Repeat, true},
+		{"safe repeat", func(a *Attempt) { a.Earlier = Earlier{Effect: scheduler.Safe, Ran: true, Out: 1} }, None, false},
+		{"unsafe, none ran", func(a *Attempt) { a.Earlier = Earlier{Effect: scheduler.Unsafe} }, None, false},
+		{"unsafe, may have run", func(a *Attempt) { a.Earlier = Earlier{Effect: scheduler.Unsafe, Ran: true} }, Repeat, true},
+		{"unsafe, still out", func(a *Attempt) { a.Earlier = Earlier{Effect: scheduler.Unsafe, Out: 1} }, Repeat, true},
 		{"keyed within its window", func(a *Attempt) { a.Earlier = keyed }, None, false},
 		{"keyed elsewhere", func(a *Attempt) { a.Earlier = keyed; a.Earlier.Grouped = false }, Repeat, true},
 		{"keyed just past its window", func(a *Attempt) { a.Earlier = keyed; a.Earlier.Until = now - 50*time.Millisecond }, Repeat, false},
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -9,11 +9,11 @@
 	"time"
 
 	"maddergap/internal/nodelist"
-	"maddergap/logic"
+	"maddergap/scheduler"
 )
 
 // Time is a reading of the head's monotonic clock.
-type Time = logic.Time
+type Time = scheduler.Time
 
 // News is a node list, or what changed of it.
 type News struct {
@@ -25,7 +25,7 @@
 
 // Change is a node that the news adds, changes or removes.
 type Change struct {
-	Entry logic.Entry
+	Entry scheduler.Entry
 	Addr  string
 	// Moved: the node has another address or another start than before. What is kept of it
 	// leads elsewhere, or to a life that is over.
@@ -90,8 +90,8 @@
 	}
 	m.node, m.listed = n, t.applied
 	t.members[n.Name] = m
-	change.Entry = logic.Entry{Node: n.Name, Zone: n.Zone, Shard: n.Shard, State: n.State, Started: m.started}
-	if n.State == logic.Gone {
+	change.Entry = scheduler.Entry{Node: n.Name, Zone: n.Zone, Shard: n.Shard, State: n.State, Started: m.started}
+	if n.State == scheduler.Gone {
 		delete(t.members, n.Name)
 	}
 	return change, true
@@ -108,8 +108,8 @@
 			continue
 		}
 		delete(t.members, name)
-		changes = append(changes, Change{Addr: m.node.Addr, Moved: true, Entry: logic.Entry{Node: name, Zone: m.node.Zone,
-			Shard: m.node.Shard, State: logic.Gone, Started: m.started}})
+		changes = append(changes, Change{Addr: m.node.Addr, Moved: true, Entry: scheduler.Entry{Node: name, Zone: m.node.Zone,
+			Shard: m.node.Shard, State: scheduler.Gone, Started: m.started}})
 	}
 	slices.SortFunc(changes, func(a, b Change) int {
 		if a.Entry.Node < b.Entry.Node {
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -7,14 +7,14 @@
 	"time"
 
 	"maddergap/internal/nodelist"
-	"maddergap/logic"
+	"maddergap/scheduler"
 )
 
 const zero = 24 * time.Hour // the monotonic clock at the head's start
 
 var wall = time.Date(2026, 12, 2, 12, 0, 0, 0, time.UTC) // the true time then
 
-func node(name string, state logic.NodeState, started time.Time) nodelist.Node {
+func node(name string, state scheduler.NodeState, started time.Time) nodelist.Node {
 	return nodelist.Node{Name: name, Addr: "10.0.0.1:1", State: state, Started: started}
 }
 
@@ -24,21 +24,21 @@
 func TestOnlyWhatChangedIsTold(t *testing.T) {
 	table := newTable(0)
 	started := wall.Add(-time.Minute)
-	list := []nodelist.Node{node("a", logic.Serving, time.Time{}), node("b", logic.Serving, started), node("c", logic.Draining, time.Time{})}
+	list := []nodelist.Node{node("a", scheduler.Serving, time.Time{}), node("b", scheduler.Serving, started), node("c", scheduler.Draining, time.Time{})}
 	if got := table.Apply(zero, News{Nodes: list, Full: true}); len(got) != 3 || !got[0].Moved {
 		t.Fatalf("the first list: %+v", got)
 	}
 	if got := table.Apply(zero+1, News{Nodes: list, Full: true}); len(got) != 0 {
 		t.Fatalf("the same list: %+v", got)
 	}
-	list[0].State = logic.Draining
+	list[0].State = scheduler.Draining
 	list[1].Addr = "10.0.0.2:1"
 	got := table.Apply(zero+2, News{Nodes: list[:2], Full: true})
-	if len(got) != 3 || got[0].Moved || !got[1].Moved || got[2].Entry.Node != "c" || got[2].Entry.State != logic.Gone || table.Len() != 2 {
+	if len(got) != 3 || got[0].Moved || !got[1].Moved || got[2].Entry.Node != "c" || got[2].Entry.State != scheduler.Gone || table.Len() != 2 {
 		t.Fatalf("%+v, %d listed", got, table.Len())
 	}
-	got = table.Apply(zero+3, News{Nodes: []nodelist.Node{node("b", logic.Gone, started)}})
-	if len(got) != 1 || got[0].Entry.State != logic.Gone || table.Len() != 1 {
+	got = table.Apply(zero+3, News{Nodes: []nodelist.Node{node("b", scheduler.Gone, started)}})
+	if len(got) != 1 || got[0].Entry.State != scheduler.Gone || table.Len() != 1 {
 		t.Fatalf("%+v, %d listed", got, table.Len())
 	}
 }
@@ -47,8 +47,8 @@
 func TestChangesAddUp(t *testing.T) {
 	for seed := range uint64(200) {
 		draw := rand.New(rand.NewPCG(seed, 3))
-		table, held := newTable(0), map[string]logic.NodeState{}
-		truth := map[string]logic.NodeState{}
+		table, held := newTable(0), map[string]scheduler.NodeState{}
+		truth := map[string]scheduler.NodeState{}
 		for step := range 40 {
 			full := draw.IntN(3) == 0 || step == 0
 			if full {
@@ -57,15 +57,15 @@
 			var nodes []nodelist.Node
 			for i := range 6 {
 				if draw.IntN(2) == 0 {
-					n := node(fmt.Sprint("n", i), logic.NodeState(draw.IntN(3)), wall.Add(time.Duration(draw.IntN(3))*time.Second))
+					n := node(fmt.Sprint("n", i), scheduler.NodeState(draw.IntN(3)), wall.Add(time.Duration(draw.IntN(3))*time.Second))
 					nodes = append(nodes, n)
-					if truth[n.Name] = n.State; n.State == logic.Gone {
+					if truth[n.Name] = n.State; n.State == scheduler.Gone {
 						delete(truth, n.Name)
 					}
 				}
 			}
 			for _, c := range table.Apply(zero+Time(step)*time.Second, News{Nodes: nodes, Full: full}) {
-				if held[c.Entry.Node] = c.Entry.State; c.Entry.State == logic.Gone {
+				if held[c.Entry.Node] = c.Entry.State; c.Entry.State == scheduler.Gone {
 					delete(held, c.Entry.Node)
 				}
 			}
@@ -83,9 +83,9 @@
 	for _, off := range []time.Duration{0, time.Second, 3 * time.Second, time.Hour, -time.Second, -3 * time.Second, -time.Hour} {
 		for _, late := range []time.Duration{0, 300 * time.Millisecond, 1400 * time.Millisecond} {
 			table := newTable(off)
-			table.Apply(zero, News{Nodes: []nodelist.Node{node("a", logic.Serving, time.Time{})}, Full: true})
+			table.Apply(zero, News{Nodes: []nodelist.Node{node("a", scheduler.Serving, time.Time{})}, Full: true})
 			notified := zero + time.Minute
-			news := []nodelist.Node{node("a", logic.Serving, wall.Add(time.Minute-late))}
+			news := []nodelist.Node{node("a", scheduler.Serving, wall.Add(time.Minute-late))}
 			got := table.Apply(notified, News{Nodes: news, Before: notified - 150*time.Millisecond})
 			truth, placed := notified-late, got[0].Entry.Started
 			if early := truth - placed; early > notifiedWithin+150*time.Millisecond {
@@ -104,7 +104,7 @@
 // On the first list the wall clock is believed, but not where it puts a start in the future.
 func TestStartsOnTheFirstList(t *testing.T) {
 	for off, want := range map[time.Duration]Time{0: zero - 2*time.Second, -time.Hour: zero, time.Hour: zero - time.Hour - 2*time.Second} {
-		got := newTable(off).Apply(zero, News{Nodes: []nodelist.Node{node("a", logic.Serving, wall.Add(-2*time.Second))}, Full: true})
+		got := newTable(off).Apply(zero, News{Nodes: []nodelist.Node{node("a", scheduler.Serving, wall.Add(-2*time.Second))}, Full: true})
 		if got[0].Entry.Started != want {
 			t.Errorf("clock %v off: %v, want %v", off, got[0].Entry.Started, want)
 		}
--- a/internal/nodelist/nodelist.go
+++ b/internal/nodelist/nodelist.go
@@ -15,8 +15,8 @@
 	"strings"
 	"time"
 
-	"maddergap/internal/conf"
-	"maddergap/logic"
+	"maddergap/internal/config"
+	"maddergap/scheduler"
 )
 
 // MaxNodes bounds a list.
@@ -26,15 +26,15 @@
 type Node struct {
 	Name, Addr  string
 	Zone, Shard int
-	State       logic.NodeState
+	State       scheduler.NodeState
 	Started     time.Time // zero: long ago
 }
 
 var states = []string{"serving", "draining", "gone"}
 
-// Parse reads a list. The error joins one conf.Mistake for each fault.
+// Parse reads a list. The error joins one config.Mistake for each fault.
 func Parse(file string, data []byte) ([]Node, error) {
-	lines, err := conf.Lines(file, data)
+	lines, err := config.Lines(file, data)
 	errs := []error{err}
 	var nodes []Node
 	seen := map[string]int{}
@@ -47,7 +47,7 @@
 			err = fmt.Errorf("more than %d nodes", MaxNodes)
 		}
 		if err != nil {
-			errs = append(errs, &conf.Mistake{File: file, Line: l.Number, Reason: err.Error()})
+			errs = append(errs, &config.Mistake{File: file, Line: l.Number, Reason: err.Error()})
 			continue
 		}
 		seen[n.Name] = l.Number
@@ -57,16 +57,16 @@
 		return nil, err
 	}
 	if len(nodes) == 0 { // a list cut to nothing is a broken one: guards against emptying the fleet
-		return nil, &conf.Mistake{File: file, Reason: "names no node"}
+		return nil, &config.Mistake{File: file, Reason: "names no node"}
 	}
 	return nodes, nil
 }
 
-func parse(l conf.Line) (n Node, err error) {
+func parse(l config.Line) (n Node, err error) {
 	if l.Words[0] != "node" {
 		return n, fmt.Errorf("unknown directive %.40q, want node", l.Words[0])
 	}
-	a := conf.ArgsOf(l)
+	a := config.ArgsOf(l)
 	n.Name, n.Addr = a.Word("name"), a.Word("address")
 	if _, err := netip.ParseAddrPort(n.Addr); n.Addr != "" && err != nil {
 		a.Fault("%q is not an address and port", n.Addr)
@@ -84,7 +84,7 @@
 		case "shard":
 			n.Shard = a.Int(k, 0, 100000)
 		case "state":
-			n.State = logic.NodeState(a.OneOf(k, states...))
+			n.State = scheduler.NodeState(a.OneOf(k, states...))
 		case "started":
 			n.Started = time.UnixMilli(int64(a.Float(k) * 1000))
 		default:
--- a/internal/nodelist/nodelist_test.go
+++ b/internal/nodelist/nodelist_test.go
@@ -6,11 +6,11 @@
 	"testing"
 	"time"
 
-	"maddergap/logic"
+	"maddergap/scheduler"
 )
 
 func TestRoundTrip(t *testing.T) {
-	want := []Node{{Name: "n1", Addr: "127.0.0.1:1", Zone: 1, Shard: 2, State: logic.Draining},
+	want := []Node{{Name: "n1", Addr: "127.0.0.1:1", Zone: 1, Shard: 2, State: scheduler.Draining},
 		{Name: "n2", Addr: "127.0.0.1:2", Shard: 3, Started: time.UnixMilli(1700000000123)}}
 	got, err := Parse("l", Format(want))
 	if err != nil || !reflect.DeepEqual(got, want) {
--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -9,12 +9,12 @@
 	"strconv"
 	"time"
 
-	"maddergap/internal/admit"
-	"maddergap/internal/conf"
+	"maddergap/internal/admission"
+	"maddergap/internal/config"
 	"maddergap/internal/discovery"
 	"maddergap/internal/http1"
-	"maddergap/internal/sitesettings"
-	"maddergap/logic"
+	"maddergap/internal/settings"
+	"maddergap/scheduler"
 )
 
 // Variables that the platform sets.
@@ -36,8 +36,8 @@
 		MemoryMB float64 `json:"memory_mb"`
 		Sockets  int     `json:"sockets"`
 	} `json:"limits"`
-	Known    *discovery.List    `json:"known"`
-	Settings *sitesettings.Site `json:"settings"`
+	Known    *discovery.List `json:"known"`
+	Settings *settings.Site  `json:"settings"`
 }
 
 // Config is what the platform tells a head, checked.
@@ -45,8 +45,8 @@
 	Name      string
 	Discovery string
 	Known     *discovery.List
-	Site      *sitesettings.Site
-	Conf      *conf.Config
+	Site      *settings.Site
+	Conf      *config.Config
 	Bounds    Bounds
 }
 
@@ -118,13 +118,13 @@
 )
 
 // stopTime is for how long what is under way may go on once no more is taken.
-func stopTime(f *sitesettings.Site) time.Duration {
+func stopTime(f *settings.Site) time.Duration {
 	longest := time.Duration(0)
 	for _, c := range f.Classes {
 		if c.Deadline <= 0 { // not told
 			longest = lateDeadline
 		}
-		longest = max(longest, sitesettings.Micros(c.Deadline))
+		longest = max(longest, settings.Micros(c.Deadline))
 	}
 	return min(longest, lateDeadline) + killAfter - stopAfter - answerLead
 }
@@ -195,7 +195,7 @@
 	c := &Config{Name: f.Name, Discovery: f.Discovery, Known: f.Known, Site: f.Settings, Bounds: b,
 		Conf: headConf(path, &f, b)}
 	c.Conf.Seed = seed
-	if _, err := logic.New(c.Conf.Logic, 0, 0); err != nil {
+	if _, err := scheduler.New(c.Conf.Logic, 0, 0); err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
 	if err := c.Conf.Admit.Check(); err != nil {
@@ -206,15 +206,15 @@
 
 // headConf makes the configuration that a head runs by: what WebDAV and files need is off.
 // No cap or pace is by address: clients of every kind may share one.
-func headConf(path string, f *file, b Bounds) *conf.Config {
+func headConf(path string, f *file, b Bounds) *config.Config {
 	l := f.Settings.Limits
-	c := &conf.Config{File: path, Listen: []string{f.Listen}, Quiet: true, Logic: f.Settings.Settings(),
+	c := &config.Config{File: path, Listen: []string{f.Listen}, Quiet: true, Logic: f.Settings.Settings(),
 		Unit: 1, BodyHold: mostBody, BodyRate: 1, Buffer: mostBody * 2,
 		HeaderTime: 1500 * time.Millisecond, IdleTime: idleTime, StallTime: 1200 * time.Millisecond,
 		StopTime: stopTime(f.Settings), StopAfter: stopAfter,
-		NodeIdle: sitesettings.Micros(l.ConnIdle) / 2, NodeConns: b.Nodes, NodesConns: b.Nodes, DialTime: sitesettings.Micros(l.ConnectTimeout),
+		NodeIdle: settings.Micros(l.ConnIdle) / 2, NodeConns: b.Nodes, NodesConns: b.Nodes, DialTime: settings.Micros(l.ConnectTimeout),
 		Sizes: 1, Clients: b.Clients, Processes: 1, Header: http1.Limits{Header: 8 << 10, Target: 2 << 10, Fields: 64},
-		Admit: admit.Config{Total: b.Clients, V6Bits: 64, Wide4: 24, Wide6: 48, Entries: 256,
+		Admit: admission.Config{Total: b.Clients, V6Bits: 64, Wide4: 24, Wide6: 48, Entries: 256,
 			AnswerRate: 50, AnswerBurst: b.Told, KnownMultiple: 1, Buffers: b.HeldBytes, BufferLeast: heldLeast,
 			PressureIdle: b.Clients - b.Kept, IdleUnderPress: idleUnderPress, Displace: true}}
 	if c.NodeIdle <= 0 {
--- a/internal/platform/drawn_test.go
+++ b/internal/platform/drawn_test.go
@@ -11,7 +11,7 @@
 	"pgregory.net/rapid"
 
 	"maddergap/internal/discovery"
-	"maddergap/internal/head"
+	"maddergap/internal/gateway"
 )
 
 // Settings of any customer, also at their extremes: the head serves by them, or says at
@@ -69,7 +69,7 @@
 // returns the status that its client gets.
 func serveOne(t *rapid.T, c *Config, class string, left time.Duration, plans []map[string]any) string {
 	now := 24 * time.Hour
-	h, err := head.New(c.Conf, 1, now, time.Unix(1e9, 0), nil)
+	h, err := gateway.New(c.Conf, 1, now, time.Unix(1e9, 0), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -90,11 +90,11 @@
 		"IO-Info: volume=00000000feed0001,units=0.001,shard=0,hosts=1\r\n\r\n", class, tier, left/time.Millisecond))
 	for end := now + left + time.Second; now < end; {
 		acts, next := h.Advance(now)
-		for _, a := range append([]head.Action(nil), acts...) {
+		for _, a := range append([]gateway.Action(nil), acts...) {
 			switch a.Op {
-			case head.Dial:
+			case gateway.Dial:
 				h.Connected(now, a.Conn)
-			case head.Flush:
+			case gateway.Flush:
 				out := string(h.Out(now, a.Conn))
 				h.Wrote(now, a.Conn, len(out))
 				if a.Conn == client {
--- a/internal/platform/ids.go
+++ b/internal/platform/ids.go
@@ -1,6 +1,6 @@
 package platform
 
-import "maddergap/internal/head"
+import "maddergap/internal/gateway"
 
 // ids knows the requests that are open, and those that ended lately with an effect
 // that may have been. Guards against an id that comes twice: answered while the first
@@ -30,12 +30,12 @@
 }
 
 // end closes an id, and remembers it unless its request may safely run again.
-func (t *ids) end(id string, o head.Outcome) {
+func (t *ids) end(id string, o gateway.Outcome) {
 	if !t.open[id] {
 		return
 	}
 	delete(t.open, id)
-	if o == head.Refused {
+	if o == gateway.Refused {
 		return
 	}
 	if old := t.ring[t.at]; old != "" {
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -9,9 +9,9 @@
 	"testing"
 	"time"
 
-	"maddergap/internal/head"
+	"maddergap/internal/gateway"
 	"maddergap/internal/http1"
-	"maddergap/logic"
+	"maddergap/scheduler"
 )
 
 // text is a configuration as the platform writes it, with a part replaced.
@@ -91,7 +91,7 @@
 const good = "PUT /api HTTP/1.1\r\nHost: b\r\nX-Txn: 00c0ffee00c0ffee\r\nX-Lane: write\r\nTier: high\r\nPiece: abcdef9876543210\r\n" +
 	"X-Remaining: 480m\r\nContent-Length: 5\r\nIO-Info: volume=00000000feed0001,units=2.5,shard=-1,hosts=3\r\n\r\n"
 
-func ask(t *testing.T, p *Protocol, text string) head.Ask {
+func ask(t *testing.T, p *Protocol, text string) gateway.Ask {
 	t.Helper()
 	var r http1.Request
 	if err := http1.ParseRequest([]byte(text), &r, http1.DefaultLimits); err != nil {
@@ -103,7 +103,7 @@
 func TestAsk(t *testing.T) {
 	p := protocol(t)
 	a := ask(t, p, good)
-	want := logic.Arrival{Shard: -1, Plan: 1, Class: 1, Key: "abcdef9876543210", Volume: "00000000feed0001", Left: 480 * time.Millisecond, Units: 2.5, Hosts: 3}
+	want := scheduler.Arrival{Shard: -1, Plan: 1, Class: 1, Key: "abcdef9876543210", Volume: "00000000feed0001", Left: 480 * time.Millisecond, Units: 2.5, Hosts: 3}
 	if a.Status != 0 || a.ID != "00c0ffee00c0ffee" || a.Arrival != want {
 		t.Fatalf("%+v", a)
 	}
@@ -158,25 +158,25 @@
 	p := protocol(t)
 	for _, c := range []struct {
 		text string
-		o    logic.Outcome
+		o    scheduler.Outcome
 		load float64
 		says bool
 	}{
-		{"200 OK\r\nX-Pressure: inflight=7,queue=2,util=0.61", logic.OK, 7, true},
-		{"200 OK\r\nX-Pressure: inflight=1,queue=9", logic.OK, 9, true},
-		{"200 OK\r\nX-Pressure: concurrent=2.239", logic.OK, 2.239, true},
-		{"200 OK\r\nX-Pressure: depth=3,concurrent=1", logic.OK, 3, true},
-		{"200 OK\r\nX-Pressure: inflight=many", logic.OK, 0, false},
-		{"200 OK\r\nX-Pressure: inflight=NaN", logic.OK, 0, false},
-		{"200 OK\r\nX-Pressure: inflight=-3", logic.OK, 0, false},
-		{"200 OK\r\nX-Pressure: ,,=,", logic.OK, 0, false},
-		{"503 Busy\r\nX-Turned-Away: 1\r\nX-Pressure: queue=3", logic.Full, 3, true},
-		{"504 Late\r\nX-Turned-Away: 1", logic.Full, 0, false},
-		{"503 Busy", logic.Failed, 0, false},
-		{"503 Busy\r\nX-Turned-Away: 0", logic.Failed, 0, false},
-		{"500 Error\r\nX-Turned-Away: 1", logic.Failed, 0, false},
-		{"429 Busy\r\nX-Turned-Away: 1", logic.Failed, 0, false},
-		{"204 None", logic.Failed, 0, false},
+		{"200 OK\r\nX-Pressure: inflight=7,queue=2,util=0.61", scheduler.OK, 7, true},
+		{"200 OK\r\nX-Pressure: inflight=1,queue=9", scheduler.OK, 9, true},
+		{"200 OK\r\nX-Pressure: concurrent=2.239", scheduler.OK, 2.239, true},
+		{"200 OK\r\nX-Pressure: depth=3,concurrent=1", scheduler.OK, 3, true},
+		{"200 OK\r\nX-Pressure: inflight=many", scheduler.OK, 0, false},
+		{"200 OK\r\nX-Pressure: inflight=NaN", scheduler.OK, 0, false},
+		{"200 OK\r\nX-Pressure: inflight=-3", scheduler.OK, 0, false},
+		{"200 OK\r\nX-Pressure: ,,=,", scheduler.OK, 0, false},
+		{"503 Busy\r\nX-Turned-Away: 1\r\nX-Pressure: queue=3", scheduler.Full, 3, true},
+		{"504 Late\r\nX-Turned-Away: 1", scheduler.Full, 0, false},
+		{"503 Busy", scheduler.Failed, 0, false},
+		{"503 Busy\r\nX-Turned-Away: 0", scheduler.Failed, 0, false},
+		{"500 Error\r\nX-Turned-Away: 1", scheduler.Failed, 0, false},
+		{"429 Busy\r\nX-Turned-Away: 1", scheduler.Failed, 0, false},
+		{"204 None", scheduler.Failed, 0, false},
 	} {
 		var r http1.Response
 		if err := http1.ParseResponse([]byte("HTTP/1.1 "+c.text+"\r\nContent-Length: 0\r\n\r\n"), &r, "GET", http1.DefaultLimits); err != nil {
@@ -200,21 +200,21 @@
 	}
 	take("a", true)
 	take("a", false)
-	x.end("a", head.Refused)
+	x.end("a", gateway.Refused)
 	take("a", true)
-	for _, o := range []head.Outcome{head.Failed, head.Served, head.Left} {
+	for _, o := range []gateway.Outcome{gateway.Failed, gateway.Served, gateway.Left} {
 		id := fmt.Sprint("b", o)
 		take(id, true)
 		x.end(id, o)
 		take(id, false)
 	}
-	x.end("a", head.Served) // and the oldest is forgotten
+	x.end("a", gateway.Served) // and the oldest is forgotten
 	take("a", false)
 	take("bfailed", true)
 	for i := range 10000 {
 		id := fmt.Sprint(i)
 		x.take(id)
-		x.end(id, head.Outcome(i%4))
+		x.end(id, gateway.Outcome(i%4))
 	}
 	if len(x.open) != 1 || len(x.ended) != 3 {
 		t.Errorf("%d open, %d ended", len(x.open), len(x.ended))
--- a/internal/platform/protocol.go
+++ b/internal/platform/protocol.go
@@ -10,9 +10,9 @@
 	"strconv"
 	"time"
 
-	"maddergap/internal/head"
+	"maddergap/internal/gateway"
 	"maddergap/internal/http1"
-	"maddergap/logic"
+	"maddergap/scheduler"
 )
 
 // The platform's fields.
@@ -57,7 +57,7 @@
 var errOpen = &http1.Error{Status: 409, Reason: "the id is that of a request that is open, or that was answered"}
 
 // Open takes a request's id.
-func (p *Protocol) Open(a *head.Ask) *http1.Error {
+func (p *Protocol) Open(a *gateway.Ask) *http1.Error {
 	if !p.ids.take(a.ID) {
 		return errOpen
 	}
@@ -65,7 +65,7 @@
 }
 
 // Closed lets go of it.
-func (p *Protocol) Closed(id string, o head.Outcome) { p.ids.end(id, o) }
+func (p *Protocol) Closed(id string, o gateway.Outcome) { p.ids.end(id, o) }
 
 // MostAnswer is how large an answer may be, and all that are held at once.
 func (p *Protocol) MostAnswer() (one, all int64) { return p.answer, p.answers }
@@ -73,21 +73,21 @@
 // Stall is for how long an answer that has begun may stand still.
 func (p *Protocol) Stall() time.Duration { return p.stall }
 
-func bad(reason string) head.Ask { return head.Ask{Status: 400, Reason: reason, Close: true} }
+func bad(reason string) gateway.Ask { return gateway.Ask{Status: 400, Reason: reason, Close: true} }
 
 // Ask reads a request.
-func (p *Protocol) Ask(r *http1.Request) head.Ask {
+func (p *Protocol) Ask(r *http1.Request) gateway.Ask {
 	if bytes.HasPrefix(r.Target, []byte(pathReserved)) {
 		switch path, _, _ := bytes.Cut(r.Target, []byte("?")); string(path) {
 		case pathReady:
 			if p.Ready != nil && !p.Ready() {
-				return head.Ask{Status: 503, Reason: "not ready"}
+				return gateway.Ask{Status: 503, Reason: "not ready"}
 			}
-			return head.Ask{Status: 200, Reason: "ready"}
+			return gateway.Ask{Status: 200, Reason: "ready"}
 		case pathHealthy:
-			return head.Ask{Status: 200, Reason: "alive"}
+			return gateway.Ask{Status: 200, Reason: "alive"}
 		}
-		return head.Ask{Status: 404, Reason: "there is no such page"}
+		return gateway.Ask{Status: 404, Reason: "there is no such page"}
 	}
 	// Guards against a request that would reach its node without a field it was read by.
 	for name := range http1.Parts(r.Get("connection")) {
@@ -125,7 +125,7 @@
 	if !hex16(key) {
 		return bad("want " + fieldKey + ", 16 hex digits")
 	}
-	a := head.Ask{Arrival: logic.Arrival{Class: c, Plan: g}}
+	a := gateway.Ask{Arrival: scheduler.Arrival{Class: c, Plan: g}}
 	if a.Arrival.Left, ok = remaining(left); !ok {
 		return bad("want " + fieldLeft + ", a number above 0 and its unit")
 	}
@@ -135,7 +135,7 @@
 	write := string(r.Method) == "PUT"
 	switch {
 	case !write && string(r.Method) != "GET":
-		return head.Ask{Status: 405, Reason: "a read is a GET, a write a PUT", Close: true}
+		return gateway.Ask{Status: 405, Reason: "a read is a GET, a write a PUT", Close: true}
 	case !write && (r.Length > 0 || r.Chunked):
 		return bad("a read has no body")
 	case len(p.writes) > 0 && p.writes[c] != write:
@@ -196,7 +196,7 @@
 }
 
 // extras reads volume, units, shard and hosts, each once.
-func (p *Protocol) extras(b []byte, a *logic.Arrival) bool {
+func (p *Protocol) extras(b []byte, a *scheduler.Arrival) bool {
 	var seen [4]bool
 	for part := range http1.Parts(b) {
 		name, value, ok := bytes.Cut(part, []byte("="))
@@ -253,15 +253,15 @@
 }
 
 // Verdict reads the header of a node's answer.
-func (p *Protocol) Verdict(r *http1.Response) head.Verdict {
-	v := head.Verdict{Outcome: logic.Failed}
+func (p *Protocol) Verdict(r *http1.Response) gateway.Verdict {
+	v := gateway.Verdict{Outcome: scheduler.Failed}
 	v.Report, v.Reports = load(r.Get(fieldLoad))
 	switch r.Status {
 	case 200:
-		v.Outcome = logic.OK
+		v.Outcome = scheduler.OK
 	case 503, 504:
 		if string(r.Get(fieldTurned)) == "1" {
-			v.Outcome = logic.Full
+			v.Outcome = scheduler.Full
 		}
 	}
 	return v
--- a/internal/platform/told_test.go
+++ b/internal/platform/told_test.go
@@ -8,10 +8,10 @@
 	"testing"
 	"time"
 
-	"maddergap/internal/head"
+	"maddergap/internal/gateway"
 	"maddergap/internal/nodelist"
 	"maddergap/internal/platform"
-	"maddergap/logic"
+	"maddergap/scheduler"
 )
 
 const toldConfig = `{"name":"h0","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"00000000000000a1",
@@ -24,9 +24,9 @@
 
 // toldRig is a head with a request for a node whose connection stands and takes nothing yet.
 type toldRig struct {
-	h    *head.Head
-	now  head.Time
-	node head.ConnID
+	h    *gateway.Head
+	now  gateway.Time
+	node gateway.ConnID
 }
 
 func newToldRig(t *testing.T, waited time.Duration) *toldRig {
@@ -36,7 +36,7 @@
 		t.Fatal(err)
 	}
 	r := &toldRig{now: 24 * time.Hour}
-	if r.h, err = head.New(c.Conf, 1, r.now, time.Unix(0, 0), nil); err != nil {
+	if r.h, err = gateway.New(c.Conf, 1, r.now, time.Unix(0, 0), nil); err != nil {
 		t.Fatal(err)
 	}
 	r.h.Speak(c.Protocol())
@@ -51,7 +51,7 @@
 			return r
 		}
 		for _, a := range acts {
-			if a.Op == head.Dial {
+			if a.Op == gateway.Dial {
 				r.node = a.Conn
 				r.h.Connected(r.now, a.Conn)
 			}
@@ -90,7 +90,7 @@
 // What waits in a buffer while its node is told to drain is not handed out.
 func TestNothingIsHandedOutBehindADrain(t *testing.T) {
 	r := newToldRig(t, 0)
-	r.h.Nodes(r.now, []nodelist.Node{{Name: "n", Addr: "10.0.0.1:1", State: logic.Draining}})
+	r.h.Nodes(r.now, []nodelist.Node{{Name: "n", Addr: "10.0.0.1:1", State: scheduler.Draining}})
 	if out := r.h.Out(r.now, r.node); len(out) > 0 {
 		t.Errorf("%q is handed out", out)
 	}
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -11,7 +11,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"maddergap/internal/conf"
+	"maddergap/internal/config"
 	"maddergap/internal/http1"
 )
 
@@ -43,14 +43,14 @@
 
 // Table answers for one configuration. It is not safe for concurrent use.
 type Table struct {
-	c       *conf.Config
+	c       *config.Config
 	volumes map[string]int
 	sizes   *sizes
 }
 
 // NewTable builds the table of a checked configuration. A table made for a new
 // configuration keeps what the old one learnt of sizes.
-func NewTable(c *conf.Config, old *Table) *Table {
+func NewTable(c *config.Config, old *Table) *Table {
 	t := &Table{c: c, volumes: map[string]int{}}
 	for i, v := range c.Volumes {
 		t.volumes[v.Name] = i
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -7,12 +7,12 @@
 
 	"pgregory.net/rapid"
 
-	"maddergap/internal/conf"
+	"maddergap/internal/config"
 )
 
 func table(t testing.TB) *Table {
 	t.Helper()
-	c, err := conf.Parse("t", []byte(`listen 127.0.0.1:0
+	c, err := config.Parse("t", []byte(`listen 127.0.0.1:0
 nodes n
 class read effect safe aim 100ms deadline 1s
 class write effect unsafe aim 100ms deadline 2s
--- a/internal/badday/badday_test.go
+++ b/internal/scenario/badday_test.go
@@ -1,4 +1,4 @@
-package badday
+package scenario
 
 import (
 	"fmt"
@@ -9,9 +9,9 @@
 	"time"
 
 	"maddergap/internal/daemon"
-	"maddergap/internal/head"
+	"maddergap/internal/gateway"
 	"maddergap/internal/nodelist"
-	"maddergap/logic"
+	"maddergap/scheduler"
 )
 
 func TestSameSeedSameDay(t *testing.T) {
@@ -30,19 +30,19 @@
 // meddler breaks a head for the proof of the audit: it changes what the module
 // is told, or what it decides.
 type meddler struct {
-	inner  head.Core
-	told   func(logic.Event) []logic.Event
-	decide func(*meddler, logic.Time, logic.Event) ([]logic.Action, bool) // instead of telling the module
-	acts   func([]logic.Action) []logic.Action
+	inner  gateway.Core
+	told   func(scheduler.Event) []scheduler.Event
+	decide func(*meddler, scheduler.Time, scheduler.Event) ([]scheduler.Action, bool) // instead of telling the module
+	acts   func([]scheduler.Action) []scheduler.Action
 	class  map[uint64]int
 	tries  map[uint64]int
 }
 
-func (m *meddler) Handle(now logic.Time, events []logic.Event) []logic.Action {
-	var pass []logic.Event
-	var own []logic.Action
+func (m *meddler) Handle(now scheduler.Time, events []scheduler.Event) []scheduler.Action {
+	var pass []scheduler.Event
+	var own []scheduler.Action
 	for _, e := range events {
-		if a, ok := e.(logic.Arrival); ok {
+		if a, ok := e.(scheduler.Arrival); ok {
 			m.class[a.ID] = a.Class
 		}
 		if m.decide != nil {
@@ -65,13 +65,13 @@
 }
 
 // breakage makes a broken core out of the module with settings and a meddler changed.
-func breakage(set func(*logic.Settings), with func(*meddler)) daemon.CoreOf {
-	return func(s logic.Settings, seed uint64, now logic.Time) (head.Core, error) {
+func breakage(set func(*scheduler.Settings), with func(*meddler)) daemon.CoreOf {
+	return func(s scheduler.Settings, seed uint64, now scheduler.Time) (gateway.Core, error) {
 		s.Classes, s.Plans = slices.Clone(s.Classes), slices.Clone(s.Plans)
 		if set != nil {
 			set(&s)
 		}
-		inner, err := logic.New(s, seed, now)
+		inner, err := scheduler.New(s, seed, now)
 		m := &meddler{inner: inner, class: map[uint64]int{}, tries: map[uint64]int{}}
 		if with != nil {
 			with(m)
@@ -82,32 +82,32 @@
 
 // bypass sends, without the module, what some rule picks: at once, to the node
 // that the rule names; "" leaves a request to the module.
-func bypass(which func(now logic.Time, a logic.Arrival, nodes map[int]logic.Entry) string) func(*meddler) {
+func bypass(which func(now scheduler.Time, a scheduler.Arrival, nodes map[int]scheduler.Entry) string) func(*meddler) {
 	return func(m *meddler) {
-		nodes, mine := map[int]logic.Entry{}, map[uint64]bool{}
-		m.decide = func(m *meddler, now logic.Time, e logic.Event) ([]logic.Action, bool) {
+		nodes, mine := map[int]scheduler.Entry{}, map[uint64]bool{}
+		m.decide = func(m *meddler, now scheduler.Time, e scheduler.Event) ([]scheduler.Action, bool) {
 			switch e := e.(type) {
-			case logic.List:
+			case scheduler.List:
 				for _, n := range e.Entries {
 					nodes[n.Shard] = n
 				}
-			case logic.Arrival:
+			case scheduler.Arrival:
 				if node := which(now, e, nodes); node != "" {
 					mine[e.ID] = true
-					return []logic.Action{logic.Send{ID: e.ID, Node: node}}, true
+					return []scheduler.Action{scheduler.Send{ID: e.ID, Node: node}}, true
 				}
-			case logic.Dropped:
+			case scheduler.Dropped:
 				return nil, mine[e.ID]
-			case logic.Ended:
+			case scheduler.Ended:
 				switch {
 				case !mine[e.ID]:
 					return nil, false
 				case e.Closed:
 					return nil, true
-				case e.Outcome == logic.Full || e.Outcome == logic.ConnectFailed || e.Outcome == logic.Moot:
-					return []logic.Action{logic.Refuse{ID: e.ID}}, true
+				case e.Outcome == scheduler.Full || e.Outcome == scheduler.ConnectFailed || e.Outcome == scheduler.Moot:
+					return []scheduler.Action{scheduler.Refuse{ID: e.ID}}, true
 				}
-				return []logic.Action{logic.Fail{ID: e.ID}}, true
+				return []scheduler.Action{scheduler.Fail{ID: e.ID}}, true
 			}
 			return nil, false
 		}
@@ -118,17 +118,17 @@
 // lets the module, which is told of no key, have the later one first.
 func swapTurns(m *meddler) {
 	type waiting struct {
-		a     logic.Arrival
-		since logic.Time
+		a     scheduler.Arrival
+		since scheduler.Time
 	}
 	held := map[string]waiting{}
-	m.decide = func(m *meddler, now logic.Time, e logic.Event) ([]logic.Action, bool) {
-		var acts []logic.Action
-		give := func(a logic.Arrival, spent time.Duration) {
+	m.decide = func(m *meddler, now scheduler.Time, e scheduler.Event) ([]scheduler.Action, bool) {
+		var acts []scheduler.Action
+		give := func(a scheduler.Arrival, spent time.Duration) {
 			a.Key, a.Left = fmt.Sprint(a.ID), a.Left-spent
-			acts = append(acts, m.inner.Handle(now, []logic.Event{a})...)
+			acts = append(acts, m.inner.Handle(now, []scheduler.Event{a})...)
 		}
-		a, ok := e.(logic.Arrival)
+		a, ok := e.(scheduler.Arrival)
 		ok = ok && a.Class == journalAppend
 		if w, pair := held[a.Key]; ok && pair {
 			delete(held, a.Key)
@@ -144,7 +144,7 @@
 			}
 		}
 		if !ok {
-			acts = append(acts, m.inner.Handle(now, []logic.Event{e})...)
+			acts = append(acts, m.inner.Handle(now, []scheduler.Event{e})...)
 		}
 		return acts, true
 	}
@@ -154,18 +154,18 @@
 // before the module hears of it.
 func again(most int, classes ...int) func(*meddler) {
 	return func(m *meddler) {
-		m.decide = func(m *meddler, _ logic.Time, e logic.Event) ([]logic.Action, bool) {
-			end, ok := e.(logic.Ended)
+		m.decide = func(m *meddler, _ scheduler.Time, e scheduler.Event) ([]scheduler.Action, bool) {
+			end, ok := e.(scheduler.Ended)
 			if !ok || !slices.Contains(classes, m.class[end.ID]) || end.Closed {
 				return nil, false
 			}
-			if (end.Outcome == logic.Reset || end.Outcome == logic.ConnectFailed) && m.tries[end.ID] < most {
+			if (end.Outcome == scheduler.Reset || end.Outcome == scheduler.ConnectFailed) && m.tries[end.ID] < most {
 				m.tries[end.ID]++
-				return []logic.Action{logic.Send{ID: end.ID, Node: end.Node}}, true
+				return []scheduler.Action{scheduler.Send{ID: end.ID, Node: end.Node}}, true
 			}
 			if m.tries[end.ID] > 0 { // the module knows of its own attempt alone
 				end.Attempt -= m.tries[end.ID]
-				return m.inner.Handle(0, []logic.Event{end}), true
+				return m.inner.Handle(0, []scheduler.Event{end}), true
 			}
 			return nil, false
 		}
@@ -177,25 +177,25 @@
 // node died, the overspending stood too near the bound on a busy machine.
 func copies(every uint64, classes ...int) func(*meddler) {
 	return func(m *meddler) {
-		m.acts = func(acts []logic.Action) (out []logic.Action) {
+		m.acts = func(acts []scheduler.Action) (out []scheduler.Action) {
 			for _, a := range acts {
 				out = append(out, a)
-				if s, ok := a.(logic.Send); ok && s.ID%every == 0 && m.tries[s.ID] == 0 && slices.Contains(classes, m.class[s.ID]) {
+				if s, ok := a.(scheduler.Send); ok && s.ID%every == 0 && m.tries[s.ID] == 0 && slices.Contains(classes, m.class[s.ID]) {
 					m.tries[s.ID] = 1
 					out = append(out, s)
 				}
 			}
 			return out
 		}
-		m.told = func(e logic.Event) []logic.Event {
-			if end, ok := e.(logic.Ended); ok && m.tries[end.ID] > 0 && end.Attempt > 0 {
+		m.told = func(e scheduler.Event) []scheduler.Event {
+			if end, ok := e.(scheduler.Ended); ok && m.tries[end.ID] > 0 && end.Attempt > 0 {
 				if end.Attempt == 1 { // the copy's
 					return nil
 				}
 				end.Attempt--
-				return []logic.Event{end}
+				return []scheduler.Event{end}
 			}
-			return []logic.Event{e}
+			return []scheduler.Event{e}
 		}
 	}
 }
@@ -206,17 +206,17 @@
 	if testing.Short() {
 		t.Skip("eight days of nine seconds")
 	}
-	lists := func(f func(*logic.Entry)) func(*meddler) {
+	lists := func(f func(*scheduler.Entry)) func(*meddler) {
 		return func(m *meddler) {
-			m.told = func(e logic.Event) []logic.Event {
-				if l, ok := e.(logic.List); ok {
+			m.told = func(e scheduler.Event) []scheduler.Event {
+				if l, ok := e.(scheduler.List); ok {
 					l.Entries = slices.Clone(l.Entries)
 					for i := range l.Entries {
 						f(&l.Entries[i])
 					}
-					return []logic.Event{l}
+					return []scheduler.Event{l}
 				}
-				return []logic.Event{e}
+				return []scheduler.Event{e}
 			}
 		}
 	}
@@ -227,9 +227,9 @@
 	}{
 		{"whole", nil, nil},
 		{"gives some requests no answer", breakage(nil, func(m *meddler) {
-			m.acts = func(acts []logic.Action) []logic.Action {
-				return slices.DeleteFunc(acts, func(a logic.Action) bool {
-					r, ok := a.(logic.Refuse)
+			m.acts = func(acts []scheduler.Action) []scheduler.Action {
+				return slices.DeleteFunc(acts, func(a scheduler.Action) bool {
+					r, ok := a.(scheduler.Refuse)
 					return ok && r.ID%5 == 0
 				})
 			}
@@ -237,15 +237,15 @@
 		{"sends unsafe requests again", breakage(nil, again(1, segmentWrite)), []int{2}},
 		// A module that takes a draining node for one that serves is withheld by the guard: no
 		// rule is broken. A head whose list has it as serving sends there.
-		{"decides on a draining node", breakage(nil, lists(func(e *logic.Entry) {
-			if e.State == logic.Draining {
-				e.State = logic.Serving
+		{"decides on a draining node", breakage(nil, lists(func(e *scheduler.Entry) {
+			if e.State == scheduler.Draining {
+				e.State = scheduler.Serving
 			}
 		})), nil},
 		{"sends to a draining node", nil, []int{3}},
-		{"floods a cold node", breakage(nil, bypass(func(now logic.Time, a logic.Arrival, nodes map[int]logic.Entry) string {
+		{"floods a cold node", breakage(nil, bypass(func(now scheduler.Time, a scheduler.Arrival, nodes map[int]scheduler.Entry) string {
 			for shard := range proof.Nodes { // every read goes there, wherever its data is
-				if n := nodes[shard]; a.Class == traceRead && n.Started > 0 && n.State == logic.Serving && now < n.Started+1500*time.Millisecond {
+				if n := nodes[shard]; a.Class == traceRead && n.Started > 0 && n.State == scheduler.Serving && now < n.Started+1500*time.Millisecond {
 					return n.Node
 				}
 			}
@@ -253,8 +253,8 @@
 		})), []int{4}},
 		{"keeps no order", breakage(nil, swapTurns), []int{5}},
 		{"overspends the attempt budget", breakage(nil, copies(5, traceRead, archiveExport)), []int{6}},
-		{"overspends a limit", breakage(nil, bypass(func(_ logic.Time, a logic.Arrival, nodes map[int]logic.Entry) string {
-			if n := nodes[a.Shard]; a.Class != journalAppend && a.Plan == 0 && n.Started == 0 && n.State == logic.Serving {
+		{"overspends a limit", breakage(nil, bypass(func(_ scheduler.Time, a scheduler.Arrival, nodes map[int]scheduler.Entry) string {
+			if n := nodes[a.Shard]; a.Class != journalAppend && a.Plan == 0 && n.Started == 0 && n.State == scheduler.Serving {
 				return n.Node
 			}
 			return ""
@@ -283,8 +283,8 @@
 // withoutDrains is a list that has draining nodes as serving.
 func withoutDrains(list []nodelist.Node) []nodelist.Node {
 	for i := range list {
-		if list[i].State == logic.Draining {
-			list[i].State = logic.Serving
+		if list[i].State == scheduler.Draining {
+			list[i].State = scheduler.Serving
 		}
 	}
 	return list
--- a/internal/badday/clients.go
+++ b/internal/scenario/clients.go
@@ -1,4 +1,4 @@
-package badday
+package scenario
 
 import (
 	"bufio"
@@ -11,14 +11,14 @@
 	"time"
 
 	"maddergap/internal/audit"
-	"maddergap/internal/conf"
+	"maddergap/internal/config"
 )
 
 // clients runs a schedule over raw connections, so that a second answer, a cut
 // one or a reset is seen as it is.
 type clients struct {
 	addrs []string
-	c     *conf.Config
+	c     *config.Config
 	mu    sync.Mutex
 	idle  [][]*link // by head
 	done  []audit.Client
@@ -32,7 +32,7 @@
 	last int // place in done
 }
 
-func newClients(c *conf.Config, addrs []string) *clients {
+func newClients(c *config.Config, addrs []string) *clients {
 	return &clients{addrs: addrs, c: c, idle: make([][]*link, len(addrs))}
 }
 
--- a/internal/badday/day.go
+++ b/internal/scenario/day.go
@@ -1,4 +1,4 @@
-package badday
+package scenario
 
 import (
 	"cmp"
@@ -12,10 +12,10 @@
 	"time"
 
 	"maddergap/internal/audit"
-	"maddergap/internal/conf"
-	"maddergap/internal/lagwatch"
+	"maddergap/internal/config"
 	"maddergap/internal/loopback"
 	"maddergap/internal/nodelist"
+	"maddergap/internal/stallwatch"
 )
 
 const (
@@ -70,13 +70,13 @@
 type day struct {
 	o      *Options
 	plan   *Plan
-	config *conf.Config
+	config *config.Config
 	epoch  time.Time // when the day begins
 
 	nodes, heads []string // addresses
 	confs        []string // files of the heads
 	clients      *clients
-	watch        *lagwatch.Watch
+	watch        *stallwatch.Watch
 	floods       sync.WaitGroup
 	fates        []string // of the floods
 
@@ -123,7 +123,7 @@
 		}
 		d.confs = append(d.confs, file)
 	}
-	if d.config, err = conf.Load(d.confs[0]); err != nil {
+	if d.config, err = config.Load(d.confs[0]); err != nil {
 		return err
 	}
 	settle := settleTime + time.Duration(d.plan.Nodes+d.plan.Heads)*settlePart
@@ -165,7 +165,7 @@
 		d.in.Starts = append(d.in.Starts, audit.Span{Name: fmt.Sprint("n", n), From: d.epoch.Add(at).UnixMicro()})
 	}
 	d.clients = newClients(d.config, d.heads)
-	d.watch = lagwatch.Start()
+	d.watch = stallwatch.Start()
 	d.fates = make([]string, len(d.heads))
 	if d.o.Flood {
 		d.flood()
--- a/internal/badday/plan.go
+++ b/internal/scenario/plan.go
@@ -1,7 +1,7 @@
-// Package badday runs a scripted bad day over real processes and sockets: stand-in
+// Package scenario runs a scripted bad day over real processes and sockets: stand-in
 // nodes with faults, several heads, clients on a seeded open-loop schedule, and
 // then the audit of what passed on the sockets.
-package badday
+package scenario
 
 import (
 	"fmt"
@@ -11,10 +11,10 @@
 	"strings"
 	"time"
 
+	"maddergap/internal/fakenode"
 	"maddergap/internal/flood"
 	"maddergap/internal/nodelist"
-	"maddergap/internal/standin"
-	"maddergap/logic"
+	"maddergap/scheduler"
 )
 
 // Size of a day.
@@ -72,8 +72,8 @@
 // Change is a new node list.
 type Change struct {
 	At    time.Duration
-	State map[int]logic.NodeState // of nodes that changed
-	Start map[int]time.Duration   // of nodes that started again
+	State map[int]scheduler.NodeState // of nodes that changed
+	Start map[int]time.Duration       // of nodes that started again
 }
 
 // Kill is a head killed and started again.
@@ -87,7 +87,7 @@
 	Size
 	Seed    uint64
 	Cold    time.Duration
-	Scripts [][]standin.Step // by node
+	Scripts [][]fakenode.Step // by node
 	Changes []Change
 	Kills   []Kill
 	Drains  []int // nodes that drain
@@ -101,36 +101,36 @@
 // Draw draws a day.
 func Draw(seed uint64, size Size) *Plan {
 	r := rand.New(rand.NewPCG(seed, 0xbad))
-	p := &Plan{Size: size, Seed: seed, Scripts: make([][]standin.Step, size.Nodes), Starts: map[int]time.Duration{},
+	p := &Plan{Size: size, Seed: seed, Scripts: make([][]fakenode.Step, size.Nodes), Starts: map[int]time.Duration{},
 		Cold: max(size.Length/8, 10*time.Second)}
 	at := func(part float64) time.Duration {
 		return (time.Duration(float64(size.Length)*part) + time.Duration(r.Int64N(int64(size.Length)/50))).Round(time.Millisecond)
 	}
 	order := r.Perm(size.Nodes)
-	fault := func(i int, f standin.Fault, from, to time.Duration, factor float64) {
+	fault := func(i int, f fakenode.Fault, from, to time.Duration, factor float64) {
 		n := order[i%size.Nodes]
-		s := standin.Step{Fault: f, From: from, To: to, Factor: factor}
+		s := fakenode.Step{Fault: f, From: from, To: to, Factor: factor}
 		p.Scripts[n] = append(p.Scripts[n], s)
 		p.Story = append(p.Story, fmt.Sprintf("n%d: %v", n, s))
 	}
-	fault(0, standin.Silent, at(0.08), at(0.18), 0)
-	fault(1, standin.Pause, at(0.2), at(0.24), 0)
-	fault(2, standin.Slow, at(0.26), at(0.38), 2+4*r.Float64())
-	fault(3, standin.Reset, at(0.28), at(0.38), 0)
+	fault(0, fakenode.Silent, at(0.08), at(0.18), 0)
+	fault(1, fakenode.Pause, at(0.2), at(0.24), 0)
+	fault(2, fakenode.Slow, at(0.26), at(0.38), 2+4*r.Float64())
+	fault(3, fakenode.Reset, at(0.28), at(0.38), 0)
 	drain := order[4%size.Nodes]
 	from, to := at(0.34), at(0.46)
 	p.Drains = append(p.Drains, drain)
-	p.Changes = append(p.Changes, Change{At: from, State: map[int]logic.NodeState{drain: logic.Draining}},
-		Change{At: to, State: map[int]logic.NodeState{drain: logic.Serving}})
+	p.Changes = append(p.Changes, Change{At: from, State: map[int]scheduler.NodeState{drain: scheduler.Draining}},
+		Change{At: to, State: map[int]scheduler.NodeState{drain: scheduler.Serving}})
 	p.Story = append(p.Story, fmt.Sprintf("n%d: drains from %v to %v", drain, from, to))
 
 	down, up := at(0.5), at(0.54)
 	cold := order[:max(1, size.Nodes*2/5)]
-	gone, back := Change{At: down + listLate, State: map[int]logic.NodeState{}},
-		Change{At: up + listLate, State: map[int]logic.NodeState{}, Start: map[int]time.Duration{}}
+	gone, back := Change{At: down + listLate, State: map[int]scheduler.NodeState{}},
+		Change{At: up + listLate, State: map[int]scheduler.NodeState{}, Start: map[int]time.Duration{}}
 	for i, n := range cold {
-		fault(i, standin.Restart, down, up, 0)
-		p.Starts[n], gone.State[n], back.State[n], back.Start[n] = up, logic.Gone, logic.Serving, up
+		fault(i, fakenode.Restart, down, up, 0)
+		p.Starts[n], gone.State[n], back.State[n], back.Start[n] = up, scheduler.Gone, scheduler.Serving, up
 	}
 	p.Changes = append(p.Changes, gone, back)
 	for i := range max(1, size.Heads/3) {
--- a/internal/badday/run.go
+++ b/internal/scenario/run.go
@@ -1,4 +1,4 @@
-package badday
+package scenario
 
 import (
 	"bufio"
@@ -17,13 +17,13 @@
 	"time"
 
 	"maddergap/internal/audit"
-	"maddergap/internal/child"
-	"maddergap/internal/conf"
+	"maddergap/internal/config"
 	"maddergap/internal/daemon"
+	"maddergap/internal/fakenode"
 	"maddergap/internal/flood"
 	"maddergap/internal/nodelist"
 	"maddergap/internal/route"
-	"maddergap/internal/standin"
+	"maddergap/internal/subprocess"
 )
 
 // Options of a run.
@@ -54,7 +54,7 @@
 	name, record := fmt.Sprint("n", i), filepath.Join(o.Dir, fmt.Sprintf("node%d.jsonl", i))
 	steps := o.Plan.Scripts[i]
 	if len(o.Exe) == 0 {
-		n, err := standin.Start(standin.Options{Listen: addr, Name: name, Record: record, Epoch: epoch, Script: steps, Cores: cores,
+		n, err := fakenode.Start(fakenode.Options{Listen: addr, Name: name, Record: record, Epoch: epoch, Script: steps, Cores: cores,
 			Queue: queueLength, Unit: unitBytes, UnitTime: unitTime, Cold: o.Plan.Cold, From: coldFrom, Multiple: coldTimes, Window: coldWindow})
 		if err != nil {
 			return nil, err
@@ -77,7 +77,7 @@
 
 func (o *Options) startHead(i int, file, addr string) (part, error) {
 	if len(o.Exe) == 0 {
-		c, err := conf.Load(file)
+		c, err := config.Load(file)
 		if err != nil {
 			return nil, err
 		}
@@ -113,7 +113,7 @@
 }
 
 type inNode struct {
-	n    *standin.Node
+	n    *fakenode.Node
 	over bool
 }
 
@@ -153,7 +153,7 @@
 
 // proc is a process that this run started, and its log.
 type proc struct {
-	*child.Process
+	*subprocess.Process
 	log *os.File
 }
 
@@ -163,7 +163,7 @@
 	if err != nil {
 		return nil, err
 	}
-	p, err := child.Start(addr, log, append(slices.Clone(o.Exe), args...)...)
+	p, err := subprocess.Start(addr, log, append(slices.Clone(o.Exe), args...)...)
 	if err != nil {
 		log.Close()
 		return nil, err
@@ -182,7 +182,7 @@
 }
 
 // preload puts the day's objects on their nodes.
-func preload(p *Plan, c *conf.Config, nodes []string) error {
+func preload(p *Plan, c *config.Config, nodes []string) error {
 	t := route.NewTable(c, nil)
 	tr := &http.Transport{}
 	defer tr.CloseIdleConnections()
@@ -220,17 +220,17 @@
 // preloadTrace marks what no client sent.
 const preloadTrace = "00-0000000000000000000000000000feed-00000000000000aa-00"
 
-func readEntries(file string) ([]standin.Entry, error) {
+func readEntries(file string) ([]fakenode.Entry, error) {
 	f, err := os.Open(file)
 	if err != nil {
 		return nil, err
 	}
 	defer f.Close()
-	var out []standin.Entry
+	var out []fakenode.Entry
 	s := bufio.NewScanner(f)
 	s.Buffer(nil, 1<<20)
 	for line := 1; s.Scan(); line++ {
-		var e standin.Entry
+		var e fakenode.Entry
 		if err := json.Unmarshal(s.Bytes(), &e); err != nil {
 			return nil, fmt.Errorf("%s:%d: %w", file, line, err)
 		}
--- a/internal/sitesettings/sitesettings.go
+++ b/internal/settings/sitesettings.go
@@ -1,14 +1,14 @@
-// Package sitesettings reads the settings object that a site gives a head, the same on the
+// Package settings reads the settings object that a site gives a head, the same on the
 // simulator's wire and in a platform's configuration, and makes the module's
 // settings of it. It holds no default and no decision.
-package sitesettings
+package settings
 
 import (
 	"errors"
 	"fmt"
 	"time"
 
-	"maddergap/logic"
+	"maddergap/scheduler"
 )
 
 // Site is the settings object, with times in microseconds.
@@ -67,9 +67,9 @@
 // Micros is a duration of so many microseconds.
 func Micros(n int64) time.Duration { return time.Duration(n) * time.Microsecond }
 
-var effects = map[string]logic.Effect{"retryable": logic.Safe, "dedup": logic.Keyed, "fragile": logic.Unsafe}
+var effects = map[string]scheduler.Effect{"retryable": scheduler.Safe, "dedup": scheduler.Keyed, "fragile": scheduler.Unsafe}
 
-var groups = map[string]logic.Group{"all": logic.GroupAll, "zone": logic.GroupZone, "cell": logic.GroupCell}
+var groups = map[string]scheduler.Group{"all": scheduler.GroupAll, "zone": scheduler.GroupZone, "cell": scheduler.GroupCell}
 
 // Check names what a head cannot go by. Guards against an effect unknown here that
 // would be taken for the one that may be repeated.
@@ -120,9 +120,9 @@
 }
 
 // Settings are the module's.
-func (site *Site) Settings() logic.Settings {
+func (site *Site) Settings() scheduler.Settings {
 	g, l := site.Guarantees, site.Limits
-	s := logic.Settings{
+	s := scheduler.Settings{
 		Heads: site.FleetSize, AskDiscovery: site.Discovery == "ask",
 		MostUnits: site.FamilyInfo.UnitsTop, MeanUnits: site.FamilyInfo.UsualUnits, ColdUnits: site.FamilyInfo.ColdUnits,
 		ShareWorth: site.FamilyInfo.FairWorth,
@@ -140,14 +140,14 @@
 		s.MaxRetryAfter = Micros(l.MaxRetryAfter)
 	}
 	for _, c := range site.Classes {
-		s.Classes = append(s.Classes, logic.Class{Name: c.Name, Aim: Micros(c.Target), Deadline: Micros(c.Deadline), Effect: effects[c.Effect],
+		s.Classes = append(s.Classes, scheduler.Class{Name: c.Name, Aim: Micros(c.Target), Deadline: Micros(c.Deadline), Effect: effects[c.Effect],
 			Group: groups[c.Group], Window: Micros(c.Window), InOrder: c.InTurn, Worth: c.Gain, LateWorth: c.Late})
 	}
 	if len(site.Grades) == 0 { // a site without plans has one, of no name
-		s.Plans = []logic.Plan{{Weight: 1, Price: 1}}
+		s.Plans = []scheduler.Plan{{Weight: 1, Price: 1}}
 	}
 	for _, p := range site.Grades {
-		s.Plans = append(s.Plans, logic.Plan{Name: p.Name, Rate: p.Nominal, Reserve: p.Guaranteed,
+		s.Plans = append(s.Plans, scheduler.Plan{Name: p.Name, Rate: p.Nominal, Reserve: p.Guaranteed,
 			Weight: p.Shares, Price: p.ValueFactor, Limit: p.CeilingRate, LimitBurst: p.LimitBurst})
 	}
 	return s
--- a/internal/wire/wire.go
+++ b/internal/simwire/wire.go
@@ -1,6 +1,6 @@
-// Package wire reads and writes the simulator's text wire. It holds the codec
+// Package simwire reads and writes the simulator's text wire. It holds the codec
 // alone: no decision and no default.
-package wire
+package simwire
 
 import (
 	"bufio"
@@ -12,7 +12,7 @@
 	"strconv"
 	"strings"
 
-	"maddergap/internal/sitesettings"
+	"maddergap/internal/settings"
 )
 
 // Item is a line of the node list.
@@ -29,7 +29,7 @@
 type Event struct {
 	Kind, Head string
 	Entropy    uint64
-	Site       sitesettings.Site
+	Site       settings.Site
 	How        string
 	Items      []Item
 	Job        uint64
--- a/internal/wire/wire_test.go
+++ b/internal/simwire/wire_test.go
@@ -1,4 +1,4 @@
-package wire
+package simwire
 
 import (
 	"io"
--- a/internal/soak/fleet.go
+++ b/internal/soak/fleet.go
@@ -12,9 +12,9 @@
 	"syscall"
 	"time"
 
-	"maddergap/internal/agent"
 	"maddergap/internal/audit"
-	"maddergap/internal/child"
+	"maddergap/internal/discoverytest"
+	"maddergap/internal/subprocess"
 )
 
 // Times of the platform on processes.
@@ -29,7 +29,7 @@
 type head struct {
 	number   int
 	listen   string
-	agent    *agent.Agent
+	agent    *discoverytest.Agent
 	clients  *clients
 	settings *settings
 	dir      string
@@ -37,7 +37,7 @@
 	inject   string
 
 	mu      sync.Mutex // of what follows; held while the process changes
-	process *child.Process
+	process *subprocess.Process
 	log     *os.File
 	started time.Time
 	ended   bool // on purpose
@@ -73,7 +73,7 @@
 	if h.inject != "" {
 		argv = append(argv, "--inject", h.inject)
 	}
-	p, err := child.StartEnv(h.listen, h.log, []string{"ROUTER_CONFIG=" + h.file()}, argv...)
+	p, err := subprocess.StartEnv(h.listen, h.log, []string{"ROUTER_CONFIG=" + h.file()}, argv...)
 	if err != nil {
 		return err
 	}
@@ -162,7 +162,7 @@
 type fleet struct {
 	o        *Options
 	settings *settings
-	registry *agent.Registry
+	registry *discoverytest.Registry
 	nodes    []*node
 	starts   []audit.Span // cold ones
 	mu       sync.Mutex   // of starts and faults
--- a/internal/soak/members.go
+++ b/internal/soak/members.go
@@ -9,8 +9,8 @@
 	"strings"
 	"time"
 
-	"maddergap/internal/agent"
 	"maddergap/internal/discovery"
+	"maddergap/internal/discoverytest"
 	"maddergap/internal/loopback"
 )
 
@@ -35,7 +35,7 @@
 }
 
 func membersOf(exe []string, dir string, size int, out io.Writer) error {
-	registry := agent.NewRegistry()
+	registry := discoverytest.NewRegistry()
 	var entries []discovery.Entry
 	for i := range size {
 		address := fmt.Sprintf("127.200.%d.%d:8000", i/250, i%250+1)
--- a/internal/soak/node.go
+++ b/internal/soak/node.go
@@ -13,7 +13,7 @@
 	"syscall"
 	"time"
 
-	"maddergap/internal/standin"
+	"maddergap/internal/fakenode"
 )
 
 // mode is how a node behaves.
@@ -38,7 +38,7 @@
 	mode    mode
 	paused  bool // takes no connections
 	turning bool // turns everything away, as it drains
-	entries []standin.Entry
+	entries []fakenode.Entry
 	serial  uint64
 }
 
@@ -223,7 +223,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.serial++
-	n.entries = append(n.entries, standin.Entry{Node: n.name, Trace: r.Header.Get("X-Txn"), Method: r.Method, Path: r.URL.Path,
+	n.entries = append(n.entries, fakenode.Entry{Node: n.name, Trace: r.Header.Get("X-Txn"), Method: r.Method, Path: r.URL.Path,
 		Key: r.Header.Get("Piece"), Units: 1, In: micro(), Told: told, Sequence: n.serial})
 	return len(n.entries) - 1, n.mode, n.turning, time.Duration(n.rand.ExpFloat64() * float64(serviceTime))
 }
@@ -242,8 +242,8 @@
 	}
 }
 
-func (n *node) records() []standin.Entry {
+func (n *node) records() []fakenode.Entry {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return append([]standin.Entry(nil), n.entries...)
+	return append([]fakenode.Entry(nil), n.entries...)
 }
--- a/internal/soak/settings.go
+++ b/internal/soak/settings.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"maddergap/internal/audit"
-	"maddergap/internal/conf"
+	"maddergap/internal/config"
 	"maddergap/internal/discovery"
 	"maddergap/internal/platform"
 )
@@ -128,13 +128,13 @@
 }
 
 // audited is what the audit goes by.
-func (s *settings) audited(dir string, text []byte) (*conf.Config, error) {
+func (s *settings) audited(dir string, text []byte) (*config.Config, error) {
 	c, err := platform.Parse(filepath.Join(dir, "audit"), text, os.Getenv)
 	if err != nil {
 		return nil, err
 	}
 	for i, v := range volumes {
-		c.Conf.Volumes = append(c.Conf.Volumes, conf.Volume{Name: v.name, Plan: i})
+		c.Conf.Volumes = append(c.Conf.Volumes, config.Volume{Name: v.name, Plan: i})
 	}
 	return c.Conf, nil
 }
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -11,11 +11,11 @@
 	"sync"
 	"time"
 
-	"maddergap/internal/agent"
 	"maddergap/internal/audit"
 	"maddergap/internal/discovery"
-	"maddergap/internal/lagwatch"
+	"maddergap/internal/discoverytest"
 	"maddergap/internal/loopback"
+	"maddergap/internal/stallwatch"
 )
 
 // What the audit allows.
@@ -49,9 +49,9 @@
 	if err := o.Check(); err != nil {
 		return nil, err
 	}
-	f := &fleet{o: o, settings: drawSettings(o), registry: agent.NewRegistry()}
+	f := &fleet{o: o, settings: drawSettings(o), registry: discoverytest.NewRegistry()}
 	script := Draw(o)
-	lag := lagwatch.Start()
+	lag := stallwatch.Start()
 	defer lag.Stop()
 	defer f.close()
 	if err := f.openNodes(); err != nil {
@@ -280,7 +280,7 @@
 }
 
 // judge joins the records.
-func (f *fleet) judge(script *Script, dir string, lag *lagwatch.Watch) (*Report, error) {
+func (f *fleet) judge(script *Script, dir string, lag *stallwatch.Watch) (*Report, error) {
 	text, err := f.settings.file(0, "127.0.0.1:1", "127.0.0.1:1", discovery.List{})
 	if err != nil {
 		return nil, err
--- a/internal/lagwatch/lagwatch.go
+++ b/internal/stallwatch/lagwatch.go
@@ -1,7 +1,7 @@
-// Package lagwatch measures how long the process that it runs in is held up. A machine that has
+// Package stallwatch measures how long the process that it runs in is held up. A machine that has
 // no time for a test or a rehearsal has none for the head in it either: what they allow a head
 // is as much more.
-package lagwatch
+package stallwatch
 
 import (
 	"slices"
--- a/internal/lagwatch/lagwatch_test.go
+++ b/internal/stallwatch/lagwatch_test.go
@@ -1,4 +1,4 @@
-package lagwatch
+package stallwatch
 
 import (
 	"testing"
