--- a/internal/child/child.go
+++ b/internal/subprocess/child.go
@@ -1,6 +1,6 @@
-// Package child runs the program's own commands as processes, for rehearsals and
+// Package subprocess runs the program's own commands as processes, for rehearsals and
 // measurements: it starts one, waits until it listens, and ends it.
-package child
+package subprocess
 
 import (
 	"bytes"
--- a/internal/workers/workers.go
+++ b/internal/supervisor/workers.go
@@ -1,4 +1,4 @@
-// Package workers decides about the processes of one machine that serve the same
+// Package supervisor decides about the processes of one machine that serve the same
 // listeners: when one is started, started again, and given up as hung. It is pure: it
 // is told of starts, beats and ends with a clock reading, and gives actions.
 //
@@ -9,7 +9,7 @@
 //   - one that ends before its first beat, when none ever beat, ends them all: what
 //     keeps it from coming up is in the configuration, and no pause mends that;
 //   - at a stop none is started, all are told, and killed when their time is up.
-package workers
+package supervisor
 
 import (
 	"fmt"
--- a/internal/workers/workers_test.go
+++ b/internal/supervisor/workers_test.go
@@ -1,4 +1,4 @@
-package workers
+package supervisor
 
 import (
 	"errors"
--- a/internal/syscalls/clocks_test.go
+++ b/internal/syscalls/clocks_test.go
@@ -16,23 +16,23 @@
 var clockReaders = map[string]string{
 	"internal/syscalls/syscalls.go": "both clocks, once, for the loop",
 	"internal/syscalls/faulty.go":   "the age of a table of faults, monotonic",
-	"internal/loop/loop.go":         "the monotonic clock of the loop",
+	"internal/eventloop/loop.go":    "the monotonic clock of the loop",
 	"internal/daemon/daemon.go":     "how long a stop took, for the log",
-	"internal/workers/run.go":       "the supervisor's own pauses, monotonic",
+	"internal/supervisor/run.go":    "the supervisor's own pauses, monotonic",
 }
 
 // headPackages are those that a head runs.
-var headPackages = []string{"logic", "internal/admit", "internal/conf", "internal/daemon", "internal/dav", "internal/discovery",
-	"internal/guard", "internal/head", "internal/http1", "internal/loop", "internal/membership",
-	"internal/nodelist", "internal/orderedset", "internal/platform", "internal/route", "internal/sitesettings", "internal/syscalls", "internal/waitqueue", "internal/workers"}
+var headPackages = []string{"scheduler", "internal/admission", "internal/config", "internal/daemon", "internal/webdav", "internal/discovery",
+	"internal/invariant", "internal/gateway", "internal/http1", "internal/eventloop", "internal/membership",
+	"internal/nodelist", "internal/orderedset", "internal/platform", "internal/route", "internal/settings", "internal/syscalls", "internal/waitqueue", "internal/supervisor"}
 
 // wallReaders are the files that may turn a wall-clock time into a number, or the reverse.
 var wallReaders = map[string]string{
 	"internal/discovery/list.go":    "since_ms of the node list",
 	"internal/nodelist/nodelist.go": "started of the node list",
-	"internal/admit/admit.go":       "monotonic readings in the form that the rate limiter takes",
-	"internal/head/answer.go":       "the Date field",
-	"internal/head/accept.go":       "the Date field",
+	"internal/admission/admit.go":   "monotonic readings in the form that the rate limiter takes",
+	"internal/gateway/answer.go":    "the Date field",
+	"internal/gateway/accept.go":    "the Date field",
 }
 
 // No span comes from the wall clock: clocks are read in few named places, and wall-clock times
--- a/internal/dav/dav.go
+++ b/internal/webdav/dav.go
@@ -1,7 +1,7 @@
-// Package dav maps WebDAV (RFC 4918) onto volumes that are spread over nodes:
+// Package webdav maps WebDAV (RFC 4918) onto volumes that are spread over nodes:
 // which methods go to one node, which the head answers itself, how the listings
 // of several nodes become one, and what is refused across nodes. It is pure.
-package dav
+package webdav
 
 import (
 	"bytes"
--- a/internal/dav/dav_test.go
+++ b/internal/webdav/dav_test.go
@@ -1,16 +1,16 @@
-package dav
+package webdav
 
 import (
 	"encoding/xml"
 	"strings"
 	"testing"
 
-	"maddergap/internal/conf"
+	"maddergap/internal/config"
 	"maddergap/internal/route"
 )
 
 func table(t testing.TB) *route.Table {
-	c, err := conf.Parse("t", []byte("listen 127.0.0.1:0\nnodes n\nclass read effect safe aim 100ms deadline 1s\n"+
+	c, err := config.Parse("t", []byte("listen 127.0.0.1:0\nnodes n\nclass read effect safe aim 100ms deadline 1s\n"+
 		"plan p rate 1\nvolume feed-a plan p shards 0-4\nvolume feed-b plan p shards 5\nroute * class read\n"))
 	if err != nil {
 		t.Fatal(err)
--- a/logic/bench_test.go
+++ b/scheduler/bench_test.go
@@ -1,11 +1,11 @@
-package logic_test
+package scheduler_test
 
 import (
 	"fmt"
 	"testing"
 	"time"
 
-	. "maddergap/logic"
+	. "maddergap/scheduler"
 )
 
 // crowd is a module before which requests wait: each turn one comes and one answer is
--- a/logic/fair_queue.go
+++ b/scheduler/fair_queue.go
@@ -1,4 +1,4 @@
-package logic
+package scheduler
 
 // Start-time fair queuing, as in Wang and Merchant, "Proportional-Share Scheduling for
 // Distributed Storage Systems", section 3 (HYBRID-DSFQ). A stream of the paper is a volume, a
--- a/logic/limits.go
+++ b/scheduler/limits.go
@@ -1,4 +1,4 @@
-package logic
+package scheduler
 
 // Admission against the limits of the plans. A limit's bucket is this host's even part, and
 // fills from nothing since the head's start: what was spent before a restart cannot be known.
--- a/logic/placement.go
+++ b/scheduler/placement.go
@@ -1,4 +1,4 @@
-package logic
+package scheduler
 
 // Placement: which node a request waits for.
 
--- a/logic/reference_test.go
+++ b/scheduler/reference_test.go
@@ -1,7 +1,7 @@
 // The decisions of a head as they were when every choice read all that waits, kept to
 // compare with: the same events must bring the same actions. Test code only. It has
 // one line changed on purpose, marked so.
-package logic_test
+package scheduler_test
 
 import (
 	"cmp"
@@ -10,7 +10,7 @@
 	"slices"
 	"time"
 
-	. "maddergap/logic"
+	. "maddergap/scheduler"
 )
 
 const (
--- a/logic/retries.go
+++ b/scheduler/retries.go
@@ -1,4 +1,4 @@
-package logic
+package scheduler
 
 // Retry policy and retry budget.
 
--- a/logic/same_test.go
+++ b/scheduler/same_test.go
@@ -1,4 +1,4 @@
-package logic_test
+package scheduler_test
 
 import (
 	"fmt"
@@ -9,7 +9,7 @@
 
 	"pgregory.net/rapid"
 
-	. "maddergap/logic"
+	. "maddergap/scheduler"
 )
 
 // world plays one drawn history to both, and answers what they send.
--- a/logic/scheduler.go
+++ b/scheduler/scheduler.go
@@ -1,4 +1,4 @@
-// Package logic decides, for one host-side scheduler (a head) in front of a shared pool of
+// Package scheduler decides, for one host-side scheduler (a head) in front of a shared pool of
 // storage nodes, what is sent to which node, when and in what order, and what is refused.
 //
 // The ordinary path is HYBRID-DSFQ: a request is assigned to a node (placement.go), gets a
@@ -8,7 +8,7 @@
 //
 // The package is pure: it is told of events, the time with them, and returns actions. It does
 // no I/O, reads no clock, and draws chance from a seed.
-package logic
+package scheduler
 
 import (
 	"math/rand/v2"
--- a/logic/scheduler_test.go
+++ b/scheduler/scheduler_test.go
@@ -1,4 +1,4 @@
-package logic
+package scheduler
 
 import (
 	"strings"
--- a/logic/seed_test.go
+++ b/scheduler/seed_test.go
@@ -1,4 +1,4 @@
-package logic_test
+package scheduler_test
 
 import "flag"
 
