--- a/cmd/maddergap/main.go
+++ b/cmd/maddergap/main.go
@@ -91,7 +91,7 @@
 	if err != nil {
 		return err
 	}
-	var core daemon.CoreOf
+	var core daemon.SchedulerFactory
 	if s.PassThrough {
 		core = scenario.PassThrough
 	}
@@ -108,7 +108,7 @@
 }
 
 // serve runs a head until SIGINT or SIGTERM; SIGHUP reloads.
-func serve(w *daemon.Worker, core daemon.CoreOf, c *config.Config, std *streams, ready func(*daemon.Daemon, *slog.Logger)) error {
+func serve(w *daemon.Worker, core daemon.SchedulerFactory, c *config.Config, std *streams, ready func(*daemon.Daemon, *slog.Logger)) error {
 	out := std.err
 	if c.Log != "" {
 		f, err := os.OpenFile(c.Log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
@@ -172,7 +172,7 @@
 		return err
 	}
 	fmt.Fprintf(io.out, "%s: good; %d volumes, %d classes, %d plans, %d routes, %d nodes\n", s.Config,
-		len(c.Volumes), len(c.Logic.Classes), len(c.Logic.Plans), len(c.Routes), n)
+		len(c.Volumes), len(c.Scheduler.Classes), len(c.Scheduler.Plans), len(c.Routes), n)
 	return nil
 }
 
--- a/cmd/maddergap/workers.go
+++ b/cmd/maddergap/workers.go
@@ -77,7 +77,7 @@
 	}
 	w := &daemon.Worker{Index: s.Worker}
 	for part := range strings.SplitSeq(s.Queues, ",") {
-		var q eventloop.Queue
+		var q eventloop.ListenQueue
 		if _, err := fmt.Sscanf(strings.ReplaceAll(part, ":", " "), "%d %d %t", &q.FD, &q.Key, &q.Sorted); err != nil {
 			return nil, usage{fmt.Errorf("--queues %q: %w", s.Queues, err)}
 		}
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -101,15 +101,15 @@
 func event(e simwire.Event) scheduler.Event {
 	switch e.Kind {
 	case "registry":
-		l := scheduler.List{Full: e.How == "F" || e.How == "C", Failed: e.How == "X"}
+		l := scheduler.EndpointUpdate{Full: e.How == "F" || e.How == "C", Failed: e.How == "X"}
 		for _, it := range e.Items {
-			l.Entries = append(l.Entries, scheduler.Entry{Node: it.Shelf, Zone: it.Zone, Shard: it.Cluster,
+			l.Endpoints = append(l.Endpoints, scheduler.Endpoint{Node: it.Shelf, Zone: it.Zone, Shard: it.Cluster,
 				State: states[it.Condition], Started: settings.Micros(it.UpSince)})
 		}
 		return l
 	case "job_in":
 		return scheduler.Arrival{ID: e.Job, Shard: e.Cell, Plan: e.Plan, Class: e.Service, Key: e.Key,
-			Volume: e.User, Left: settings.Micros(e.Grace), Units: e.Weight, Hosts: e.Writers, Again: e.Again}
+			Volume: e.User, TimeRemaining: settings.Micros(e.Grace), Units: e.Weight, Instances: e.Writers, ClientRetry: e.Again}
 	case "ended":
 		o, known := outcomes[e.How]
 		if !known {
@@ -117,37 +117,37 @@
 		}
 		held, says := e.Telemetry["concurrent"]
 		waiting, saysWaiting := e.Telemetry["depth"]
-		return scheduler.Ended{ID: e.Job, Attempt: e.N, Node: e.Shelf, Outcome: o, Took: settings.Micros(e.Took),
-			Closed:   e.Terminal,
-			Reported: max(held, waiting), Reports: says || saysWaiting}
+		return scheduler.AttemptEnded{ID: e.Job, Attempt: e.N, Node: e.Shelf, Outcome: o, Duration: settings.Micros(e.Took),
+			Answered:     e.Terminal,
+			ReportedLoad: max(held, waiting), HasLoadReport: says || saysWaiting}
 	case "begun":
-		return scheduler.Begun{ID: e.Job, Attempt: e.N}
+		return scheduler.ResponseStarted{ID: e.Job, Attempt: e.N}
 	case "dropped":
-		return scheduler.Dropped{ID: e.Job}
+		return scheduler.ClientDisconnected{ID: e.Job}
 	case "bell":
-		return scheduler.Wake{}
+		return scheduler.TimerFired{}
 	}
 	return nil // probe results and messages: the module sends neither
 }
 
 var states = map[string]scheduler.NodeState{"SERVING": scheduler.Serving, "DRAINING": scheduler.Draining,
-	"DELETED": scheduler.Gone}
+	"DELETED": scheduler.Removed}
 
-var outcomes = map[string]scheduler.Outcome{"done": scheduler.OK, "err": scheduler.Failed, "busy": scheduler.Full,
+var outcomes = map[string]scheduler.Outcome{"done": scheduler.OK, "err": scheduler.Failed, "busy": scheduler.QueueFull,
 	"etimedout": scheduler.TimedOut, "econnrefused": scheduler.ConnectFailed, "econnreset": scheduler.Reset,
-	"ecanceled": scheduler.Cancelled, "skipped": scheduler.Moot}
+	"ecanceled": scheduler.Cancelled, "skipped": scheduler.Superseded}
 
 func writeAction(w io.Writer, id string, a scheduler.Action) {
 	switch a := a.(type) {
 	case scheduler.Send:
 		fmt.Fprintf(w, "dispatch %s %d %s 0\n", id, a.ID, a.Node)
-	case scheduler.Refuse:
+	case scheduler.Reject:
 		fmt.Fprintf(w, "shed %s %d %d\n", id, a.ID, a.RetryAfter.Microseconds())
 	case scheduler.Fail:
 		fmt.Fprintf(w, "drop_request %s %d\n", id, a.ID)
-	case scheduler.WakeIn:
-		fmt.Fprintf(w, "arm %s %d w\n", id, a.In.Microseconds())
-	case scheduler.Watch:
+	case scheduler.SetTimer:
+		fmt.Fprintf(w, "arm %s %d w\n", id, a.After.Microseconds())
+	case scheduler.WatchEndpoints:
 		fmt.Fprintf(w, "track %s 1\n", id)
 	}
 }
--- a/internal/admission/admit.go
+++ b/internal/admission/admission.go
@@ -97,7 +97,7 @@
 // Reason says why a connection or a request was not admitted.
 type Reason uint8
 
-// Reasons.
+// ReasonCount.
 const (
 	None Reason = iota
 	ByTotal
@@ -106,23 +106,23 @@
 	ByWide
 	ByAddressRate
 	ByWideRate
-	ByReserve // a request of an unknown client would take what is kept for known ones
-	ByBuffers // what is held for all leaves no room for another request
-	Reasons   // how many there are
+	ByReserve   // a request of an unknown client would take what is kept for known ones
+	ByBuffers   // what is held for all leaves no room for another request
+	ReasonCount // how many there are
 )
 
 func (r Reason) String() string {
 	return [...]string{"", "total", "listener", "address", "prefix", "address rate", "prefix rate", "reserve", "buffers"}[r]
 }
 
-// Verdict on an arrival.
-type Verdict struct {
-	Accept bool
-	Tell   bool   // refuse with an answer, else close quietly
-	Reason Reason // of a refusal
-	Known  bool
-	Close  uint64 // a connection that gives way, if Way: idle, or with a request that is not taken
-	Way    bool
+// Decision on an arrival.
+type Decision struct {
+	Accept        bool
+	SendRejection bool   // refuse with an answer, else close quietly
+	Reason        Reason // of a refusal
+	Known         bool
+	PreemptID     uint64 // a connection that gives way, if Way: idle, or with a request that is not taken
+	Preempt       bool
 }
 
 // conn is what is held of a connection.
@@ -217,8 +217,8 @@
 	return one, wide
 }
 
-// Arrive decides about a new connection. An accepted one is held until Closed.
-func (a *Admission) Arrive(now Time, id uint64, listener int, addr netip.Addr) Verdict {
+// Admit decides about a new connection. An accepted one is held until Closed.
+func (a *Admission) Admit(now Time, id uint64, listener int, addr netip.Addr) Decision {
 	a.now = max(now, a.now)
 	one, wide := a.keys(addr)
 	known := a.learned.known(a.now, one)
@@ -231,7 +231,7 @@
 	} else {
 		ea, ew = a.addrs.get(a.now, one), a.wides.get(a.now, wide)
 	}
-	v := Verdict{Known: known}
+	v := Decision{Known: known}
 	v.Reason = a.refusal(ea, ew, listener, known)
 	if v.Reason == ByTotal || v.Reason == ByAddress {
 		// Room is made by an idle connection: for a known client by any unknown one;
@@ -239,13 +239,13 @@
 		// that a hoard does not keep out a good client behind the same address.
 		// Where newcomers displace, any may: silent connections then never keep one out.
 		if gone := a.giveWay(v.Reason, ea, known || a.c.Displace); gone != nil {
-			v.Way, v.Close = true, gone.id
+			v.Preempt, v.PreemptID = true, gone.id
 			a.remove(gone)
 			v.Reason = a.refusal(ea, ew, listener, known)
 		}
 	}
 	if v.Reason != None {
-		v.Tell = a.answers.AllowN(clock(a.now), 1)
+		v.SendRejection = a.answers.AllowN(clock(a.now), 1)
 		return v
 	}
 	v.Accept = true
@@ -359,11 +359,11 @@
 	c.state = idle
 }
 
-// Begin tells that a connection has a whole request header, whether its body is
+// BeginRequest tells that a connection has a whole request header, whether its body is
 // whole with it, and how much is held for all, and returns whether the request may
 // go on; one that may not is refused, its connection closed. Until its body is whole
 // or it is Taken, nothing is owed for it.
-func (a *Admission) Begin(now Time, id uint64, held int64, whole bool) (bool, Reason) {
+func (a *Admission) BeginRequest(now Time, id uint64, held int64, whole bool) (bool, Reason) {
 	a.now = max(now, a.now)
 	c := a.conns[id]
 	switch {
@@ -391,27 +391,27 @@
 	return a.c.Buffers / int64(a.c.Total) * int64(a.c.Total-a.c.Reserve)
 }
 
-// Room returns how much of its bound one connection may hold while so much is held
+// BufferAllowance returns how much of its bound one connection may hold while so much is held
 // for all. Past the bound of all, each has its least alone: what others hold drains
 // meanwhile, and none stands still for good.
-func (a *Admission) Room(held int64, bound int) int {
+func (a *Admission) BufferAllowance(held int64, bound int) int {
 	if a.c.Buffers > 0 && held >= a.c.Buffers {
 		return min(bound, a.c.BufferLeast)
 	}
 	return bound
 }
 
-// Taken tells that a connection's request is owed its answer from now on.
-func (a *Admission) Taken(now Time, id uint64) {
+// RequestAccepted tells that a connection's request is owed its answer from now on.
+func (a *Admission) RequestAccepted(now Time, id uint64) {
 	a.now = max(now, a.now)
 	if c := a.conns[id]; c != nil && c.state == slow {
 		a.enter(c, taken)
 	}
 }
 
-// End tells that a request's answer went out. good: it was served, to a client
+// EndRequest tells that a request's answer went out. good: it was served, to a client
 // that took it in time.
-func (a *Admission) End(now Time, id uint64, good bool) {
+func (a *Admission) EndRequest(now Time, id uint64, good bool) {
 	a.now = max(now, a.now)
 	c := a.conns[id]
 	if c == nil || c.state == idle {
@@ -447,11 +447,11 @@
 	}
 }
 
-// Pressed returns an unknown connection that is not worth its place while few are
+// NextToPreempt returns an unknown connection that is not worth its place while few are
 // left: idle, or with a request that has not come whole, for longer than
 // IdleUnderPress; those never served first, the slow ones last.
 // It is to be closed, and told of as Closed, before the next is asked for.
-func (a *Admission) Pressed(now Time) (id uint64, ok bool) {
+func (a *Admission) NextToPreempt(now Time) (id uint64, ok bool) {
 	a.now = max(now, a.now)
 	if a.c.Total-len(a.conns) >= a.c.PressureIdle {
 		return 0, false
--- a/internal/admission/admit_test.go
+++ b/internal/admission/admission_test.go
@@ -27,9 +27,9 @@
 
 // take begins a request and has it taken.
 func take(a *Admission, now Time, id uint64) (bool, Reason) {
-	ok, why := a.Begin(now, id, 0, false)
+	ok, why := a.BeginRequest(now, id, 0, false)
 	if ok {
-		a.Taken(now, id)
+		a.RequestAccepted(now, id)
 	}
 	return ok, why
 }
@@ -80,8 +80,8 @@
 		a := must(t, conf)
 		taken := 0
 		for i := range 40 {
-			v := a.Arrive(time.Second, uint64(i), 0, ip(c.addr(i)))
-			if v.Way {
+			v := a.Admit(time.Second, uint64(i), 0, ip(c.addr(i)))
+			if v.Preempt {
 				t.Errorf("%s: an idle connection gave way to an equal", c.name)
 			}
 			if v.Accept {
@@ -105,7 +105,7 @@
 	a := must(t, c)
 	begun := 0
 	for i := range 20 {
-		if v := a.Arrive(0, uint64(i), 0, ip(fmt.Sprintf("1.%d.1.1", i))); !v.Accept {
+		if v := a.Admit(0, uint64(i), 0, ip(fmt.Sprintf("1.%d.1.1", i))); !v.Accept {
 			t.Fatalf("connection %d of 20 is refused by %v: the reserve is not lent", i, v.Reason)
 		}
 		if ok, why := take(a, 0, uint64(i)); ok {
@@ -118,12 +118,12 @@
 		t.Errorf("%d requests of unknown clients under way, want 15", begun)
 	}
 	for i := range 5 {
-		v := a.Arrive(0, uint64(100+i), 0, ip(fmt.Sprintf("10.9.0.%d", i)))
-		if !v.Accept || !v.Way || v.Close < 15 {
+		v := a.Admit(0, uint64(100+i), 0, ip(fmt.Sprintf("10.9.0.%d", i)))
+		if !v.Accept || !v.Preempt || v.PreemptID < 15 {
 			t.Errorf("known client %d: %+v", i, v)
 		}
 	}
-	if v := a.Arrive(0, 200, 0, ip("10.9.0.9")); v.Accept || v.Reason != ByTotal {
+	if v := a.Admit(0, 200, 0, ip("10.9.0.9")); v.Accept || v.Reason != ByTotal {
 		t.Errorf("with nothing idle left: %+v", v)
 	}
 }
@@ -135,13 +135,13 @@
 	c.AddressRate, c.WideRate = 0, 0
 	a := must(t, c)
 	for i := range uint64(4) {
-		a.Arrive(0, i, 0, ip("1.1.1.1"))
+		a.Admit(0, i, 0, ip("1.1.1.1"))
 	}
 	take(a, 0, 0)
-	a.End(0, 0, true)
+	a.EndRequest(0, 0, true)
 	for i := range uint64(10) {
-		v := a.Arrive(0, 10+i, 0, ip("1.1.1.1"))
-		if !v.Accept || !v.Way || v.Close == 0 {
+		v := a.Admit(0, 10+i, 0, ip("1.1.1.1"))
+		if !v.Accept || !v.Preempt || v.PreemptID == 0 {
 			t.Fatalf("%+v", v)
 		}
 	}
@@ -151,17 +151,17 @@
 // what is known is not lost to newcomers.
 func TestLearned(t *testing.T) {
 	a := must(t, config())
-	serve := func(now Time, id uint64, addr string) Verdict {
-		v := a.Arrive(now, id, 0, ip(addr))
+	serve := func(now Time, id uint64, addr string) Decision {
+		v := a.Admit(now, id, 0, ip(addr))
 		take(a, now, id)
-		a.End(now, id, true)
+		a.EndRequest(now, id, true)
 		a.Closed(now, id)
 		return v
 	}
 	for i := range uint64(100) { // a hundred requests within a second
-		a.Arrive(0, i, 0, ip("2.2.2.2"))
+		a.Admit(0, i, 0, ip("2.2.2.2"))
 		take(a, 0, i)
-		a.End(0, i, true)
+		a.EndRequest(0, i, true)
 		a.Closed(0, i)
 	}
 	if v := serve(time.Second/2, 200, "2.2.2.2"); v.Known {
@@ -197,9 +197,9 @@
 	c.AddressRate, c.AddressBurst = 0.01, 4
 	a := must(t, c)
 	id := uint64(0)
-	come := func(addr netip.Addr) Verdict {
+	come := func(addr netip.Addr) Decision {
 		id++
-		v := a.Arrive(time.Second, id, 0, addr)
+		v := a.Admit(time.Second, id, 0, addr)
 		if v.Accept {
 			a.Closed(time.Second, id)
 		}
@@ -232,11 +232,11 @@
 	c := config()
 	c.Address = 1
 	a := must(t, c)
-	a.Arrive(0, 1, 0, ip("1.1.1.1"))
+	a.Admit(0, 1, 0, ip("1.1.1.1"))
 	take(a, 0, 1)
 	told := 0
 	for i := range 50 {
-		if v := a.Arrive(0, uint64(2+i), 0, ip("1.1.1.1")); v.Tell {
+		if v := a.Admit(0, uint64(2+i), 0, ip("1.1.1.1")); v.SendRejection {
 			told++
 		}
 	}
@@ -250,19 +250,19 @@
 	c.AddressRate, c.WideRate, c.Listener = 0, 0, 0
 	a := must(t, c)
 	for i := range 16 {
-		a.Arrive(0, uint64(i), 0, ip(fmt.Sprintf("1.%d.1.1", i)))
+		a.Admit(0, uint64(i), 0, ip(fmt.Sprintf("1.%d.1.1", i)))
 	}
 	take(a, 0, 0)
-	a.End(0, 1, true)
-	if _, ok := a.Pressed(time.Second / 2); ok {
+	a.EndRequest(0, 1, true)
+	if _, ok := a.NextToPreempt(time.Second / 2); ok {
 		t.Error("closed before its time")
 	}
-	id, ok := a.Pressed(2 * time.Second)
+	id, ok := a.NextToPreempt(2 * time.Second)
 	if !ok || id == 0 {
 		t.Errorf("%d %v", id, ok)
 	}
 	a.Closed(2*time.Second, id)
-	if _, ok := a.Pressed(2 * time.Second); ok {
+	if _, ok := a.NextToPreempt(2 * time.Second); ok {
 		t.Error("closed without need")
 	}
 }
@@ -274,22 +274,22 @@
 	c.AddressRate, c.WideRate, c.Listener = 0, 0, 0
 	c.Buffers, c.BufferLeast = 20*100, 100
 	a := must(t, c)
-	a.Arrive(0, 1, 0, ip("1.1.1.1"))
-	a.Arrive(0, 2, 0, ip("10.9.0.1"))
-	if ok, why := a.Begin(0, 1, 1500, false); ok || why != ByBuffers {
+	a.Admit(0, 1, 0, ip("1.1.1.1"))
+	a.Admit(0, 2, 0, ip("10.9.0.1"))
+	if ok, why := a.BeginRequest(0, 1, 1500, false); ok || why != ByBuffers {
 		t.Errorf("an unknown client past its part: %v %v", ok, why)
 	}
-	if ok, _ := a.Begin(0, 2, 1999, false); !ok {
+	if ok, _ := a.BeginRequest(0, 2, 1999, false); !ok {
 		t.Error("a known client within the bound is refused")
 	}
-	a.End(0, 2, true)
-	if ok, why := a.Begin(0, 2, 2000, false); ok || why != ByBuffers {
+	a.EndRequest(0, 2, true)
+	if ok, why := a.BeginRequest(0, 2, 2000, false); ok || why != ByBuffers {
 		t.Errorf("a known client past the bound: %v %v", ok, why)
 	}
-	if ok, _ := a.Begin(0, 1, 1499, false); !ok {
+	if ok, _ := a.BeginRequest(0, 1, 1499, false); !ok {
 		t.Error("an unknown client within its part is refused")
 	}
-	if a.Room(1999, 500) != 500 || a.Room(2000, 500) != 100 || a.Room(2000, 50) != 50 {
+	if a.BufferAllowance(1999, 500) != 500 || a.BufferAllowance(2000, 500) != 100 || a.BufferAllowance(2000, 50) != 50 {
 		t.Error("what one may hold")
 	}
 	c.Buffers = 20*100 - 1
@@ -306,28 +306,28 @@
 	c.Total = 12
 	a := must(t, c)
 	for i := range uint64(12) {
-		a.Arrive(Time(i), i, 0, ip(fmt.Sprintf("1.%d.1.1", i)))
+		a.Admit(Time(i), i, 0, ip(fmt.Sprintf("1.%d.1.1", i)))
 	}
-	a.Begin(20, 0, 0, false) // slow
-	take(a, 20, 1)           // taken
+	a.BeginRequest(20, 0, 0, false) // slow
+	take(a, 20, 1)                  // taken
 	for i := uint64(2); i < 12; i++ {
 		if i != 5 {
 			take(a, 30, i)
-			a.End(30, i, true)
+			a.EndRequest(30, i, true)
 		}
 	}
 	var order []uint64
 	for i := range uint64(11) {
-		v := a.Arrive(40, 100+i, 0, ip(fmt.Sprintf("10.9.0.%d", i)))
+		v := a.Admit(40, 100+i, 0, ip(fmt.Sprintf("10.9.0.%d", i)))
 		if !v.Accept {
 			t.Fatalf("known client %d: %+v", i, v)
 		}
-		order = append(order, v.Close)
+		order = append(order, v.PreemptID)
 	}
 	if order[0] != 5 || order[10] != 0 {
 		t.Errorf("gave way in the order %v, want 5 (never served) first and 0 (slow) last", order)
 	}
-	if v := a.Arrive(40, 200, 0, ip("10.9.0.50")); v.Accept || v.Reason != ByTotal {
+	if v := a.Admit(40, 200, 0, ip("10.9.0.50")); v.Accept || v.Reason != ByTotal {
 		t.Errorf("what was taken gave way: %+v", v)
 	}
 }
@@ -380,13 +380,13 @@
 						ofAddr++
 					}
 				}
-				v := a.Arrive(now, next, listener, addr)
-				if v.Way {
-					s := live[v.Close]
+				v := a.Admit(now, next, listener, addr)
+				if v.Preempt {
+					s := live[v.PreemptID]
 					if s == nil || s.taken || s.known {
-						t.Fatalf("%d gave way: %+v", v.Close, s)
+						t.Fatalf("%d gave way: %+v", v.PreemptID, s)
 					}
-					drop(v.Close)
+					drop(v.PreemptID)
 				}
 				if v.Known != (addr.As4()[0] == 10) && addr.As4()[0] == 10 {
 					t.Fatal("a listed client is not known")
@@ -408,14 +408,14 @@
 				switch rapid.IntRange(0, 3).Draw(t, "do") {
 				case 0:
 					whole := rapid.Bool().Draw(t, "whole")
-					if ok, _ := a.Begin(now, id, 0, whole); ok {
+					if ok, _ := a.BeginRequest(now, id, 0, whole); ok {
 						s.busy, s.taken = true, s.taken || whole && !s.busy
 					}
 				case 3:
-					a.Taken(now, id)
+					a.RequestAccepted(now, id)
 					s.taken = s.busy
 				case 1:
-					a.End(now, id, rapid.Bool().Draw(t, "good"))
+					a.EndRequest(now, id, rapid.Bool().Draw(t, "good"))
 					s.busy, s.taken = false, false
 				case 2:
 					a.Closed(now, id)
@@ -481,7 +481,7 @@
 					b.Fatal(err)
 				}
 				if refused {
-					a.Arrive(0, 1<<40, 0, ip("9.9.9.9"))
+					a.Admit(0, 1<<40, 0, ip("9.9.9.9"))
 				}
 				addr := func(i int) netip.Addr {
 					return netip.AddrFrom4([4]byte{byte(i>>24) + 20, byte(i >> 16), byte(i >> 8), byte(i)})
@@ -490,7 +490,7 @@
 				come := func(i int) {
 					id++
 					now := Time(id) * time.Millisecond
-					if a.Arrive(now, id, 0, addr(i)).Accept {
+					if a.Admit(now, id, 0, addr(i)).Accept {
 						a.Closed(now, id)
 					}
 				}
@@ -517,14 +517,14 @@
 				b.Fatal(err)
 			}
 			for i := range idle {
-				a.Arrive(0, uint64(i), 0, netip.AddrFrom4([4]byte{20, byte(i >> 16), byte(i >> 8), byte(i)}))
+				a.Admit(0, uint64(i), 0, netip.AddrFrom4([4]byte{20, byte(i >> 16), byte(i >> 8), byte(i)}))
 			}
 			for i := range uint64(4) {
-				a.Arrive(0, 1<<40+i, 0, ip("9.9.9.9"))
+				a.Admit(0, 1<<40+i, 0, ip("9.9.9.9"))
 				take(a, 0, 1<<40+i)
 			}
 			for id := uint64(1 << 41); b.Loop(); id++ {
-				if a.Arrive(0, id, 0, ip("9.9.9.9")).Accept {
+				if a.Admit(0, id, 0, ip("9.9.9.9")).Accept {
 					b.Fatal("past its cap")
 				}
 			}
@@ -538,7 +538,7 @@
 	c.Total, c.Listener, c.Address, c.Wide, c.AddressRate, c.WideRate, c.Entries = 100, 0, 1, 0, 0, 0, ways
 	a := must(t, c)
 	for i := range 40 {
-		if a.Arrive(0, uint64(i), 0, ip(fmt.Sprintf("1.1.%d.1", i))).Accept {
+		if a.Admit(0, uint64(i), 0, ip(fmt.Sprintf("1.1.%d.1", i))).Accept {
 			take(a, 0, uint64(i))
 		}
 	}
@@ -546,7 +546,7 @@
 		t.Fatalf("%d connections, want one for each entry and one shared", n)
 	}
 	for i := range 4 {
-		if v := a.Arrive(0, uint64(100+i), 0, ip(fmt.Sprintf("10.9.%d.1", i))); !v.Accept {
+		if v := a.Admit(0, uint64(100+i), 0, ip(fmt.Sprintf("10.9.%d.1", i))); !v.Accept {
 			t.Errorf("known client %d is refused by %v", i, v.Reason)
 		}
 	}
@@ -560,7 +560,7 @@
 	accepted := 0
 	for i := range 50 {
 		for k := range 2 {
-			if id := uint64(10*i + k); a.Arrive(0, id, 0, ip(fmt.Sprintf("1.1.%d.1", i))).Accept {
+			if id := uint64(10*i + k); a.Admit(0, id, 0, ip(fmt.Sprintf("1.1.%d.1", i))).Accept {
 				a.Closed(0, id)
 				accepted++
 			}
@@ -570,7 +570,7 @@
 		t.Errorf("%d accepted, want two of each entry and two of the shared one", accepted)
 	}
 	for i := range ways {
-		if v := a.Arrive(0, uint64(1000+i), 0, ip(fmt.Sprintf("1.1.%d.1", i))); v.Accept {
+		if v := a.Admit(0, uint64(1000+i), 0, ip(fmt.Sprintf("1.1.%d.1", i))); v.Accept {
 			t.Errorf("address %d was forgotten", i)
 		}
 	}
--- a/internal/admission/sorter.go
+++ b/internal/admission/sorter.go
@@ -14,13 +14,13 @@
 // maxProgram is how many instructions the kernel takes (BPF_MAXINSNS).
 const maxProgram = 4096
 
-// Sorter returns a program that gives 1 for packets whose source is one of the
+// KnownClientFilter returns a program that gives 1 for packets whose source is one of the
 // listed known prefixes and 0 for others, so that the kernel can let known clients
 // wait in a listen queue of their own: a burst of others then stands in no one's
 // way but its own. base is where the network header begins. It returns nil where
 // there are no known prefixes, or more than a program can hold (about 1,000 of
 // IPv4 or 300 of IPv6); all then wait in one queue, and are decided about alike.
-func (c *Config) Sorter(base uint32) []bpf.RawInstruction {
+func (c *Config) KnownClientFilter(base uint32) []bpf.RawInstruction {
 	if len(c.Known) == 0 {
 		return nil
 	}
--- a/internal/admission/sorter_test.go
+++ b/internal/admission/sorter_test.go
@@ -36,7 +36,7 @@
 			p, _ := a.Prefix(rapid.IntRange(0, a.BitLen()).Draw(t, "bits"))
 			c.Known = append(c.Known, p)
 		}
-		raw := c.Sorter(0)
+		raw := c.KnownClientFilter(0)
 		ins, ok := bpf.Disassemble(raw)
 		if !ok {
 			t.Fatal("it cannot be read back")
@@ -62,7 +62,7 @@
 	for i := range 2000 {
 		many.Known = append(many.Known, netip.PrefixFrom(netip.AddrFrom4([4]byte{10, byte(i >> 8), byte(i), 0}), 32))
 	}
-	if many.Sorter(0) != nil || (&Config{}).Sorter(0) != nil {
+	if many.KnownClientFilter(0) != nil || (&Config{}).KnownClientFilter(0) != nil {
 		t.Error("a program of too many prefixes, or of none")
 	}
 }
--- a/internal/audit/audit.go
+++ b/internal/audit/audit.go
@@ -44,7 +44,7 @@
 
 // Judge judges a run.
 func Judge(in Input) *Report {
-	j := &judge{in: in, classes: in.Config.Logic.Classes, clients: map[string]*Client{}, attempts: map[string][]*fakenode.Entry{}}
+	j := &judge{in: in, classes: in.Config.Scheduler.Classes, clients: map[string]*Client{}, attempts: map[string][]*fakenode.Entry{}}
 	for i := range in.Clients {
 		j.clients[in.Clients[i].Trace] = &in.Clients[i]
 	}
--- a/internal/audit/audit_test.go
+++ b/internal/audit/audit_test.go
@@ -153,7 +153,7 @@
 func TestPlatformRules(t *testing.T) {
 	const start = int64(1_000_000_000)
 	ms := func(n int64) int64 { return start + n*1000 }
-	config := &config.Config{Logic: scheduler.Settings{Classes: []scheduler.Class{{Name: "read", Effect: scheduler.Safe}}, Plans: []scheduler.Plan{{}}},
+	config := &config.Config{Scheduler: scheduler.Settings{Classes: []scheduler.Class{{Name: "read", Effect: scheduler.Safe}}, Plans: []scheduler.Plan{{}}},
 		Volumes: []config.Volume{{Name: "v"}}}
 	base := func() Input {
 		return Input{Config: config, Grace: 500 * time.Millisecond, CancelGrace: 100 * time.Millisecond, ToldSlack: 150 * time.Millisecond,
--- a/internal/audit/budgets.go
+++ b/internal/audit/budgets.go
@@ -7,7 +7,7 @@
 // budget is rule 6, for each head: further attempts in any window against a few
 // and a share of the requests taken in it.
 func (j *judge) budget() Rule {
-	s := j.in.Config.Logic
+	s := j.in.Config.Scheduler
 	r := Rule{Number: 6, Name: "attempt budget", Unit: "x the budget, in any window", Bound: 1}
 	if !s.Budget {
 		return r
@@ -53,11 +53,11 @@
 func (j *judge) limits() Rule {
 	r := Rule{Number: 7, Name: "limits with their slack", Unit: "x the bucket with its slack, at the fullest", Bound: 1}
 	for _, v := range j.in.Config.Volumes {
-		p := j.in.Config.Logic.Plans[v.Plan]
+		p := j.in.Config.Scheduler.Plans[v.Plan]
 		if p.Limit <= 0 {
 			continue
 		}
-		most := max(0.1*p.LimitBurst, j.in.Config.Logic.MostUnits)
+		most := max(0.1*p.LimitBurst, j.in.Config.Scheduler.MaxUnits)
 		rate, room := 1.1*p.Limit, p.LimitBurst+most
 		level, last := 0.0, int64(0)
 		for _, e := range j.all {
--- a/internal/audit/effects.go
+++ b/internal/audit/effects.go
@@ -27,16 +27,16 @@
 			if i == 0 || notRun(list[i-1]) {
 				continue
 			}
-			if class.Effect == scheduler.Unsafe {
+			if class.Effect == scheduler.NonIdempotent {
 				r.breach("%s (%s) was sent again to %s though the attempt before may have run", t, class.Name, e.Node)
-			} else if late := time.Duration(e.In-list[0].In) * time.Microsecond; late > class.Window+j.in.Blur {
-				r.breach("%s (%s) was sent again after %v, its nodes remember %v", t, class.Name, late, class.Window)
+			} else if late := time.Duration(e.In-list[0].In) * time.Microsecond; late > class.DeduplicationWindow+j.in.Blur {
+				r.breach("%s (%s) was sent again after %v, its nodes remember %v", t, class.Name, late, class.DeduplicationWindow)
 			}
 		}
-		if class.Effect == scheduler.Unsafe && ran > 1 {
+		if class.Effect == scheduler.NonIdempotent && ran > 1 {
 			r.breach("%s (%s) ran %d times", t, class.Name, ran)
 		}
-		if c.Status == 503 && ran > 0 && class.Effect == scheduler.Unsafe {
+		if c.Status == 503 && ran > 0 && class.Effect == scheduler.NonIdempotent {
 			r.breach("%s (%s) was refused, but ran", t, class.Name)
 		}
 	}
--- a/internal/audit/order.go
+++ b/internal/audit/order.go
@@ -18,7 +18,7 @@
 	}
 	keys := map[string][]run{}
 	for t, list := range j.attempts {
-		if c := j.clients[t]; c != nil && j.classes[c.Class].InOrder {
+		if c := j.clients[t]; c != nil && j.classes[c.Class].Ordered {
 			for _, e := range list {
 				key := fmt.Sprint(c.Head, " ", c.Key)
 				keys[key] = append(keys[key], run{c, e})
--- a/internal/audit/report.go
+++ b/internal/audit/report.go
@@ -98,10 +98,10 @@
 		price := 1.0
 		for _, v := range j.in.Config.Volumes {
 			if v.Name == c.Volume {
-				price = j.in.Config.Logic.Plans[v.Plan].Price
+				price = j.in.Config.Scheduler.Plans[v.Plan].PriorityFactor
 			}
 		}
-		worth := class.Worth * price * c.Units
+		worth := class.PriorityWeight * price * c.Units
 		early := j.early(c)
 		if c.GaveUp == 0 {
 			r.Due += worth
@@ -134,11 +134,11 @@
 		default:
 			r.Served++
 			r.Took = append(r.Took, took)
-			if took <= class.Aim {
+			if took <= class.LatencyObjective {
 				earn(1)
 			} else {
 				r.Late++
-				earn(class.LateWorth)
+				earn(class.LateWeightFactor)
 			}
 		}
 	}
--- a/internal/config/conf.go
+++ b/internal/config/config.go
@@ -18,19 +18,19 @@
 
 // Config is what a file says, checked.
 type Config struct {
-	// Inject is what fails of the system calls, for tests and rehearsals; nil: nothing.
-	Inject  *syscalls.Table
-	File    string
-	Listen  []string // addresses, host:port
-	Nodes   string   // the node list's path
-	Log     string   // "" for standard error
-	Traces  string   // file for spans, "" for none
-	Metrics string   // address of the metrics' own listener, "" for none
-	Quiet   bool     // requests are not logged
-	Seed    uint64   // of what is spread by chance, 0: drawn at start
-	Volumes []Volume
-	Routes  []Route
-	Logic   scheduler.Settings
+	// SyscallFaults is what fails of the system calls, for tests and rehearsals; nil: nothing.
+	SyscallFaults *syscalls.Table
+	File          string
+	Listen        []string // addresses, host:port
+	Nodes         string   // the node list's path
+	Log           string   // "" for standard error
+	Traces        string   // file for spans, "" for none
+	Metrics       string   // address of the metrics' own listener, "" for none
+	Quiet         bool     // requests are not logged
+	Seed          uint64   // of what is spread by chance, 0: drawn at start
+	Volumes       []Volume
+	Routes        []Route
+	Scheduler     scheduler.Settings
 	// Deadlines are the time of a class's clients, by class.
 	Deadlines []time.Duration
 
@@ -57,7 +57,7 @@
 	// PaceAfter is over; 0: any.
 	BodyPace, AnswerPace int64
 	PaceAfter            time.Duration
-	Admit                admission.Config
+	Admission            admission.Config
 	Header               http1.Limits
 }
 
@@ -84,9 +84,9 @@
 		AnswerMargin: 20 * time.Millisecond, HeaderTime: 10 * time.Second, IdleTime: 60 * time.Second,
 		StallTime: 10 * time.Second, StopTime: 10 * time.Second, NodeIdle: 20 * time.Second, NodeConns: 64,
 		DialTime: time.Second, ListingMax: 8 << 20, BodyPace: 100, AnswerPace: 1000, PaceAfter: 30 * time.Second, Sizes: 1 << 14, Clients: 8192, Processes: 1, Header: http1.DefaultLimits,
-		Admit: admission.Config{V6Bits: 64, Wide4: 24, Wide6: 48, Entries: 1 << 14, Learned: 1024, Forget: 10 * time.Minute,
+		Admission: admission.Config{V6Bits: 64, Wide4: 24, Wide6: 48, Entries: 1 << 14, Learned: 1024, Forget: 10 * time.Minute,
 			AnswerRate: 50, AnswerBurst: 100, KnownMultiple: 4, IdleUnderPress: time.Second},
-		Logic: scheduler.Settings{Heads: 1, MostUnits: 1, MeanUnits: 1, ShareWorth: 0.3}}
+		Scheduler: scheduler.Settings{Instances: 1, MaxUnits: 1, MeanUnits: 1, ExcessWeight: 0.3}}
 }
 
 // What every client connection may hold whatever the others do, and what all may
@@ -122,7 +122,7 @@
 }
 
 func (p *parser) fault(line int, format string, args ...any) {
-	p.errs = append(p.errs, &Mistake{p.c.File, line, fmt.Sprintf(format, args...)})
+	p.errs = append(p.errs, &Error{p.c.File, line, fmt.Sprintf(format, args...)})
 }
 
 // once tells whether a thing stands for the first time.
@@ -135,7 +135,7 @@
 	return true
 }
 
-// Parse checks a file's text. The error joins one Mistake for each fault.
+// Parse checks a file's text. The error joins one Error for each fault.
 func Parse(file string, data []byte) (*Config, error) {
 	lines, err := Lines(file, data)
 	p := &parser{c: defaults(file), classes: map[string]int{}, plans: map[string]int{}, seen: map[string]int{}}
@@ -164,11 +164,11 @@
 	return p.c, nil
 }
 
-// Part returns what one of the processes serves by: an even part of the machine's
+// ForWorker returns what one of the processes serves by: an even part of the machine's
 // connections, caps, rates and buffers, rounded up, and a port of its own for metrics.
 // An address gets between the part of one process and its whole cap, as its
 // connections fall.
-func (c *Config) Part(i int) *Config {
+func (c *Config) ForWorker(i int) *Config {
 	n := c.Processes
 	part := *c
 	share := func(x *int) {
@@ -176,7 +176,7 @@
 			*x = (*x + n - 1) / n
 		}
 	}
-	m := &part.Admit
+	m := &part.Admission
 	for _, x := range []*int{&part.Clients, &m.Listener, &m.Address, &m.Wide, &m.Reserve, &m.AddressBurst, &m.WideBurst, &m.AnswerBurst, &m.PressureIdle} {
 		share(x)
 	}
@@ -221,24 +221,24 @@
 			p.fault(0, "the last route must take every request: route * class NAME")
 		}
 	}
-	c.Admit.Total, c.Admit.BufferLeast = c.Clients, bufferLeast
-	if c.Admit.Buffers == 0 {
-		c.Admit.Buffers = max(buffersDefault, 4*bufferLeast*int64(c.Clients))
+	c.Admission.Total, c.Admission.BufferLeast = c.Clients, bufferLeast
+	if c.Admission.Buffers == 0 {
+		c.Admission.Buffers = max(buffersDefault, 4*bufferLeast*int64(c.Clients))
 	}
-	if err := c.Admit.Check(); err != nil {
+	if err := c.Admission.Check(); err != nil {
 		for reason := range strings.SplitSeq(err.Error(), "\n") {
 			p.fault(max(p.seen["admit"], p.seen["known"], p.seen["buffers"]), "%s", reason)
 		}
 	}
 	for i, d := range c.Deadlines {
 		if d <= c.AnswerMargin+10*time.Millisecond {
-			p.fault(p.seen["class "+c.Logic.Classes[i].Name], "the deadline %v leaves no time beside the answer-margin %v", d, c.AnswerMargin)
+			p.fault(p.seen["class "+c.Scheduler.Classes[i].Name], "the deadline %v leaves no time beside the answer-margin %v", d, c.AnswerMargin)
 		}
 	}
-	if c.Processes > c.Logic.Heads {
-		p.fault(p.seen["processes"], "there are %d processes, each a head, but %d heads in all", c.Processes, c.Logic.Heads)
+	if c.Processes > c.Scheduler.Instances {
+		p.fault(p.seen["processes"], "there are %d processes, each a head, but %d heads in all", c.Processes, c.Scheduler.Instances)
 	} else if c.Processes > 1 {
-		if err := c.Part(0).Admit.Check(); err != nil {
+		if err := c.ForWorker(0).Admission.Check(); err != nil {
 			p.fault(p.seen["processes"], "the part of one of %d processes: %v", c.Processes, err)
 		}
 	}
@@ -246,8 +246,8 @@
 		if v.Hosts < c.Processes {
 			p.fault(p.seen["volume "+v.Name], "volume %s comes through %d heads, but the processes here are %d: its limit would count too often", v.Name, v.Hosts, c.Processes)
 		}
-		if v.Hosts > c.Logic.Heads {
-			p.fault(p.seen["volume "+v.Name], "volume %s comes through %d heads, but there are %d", v.Name, v.Hosts, c.Logic.Heads)
+		if v.Hosts > c.Scheduler.Instances {
+			p.fault(p.seen["volume "+v.Name], "volume %s comes through %d heads, but there are %d", v.Name, v.Hosts, c.Scheduler.Instances)
 		}
 	}
 }
@@ -278,14 +278,14 @@
 	},
 	"traces": func(p *parser, _ int, a *Args) { p.c.Traces = p.path(a) },
 	"seed":   func(p *parser, _ int, a *Args) { p.c.Seed = uint64(a.Int("seed", 1, 1<<40)) },
-	"heads":  func(p *parser, _ int, a *Args) { p.c.Logic.Heads = a.Int("number", 1, 100000) },
+	"heads":  func(p *parser, _ int, a *Args) { p.c.Scheduler.Instances = a.Int("number", 1, 100000) },
 	"class":  (*parser).class,
 	"plan":   (*parser).plan,
 	"volume": (*parser).volume,
 	"route":  (*parser).route,
 	"cold":   (*parser).cold,
 	"budget": func(p *parser, _ int, a *Args) {
-		s := &p.c.Logic
+		s := &p.c.Scheduler
 		s.Budget = true
 		pairs(a, map[string]func(string){
 			"free":  func(k string) { s.BudgetFree = a.Float(k) },
@@ -293,15 +293,15 @@
 			"over":  func(k string) { s.BudgetOver = a.Duration(k, time.Millisecond) },
 		}, "over")
 	},
-	"attempts":    func(p *parser, _ int, a *Args) { p.c.Logic.MaxAttempts = a.Int("number", 1, 100) },
-	"retry-after": func(p *parser, _ int, a *Args) { p.c.Logic.MaxRetryAfter = a.Duration("time", time.Second) },
-	"order-rest":  func(p *parser, _ int, a *Args) { p.c.Logic.OrderRest = a.Duration("time", 0) },
-	"share-worth": func(p *parser, _ int, a *Args) { p.c.Logic.ShareWorth = a.Share("share") },
+	"attempts":    func(p *parser, _ int, a *Args) { p.c.Scheduler.MaxAttempts = a.Int("number", 1, 100) },
+	"retry-after": func(p *parser, _ int, a *Args) { p.c.Scheduler.MaxRetryAfter = a.Duration("time", time.Second) },
+	"order-rest":  func(p *parser, _ int, a *Args) { p.c.Scheduler.KeyCooldown = a.Duration("time", 0) },
+	"share-worth": func(p *parser, _ int, a *Args) { p.c.Scheduler.ExcessWeight = a.Share("share") },
 	"units": func(p *parser, _ int, a *Args) {
 		pairs(a, map[string]func(string){
 			"bytes": func(k string) { p.c.Unit = a.Bytes(k, 1) },
-			"mean":  func(k string) { p.c.Logic.MeanUnits = a.Float(k) },
-			"most":  func(k string) { p.c.Logic.MostUnits = a.Float(k) },
+			"mean":  func(k string) { p.c.Scheduler.MeanUnits = a.Float(k) },
+			"most":  func(k string) { p.c.Scheduler.MaxUnits = a.Float(k) },
 		}, "bytes")
 	},
 	"body": func(p *parser, _ int, a *Args) {
@@ -325,7 +325,7 @@
 	"sizes":       func(p *parser, _ int, a *Args) { p.c.Sizes = a.Int("entries", 1, 1<<24) },
 	"processes":   func(p *parser, _ int, a *Args) { p.c.Processes = a.Int("number", 1, 256) },
 	"requests":    func(p *parser, _ int, a *Args) { p.c.Requests = a.Int("number", 1, 1<<30) },
-	"buffers":     func(p *parser, _ int, a *Args) { p.c.Admit.Buffers = a.Bytes("size", 1) },
+	"buffers":     func(p *parser, _ int, a *Args) { p.c.Admission.Buffers = a.Bytes("size", 1) },
 	"pace": func(p *parser, _ int, a *Args) {
 		pairs(a, map[string]func(string){
 			"body":   func(k string) { p.c.BodyPace = a.Bytes(k, 0) },
@@ -346,11 +346,11 @@
 				return
 			}
 			p.seen["known"] = line
-			p.c.Admit.Known = append(p.c.Admit.Known, pre)
+			p.c.Admission.Known = append(p.c.Admission.Known, pre)
 		}
 	},
 	"admit": func(p *parser, _ int, a *Args) {
-		m := &p.c.Admit
+		m := &p.c.Admission
 		count := func(n *int, most int) func(string) { return func(k string) { *n = a.Int(k, 1, most) } }
 		pairs(a, map[string]func(string){
 			"address":       count(&m.Address, 1<<20),
@@ -437,41 +437,41 @@
 
 func (p *parser) class(line int, a *Args) {
 	n, ok := p.name(line, a, "class")
-	c := scheduler.Class{Name: n, Worth: 1}
+	c := scheduler.Class{Name: n, PriorityWeight: 1}
 	var deadline time.Duration
 	pairs(a, map[string]func(string){
 		"effect":   func(k string) { c.Effect = scheduler.Effect(a.OneOf(k, "safe", "keyed", "unsafe")) },
-		"group":    func(k string) { c.Group = scheduler.Group(a.OneOf(k, "all", "zone", "cell")) },
-		"window":   func(k string) { c.Window = a.Duration(k, 0) },
-		"aim":      func(k string) { c.Aim = a.Duration(k, time.Millisecond) },
+		"group":    func(k string) { c.DeduplicationScope = scheduler.DeduplicationScope(a.OneOf(k, "all", "zone", "cell")) },
+		"window":   func(k string) { c.DeduplicationWindow = a.Duration(k, 0) },
+		"aim":      func(k string) { c.LatencyObjective = a.Duration(k, time.Millisecond) },
 		"deadline": func(k string) { deadline = a.Duration(k, time.Millisecond) },
-		"worth":    func(k string) { c.Worth = a.Float(k) },
-		"late":     func(k string) { c.LateWorth = a.Share(k) },
-		"ordered":  func(k string) { c.InOrder = a.OneOf(k, "no", "yes") == 1 },
+		"worth":    func(k string) { c.PriorityWeight = a.Float(k) },
+		"late":     func(k string) { c.LateWeightFactor = a.Share(k) },
+		"ordered":  func(k string) { c.Ordered = a.OneOf(k, "no", "yes") == 1 },
 	}, "effect", "aim", "deadline")
 	switch {
 	case a.err != nil || !ok:
 		return
-	case deadline < c.Aim:
-		a.Fault("the deadline %v is before the aim %v", deadline, c.Aim)
-	case c.Effect == scheduler.Keyed && c.Window == 0:
+	case deadline < c.LatencyObjective:
+		a.Fault("the deadline %v is before the aim %v", deadline, c.LatencyObjective)
+	case c.Effect == scheduler.Idempotent && c.DeduplicationWindow == 0:
 		a.Fault("a keyed class needs a window: how long its nodes drop repeats")
-	case c.Effect != scheduler.Keyed && c.Window > 0:
+	case c.Effect != scheduler.Idempotent && c.DeduplicationWindow > 0:
 		a.Fault("only a keyed class has a window")
 	}
-	p.classes[n] = len(p.c.Logic.Classes)
-	p.c.Logic.Classes = append(p.c.Logic.Classes, c)
+	p.classes[n] = len(p.c.Scheduler.Classes)
+	p.c.Scheduler.Classes = append(p.c.Scheduler.Classes, c)
 	p.c.Deadlines = append(p.c.Deadlines, deadline)
 }
 
 func (p *parser) plan(line int, a *Args) {
 	n, ok := p.name(line, a, "plan")
-	pl := scheduler.Plan{Name: n, Weight: 1, Price: 1}
+	pl := scheduler.Plan{Name: n, Weight: 1, PriorityFactor: 1}
 	pairs(a, map[string]func(string){
 		"rate":    func(k string) { pl.Rate = a.Float(k) },
 		"reserve": func(k string) { pl.Reserve = a.Float(k) },
 		"weight":  func(k string) { pl.Weight = a.Float(k) },
-		"price":   func(k string) { pl.Price = a.Float(k) },
+		"price":   func(k string) { pl.PriorityFactor = a.Float(k) },
 		"limit":   func(k string) { pl.Limit = a.Float(k) },
 		"burst":   func(k string) { pl.LimitBurst = a.Float(k) },
 	}, "rate")
@@ -485,8 +485,8 @@
 	case pl.Weight == 0:
 		a.Fault("weight is 0: the plan would never be served")
 	}
-	p.plans[n] = len(p.c.Logic.Plans)
-	p.c.Logic.Plans = append(p.c.Logic.Plans, pl)
+	p.plans[n] = len(p.c.Scheduler.Plans)
+	p.c.Scheduler.Plans = append(p.c.Scheduler.Plans, pl)
 }
 
 func (p *parser) volume(line int, a *Args) {
@@ -538,15 +538,15 @@
 }
 
 func (p *parser) cold(_ int, a *Args) {
-	s := &p.c.Logic
+	s := &p.c.Scheduler
 	pairs(a, map[string]func(string){
-		"for":      func(k string) { s.Cold = a.Duration(k, 0) },
-		"from":     func(k string) { s.ColdFrom = a.Share(k) },
-		"units":    func(k string) { s.ColdUnits = a.Float(k) },
-		"window":   func(k string) { s.FallWindow = a.Duration(k, time.Millisecond) },
-		"multiple": func(k string) { s.FallMultiple = a.Float(k) },
+		"for":      func(k string) { s.WarmupDuration = a.Duration(k, 0) },
+		"from":     func(k string) { s.SlowStartInitialFraction = a.Share(k) },
+		"units":    func(k string) { s.SlowStartMinUnits = a.Float(k) },
+		"window":   func(k string) { s.OverloadWindow = a.Duration(k, time.Millisecond) },
+		"multiple": func(k string) { s.OverloadFactor = a.Float(k) },
 	}, "for", "from", "units", "window", "multiple")
-	if a.err == nil && s.FallMultiple < 1 {
-		a.Fault("multiple is %v: a node bears at least what it can do", s.FallMultiple)
+	if a.err == nil && s.OverloadFactor < 1 {
+		a.Fault("multiple is %v: a node bears at least what it can do", s.OverloadFactor)
 	}
 }
--- a/internal/config/conf_test.go
+++ b/internal/config/config_test.go
@@ -28,7 +28,7 @@
 		t.Fatal(err)
 	}
 	if c.Nodes != "/etc/nodes.list" || len(c.Volumes[0].Shards) != 4 || c.Unit != 64<<10 || c.Deadlines[1] != 2*time.Second ||
-		c.Routes[0].Class != 1 || !c.Logic.Budget {
+		c.Routes[0].Class != 1 || !c.Scheduler.Budget {
 		t.Errorf("%+v", c)
 	}
 }
@@ -77,7 +77,7 @@
 		{"# a head", "\x00", "m.conf:1: holds a control character"},
 	} {
 		_, err := Parse("m.conf", []byte(strings.Replace(good, c.from, c.to, 1)))
-		var m *Mistake
+		var m *Error
 		if err == nil || !strings.Contains(err.Error(), c.want) || !errors.As(err, &m) {
 			t.Errorf("%s -> %s: got %v, want %s", c.from, c.to, err, c.want)
 		}
--- a/internal/config/lines.go
+++ b/internal/config/lines.go
@@ -15,14 +15,14 @@
 // MaxFile bounds a file in bytes.
 const MaxFile = 1 << 20
 
-// Mistake is a fault of one line.
-type Mistake struct {
+// Error is a fault of one line.
+type Error struct {
 	File   string
 	Line   int // 0: of the file as a whole
 	Reason string
 }
 
-func (m *Mistake) Error() string {
+func (m *Error) Error() string {
 	if m.Line == 0 {
 		return fmt.Sprintf("%s: %s", m.File, m.Reason)
 	}
@@ -38,7 +38,7 @@
 // Lines splits a file of the line-based form into its directives.
 func Lines(file string, data []byte) ([]Line, error) {
 	if len(data) > MaxFile {
-		return nil, &Mistake{file, 0, fmt.Sprintf("%d bytes, at most %d are read", len(data), MaxFile)}
+		return nil, &Error{file, 0, fmt.Sprintf("%d bytes, at most %d are read", len(data), MaxFile)}
 	}
 	var out []Line
 	var errs []error
@@ -47,7 +47,7 @@
 			text = text[:j]
 		}
 		if strings.ContainsFunc(text, func(r rune) bool { return r < ' ' && r != '\t' && r != '\r' || r == 0xfffd }) {
-			errs = append(errs, &Mistake{file, i + 1, "holds a control character or is not UTF-8"})
+			errs = append(errs, &Error{file, i + 1, "holds a control character or is not UTF-8"})
 			continue
 		}
 		if words := strings.Fields(text); len(words) > 0 {
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -31,7 +31,7 @@
 	c           *config.Config
 	log         *slog.Logger
 	loop        *eventloop.Loop
-	head        *gateway.Head
+	head        *gateway.Gateway
 	addrs       []string
 	obs         *observer
 	stop        atomic.Bool
@@ -63,13 +63,13 @@
 // Guards against a notice that was lost or never comes, as on some file systems.
 const pollNodes = 5 * time.Second
 
-// CoreOf makes what decides in the module's place.
-type CoreOf func(s scheduler.Settings, seed uint64, now scheduler.Time) (gateway.Core, error)
+// SchedulerFactory makes what decides in the module's place.
+type SchedulerFactory func(s scheduler.Settings, seed uint64, now scheduler.Time) (gateway.Scheduler, error)
 
 // Worker says that a daemon is one of several processes that share listeners.
 type Worker struct {
 	Index  int
-	Queues []eventloop.Queue
+	Queues []eventloop.ListenQueue
 	Beat   *os.File // written to while the loop turns; when its other end is gone, so is the head
 }
 
@@ -78,7 +78,7 @@
 	if w == nil {
 		return c
 	}
-	return c.Part(w.Index)
+	return c.ForWorker(w.Index)
 }
 
 // New opens listeners and reads the node list; nothing is served before Run.
@@ -86,7 +86,7 @@
 
 // NewWith is New as a worker, nil for a head by itself, and with a core in the
 // module's place, for comparisons and tests.
-func NewWith(w *Worker, core CoreOf, c *config.Config, log *slog.Logger) (*Daemon, error) {
+func NewWith(w *Worker, core SchedulerFactory, c *config.Config, log *slog.Logger) (*Daemon, error) {
 	c = w.part(c)
 	data, err := os.ReadFile(c.Nodes)
 	if err != nil {
@@ -98,12 +98,12 @@
 	}
 	// Beyond the clients admitted: those being turned away for as long as they are
 	// listened to, and room to see that a known one has come.
-	most, told := c.Clients+64, c.Admit.AnswerBurst+2*int(c.Admit.AnswerRate)
+	most, told := c.Clients+64, c.Admission.AnswerBurst+2*int(c.Admission.AnswerRate)
 	if limit, few := tooFew(most + told + keptDescriptors); few {
-		return nil, &config.Mistake{File: c.File, Reason: fmt.Sprintf("clients %d, with refusals and %d descriptors kept for nodes and files, needs %d descriptors; the limit is %d",
+		return nil, &config.Error{File: c.File, Reason: fmt.Sprintf("clients %d, with refusals and %d descriptors kept for nodes and files, needs %d descriptors; the limit is %d",
 			c.Clients, keptDescriptors, most+told+keptDescriptors, limit)}
 	}
-	l, err := eventloop.NewOn(calls(c), most, told)
+	l, err := eventloop.NewWithCalls(calls(c), most, told)
 	if err != nil {
 		return nil, err
 	}
@@ -121,7 +121,7 @@
 	return d, nil
 }
 
-func (d *Daemon) open(core CoreOf, nodes []nodelist.Node) (err error) {
+func (d *Daemon) open(core SchedulerFactory, nodes []nodelist.Node) (err error) {
 	c := d.c
 	seed := c.Seed
 	if seed == 0 {
@@ -130,8 +130,8 @@
 	if err := d.makeHead(core, seed); err != nil {
 		return err
 	}
-	d.loop.Watched = d.reread
-	d.head.Nodes(d.loop.Now(), nodes)
+	d.loop.OnFileChange = d.reread
+	d.head.SetNodes(d.loop.Now(), nodes)
 	if err := d.loop.Watch(c.Nodes); err != nil {
 		return err
 	}
@@ -142,7 +142,7 @@
 	}
 	if d.worker != nil {
 		for _, q := range d.worker.Queues {
-			addr, err := d.loop.Adopt(q)
+			addr, err := d.loop.AdoptQueue(q)
 			if err != nil {
 				return err
 			}
@@ -156,22 +156,22 @@
 }
 
 // makeHead puts a head on the loop.
-func (d *Daemon) makeHead(core CoreOf, seed uint64) (err error) {
+func (d *Daemon) makeHead(core SchedulerFactory, seed uint64) (err error) {
 	if d.obs, err = newObserver(d.c, d.log, d.loop.Start()); err != nil {
 		return err
 	}
 	if core == nil {
-		core = func(s scheduler.Settings, seed uint64, now scheduler.Time) (gateway.Core, error) {
+		core = func(s scheduler.Settings, seed uint64, now scheduler.Time) (gateway.Scheduler, error) {
 			return scheduler.New(s, seed, now)
 		}
 	}
-	decides, err := core(d.c.Logic, seed, d.loop.Now())
+	decides, err := core(d.c.Scheduler, seed, d.loop.Now())
 	if err != nil {
 		return err
 	}
-	d.head = gateway.NewWith(decides, d.c, seed, d.loop.Now(), d.loop.Start(), d.obs)
-	d.loop.Head, d.loop.Woken = d.head, d.woken
-	d.loop.Turned = func(t *eventloop.Turn) { d.turns.took(d.loop.Now(), t) }
+	d.head = gateway.NewWithScheduler(decides, d.c, seed, d.loop.Now(), d.loop.Start(), d.obs)
+	d.loop.Gateway, d.loop.OnWake = d.head, d.woken
+	d.loop.OnIteration = func(t *eventloop.Iteration) { d.turns.took(d.loop.Now(), t) }
 	return nil
 }
 
@@ -197,10 +197,10 @@
 // calls are the system calls of a head: those of the system, or with failures for tests and
 // rehearsals.
 func calls(c *config.Config) syscalls.Calls {
-	if c.Inject == nil {
+	if c.SyscallFaults == nil {
 		return syscalls.Linux{}
 	}
-	return syscalls.NewFaulty(syscalls.Linux{}, *c.Inject)
+	return syscalls.NewFaulty(syscalls.Linux{}, *c.SyscallFaults)
 }
 
 // Addrs are the addresses listened on.
@@ -238,7 +238,7 @@
 		return
 	}
 	d.log.Info("node list", "nodes", len(nodes))
-	d.head.Nodes(d.loop.Now(), nodes)
+	d.head.SetNodes(d.loop.Now(), nodes)
 }
 
 func (d *Daemon) woken() {
@@ -260,14 +260,14 @@
 		d.stopped = time.Now()
 		if d.c.StopAfter > 0 { // clients go on coming until they know
 			d.log.Info("leaving", "under_way", d.head.Counts().Clients)
-			d.head.Leave(d.loop.Now())
+			d.head.Drain(d.loop.Now())
 			time.AfterFunc(d.c.StopAfter+time.Millisecond, d.loop.Wake)
 		}
 	}
 	if d.leaving > 0 && d.ending == 0 && d.loop.Now() >= d.leaving {
 		d.ending = d.loop.Now() + d.c.StopTime
 		d.closeListeners()
-		d.head.Stop(d.loop.Now())
+		d.head.Shutdown(d.loop.Now())
 		d.log.Info("stopping", "under_way", d.head.Counts().Clients)
 		time.AfterFunc(d.c.StopTime, d.loop.Wake)
 	}
@@ -281,14 +281,14 @@
 func (d *Daemon) closeListeners() {
 	now := d.loop.Now()
 	if d.closeFrom == 0 {
-		d.loop.StopNewcomers()
+		d.loop.DropNewConnections()
 		d.closeFrom = now + handshakeTime
 		time.AfterFunc(handshakeTime+time.Millisecond, d.loop.Wake)
 	}
 	if d.closed || now < d.closeFrom {
 		return
 	}
-	if d.closed = d.loop.AcceptAll(); d.closed {
+	if d.closed = d.loop.DrainListenQueues(); d.closed {
 		d.loop.CloseListeners()
 	}
 }
@@ -312,7 +312,7 @@
 	if err := d.head.Reload(c); err != nil {
 		return err
 	}
-	if err := d.loop.Sort(sorter(c)); err != nil { // what is decided does not hang on it
+	if err := d.loop.SetFilter(sorter(c)); err != nil { // what is decided does not hang on it
 		d.log.Warn("known clients are not sorted anew", "cause", err)
 	}
 	d.c = c
@@ -352,9 +352,9 @@
 		return err
 	}
 	n := d.head.Counts()
-	d.log.Info("stopped", "taken", n.Taken, "served", n.Served, "refused", n.Refused, "failed", n.Failed, "left", n.Left,
-		"attempts", n.Attempts, "turned", sum(n.Turned[:]), "preempted", n.Preempted, "bad", n.Bad, "own", n.Own,
-		"withheld", sum(n.Guard.Withheld[:]), "invariants_broken", sum(n.Guard.Broken[:]), "took", time.Since(d.stopped))
+	d.log.Info("stopped", "taken", n.Received, "served", n.Served, "refused", n.Rejected, "failed", n.Failed, "left", n.Disconnected,
+		"attempts", n.Attempts, "turned", sum(n.ConnectionsRejected[:]), "preempted", n.Preempted, "bad", n.Malformed, "own", n.Local,
+		"withheld", sum(n.Invariants.Withheld[:]), "invariants_broken", sum(n.Invariants.Broken[:]), "took", time.Since(d.stopped))
 	if d.cut > 0 {
 		return fmt.Errorf("%d requests were cut off after the stop time of %v", d.cut, d.c.StopTime)
 	}
@@ -381,11 +381,11 @@
 	case now < d.ending:
 		return false
 	}
-	d.head.Under(func(id, method, path string, age time.Duration) {
+	d.head.EachPendingRequest(func(id, method, path string, age time.Duration) {
 		d.cut++
 		d.log.Error("cut off at the stop", "request", id, "method", method, "path", path, "age", age)
 	})
-	d.head.Cut(now)
+	d.head.AbortRemaining(now)
 	d.over = now + cutTime
 	time.AfterFunc(cutTime+time.Millisecond, d.loop.Wake)
 	d.loop.Wake() // the answers are written in the next turn
@@ -426,7 +426,7 @@
 	for _, v := range c.Volumes {
 		for _, s := range v.Shards {
 			if !have[s] {
-				errs = append(errs, &config.Mistake{File: c.Nodes, Reason: fmt.Sprintf("no node has shard %d of volume %s", s, v.Name)})
+				errs = append(errs, &config.Error{File: c.Nodes, Reason: fmt.Sprintf("no node has shard %d of volume %s", s, v.Name)})
 			}
 		}
 	}
@@ -452,4 +452,6 @@
 }
 
 // sorter is the program that lets known clients wait in a queue of their own.
-func sorter(c *config.Config) []bpf.RawInstruction { return c.Admit.Sorter(admission.NetworkHeader) }
+func sorter(c *config.Config) []bpf.RawInstruction {
+	return c.Admission.KnownClientFilter(admission.NetworkHeader)
+}
--- a/internal/daemon/turns.go
+++ b/internal/daemon/iterations.go
@@ -23,7 +23,7 @@
 type turns struct {
 	log     *slog.Logger
 	seconds prometheus.Histogram
-	longest [2][eventloop.Parts + 1]time.Duration // of this minute and the last; the last place is the whole turn's
+	longest [2][eventloop.PhaseCount + 1]time.Duration // of this minute and the last; the last place is the whole turn's
 	began   time.Duration
 	lines   *rate.Limiter
 	untold  int
@@ -36,15 +36,15 @@
 }
 
 // took is told of each turn.
-func (t *turns) took(now time.Duration, turn *eventloop.Turn) {
+func (t *turns) took(now time.Duration, turn *eventloop.Iteration) {
 	if now >= t.began+turnWindow {
-		t.longest[1], t.longest[0], t.began = t.longest[0], [eventloop.Parts + 1]time.Duration{}, now
+		t.longest[1], t.longest[0], t.began = t.longest[0], [eventloop.PhaseCount + 1]time.Duration{}, now
 	}
 	sum := turn.Sum()
 	t.seconds.Observe(sum.Seconds())
 	most := &t.longest[0]
-	most[eventloop.Parts] = max(most[eventloop.Parts], sum)
-	for p, d := range turn.Took {
+	most[eventloop.PhaseCount] = max(most[eventloop.PhaseCount], sum)
+	for p, d := range turn.Durations {
 		most[p] = max(most[p], d)
 	}
 	if sum < turnLong {
@@ -55,9 +55,9 @@
 		return
 	}
 	attrs := []slog.Attr{slog.Duration("took", sum), slog.Int("events", turn.Events), slog.Int("others_not_logged", t.untold)}
-	for p, d := range turn.Took {
+	for p, d := range turn.Durations {
 		if d >= time.Millisecond {
-			attrs = append(attrs, slog.Duration(eventloop.Part(p).String(), d))
+			attrs = append(attrs, slog.Duration(eventloop.Phase(p).String(), d))
 		}
 	}
 	t.log.LogAttrs(context.Background(), slog.LevelWarn, "a long turn of the loop", attrs...)
@@ -65,7 +65,7 @@
 }
 
 // most is the longest of this minute and the last, by part.
-func (t *turns) most() (most [eventloop.Parts + 1]time.Duration) {
+func (t *turns) most() (most [eventloop.PhaseCount + 1]time.Duration) {
 	for p := range most {
 		most[p] = max(t.longest[0][p], t.longest[1][p])
 	}
--- a/internal/daemon/metrics.go
+++ b/internal/daemon/metrics.go
@@ -27,7 +27,7 @@
 // published is what other goroutines may read of a head.
 type published struct {
 	gateway.Counts
-	longest [eventloop.Parts + 1]time.Duration
+	longest [eventloop.PhaseCount + 1]time.Duration
 }
 
 func sum(list []uint64) (n uint64) {
@@ -88,29 +88,29 @@
 	}
 	for p, took := range c.longest {
 		name := "whole"
-		if p < int(eventloop.Parts) {
-			name = eventloop.Part(p).String()
+		if p < int(eventloop.PhaseCount) {
+			name = eventloop.Phase(p).String()
 		}
 		ch <- prometheus.MustNewConstMetric(turnDesc, prometheus.GaugeValue, took.Seconds(), name)
 	}
-	for o, n := range map[gateway.Outcome]uint64{gateway.Served: c.Served, gateway.Refused: c.Refused, gateway.Failed: c.Failed, gateway.Left: c.Left} {
+	for o, n := range map[gateway.Outcome]uint64{gateway.Served: c.Served, gateway.Rejected: c.Rejected, gateway.Failed: c.Failed, gateway.ClientDisconnected: c.Disconnected} {
 		count(requestsDesc, n, o.String())
 	}
 	count(attemptsDesc, c.Attempts)
-	count(badDesc, c.Bad)
+	count(badDesc, c.Malformed)
 	count(preemptedDesc, c.Preempted)
-	for r := admission.None + 1; r < admission.Reasons; r++ {
-		count(turnedDesc, c.Turned[r], r.String())
+	for r := admission.None + 1; r < admission.ReasonCount; r++ {
+		count(turnedDesc, c.ConnectionsRejected[r], r.String())
 	}
-	for r := invariant.None + 1; r < invariant.Rules; r++ {
-		count(withheldDesc, c.Guard.Withheld[r], r.String())
-		count(brokenDesc, c.Guard.Broken[r], r.String())
+	for r := invariant.None + 1; r < invariant.RuleCount; r++ {
+		count(withheldDesc, c.Invariants.Withheld[r], r.String())
+		count(brokenDesc, c.Invariants.Broken[r], r.String())
 	}
 	gauge(connsDesc, c.Clients, "client")
 	gauge(connsDesc, c.Admitted.Known, "known")
 	gauge(connsDesc, c.NodeConns, "node")
-	ch <- prometheus.MustNewConstMetric(lagDesc, prometheus.GaugeValue, c.Lag.Seconds())
-	gauge(heldDesc, int(c.Held))
+	ch <- prometheus.MustNewConstMetric(lagDesc, prometheus.GaugeValue, c.Stall.Seconds())
+	gauge(heldDesc, int(c.BufferedBytes))
 	gauge(tableDesc, c.Admitted.Addresses, "addresses")
 	gauge(tableDesc, c.Admitted.Prefixes, "prefixes")
 	gauge(tableDesc, c.Admitted.Learned, "learned")
--- a/internal/daemon/observer.go
+++ b/internal/daemon/observer.go
@@ -122,8 +122,8 @@
 // a flood must not be one of the log too.
 const turnLines = 5
 
-// Turned logs a connection that was not admitted, or counts it for the next line.
-func (o *observer) Turned(client netip.AddrPort, why admission.Reason, told bool) {
+// ConnectionRejected logs a connection that was not admitted, or counts it for the next line.
+func (o *observer) ConnectionRejected(client netip.AddrPort, why admission.Reason, told bool) {
 	if !o.turns.Allow() {
 		o.untold++
 		return
@@ -136,27 +136,27 @@
 // membersNamed is how many nodes a line about a change of the list names.
 const membersNamed = 8
 
-var stateNames = map[scheduler.NodeState]string{scheduler.Serving: "serving", scheduler.Draining: "draining", scheduler.Gone: "gone"}
+var stateNames = map[scheduler.NodeState]string{scheduler.Serving: "serving", scheduler.Draining: "draining", scheduler.Removed: "gone"}
 
-// Members logs what changed of the node list: how many nodes by their new state, and the
+// MembersChanged logs what changed of the node list: how many nodes by their new state, and the
 // first of them by name.
-func (o *observer) Members(changes []membership.Change) {
+func (o *observer) MembersChanged(changes []membership.Change) {
 	counts := map[scheduler.NodeState]int{}
 	var named []string
 	for i := range changes {
-		e := &changes[i].Entry
+		e := &changes[i].Endpoint
 		counts[e.State]++
 		if len(named) < membersNamed {
 			named = append(named, e.Node+" "+stateNames[e.State])
 		}
 	}
 	o.log.LogAttrs(context.Background(), slog.LevelInfo, "members changed", slog.Int("serving", counts[scheduler.Serving]),
-		slog.Int("draining", counts[scheduler.Draining]), slog.Int("gone", counts[scheduler.Gone]), slog.Any("first", named))
+		slog.Int("draining", counts[scheduler.Draining]), slog.Int("gone", counts[scheduler.Removed]), slog.Any("first", named))
 }
 
-// Violation logs an invariant that was broken, or an attempt that was not begun for it, or
+// InvariantViolated logs an invariant that was broken, or an attempt that was not begun for it, or
 // counts it for the next line.
-func (o *observer) Violation(v invariant.Violation) {
+func (o *observer) InvariantViolated(v invariant.Violation) {
 	if !o.violations.Allow() {
 		o.unlogged++
 		return
@@ -171,17 +171,17 @@
 	o.unlogged = 0
 }
 
-var outcomes = map[scheduler.Outcome]string{scheduler.OK: "ok", scheduler.Failed: "failed", scheduler.Full: "full", scheduler.TimedOut: "timed out",
-	scheduler.ConnectFailed: "no connection", scheduler.Reset: "reset", scheduler.Cancelled: "cancelled", scheduler.Moot: "not sent"}
+var outcomes = map[scheduler.Outcome]string{scheduler.OK: "ok", scheduler.Failed: "failed", scheduler.QueueFull: "full", scheduler.TimedOut: "timed out",
+	scheduler.ConnectFailed: "no connection", scheduler.Reset: "reset", scheduler.Cancelled: "cancelled", scheduler.Superseded: "not sent"}
 
 // Attempt logs an attempt that did not bring an answer, and every one's span.
 func (o *observer) Attempt(s *gateway.Span) {
 	failed := ""
-	if s.Ended != scheduler.OK {
-		failed = outcomes[s.Ended]
+	if s.AttemptOutcome != scheduler.OK {
+		failed = outcomes[s.AttemptOutcome]
 	}
 	o.span(s, trace.SpanKindClient, "attempt", failed, attribute.String("maddergap.node", s.Node), attribute.Int("maddergap.attempt", s.Attempt))
-	if o.quiet || s.Ended == scheduler.OK {
+	if o.quiet || s.AttemptOutcome == scheduler.OK {
 		return
 	}
 	o.log.LogAttrs(context.Background(), slog.LevelWarn, "attempt", slog.String("request", s.Request),
--- a/internal/daemon/platform.go
+++ b/internal/daemon/platform.go
@@ -37,11 +37,11 @@
 // NewPlatform opens a head in service on the platform: its clients' protocol, its
 // nodes' and its node list. load reads the configuration again; beliefs is how often what
 // the module holds is compared with the sockets in the log, 0 for never.
-func NewPlatform(c *platform.Config, core CoreOf, beliefs time.Duration, load func() (*platform.Config, error), log *slog.Logger) (*Daemon, error) {
+func NewPlatform(c *platform.Config, core SchedulerFactory, beliefs time.Duration, load func() (*platform.Config, error), log *slog.Logger) (*Daemon, error) {
 	if limit, few := tooFew(c.Bounds.Descriptors()); few {
 		return nil, fmt.Errorf("%s: the bounds need %d descriptors, the limit is %d", c.Conf.File, c.Bounds.Descriptors(), limit)
 	}
-	l, err := eventloop.NewOn(calls(c.Conf), c.Bounds.Accepted(), c.Bounds.Told)
+	l, err := eventloop.NewWithCalls(calls(c.Conf), c.Bounds.Accepted(), c.Bounds.Told)
 	if err != nil {
 		return nil, err
 	}
@@ -53,13 +53,13 @@
 	return d, nil
 }
 
-func (d *Daemon) openPlatform(core CoreOf) error {
+func (d *Daemon) openPlatform(core SchedulerFactory) error {
 	c, s := d.c, d.service
 	if err := d.makeHead(core, c.Seed); err != nil {
 		return err
 	}
 	s.began = d.loop.Now()
-	s.feed = discovery.New(s.c.Discovery, s.c.Site.Zones, c.Logic.AskDiscovery, c.Seed)
+	s.feed = discovery.New(s.c.Discovery, s.c.Site.Zones, c.Scheduler.PollDiscovery, c.Seed)
 	p := s.c.Protocol()
 	if s.c.Known != nil {
 		nodes, err := s.feed.Nodes(s.c.Known)
@@ -67,14 +67,14 @@
 			d.log.Warn("the list of the configuration is not used", "cause", err)
 		}
 		if err == nil {
-			s.feed.Resume(*s.c.Known.Index, nodes)
+			s.feed.ResumeFrom(*s.c.Known.Index, nodes)
 		}
 		s.known, s.knownFrom = nodes, d.loop.Now()+knownAfter
 		time.AfterFunc(knownAfter+time.Millisecond, d.loop.Wake)
 	}
-	p.Ready = func() bool { return s.feed.Told() || s.serves }
-	d.head.Speak(p)
-	d.head.Follow(s.feed)
+	p.Ready = func() bool { return s.feed.Synced() || s.serves }
+	d.head.SetProtocol(p)
+	d.head.SetMembershipSource(s.feed)
 	return d.listen(nil)
 }
 
@@ -87,10 +87,10 @@
 	}
 	if c.Discovery != s.c.Discovery {
 		d.log.Info("discovery moves", "from", s.c.Discovery, "to", c.Discovery)
-		s.feed.Move(d.loop.Now(), c.Discovery)
+		s.feed.SetAddress(d.loop.Now(), c.Discovery)
 		s.c.Discovery = c.Discovery
 	}
-	if fmt.Sprint(c.Conf.Listen) != fmt.Sprint(d.c.Listen) || !reflect.DeepEqual(c.Conf.Logic, d.c.Logic) || c.Bounds != s.c.Bounds {
+	if fmt.Sprint(c.Conf.Listen) != fmt.Sprint(d.c.Listen) || !reflect.DeepEqual(c.Conf.Scheduler, d.c.Scheduler) || c.Bounds != s.c.Bounds {
 		return errors.New("discovery is followed where the file says; listen, settings and limits change with a restart only")
 	}
 	return nil
@@ -98,10 +98,10 @@
 
 // serve has the head go by the configuration's list where discovery told none in time.
 func (s *service) serve(d *Daemon) {
-	if s.feed.Told() {
+	if s.feed.Synced() {
 		s.known = nil
 	} else if len(s.known) > 0 && d.loop.Now() >= s.knownFrom {
-		d.head.Nodes(d.loop.Now(), s.known)
+		d.head.SetNodes(d.loop.Now(), s.known)
 		s.known, s.serves = nil, true
 	}
 }
@@ -156,14 +156,14 @@
 // two differ where attempts are written off, or where the head has told nothing yet.
 func (s *service) compare(d *Daemon) {
 	n := d.head.Counts()
-	d.log.Info("belief", "version", s.feed.Status().Version, "lists", s.feed.Status().Lists, "lag", n.Lag, "clients", n.Clients,
-		"node_connections", n.NodeConns, "taken", n.Taken, "served", n.Served, "refused", n.Refused, "failed", n.Failed, "left", n.Left)
+	d.log.Info("belief", "version", s.feed.Status().Version, "lists", s.feed.Status().Lists, "lag", n.Stall, "clients", n.Clients,
+		"node_connections", n.NodeConns, "taken", n.Received, "served", n.Served, "refused", n.Rejected, "failed", n.Failed, "left", n.Disconnected)
 	for i, v := range d.head.Status() {
 		if i == comparedMost {
 			break
 		}
-		d.log.Info("node", "node", v.Node, "state", int(v.State), "out", v.Out, "counted", v.Counted, "on_sockets", v.Sockets.Open, "unsent", v.Unsent,
-			"idle", v.Idle, "held", v.Held, "refusal", v.Refusal.String(), "window", math.Round(v.Window*100)/100, "answer", v.Answer, "pressure", math.Round(v.Pressure*100)/100,
-			"breaker", v.NodeStatus.Open, "cold", v.Cold, "differs", v.Out != v.Sockets.Open)
+		d.log.Info("node", "node", v.Node, "state", int(v.State), "out", v.InFlight, "counted", v.InWindow, "on_sockets", v.Sockets.Active, "unsent", v.Unsent,
+			"idle", v.Idle, "held", v.Queued, "refusal", v.WaitReason.String(), "window", math.Round(v.Window*100)/100, "answer", v.ExpectedLatency, "pressure", math.Round(v.Pressure*100)/100,
+			"breaker", v.NodeStatus.BreakerOpen, "cold", v.WarmingUp, "differs", v.InFlight != v.Sockets.Active)
 	}
 }
--- a/internal/discovery/bench_test.go
+++ b/internal/discovery/bench_test.go
@@ -21,7 +21,7 @@
 				c.Connected(start, op.Conn)
 				c.Step(start)
 				c.Data(start, op.Conn, []byte(text))
-				if news, ok := c.List(); !ok || len(news.Nodes) != size {
+				if news, ok := c.TakeUpdate(); !ok || len(news.Nodes) != size {
 					b.Fatal(c.Status().Fault)
 				}
 			}
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -44,7 +44,7 @@
 	behind  bool // a call was silent since, and what it had may be missing
 	// base is a list that is known from before, until the first answer; nil: none.
 	base   []nodelist.Node
-	news   membership.News
+	news   membership.Update
 	have   bool // news
 	status Status
 }
@@ -69,18 +69,18 @@
 	return &Client{addr: addr, pacing: p, rand: rand.New(rand.NewPCG(seed, 0x64697363)), zones: newZones(zones), pause: p.pauseMin}
 }
 
-// Resume has the first call ask for what changed since a list that is known from before, where
+// ResumeFrom has the first call ask for what changed since a list that is known from before, where
 // lists are asked for. Guards against a service that is asked for whole lists by a fleet that
 // starts, and falls behind what it is asked for then. It is called before the first Step.
-func (c *Client) Resume(index int64, nodes []nodelist.Node) {
+func (c *Client) ResumeFrom(index int64, nodes []nodelist.Node) {
 	if c.pacing.overlaps() || len(nodes) == 0 {
 		return // an agent answers at no cost
 	}
 	c.base, c.version, c.known, c.behind = nodes, index, true, true
 }
 
-// Move has the list asked for at another address, from the whole list on.
-func (c *Client) Move(now Time, addr string) {
+// SetAddress has the list asked for at another address, from the whole list on.
+func (c *Client) SetAddress(now Time, addr string) {
 	if addr == c.addr {
 		return
 	}
@@ -93,7 +93,7 @@
 }
 
 // Step tells what to do next, and when to ask again at the latest.
-func (c *Client) Step(now Time) (gateway.FeedOp, Time) {
+func (c *Client) Step(now Time) (gateway.SourceOp, Time) {
 	c.expire(now)
 	if len(c.calls) >= c.pacing.most && now >= c.next && c.mayCall(now) {
 		c.makeRoom()
@@ -101,17 +101,17 @@
 	if len(c.closing) > 0 {
 		conn := c.closing[0]
 		c.closing = c.closing[1:]
-		return gateway.FeedOp{Conn: conn, Close: true}, 0
+		return gateway.SourceOp{Conn: conn, Close: true}, 0
 	}
 	for _, k := range c.calls {
 		if k.state == connected && now >= k.notBefore {
-			return gateway.FeedOp{Conn: k.conn, Write: c.ask(k, now)}, 0
+			return gateway.SourceOp{Conn: k.conn, Write: c.ask(k, now)}, 0
 		}
 	}
 	if now >= c.next && c.mayCall(now) {
 		return c.dial(now), 0
 	}
-	return gateway.FeedOp{}, c.wakeAt(now)
+	return gateway.SourceOp{}, c.wakeAt(now)
 }
 
 // mayCall tells whether nothing that is under way stands for another call: where calls do
@@ -151,13 +151,13 @@
 	return max(at, now+1)
 }
 
-func (c *Client) dial(now Time) gateway.FeedOp {
+func (c *Client) dial(now Time) gateway.SourceOp {
 	c.lastID++
 	k := &call{conn: c.lastID, began: now, deadline: now + dialTimeout}
 	c.behind = c.behind || len(c.calls) > 0 // what is under way is late
 	c.calls = append(c.calls, k)
 	c.booked(now)
-	return gateway.FeedOp{Conn: k.conn, Dial: c.addr}
+	return gateway.SourceOp{Conn: k.conn, Dial: c.addr}
 }
 
 // booked sets when the call behind one that begins now is made.
@@ -366,15 +366,15 @@
 	return append(kept, changes...)
 }
 
-// List returns the news since the last call.
-func (c *Client) List() (news membership.News, ok bool) {
+// TakeUpdate returns the news since the last call.
+func (c *Client) TakeUpdate() (news membership.Update, ok bool) {
 	news, ok = c.news, c.have
-	c.news, c.have = membership.News{}, false
+	c.news, c.have = membership.Update{}, false
 	return news, ok
 }
 
-// Told tells whether a whole list was had.
-func (c *Client) Told() bool { return c.status.Lists > 0 }
+// Synced tells whether a whole list was had.
+func (c *Client) Synced() bool { return c.status.Lists > 0 }
 
 // Status tells what became of the calls so far.
 func (c *Client) Status() Status { return c.status }
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -19,7 +19,7 @@
 			t.Fatalf("asked %q first", r.asked)
 		}
 		r.answer(list(41, true, entry("a", "up"), entry("b", "draining")), n)
-		news, ok := r.c.List()
+		news, ok := r.c.TakeUpdate()
 		nodes, full := news.Nodes, news.Full
 		want := nodelist.Node{Name: "a", Addr: "10.0.0.9:1", Zone: 1, Shard: 2, Started: time.UnixMilli(1700000000123)}
 		if !ok || !full || len(nodes) != 2 || nodes[0] != want || nodes[1].State != scheduler.Draining {
@@ -29,11 +29,11 @@
 			t.Fatalf("asked %q next, and not at once", r.asked)
 		}
 		r.answer(list(43, false, entry("a", "removed")), n)
-		if news, ok = r.c.List(); !ok || news.Full || len(news.Nodes) != 1 || news.Nodes[0].State != scheduler.Gone {
+		if news, ok = r.c.TakeUpdate(); !ok || news.Full || len(news.Nodes) != 1 || news.Nodes[0].State != scheduler.Removed {
 			t.Fatalf("%v %+v", ok, news)
 		}
 		r.answer(list(43, false), n)
-		if _, ok = r.c.List(); ok || !strings.Contains(r.asked, "from=43") {
+		if _, ok = r.c.TakeUpdate(); ok || !strings.Contains(r.asked, "from=43") {
 			t.Fatalf("news of no change, or no further watch: %q", r.asked)
 		}
 	}
@@ -82,12 +82,12 @@
 	for _, c := range tests {
 		r := newRig(t)
 		r.answer(list(41, true, entry("a", "up")), 99)
-		r.c.List()
+		r.c.TakeUpdate()
 		for range 20 { // again and again
 			before, conn := len(r.dials), r.conn
 			c.spoil(r)
 			r.run()
-			if _, ok := r.c.List(); ok {
+			if _, ok := r.c.TakeUpdate(); ok {
 				t.Fatalf("%s: is news", c.name)
 			}
 			r.pass(2 * pushed.every)
@@ -101,7 +101,7 @@
 				t.Fatalf("%s: no fault is told", c.name)
 			}
 			r.answer(list(41, true, entry("a", "up")), 99)
-			r.c.List()
+			r.c.TakeUpdate()
 			if fault := r.c.Status().Fault; fault != nil || len(r.open) != 1 {
 				t.Fatalf("%s: %v is told after a good list, %d connections", c.name, fault, len(r.open))
 			}
@@ -112,7 +112,7 @@
 func TestUnknownWordsAreTakenCalmly(t *testing.T) {
 	r := newRig(t)
 	r.answer(list(1, true, entry("a", "resting"), strings.Replace(entry("b", "up"), "z1", "moon", 1)), 99)
-	news, ok := r.c.List()
+	news, ok := r.c.TakeUpdate()
 	nodes := news.Nodes
 	if !ok || nodes[0].State != scheduler.Draining || nodes[1].Zone != 2 {
 		t.Errorf("%v %+v", ok, nodes)
@@ -123,16 +123,16 @@
 func TestMove(t *testing.T) {
 	r := newRig(t)
 	r.answer(list(41, true, entry("a", "up")), 99)
-	r.c.Move(r.now, "10.0.0.1:1") // the same: nothing happens
+	r.c.SetAddress(r.now, "10.0.0.1:1") // the same: nothing happens
 	if r.run(); len(r.dials) != 1 {
 		t.Fatal("a move to where it is")
 	}
-	r.c.Move(r.now, "10.0.0.2:2")
+	r.c.SetAddress(r.now, "10.0.0.2:2")
 	if r.run(); len(r.dials) != 2 || r.dials[1] != "10.0.0.2:2" || r.closed != 1 || len(r.open) != 1 || r.asked != "GET /api/targets HTTP/1.1" {
 		t.Fatalf("%v, closed %d, asked %q", r.dials, r.closed, r.asked)
 	}
 	r.answer(list(2, true, entry("a", "up")), 99) // its versions are its own
-	if news, ok := r.c.List(); !ok || !news.Full {
+	if news, ok := r.c.TakeUpdate(); !ok || !news.Full {
 		t.Error("the new address is not followed")
 	}
 }
@@ -224,7 +224,7 @@
 			serve(r.conn, r.asked)
 			r.pass(Time(draw.IntN(500)) * time.Millisecond)
 			down = r.now
-			r.c.Move(r.now, "10.0.0.2:2")
+			r.c.SetAddress(r.now, "10.0.0.2:2")
 			r.run()
 		default:
 			r.onCall = serve
@@ -233,7 +233,7 @@
 			down = r.now
 		}
 		r.onCall = serve
-		r.c.List()
+		r.c.TakeUpdate()
 		calls := r.c.Status().Calls
 		length := Time(1+draw.IntN(10_000_000)) * time.Microsecond
 		r.pass(length)
@@ -247,7 +247,7 @@
 			}
 			r.now = max(r.next, r.now+time.Microsecond)
 			r.run()
-			_, had = r.c.List()
+			_, had = r.c.TakeUpdate()
 		}
 		worst = max(worst, r.now-back)
 		if r.most > pushed.most {
@@ -280,7 +280,7 @@
 					r.run()
 				}
 			}
-			if _, ok := r.c.List(); ok {
+			if _, ok := r.c.TakeUpdate(); ok {
 				lists++
 			}
 		}
@@ -320,7 +320,7 @@
 				r.data(conn, string(p[:k]))
 				p = p[k:]
 			}
-			news, ok := r.c.List()
+			news, ok := r.c.TakeUpdate()
 			told = append(told, fmt.Sprint(news, ok))
 			r.pass(10 * time.Second)
 			if !strings.HasPrefix(r.asked, "GET /api/targets") && len(r.dials) < 2 {
@@ -419,7 +419,7 @@
 			r.data(r.conn, p[:min(n, len(p))])
 		}
 		r.answer(list(41, true, entry("a", "up")), n)
-		if news, ok := r.c.List(); !news.Full || !ok || len(r.dials) != 1 {
+		if news, ok := r.c.TakeUpdate(); !news.Full || !ok || len(r.dials) != 1 {
 			t.Fatalf("no list behind 1xx: %v", r.c.Status().Fault)
 		}
 	}
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -20,15 +20,15 @@
 	maxName  = 256
 )
 
-// List is what discovery tells, in its form; a configuration holds one too.
-type List struct {
-	Index     *int64  `json:"index"`
-	Snapshot  bool    `json:"snapshot"`
-	Endpoints []Entry `json:"endpoints"`
+// EndpointList is what discovery tells, in its form; a configuration holds one too.
+type EndpointList struct {
+	Index     *int64     `json:"index"`
+	Snapshot  bool       `json:"snapshot"`
+	Endpoints []Endpoint `json:"endpoints"`
 }
 
-// Entry is a line of it.
-type Entry struct {
+// Endpoint is a line of it.
+type Endpoint struct {
 	Name    string  `json:"name"`
 	Address string  `json:"address"`
 	Zone    string  `json:"zone"`
@@ -37,7 +37,7 @@
 	Since   float64 `json:"since_ms"`
 }
 
-var states = map[string]scheduler.NodeState{"up": scheduler.Serving, "draining": scheduler.Draining, "removed": scheduler.Gone}
+var states = map[string]scheduler.NodeState{"up": scheduler.Serving, "draining": scheduler.Draining, "removed": scheduler.Removed}
 
 // zoneTable numbers zones: those of the settings in their order, others as they appear.
 type zoneTable map[string]int
@@ -62,7 +62,7 @@
 }
 
 // node checks an entry and gives it in the head's form.
-func (z zoneTable) node(e *Entry) (nodelist.Node, error) {
+func (z zoneTable) node(e *Endpoint) (nodelist.Node, error) {
 	state, ok := states[e.Status]
 	if !ok { // guards against words of a later day: nothing new is sent where it is not known to be up
 		state = scheduler.Draining
@@ -70,7 +70,7 @@
 	if e.Name == "" || len(e.Name) > maxName {
 		return nodelist.Node{}, fmt.Errorf("an endpoint has no name, or one too long")
 	}
-	if _, err := netip.ParseAddrPort(e.Address); err != nil && state != scheduler.Gone {
+	if _, err := netip.ParseAddrPort(e.Address); err != nil && state != scheduler.Removed {
 		return nodelist.Node{}, fmt.Errorf("endpoint %s: the address %.60q is none", e.Name, e.Address)
 	}
 	if !(e.Since >= 0 && e.Since < 1e15) {
@@ -85,7 +85,7 @@
 
 // Nodes checks a list and gives its entries in the head's form. An entry that cannot be
 // used makes the whole list one that is not.
-func (c *Client) Nodes(l *List) ([]nodelist.Node, error) {
+func (c *Client) Nodes(l *EndpointList) ([]nodelist.Node, error) {
 	if l.Index == nil {
 		return nil, errNoIndex
 	}
@@ -221,7 +221,7 @@
 }
 
 // entryOf reads the fields of an entry; one that is absent is as its zero value.
-func entryOf(v *fastjson.Value) (e Entry, err error) {
+func entryOf(v *fastjson.Value) (e Endpoint, err error) {
 	object, err := v.Object()
 	if err != nil {
 		return e, fmt.Errorf("an endpoint that is no object")
--- a/internal/discovery/resume_test.go
+++ b/internal/discovery/resume_test.go
@@ -13,7 +13,7 @@
 	known := []nodelist.Node{{Name: "a", Addr: "10.0.0.1:1"}, {Name: "b", Addr: "10.0.0.2:1"}}
 	begin := func(ask bool) *rig {
 		c := New("10.0.0.1:1", []string{"z0", "z1"}, ask, 1)
-		c.Resume(41, known)
+		c.ResumeFrom(41, known)
 		return rigOf(t, c)
 	}
 	const changes, whole = "GET /api/targets?from=41&hold_ms=0 HTTP/1.1", "GET /api/targets HTTP/1.1"
@@ -23,7 +23,7 @@
 		t.Fatalf("asked %q first", r.asked)
 	}
 	r.answer(list(43, false, entry("b", "draining"), entry("c", "up")), 99)
-	news, ok := r.c.List()
+	news, ok := r.c.TakeUpdate()
 	states := map[string]scheduler.NodeState{}
 	for _, n := range news.Nodes {
 		states[n.Name] = n.State
@@ -34,13 +34,13 @@
 
 	r = begin(true)
 	r.answer(list(41, false), 99)
-	if news, ok := r.c.List(); !ok || !news.Full || len(news.Nodes) != 2 {
+	if news, ok := r.c.TakeUpdate(); !ok || !news.Full || len(news.Nodes) != 2 {
 		t.Errorf("nothing changed: %v %+v", ok, news)
 	}
 
 	r = begin(true)
 	r.answer(list(50, true, entry("z", "up")), 99)
-	if news, ok := r.c.List(); !ok || !news.Full || len(news.Nodes) != 1 {
+	if news, ok := r.c.TakeUpdate(); !ok || !news.Full || len(news.Nodes) != 1 {
 		t.Errorf("a whole list: %v %+v", ok, news)
 	}
 
--- a/internal/discoverytest/agent.go
+++ b/internal/discoverytest/agent.go
@@ -32,15 +32,15 @@
 type Registry struct {
 	mu      sync.Mutex
 	index   int64
-	entries map[string]discovery.Entry
+	entries map[string]discovery.Endpoint
 	agents  []*Agent
 }
 
 // NewRegistry returns an empty list.
-func NewRegistry() *Registry { return &Registry{index: 1, entries: map[string]discovery.Entry{}} }
+func NewRegistry() *Registry { return &Registry{index: 1, entries: map[string]discovery.Endpoint{}} }
 
 // Set changes an entry and sends the list to all agents.
-func (g *Registry) Set(change func(e *discovery.Entry), name string) {
+func (g *Registry) Set(change func(e *discovery.Endpoint), name string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	e := g.entries[name]
@@ -51,10 +51,10 @@
 }
 
 // Replace has the list be these entries, and sends it to all agents.
-func (g *Registry) Replace(entries ...discovery.Entry) {
+func (g *Registry) Replace(entries ...discovery.Endpoint) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.entries = map[string]discovery.Entry{}
+	g.entries = map[string]discovery.Endpoint{}
 	for _, e := range entries {
 		g.entries[e.Name] = e
 	}
@@ -88,16 +88,16 @@
 	down     bool
 	slow     time.Duration
 	index    int64
-	entries  map[string]discovery.Entry
+	entries  map[string]discovery.Endpoint
 	changed  map[string]int64 // the version with which each entry came
 	removed  int64            // the version with which an entry was taken out last
 	usage    Usage
 	answered time.Time // when the first answer behind the last return was written, zero: not yet
 	notices  []audit.Notice
-	starts   []audit.Notice             // of nodes
-	noted    map[string]discovery.Entry // the list that the notices were taken of last
-	history  []noting                   // of what changed the notices lately
-	returned time.Time                  // when the agent came back last
+	starts   []audit.Notice                // of nodes
+	noted    map[string]discovery.Endpoint // the list that the notices were taken of last
+	history  []noting                      // of what changed the notices lately
+	returned time.Time                     // when the agent came back last
 	// countsFrom is when what is told in a reload or behind silent watches counts at the latest.
 	countsFrom time.Time
 }
@@ -119,7 +119,7 @@
 }
 
 // send gives the agent a list; one that is down does not get it.
-func (a *Agent) send(index int64, entries map[string]discovery.Entry) {
+func (a *Agent) send(index int64, entries map[string]discovery.Endpoint) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if !a.down {
@@ -128,7 +128,7 @@
 }
 
 // have takes a list and notes from when each change of it counts.
-func (a *Agent) have(index int64, entries map[string]discovery.Entry) {
+func (a *Agent) have(index int64, entries map[string]discovery.Endpoint) {
 	for name := range a.entries {
 		if _, kept := entries[name]; !kept {
 			a.removed = index
@@ -146,7 +146,7 @@
 // noting is when notices were taken, and the list that they were taken of before.
 type noting struct {
 	at     time.Time
-	before map[string]discovery.Entry
+	before map[string]discovery.Endpoint
 }
 
 // note takes the notices of what the agent has.
@@ -276,15 +276,15 @@
 }
 
 // Known is the list for a configuration: what the agent had last.
-func (a *Agent) Known() discovery.List {
+func (a *Agent) Known() discovery.EndpointList {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.list()
 }
 
-func (a *Agent) list() discovery.List {
+func (a *Agent) list() discovery.EndpointList {
 	index := a.index
-	l := discovery.List{Index: &index, Snapshot: true, Endpoints: make([]discovery.Entry, 0, len(a.entries))}
+	l := discovery.EndpointList{Index: &index, Snapshot: true, Endpoints: make([]discovery.Endpoint, 0, len(a.entries))}
 	for _, e := range a.entries {
 		l.Endpoints = append(l.Endpoints, e)
 	}
@@ -292,9 +292,9 @@
 }
 
 // changes are the entries that came after a version.
-func (a *Agent) changes(from int64) discovery.List {
+func (a *Agent) changes(from int64) discovery.EndpointList {
 	index := a.index
-	l := discovery.List{Index: &index, Endpoints: []discovery.Entry{}}
+	l := discovery.EndpointList{Index: &index, Endpoints: []discovery.Endpoint{}}
 	for name, version := range a.changed {
 		if version > from {
 			l.Endpoints = append(l.Endpoints, a.entries[name])
@@ -366,7 +366,7 @@
 // tell writes the whole list, or for a watch what changed.
 func (a *Agent) tell(c net.Conn, watch bool, from int64) bool {
 	a.mu.Lock()
-	slow, list := a.slow, discovery.List{}
+	slow, list := a.slow, discovery.EndpointList{}
 	if watch && from >= a.removed {
 		list = a.changes(from)
 	} else { // changes do not tell what is no longer on the list
--- a/internal/discoverytest/agent_test.go
+++ b/internal/discoverytest/agent_test.go
@@ -11,12 +11,12 @@
 // or behind silent watches within the protocol's time.
 func TestNotices(t *testing.T) {
 	g := NewRegistry()
-	g.Set(func(e *discovery.Entry) { *e = discovery.Entry{Name: "n", Status: "up"} }, "n")
+	g.Set(func(e *discovery.Endpoint) { *e = discovery.Endpoint{Name: "n", Status: "up"} }, "n")
 	well, down, moved := g.Agent(0), g.Agent(1), g.Agent(2)
 	down.GoDown()
 	moved.Moved()
 	before := micro()
-	g.Set(func(e *discovery.Entry) { e.Status = "draining" }, "n")
+	g.Set(func(e *discovery.Endpoint) { e.Status = "draining" }, "n")
 	if len(down.notices) != 0 {
 		t.Error("an agent that is down was sent a list")
 	}
@@ -43,7 +43,7 @@
 			}
 		}
 	}
-	g.Set(func(e *discovery.Entry) { e.Status = "up" }, "n")
+	g.Set(func(e *discovery.Endpoint) { e.Status = "up" }, "n")
 	if n := well.notices[0]; n.To == 0 {
 		t.Error("the notice of a node that serves again goes on")
 	}
@@ -53,11 +53,11 @@
 // next one.
 func TestOutagesThatOverlap(t *testing.T) {
 	g := NewRegistry()
-	g.Set(func(e *discovery.Entry) { *e = discovery.Entry{Name: "n", Status: "up"} }, "n")
+	g.Set(func(e *discovery.Endpoint) { *e = discovery.Endpoint{Name: "n", Status: "up"} }, "n")
 	a := g.Agent(0)
 	a.GoDown()
 	a.GoDown()
-	g.Set(func(e *discovery.Entry) { e.Status = "draining" }, "n")
+	g.Set(func(e *discovery.Endpoint) { e.Status = "draining" }, "n")
 	a.ComeBack()
 	if !a.down || len(a.notices) != 0 {
 		t.Error("it is back while an outage goes on")
@@ -81,7 +81,7 @@
 func TestChangesAfterAShortReturn(t *testing.T) {
 	g := NewRegistry()
 	set := func(status string) {
-		g.Set(func(e *discovery.Entry) { *e = discovery.Entry{Name: "n", Status: status} }, "n")
+		g.Set(func(e *discovery.Endpoint) { *e = discovery.Endpoint{Name: "n", Status: status} }, "n")
 	}
 	set("draining")
 	a := g.Agent(0)
@@ -102,7 +102,7 @@
 func TestNoticeJustBeforeAnOutage(t *testing.T) {
 	g := NewRegistry()
 	set := func(status string) {
-		g.Set(func(e *discovery.Entry) { *e = discovery.Entry{Name: "n", Status: status} }, "n")
+		g.Set(func(e *discovery.Endpoint) { *e = discovery.Endpoint{Name: "n", Status: status} }, "n")
 	}
 	set("up")
 	a := g.Agent(0)
--- a/internal/e2e/crossing_test.go
+++ b/internal/e2e/crossing_test.go
@@ -132,8 +132,8 @@
 			addr, goOn := slowToAccept(t)
 			other := newStubNode(t, func(int, *http.Request) reply { return ok("other") })
 			d := newStubDiscovery(t)
-			entry := func(status string) discovery.Entry {
-				return discovery.Entry{Name: "late", Address: addr, Zone: "z0", Status: status}
+			entry := func(status string) discovery.Endpoint {
+				return discovery.Endpoint{Name: "late", Address: addr, Zone: "z0", Status: status}
 			}
 			d.set(entry("up"))
 			s := serveWith(t, d, strings.NewReplacer(`"connectTimeout":250000`, `"connectTimeout":3000000`))
@@ -202,7 +202,7 @@
 		}
 	}()
 	d := newStubDiscovery(t)
-	d.set(discovery.Entry{Name: "n", Address: ln.Addr().String(), Zone: "z0", Status: "up"})
+	d.set(discovery.Endpoint{Name: "n", Address: ln.Addr().String(), Zone: "z0", Status: "up"})
 	s := serveOn(t, d)
 	for i := range 40 {
 		if status, body := s.raw(second(s.request("PUT", "write", 0, "1200m", ""))); status != 200 || body != "fine" {
--- a/internal/e2e/outage_test.go
+++ b/internal/e2e/outage_test.go
@@ -58,8 +58,8 @@
 				}
 				a := newStubNode(t, note)
 				b := newStubNode(t, func(int, *http.Request) reply { return ok("up") })
-				up := []discovery.Entry{endpointOf("a", a, 0, "up"), endpointOf("b", b, 0, "draining")}
-				drained := []discovery.Entry{endpointOf("a", a, 0, "draining"), endpointOf("b", b, 0, "up")}
+				up := []discovery.Endpoint{endpointOf("a", a, 0, "up"), endpointOf("b", b, 0, "draining")}
+				drained := []discovery.Endpoint{endpointOf("a", a, 0, "draining"), endpointOf("b", b, 0, "up")}
 				d := newStubDiscovery(t)
 				d.set(up...)
 				s := startWith(t, d.addr, strings.NewReplacer())
--- a/internal/e2e/platform_test.go
+++ b/internal/e2e/platform_test.go
@@ -132,7 +132,7 @@
 func newStubDiscovery(t *testing.T, nodes ...*stubNode) *stubDiscovery {
 	t.Helper()
 	d := &stubDiscovery{registry: discoverytest.NewRegistry()}
-	var entries []discovery.Entry
+	var entries []discovery.Endpoint
 	for i, n := range nodes {
 		entries = append(entries, endpointOf(fmt.Sprint("s", i), n, i, "up"))
 	}
@@ -154,15 +154,15 @@
 	return d.addr
 }
 
-func endpointOf(name string, n *stubNode, group int, status string) discovery.Entry {
-	return discovery.Entry{Name: name, Address: n.ln.Addr().String(), Zone: "z0", Group: group, Status: status}
+func endpointOf(name string, n *stubNode, group int, status string) discovery.Endpoint {
+	return discovery.Endpoint{Name: name, Address: n.ln.Addr().String(), Zone: "z0", Group: group, Status: status}
 }
 
 // listText is a list as a configuration has it.
-func listText(t *testing.T, entries ...discovery.Entry) []byte {
+func listText(t *testing.T, entries ...discovery.Endpoint) []byte {
 	t.Helper()
 	index := int64(1)
-	text, err := json.Marshal(discovery.List{Index: &index, Snapshot: true, Endpoints: entries})
+	text, err := json.Marshal(discovery.EndpointList{Index: &index, Snapshot: true, Endpoints: entries})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -170,7 +170,7 @@
 }
 
 // set tells another list.
-func (d *stubDiscovery) set(entries ...discovery.Entry) { d.registry.Replace(entries...) }
+func (d *stubDiscovery) set(entries ...discovery.Endpoint) { d.registry.Replace(entries...) }
 
 // service runs a head on the platform over real sockets.
 type service struct {
@@ -237,7 +237,7 @@
 		t.Fatal(err)
 	}
 	if faults != "" {
-		if c.Conf.Inject, err = syscalls.Parse(faults); err != nil {
+		if c.Conf.SyscallFaults, err = syscalls.Parse(faults); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/eventloop/faults_test.go
+++ b/internal/eventloop/faults_test.go
@@ -37,7 +37,7 @@
 				t.Errorf("accept was called %d times within 200 ms", n)
 			}
 			before := faulty.Injected()
-			if l.AcceptAll() {
+			if l.DrainListenQueues() {
 				t.Error("the queue counts as empty")
 			}
 			if n := faulty.Injected() - before; n > abortedMost+1 {
--- a/internal/eventloop/listen.go
+++ b/internal/eventloop/listen.go
@@ -56,7 +56,7 @@
 		if err != nil {
 			return fail(err)
 		}
-		if l.Sort(sorter) != nil { // an old kernel: one queue does for all
+		if l.SetFilter(sorter) != nil { // an old kernel: one queue does for all
 			l.drop(len(l.listeners) - 1)
 		}
 	}
@@ -108,25 +108,25 @@
 	return l.add(n.fd, unix.EPOLLIN)
 }
 
-// Queue is a listen queue that processes share: its descriptor, the address's other
+// ListenQueue is a listen queue that processes share: its descriptor, the address's other
 // queue if it has one, and whether it is that of the clients the sorter names.
-type Queue struct {
+type ListenQueue struct {
 	FD     int
 	Key    int // the same of both queues of an address
 	Sorted bool
 }
 
 // Queues returns the listen queues, for other processes to adopt.
-func (l *Loop) Queues() (out []Queue) {
+func (l *Loop) Queues() (out []ListenQueue) {
 	for _, n := range l.listeners {
-		out = append(out, Queue{n.fd, n.key, n.sorted})
+		out = append(out, ListenQueue{n.fd, n.key, n.sorted})
 	}
 	return out
 }
 
-// Adopt takes newcomers from a listen queue that other processes take from too, and
+// AdoptQueue takes newcomers from a listen queue that other processes take from too, and
 // returns its address.
-func (l *Loop) Adopt(q Queue) (string, error) {
+func (l *Loop) AdoptQueue(q ListenQueue) (string, error) {
 	sa, err := unix.Getsockname(q.FD)
 	if err != nil {
 		return "", fmt.Errorf("adopt descriptor %d: %w", q.FD, err)
@@ -136,8 +136,8 @@
 	return addrOf(sa).String(), l.listen(listener{fd: q.FD, key: q.Key, sorted: q.Sorted, shared: true})
 }
 
-// Sort puts another sorter in force, for the addresses that have two queues.
-func (l *Loop) Sort(sorter []bpf.RawInstruction) error {
+// SetFilter puts another sorter in force, for the addresses that have two queues.
+func (l *Loop) SetFilter(sorter []bpf.RawInstruction) error {
 	if len(sorter) == 0 { // no one has the queue to himself
 		sorter = []bpf.RawInstruction{{Op: unix.BPF_RET | unix.BPF_K}}
 	}
@@ -233,11 +233,11 @@
 	}
 }
 
-// StopNewcomers has the system drop what would begin a connection, while those that have
+// DropNewConnections has the system drop what would begin a connection, while those that have
 // begun go on to stand in the listen queues. Guards against a connection that is made between
 // the last accept and the close of its listener, which would reset it with its request. Where
 // other processes share the queue, or the system does not take the filter, nothing is done.
-func (l *Loop) StopNewcomers() {
+func (l *Loop) DropNewConnections() {
 	const flags, syn = 13, 0x02 // of the TCP header
 	filter := []unix.SockFilter{
 		{Code: unix.BPF_LD | unix.BPF_B | unix.BPF_ABS, K: flags},
@@ -252,9 +252,9 @@
 	}
 }
 
-// AcceptAll takes all that stand in the listen queues, before these are closed, and tells
+// DrainListenQueues takes all that stand in the listen queues, before these are closed, and tells
 // whether there is none left: where descriptors have run out it is to be called again.
-func (l *Loop) AcceptAll() bool {
+func (l *Loop) DrainListenQueues() bool {
 	if l.resumeAt > 0 {
 		if l.Now() < l.resumeAt {
 			return false
@@ -295,11 +295,11 @@
 		l.accepting(false)
 		return false
 	}
-	w := l.Head.Accept(l.Now(), addrOf(sa), n.key)
+	w := l.Gateway.Accept(l.Now(), addrOf(sa), n.key)
 	switch {
 	case w.Admitted:
 		if l.blocked > 0 {
-			l.Head.Waited(w.ID, l.Now()-l.blocked)
+			l.Gateway.SetAcceptDelay(w.ID, l.Now()-l.blocked)
 		}
 		l.clients++
 		l.put(w.ID, sock{fd: fd, id: w.ID, client: true, wanted: unix.EPOLLIN | unix.EPOLLRDHUP})
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -33,33 +33,33 @@
 	acceptMost  = 500 * time.Microsecond
 )
 
-// Part of a turn of the loop.
-type Part int
+// Phase of a turn of the loop.
+type Phase int
 
-// Parts, in their order within a turn: what is due, and answers, before newcomers.
+// PhaseCount, in their order within a turn: what is due, and answers, before newcomers.
 const (
-	Wake    Part = iota // how much later than asked the kernel woke the loop
-	Nodes               // what nodes sent
-	Clients             // what clients sent
-	Acts                // timers, decisions and writes
-	Accept              // newcomers, those turned away with them
-	Files               // node list, configuration, signals
-	Parts               // how many there are
+	Wake       Phase = iota // how much later than asked the kernel woke the loop
+	Nodes                   // what nodes sent
+	Clients                 // what clients sent
+	Actions                 // timers, decisions and writes
+	Accept                  // newcomers, those turned away with them
+	Files                   // node list, configuration, signals
+	PhaseCount              // how many there are
 )
 
-func (p Part) String() string {
+func (p Phase) String() string {
 	return [...]string{"wake", "nodes", "clients", "acts", "accept", "files"}[p]
 }
 
-// Turn is what one turn of the loop took, without the wait for events.
-type Turn struct {
-	Took   [Parts]time.Duration
-	Events int
+// Iteration is what one turn of the loop took, without the wait for events.
+type Iteration struct {
+	Durations [PhaseCount]time.Duration
+	Events    int
 }
 
 // Sum is all that a turn took.
-func (t *Turn) Sum() (sum time.Duration) {
-	for _, d := range t.Took {
+func (t *Iteration) Sum() (sum time.Duration) {
+	for _, d := range t.Durations {
 		sum += d
 	}
 	return sum
@@ -67,14 +67,14 @@
 
 // Loop is an epoll loop around a head.
 type Loop struct {
-	Head *gateway.Head
+	Gateway *gateway.Gateway
 
-	// Watched is called when a watched file was replaced or written.
-	Watched func()
-	// Woken is called after Wake.
-	Woken func()
-	// Turned is told of every turn, if it is not nil. It must not keep the turn.
-	Turned func(*Turn)
+	// OnFileChange is called when a watched file was replaced or written.
+	OnFileChange func()
+	// OnWake is called after Wake.
+	OnWake func()
+	// OnIteration is told of every turn, if it is not nil. It must not keep the turn.
+	OnIteration func(*Iteration)
 
 	calls     syscalls.Calls
 	epfd      int
@@ -99,7 +99,7 @@
 	redials   redials
 	stalled   stalled
 	mark      time.Duration
-	turn      Turn
+	turn      Iteration
 }
 
 type sock struct {
@@ -129,10 +129,10 @@
 // New returns a loop. most is how many client connections are held at once; more
 // wait in the listen queue. told is how many of those turned away with an answer
 // are held beside them until they have read it.
-func New(most, told int) (*Loop, error) { return NewOn(syscalls.Linux{}, most, told) }
+func New(most, told int) (*Loop, error) { return NewWithCalls(syscalls.Linux{}, most, told) }
 
-// NewOn is New with other system calls.
-func NewOn(calls syscalls.Calls, most, told int) (*Loop, error) {
+// NewWithCalls is New with other system calls.
+func NewWithCalls(calls syscalls.Calls, most, told int) (*Loop, error) {
 	epfd, err := unix.EpollCreate1(unix.EPOLL_CLOEXEC)
 	if err != nil {
 		return nil, fmt.Errorf("epoll: %w", err)
@@ -240,9 +240,9 @@
 }
 
 // took books the time since the last call on a part of the turn.
-func (l *Loop) took(p Part) {
+func (l *Loop) took(p Phase) {
 	now := l.Now()
-	l.turn.Took[p] += now - l.mark
+	l.turn.Durations[p] += now - l.mark
 	l.mark = now
 }
 
@@ -255,11 +255,11 @@
 	l.mark = l.Now()
 	for {
 		next := l.act()
-		l.took(Acts)
-		if l.Turned != nil {
-			l.Turned(&l.turn)
+		l.took(Actions)
+		if l.OnIteration != nil {
+			l.OnIteration(&l.turn)
 		}
-		l.turn = Turn{}
+		l.turn = Iteration{}
 		if done() {
 			return nil
 		}
@@ -277,7 +277,7 @@
 		}
 		l.mark = l.Now()
 		if n <= 0 && next < 1<<62 {
-			l.turn.Took[Wake] = max(l.mark-next-time.Millisecond, 0)
+			l.turn.Durations[Wake] = max(l.mark-next-time.Millisecond, 0)
 		}
 		l.serve(events[:max(n, 0)])
 		l.redial()
@@ -326,7 +326,7 @@
 		return
 	}
 	due := l.act()
-	l.took(Acts)
+	l.took(Actions)
 	until := l.mark + min(max(l.mark-began, acceptLeast), acceptMost)
 	l.accept(min(until, max(due, l.mark+acceptLeast)))
 	l.took(Accept)
@@ -338,12 +338,12 @@
 		var b [8]byte
 		unix.Read(fd, b[:])
 		l.yield() // looks at shared listeners anew: the wake for one may have gone to a process that hangs
-		if l.Woken != nil {
-			l.Woken()
+		if l.OnWake != nil {
+			l.OnWake()
 		}
 	case kindInotify:
-		if l.notices() && l.Watched != nil {
-			l.Watched()
+		if l.notices() && l.OnFileChange != nil {
+			l.OnFileChange()
 		}
 	}
 }
@@ -405,7 +405,7 @@
 	if s := l.sock(id); s != nil {
 		l.let(s, false)
 	}
-	l.Head.Closed(l.Now(), id)
+	l.Gateway.Closed(l.Now(), id)
 }
 
 // want sets the events a connection is to be watched for.
@@ -465,7 +465,7 @@
 		s.dialing = false
 		l.want(s, unix.EPOLLIN|unix.EPOLLRDHUP)
 		l.redials.backoff.succeed()
-		l.Head.Connected(l.Now(), id)
+		l.Gateway.Connected(l.Now(), id)
 		return
 	}
 	if events == 0 { // served in this turn
@@ -498,15 +498,15 @@
 		case errors.Is(err, unix.ENOBUFS) || errors.Is(err, unix.ENOMEM):
 			l.stall(s)
 			l.arm(s)
-			l.Head.Stalled(l.Now(), id)
+			l.Gateway.Stalled(l.Now(), id)
 		case err != nil:
 			l.lost(id)
 		case n == 0:
 			s.shut = true
 			l.want(s, s.wanted&^(unix.EPOLLIN|unix.EPOLLRDHUP))
-			l.Head.EOF(l.Now(), id)
+			l.Gateway.EOF(l.Now(), id)
 		default:
-			l.Head.Data(l.Now(), id, l.buf[:n])
+			l.Gateway.Data(l.Now(), id, l.buf[:n])
 		}
 	} else if events&unix.EPOLLHUP != 0 {
 		l.lost(id)
@@ -517,14 +517,14 @@
 func (l *Loop) write(s *sock) {
 	id := s.id
 	for interrupted := 0; s != nil && !s.dialing; {
-		p := l.Head.Out(l.Now(), id)
+		p := l.Gateway.Out(l.Now(), id)
 		if len(p) == 0 {
 			l.want(s, s.wanted&^unix.EPOLLOUT)
 			return
 		}
 		n, err := l.calls.Write(s.fd, p)
 		if n > 0 {
-			l.Head.Wrote(l.Now(), id, n)
+			l.Gateway.Wrote(l.Now(), id, n)
 			s = l.sock(id)
 			if n == len(p) {
 				continue
@@ -537,7 +537,7 @@
 			s.wanted |= unix.EPOLLOUT
 			l.stall(s)
 			l.arm(s)
-			l.Head.Stalled(l.Now(), id)
+			l.Gateway.Stalled(l.Now(), id)
 			return
 		case err != nil && !errors.Is(err, unix.EAGAIN):
 			l.lost(id)
@@ -560,7 +560,7 @@
 // act carries out what the head asks for and returns when it is to be asked again.
 func (l *Loop) act() time.Duration {
 	for {
-		acts, next := l.Head.Advance(l.Now())
+		acts, next := l.Gateway.Advance(l.Now())
 		if len(acts) == 0 {
 			return next
 		}
@@ -583,7 +583,7 @@
 				if !s.shut && !s.dialing {
 					l.want(s, s.wanted|unix.EPOLLIN|unix.EPOLLRDHUP)
 				}
-			case gateway.Shut:
+			case gateway.CloseWrite:
 				l.shutdown(s)
 			case gateway.Close, gateway.Abort:
 				l.let(s, a.Op == gateway.Abort)
@@ -597,12 +597,12 @@
 func (l *Loop) dial(a gateway.Action) {
 	if len(l.redials.waiting) > 0 && l.Now() < l.redials.backoff.at { // it would fail like those
 		l.redials.waiting = append(l.redials.waiting, a)
-		l.Head.Stalled(l.Now(), a.Conn)
+		l.Gateway.Stalled(l.Now(), a.Conn)
 		return
 	}
 	sa, family, err := sockaddr(a.Addr)
 	if err != nil {
-		l.Head.Closed(l.Now(), a.Conn)
+		l.Gateway.Closed(l.Now(), a.Conn)
 		return
 	}
 	fd, err := l.calls.Socket(family)
@@ -617,7 +617,7 @@
 		if local(err) {
 			l.postpone(a)
 		} else {
-			l.Head.Closed(l.Now(), a.Conn)
+			l.Gateway.Closed(l.Now(), a.Conn)
 		}
 		return
 	}
--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -27,7 +27,7 @@
 known 127.9.0.0/16
 `
 
-func newLoop(t *testing.T, listeners int, more string) (*Loop, *gateway.Head, []string) {
+func newLoop(t *testing.T, listeners int, more string) (*Loop, *gateway.Gateway, []string) {
 	t.Helper()
 	c, err := config.Parse("m.conf", []byte(loopConf+more))
 	if err != nil {
@@ -42,11 +42,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	h.Nodes(l.Now(), []nodelist.Node{{Name: "n", Addr: "127.0.0.1:1"}})
-	l.Head = h
+	h.SetNodes(l.Now(), []nodelist.Node{{Name: "n", Addr: "127.0.0.1:1"}})
+	l.Gateway = h
 	var addrs []string
 	for range listeners {
-		a, err := l.Listen("127.0.0.1:0", c.Admit.Sorter(admission.NetworkHeader))
+		a, err := l.Listen("127.0.0.1:0", c.Admission.KnownClientFilter(admission.NetworkHeader))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -101,7 +101,7 @@
 	}
 	turned := func() (n uint64) {
 		c := h.Counts()
-		for _, x := range c.Turned {
+		for _, x := range c.ConnectionsRejected {
 			n += x
 		}
 		return n + uint64(c.Clients)
--- a/internal/eventloop/retry.go
+++ b/internal/eventloop/retry.go
@@ -76,7 +76,7 @@
 func (l *Loop) postpone(a gateway.Action) {
 	l.redials.waiting = append(l.redials.waiting, a)
 	l.redials.backoff.fail(l.Now())
-	l.Head.Stalled(l.Now(), a.Conn)
+	l.Gateway.Stalled(l.Now(), a.Conn)
 }
 
 // redial begins connections that were postponed.
--- a/internal/fakenode/faults.go
+++ b/internal/fakenode/faults.go
@@ -60,7 +60,7 @@
 			a.Fault("slow wants a factor of 1 or more")
 		}
 		if err := a.Err(); err != nil {
-			errs = append(errs, &config.Mistake{File: file, Line: l.Number, Reason: err.Error()})
+			errs = append(errs, &config.Error{File: file, Line: l.Number, Reason: err.Error()})
 		}
 		steps = append(steps, s)
 	}
--- a/internal/gateway/accept.go
+++ b/internal/gateway/accept.go
@@ -8,8 +8,8 @@
 	"maddergap/internal/http1"
 )
 
-// Welcome says what becomes of a new connection.
-type Welcome struct {
+// AcceptResult says what becomes of a new connection.
+type AcceptResult struct {
 	ID       ConnID // of one that is admitted
 	Admitted bool
 	// Answer is written to one that is not, as far as it goes at once; then its
@@ -21,22 +21,22 @@
 
 // Accept tells a new client connection of a listener. One that is not admitted
 // gets no slot, no timer and no event more: turning it away is cheap.
-func (h *Head) Accept(now Time, remote netip.AddrPort, listener int) Welcome {
+func (h *Gateway) Accept(now Time, remote netip.AddrPort, listener int) AcceptResult {
 	h.tick(now)
 	id := h.nextID()
-	v := h.admission.Arrive(h.now, uint64(id), listener, remote.Addr())
-	if v.Way {
-		if idle := h.conn(ConnID(v.Close)); idle != nil {
+	v := h.admission.Admit(h.now, uint64(id), listener, remote.Addr())
+	if v.Preempt {
+		if idle := h.conn(ConnID(v.PreemptID)); idle != nil {
 			idle.admitted = false
 			h.preempt(idle)
 		}
 	}
 	if !v.Accept {
-		h.turned(remote, v.Reason, v.Tell)
-		if !v.Tell {
-			return Welcome{}
+		h.turned(remote, v.Reason, v.SendRejection)
+		if !v.SendRejection {
+			return AcceptResult{}
 		}
-		return Welcome{Answer: h.turnAnswer(v.Reason), Linger: linger}
+		return AcceptResult{Answer: h.turnAnswer(v.Reason), Linger: linger}
 	}
 	c := h.newConn()
 	c.remote, c.admitted = remote, true
@@ -45,22 +45,22 @@
 	if h.stopping {
 		h.setDeadline(c, h.now+firstTime)
 	}
-	for id, ok := h.admission.Pressed(h.now); ok; id, ok = h.admission.Pressed(h.now) {
+	for id, ok := h.admission.NextToPreempt(h.now); ok; id, ok = h.admission.NextToPreempt(h.now) {
 		h.preempt(h.conn(ConnID(id)))
 	}
-	return Welcome{ID: c.id, Admitted: true}
+	return AcceptResult{ID: c.id, Admitted: true}
 }
 
-// Waited tells that a new connection, and the request on it, may have waited so long to be
+// SetAcceptDelay tells that a new connection, and the request on it, may have waited so long to be
 // accepted: its client's time runs since then.
-func (h *Head) Waited(id ConnID, d time.Duration) {
+func (h *Gateway) SetAcceptDelay(id ConnID, d time.Duration) {
 	if c := h.conn(id); c != nil {
 		c.waited = d
 	}
 }
 
 // preempt closes a connection for room: idle, or with a request that was not taken.
-func (h *Head) preempt(c *conn) {
+func (h *Gateway) preempt(c *conn) {
 	h.counts.Preempted++
 	if c.ex != nil {
 		h.do(Close, c)
@@ -71,16 +71,16 @@
 }
 
 // turned counts what was not admitted.
-func (h *Head) turned(client netip.AddrPort, why admission.Reason, told bool) {
-	h.counts.Turned[why]++
+func (h *Gateway) turned(client netip.AddrPort, why admission.Reason, told bool) {
+	h.counts.ConnectionsRejected[why]++
 	if h.observer != nil {
-		h.observer.Turned(client, why, told)
+		h.observer.ConnectionRejected(client, why, told)
 	}
 }
 
 // turnAnswer is the whole answer to a connection that is turned away (RFC 9110
 // 15.6.4). It is made anew for each reason once a second, for its date.
-func (h *Head) turnAnswer(why admission.Reason) []byte {
+func (h *Gateway) turnAnswer(why admission.Reason) []byte {
 	t := &h.turnTexts[why]
 	if s := h.origin.Add(h.now).Unix(); t.text == nil || t.of != s {
 		text := notAdmitted(why) + "\n"
@@ -103,9 +103,9 @@
 
 // endAdmitted tells admission that a request's answer went out, or that the next
 // request has come. Not before: what is still to be written must not be closed for room.
-func (h *Head) endAdmitted(c *conn) {
+func (h *Gateway) endAdmitted(c *conn) {
 	if c.owed {
 		c.owed = false
-		h.admission.End(h.now, uint64(c.id), c.good)
+		h.admission.EndRequest(h.now, uint64(c.id), c.good)
 	}
 }
--- a/internal/gateway/admit_test.go
+++ b/internal/gateway/admission_test.go
@@ -129,7 +129,7 @@
 			}
 		}
 	}
-	if n := r.h.Counts().Held; n < 30<<10 || n > 50<<10 {
+	if n := r.h.Counts().BufferedBytes; n < 30<<10 || n > 50<<10 {
 		t.Errorf("%d bytes held, the bound is 40k and some", n)
 	}
 	if !r.paused[r.node(1)] {
@@ -151,7 +151,7 @@
 			t.Errorf("reader %d got %d bytes", i, got)
 		}
 	}
-	if n := r.h.Counts().Held; n != 0 {
+	if n := r.h.Counts().BufferedBytes; n != 0 {
 		t.Errorf("%d bytes are still booked", n)
 	}
 	again := r.come("1.1.1.4:1")
--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -11,16 +11,16 @@
 	"maddergap/scheduler"
 )
 
-// RanHeader says in a node's 503 that the request was turned away before it
+// ExecutedHeader says in a node's 503 that the request was turned away before it
 // ran. A 503 without it promises nothing.
-const RanHeader = "Maddergap-Ran"
+const ExecutedHeader = "Maddergap-Ran"
 
 // answerHead looks at the header of a node's answer and begins the client's.
-func (h *Head) answerHead(at *attempt) bool {
+func (h *Gateway) answerHead(at *attempt) bool {
 	r := &at.conn.resp
 	at.status = r.Status
 	v := h.protocol.verdict(r)
-	at.verdict, at.report, at.reports = v.Outcome, v.Report, v.Reports
+	at.verdict, at.report, at.reports = v.Outcome, v.ReportedLoad, v.HasLoadReport
 	if v.Outcome != scheduler.OK {
 		return true // for the module alone; the body is swallowed
 	}
@@ -28,7 +28,7 @@
 }
 
 // endHeader ends a client's answer header, saying whether it is the last.
-func (h *Head) endHeader(b []byte, cl *conn, ex *exchange) []byte {
+func (h *Gateway) endHeader(b []byte, cl *conn, ex *exchange) []byte {
 	cl.closing = cl.closing || h.leaving || !ex.body.whole
 	if cl.closing {
 		b = append(b, "Connection: close\r\n"...)
@@ -39,7 +39,7 @@
 }
 
 // answerData passes a piece of an answer's body on.
-func (h *Head) answerData(at *attempt, data []byte) {
+func (h *Gateway) answerData(at *attempt, data []byte) {
 	ex := at.ex
 	switch {
 	case len(data) == 0:
@@ -53,16 +53,16 @@
 }
 
 // refuse and fail give the final answers that the module decided.
-func (h *Head) refuse(ex *exchange, after time.Duration) {
+func (h *Gateway) refuse(ex *exchange, after time.Duration) {
 	if ex == nil || ex.answer.final {
 		return
 	}
 	ex.answer.final, ex.answer.status, ex.answer.reason = true, 503, "not now; trying again does no harm"
-	h.counts.Refused++
-	h.finish(ex, Refused, after)
+	h.counts.Rejected++
+	h.finish(ex, Rejected, after)
 }
 
-func (h *Head) fail(ex *exchange) {
+func (h *Gateway) fail(ex *exchange) {
 	if ex == nil || ex.answer.final {
 		return
 	}
@@ -74,7 +74,7 @@
 	h.finish(ex, Failed, 0)
 }
 
-func (h *Head) finish(ex *exchange, o Outcome, after time.Duration) {
+func (h *Gateway) finish(ex *exchange, o Outcome, after time.Duration) {
 	h.reportEnd(ex, o)
 	switch {
 	case ex.listing != nil:
@@ -99,8 +99,8 @@
 }
 
 // own answers a request that the module is not asked about.
-func (h *Head) answerOwn(ex *exchange, status int, reason string) {
-	h.counts.Own++
+func (h *Gateway) answerOwn(ex *exchange, status int, reason string) {
+	h.counts.Local++
 	ex.answer.reason = reason
 	h.respond(ex, status, []byte(reason+"\n"), func(b []byte) []byte {
 		if status == 405 {
@@ -111,7 +111,7 @@
 }
 
 // respond writes a whole answer of the head's own; ex must not be used after it.
-func (h *Head) respond(ex *exchange, status int, text []byte, extra func([]byte) []byte) {
+func (h *Gateway) respond(ex *exchange, status int, text []byte, extra func([]byte) []byte) {
 	c := ex.client
 	ex.answer.status, ex.answer.final = status, true
 	if ex.id == 0 {
@@ -149,7 +149,7 @@
 }
 
 // appendDate writes the Date field (RFC 9110 6.6.1), made once a second.
-func (h *Head) appendDate(b []byte) []byte {
+func (h *Gateway) appendDate(b []byte) []byte {
 	at := h.origin.Add(h.now)
 	if s := at.Unix(); s != h.dateOf || h.date == nil {
 		h.dateOf = s
@@ -190,14 +190,14 @@
 	return 0, false
 }
 
-func (h *Head) requestID(id uint64) string {
+func (h *Gateway) requestID(id uint64) string {
 	if id == 0 {
 		return ""
 	}
 	return fmt.Sprintf("%08x-%x", h.idPrefix, id)
 }
 
-func (h *Head) appendRequestID(b []byte, id uint64) []byte {
+func (h *Gateway) appendRequestID(b []byte, id uint64) []byte {
 	for shift := 28; shift >= 0; shift -= 4 {
 		b = append(b, "0123456789abcdef"[h.idPrefix>>shift&15])
 	}
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -36,7 +36,7 @@
 func (at *attempt) out() bool { return at.sent && len(at.conn.pending()) == 0 }
 
 // end tells the module how an attempt ended.
-func (h *Head) end(at *attempt, o scheduler.Outcome) {
+func (h *Gateway) end(at *attempt, o scheduler.Outcome) {
 	if at.ended {
 		return
 	}
@@ -50,19 +50,19 @@
 	if ex.attempts.upload == at {
 		ex.attempts.upload = nil
 	}
-	h.events = append(h.events, scheduler.Ended{ID: ex.id, Attempt: at.number, Node: at.node, Outcome: o, Took: h.now - at.began,
-		Closed: ex.answer.final, Spent: ex.body.spent, Reported: at.report, Reports: at.reports})
+	h.events = append(h.events, scheduler.AttemptEnded{ID: ex.id, Attempt: at.number, Node: at.node, Outcome: o, Duration: h.now - at.began,
+		Answered: ex.answer.final, BodyConsumed: ex.body.spent, ReportedLoad: at.report, HasLoadReport: at.reports})
 	if h.observer != nil {
 		h.span = Span{Request: h.requestID(ex.id), Trace: ex.trace.id, ID: at.span, Parent: ex.trace.span, Sampled: ex.trace.sampled,
 			Start: at.began, End: h.now, Method: ex.method, Path: ex.place.Path, Volume: ex.ask.Arrival.Volume,
-			Class: h.config.Logic.Classes[ex.ask.Arrival.Class].Name, Status: at.status, Attempt: at.number, Node: at.node, Ended: o}
+			Class: h.config.Scheduler.Classes[ex.ask.Arrival.Class].Name, Status: at.status, Attempt: at.number, Node: at.node, AttemptOutcome: o}
 		h.observer.Attempt(&h.span)
 	}
 	h.recycle(ex)
 }
 
 // broken ends a connection that cannot be used further, and its attempt.
-func (h *Head) broken(c *conn, o scheduler.Outcome) {
+func (h *Gateway) broken(c *conn, o scheduler.Outcome) {
 	at := c.at
 	c.at = nil
 	h.drop(c, Abort)
@@ -75,7 +75,7 @@
 }
 
 // breakOff ends an attempt that is of no use any more.
-func (h *Head) breakOff(at *attempt) {
+func (h *Gateway) breakOff(at *attempt) {
 	if !at.ended {
 		h.broken(at.conn, scheduler.Cancelled)
 	}
@@ -84,7 +84,7 @@
 // cancel ends an attempt of which nothing, or not all, has gone out: it never ran, and
 // begins for nobody. One that is out goes on to its outcome. A connection that is still
 // coming up is kept for the next request.
-func (h *Head) cancel(at *attempt) {
+func (h *Gateway) cancel(at *attempt) {
 	c := at.conn
 	switch {
 	case at.ended || c == nil || at.out():
@@ -92,6 +92,6 @@
 		h.broken(c, scheduler.Cancelled)
 	default:
 		c.at = nil
-		h.end(at, scheduler.Moot)
+		h.end(at, scheduler.Superseded)
 	}
 }
--- a/internal/gateway/bench_test.go
+++ b/internal/gateway/bench_test.go
@@ -20,7 +20,7 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	h.Nodes(now, []nodelist.Node{{Name: "n0", Addr: "node:0"}, {Name: "n1", Addr: "node:1", Shard: 1}})
+	h.SetNodes(now, []nodelist.Node{{Name: "n0", Addr: "node:0"}, {Name: "n1", Addr: "node:1", Shard: 1}})
 	client := h.Accept(now, netip.MustParseAddrPort("127.0.0.1:1000"), 0).ID
 	var node ConnID
 	run := func() {
--- a/internal/gateway/buffered.go
+++ b/internal/gateway/buffered_protocol.go
@@ -7,15 +7,15 @@
 	"maddergap/scheduler"
 )
 
-// Speak has clients and nodes spoken to in another protocol than WebDAV. It is
+// SetProtocol has clients and nodes spoken to in another protocol than WebDAV. It is
 // called before anything is told.
-func (h *Head) Speak(p Protocol) { h.protocol = buffered{p} }
+func (h *Gateway) SetProtocol(p Protocol) { h.protocol = buffered{p} }
 
 // buffered carries a Protocol whose messages are held whole.
 type buffered struct{ p Protocol }
 
-func (w buffered) begin(h *Head, c *conn, ex *exchange) {
-	a := w.p.Ask(&ex.req)
+func (w buffered) begin(h *Gateway, c *conn, ex *exchange) {
+	a := w.p.ParseRequest(&ex.req)
 	if a.Status != 0 {
 		c.closing = c.closing || a.Close
 		h.answerOwn(ex, a.Status, a.Reason)
@@ -32,34 +32,34 @@
 	}
 }
 
-func (w buffered) arrival(h *Head, ex *exchange) *http1.Error { return w.p.Open(&ex.ask) }
+func (w buffered) arrival(h *Gateway, ex *exchange) *http1.Error { return w.p.BeginRequest(&ex.ask) }
 
-func (w buffered) appendRequest(h *Head, b []byte, at *attempt) []byte {
+func (w buffered) appendRequest(h *Gateway, b []byte, at *attempt) []byte {
 	at.timeout = at.ex.timeLeft(h.now)
 	return w.p.AppendRequest(b, &at.ex.req, at.timeout)
 }
 
-func (w buffered) verdict(r *http1.Response) Verdict { return w.p.Verdict(r) }
+func (w buffered) verdict(r *http1.Response) ResponseInfo { return w.p.ParseResponse(r) }
 
 // answerHead begins to hold an answer. One without a length of its own is whole when its
 // node ends the connection in order; a reset, or silence, is no end.
-func (w buffered) answerHead(h *Head, at *attempt) bool {
+func (w buffered) answerHead(h *Gateway, at *attempt) bool {
 	r := &at.conn.resp
-	if one, _ := w.p.MostAnswer(); r.Length > one {
+	if one, _ := w.p.MaxResponseBytes(); r.Length > one {
 		return false
 	}
-	at.buffered, at.stall, at.body = true, w.p.Stall(), h.buffer()
+	at.buffered, at.stall, at.body = true, w.p.ResponseStallTimeout(), h.buffer()
 	return true
 }
 
-func (w buffered) answerData(h *Head, at *attempt, data []byte) bool {
-	one, all := w.p.MostAnswer()
+func (w buffered) answerData(h *Gateway, at *attempt, data []byte) bool {
+	one, all := w.p.MaxResponseBytes()
 	h.answerBytes += int64(len(data)) // given back when the attempt ends
 	at.body = append(at.body, data...)
 	return int64(len(at.body)) <= one && h.answerBytes <= all
 }
 
-func (w buffered) answerDone(h *Head, at *attempt) {
+func (w buffered) answerDone(h *Gateway, at *attempt) {
 	ex := at.ex
 	if ex.answer.final { // its client has left: the node did its part
 		h.end(at, scheduler.OK)
@@ -94,6 +94,6 @@
 
 func (w buffered) finished(ex *exchange, o Outcome) {
 	if ex.id != 0 {
-		w.p.Closed(ex.ask.ID, o)
+		w.p.EndRequest(ex.ask.ID, o)
 	}
 }
--- a/internal/gateway/buffers.go
+++ b/internal/gateway/buffers.go
@@ -1,7 +1,7 @@
 package gateway
 
 // buffer returns an empty buffer; done with it, release takes it back.
-func (h *Head) buffer() []byte {
+func (h *Gateway) buffer() []byte {
 	if n := len(h.bufferPool); n > 0 {
 		b := h.bufferPool[n-1]
 		h.bufferPool = h.bufferPool[:n-1]
@@ -16,7 +16,7 @@
 	keepSize = 64 << 10
 )
 
-func (h *Head) release(b []byte) {
+func (h *Gateway) release(b []byte) {
 	if cap(b) > 0 && cap(b) <= keepSize && len(h.bufferPool) < keepBufs {
 		h.bufferPool = append(h.bufferPool, b[:0])
 	}
--- a/internal/gateway/client.go
+++ b/internal/gateway/client.go
@@ -7,7 +7,7 @@
 )
 
 // giveUp answers a client whose request's header does not come, and ends with it.
-func (h *Head) giveUp(c *conn, reason string) {
+func (h *Gateway) giveUp(c *conn, reason string) {
 	ex := h.newExchange()
 	ex.client, c.ex, ex.body.whole, ex.answer.reason = c, ex, true, reason
 	ex.req.Minor, ex.headerAt = 1, h.now
@@ -22,7 +22,7 @@
 const pipelineMax = 16 << 10
 
 // clientData uses bytes of a client and returns those it cannot use yet.
-func (h *Head) clientData(c *conn, p []byte) []byte {
+func (h *Gateway) clientData(c *conn, p []byte) []byte {
 	for len(p) > 0 && !c.gone {
 		ex := c.ex
 		switch {
@@ -75,18 +75,18 @@
 
 // bodyBy and answerBy are when a client is given up that sends its body, or takes
 // its answer, too slowly.
-func (h *Head) bodyBy(c *conn) Time {
+func (h *Gateway) bodyBy(c *conn) Time {
 	return c.body.by(h.now, h.config.StallTime, h.config.PaceAfter, h.config.BodyPace)
 }
 
-func (h *Head) answerBy(c *conn) Time {
+func (h *Gateway) answerBy(c *conn) Time {
 	return c.answer.by(h.now, h.config.StallTime, h.config.PaceAfter, h.config.AnswerPace)
 }
 
 // room is how much of an answer or a body a connection may hold now.
-func (h *Head) room() int { return h.admission.Room(h.heldBytes, h.config.Buffer) }
+func (h *Gateway) room() int { return h.admission.BufferAllowance(h.heldBytes, h.config.Buffer) }
 
-func (h *Head) clientEOF(c *conn) {
+func (h *Gateway) clientEOF(c *conn) {
 	c.eof, c.left = true, h.protocol.endMeansGone()
 	switch {
 	case c.discard || c.ex == nil && len(c.pending()) == 0 && !c.ready:
@@ -99,7 +99,7 @@
 
 // clientGone ends what a client that left had under way; open: the driver has yet
 // to close its connection.
-func (h *Head) clientGone(c *conn, open bool) {
+func (h *Gateway) clientGone(c *conn, open bool) {
 	ex := c.ex
 	h.forget(c, open)
 	if ex == nil {
@@ -113,7 +113,7 @@
 }
 
 // clientDrop resets a client whose answer cannot be brought to its end.
-func (h *Head) clientDrop(c *conn) {
+func (h *Gateway) clientDrop(c *conn) {
 	if !c.gone {
 		h.do(Abort, c)
 		h.clientGone(c, true)
@@ -123,7 +123,7 @@
 // leave tells the module that a client left before its final answer. What runs
 // at a node goes on, and its slot with it, unless the node cannot run it for
 // want of its body, or was streaming to nobody.
-func (h *Head) leave(ex *exchange) {
+func (h *Gateway) leave(ex *exchange) {
 	if ex.listing != nil && ex.id == 0 {
 		ex.listing.parent, ex.answer.final = nil, true
 		for i, p := range ex.listing.parts {
@@ -139,9 +139,9 @@
 		return
 	}
 	ex.answer.final, ex.clientLeftAt = true, h.now
-	h.counts.Left++
-	h.events = append(h.events, scheduler.Dropped{ID: ex.id})
-	h.reportEnd(ex, Left)
+	h.counts.Disconnected++
+	h.events = append(h.events, scheduler.ClientDisconnected{ID: ex.id})
+	h.reportEnd(ex, ClientDisconnected)
 	if at := ex.attempts.upload; at != nil && !ex.body.whole {
 		h.breakOff(at)
 	} else if at := ex.answer.from; at != nil {
@@ -151,7 +151,7 @@
 	}
 }
 
-func (h *Head) clientExpired(c *conn) {
+func (h *Gateway) clientExpired(c *conn) {
 	ex := c.ex
 	switch {
 	case c.discard, len(c.pending()) > 0: // it does not take its answer
@@ -165,11 +165,11 @@
 			return
 		}
 		c.closing, ex.body.whole, ex.answer.reason = true, true, "the body stopped"
-		h.counts.Bad++
+		h.counts.Malformed++
 		h.respond(ex, 408, []byte("the body did not come in time\n"), nil)
 	case ex != nil:
 	case c.reading > 0:
-		h.counts.Bad++
+		h.counts.Malformed++
 		h.giveUp(c, "the header did not come in time")
 	default:
 		h.drop(c, Close)
@@ -177,7 +177,7 @@
 }
 
 // clientWrote goes on with what waited for room.
-func (h *Head) clientWrote(c *conn) {
+func (h *Gateway) clientWrote(c *conn) {
 	if len(c.pending()) > 0 {
 		h.setDeadline(c, h.answerBy(c))
 	} else {
@@ -199,7 +199,7 @@
 }
 
 // answered lets go of a client's request whose answer is whole in the buffers.
-func (h *Head) answered(ex *exchange) {
+func (h *Gateway) answered(ex *exchange) {
 	c := ex.client
 	if c == nil {
 		h.recycle(ex)
@@ -228,7 +228,7 @@
 const linger = 2 * time.Second
 
 // idle is a client with no request and nothing to be written.
-func (h *Head) clientIdle(c *conn) {
+func (h *Gateway) clientIdle(c *conn) {
 	switch {
 	case c.ready: // nextRequest looks first
 	case c.closing, c.discard, h.stopping, c.eof:
@@ -241,20 +241,20 @@
 // lingeringClose ends a client's connection: its sending side first, and what still comes is read
 // and dropped until the client has closed too. Guards against a close over bytes that
 // were not read, which resets the connection and takes the last answer with it.
-func (h *Head) lingeringClose(c *conn) {
+func (h *Gateway) lingeringClose(c *conn) {
 	switch {
 	case c.eof:
 		h.drop(c, Close)
 	case !c.shut:
 		c.discard, c.shut = true, true
-		h.do(Shut, c)
+		h.do(CloseWrite, c)
 		h.resume(c)
 		h.setDeadline(c, h.now+linger)
 	}
 }
 
 // nextRequest looks at what a client sent while its last request was under way.
-func (h *Head) nextRequest(c *conn) {
+func (h *Gateway) nextRequest(c *conn) {
 	c.ready = false
 	if c.gone || c.ex != nil {
 		return
--- a/internal/gateway/conn.go
+++ b/internal/gateway/conn.go
@@ -24,7 +24,7 @@
 	deadline Time // when expired is called
 	armed    Time // its place in the heap, not later than the deadline
 	index    int  // in the heap, -1: none
-	ready    bool // stands among Head.readyClients
+	ready    bool // stands among Gateway.readyClients
 
 	clientSide
 	nodeSide
@@ -49,7 +49,7 @@
 	waited   Time // for which it may have waited to be accepted
 	body     pace // of what it sends
 	answer   pace // of what it takes
-	weight   int  // bytes booked on Head.heldBytes
+	weight   int  // bytes booked on Gateway.heldBytes
 }
 
 // nodeSide is what a connection to a node has beside.
@@ -62,7 +62,7 @@
 	postponed bool          // it could not be begun for a failure of the head's own machine
 	used      bool          // it carried a request before
 	parked    Time          // when it was kept last
-	idle      *list.Element // among Head.kept, nil: it is not kept
+	idle      *list.Element // among Gateway.kept, nil: it is not kept
 	resp      http1.Response
 	content   http1.Body
 	inBody    bool
@@ -92,7 +92,7 @@
 }
 
 // weigh books what a client connection holds.
-func (h *Head) weigh(c *conn) {
+func (h *Gateway) weigh(c *conn) {
 	n := len(c.in) + len(c.out)
 	if c.ex != nil {
 		n += len(c.ex.body.held)
@@ -109,7 +109,7 @@
 func (c *conn) pending() []byte { return c.out[c.wrote:] }
 
 // nextID is the id that newConn will give.
-func (h *Head) nextID() ConnID {
+func (h *Gateway) nextID() ConnID {
 	if n := len(h.freeSlots); n > 0 {
 		slot := h.freeSlots[n-1]
 		return ConnID(h.generations[slot])<<32 | ConnID(slot)
@@ -117,7 +117,7 @@
 	return ConnID(len(h.slots))
 }
 
-func (h *Head) newConn() *conn {
+func (h *Gateway) newConn() *conn {
 	var slot uint32
 	if n := len(h.freeSlots); n > 0 {
 		slot = h.freeSlots[n-1]
@@ -132,7 +132,7 @@
 }
 
 // conn finds a connection; events of one that is closed find none.
-func (h *Head) conn(id ConnID) *conn {
+func (h *Gateway) conn(id ConnID) *conn {
 	if s := id.Slot(); s < len(h.slots) && h.slots[s] != nil && h.slots[s].id == id {
 		return h.slots[s]
 	}
@@ -140,7 +140,7 @@
 }
 
 // drop ends a connection by Close or Abort.
-func (h *Head) drop(c *conn, op Op) {
+func (h *Gateway) drop(c *conn, op Op) {
 	if !c.gone {
 		h.do(op, c)
 		h.forget(c, true)
@@ -150,12 +150,12 @@
 // forget takes a connection out of all tables. open: the driver has yet to close
 // it, and its slot is used again only after that, or the driver would take one
 // connection for the other.
-func (h *Head) forget(c *conn, open bool) {
+func (h *Gateway) forget(c *conn, open bool) {
 	if c.gone {
 		return
 	}
 	if c.owes() {
-		h.guard.ClosedUnanswered(h.now, c.ex.id)
+		h.guard.RecordUnansweredClose(h.now, c.ex.id)
 	}
 	c.gone = true
 	s := c.id.Slot()
@@ -191,7 +191,7 @@
 }
 
 // flush asks for what is to be written to be written.
-func (h *Head) flush(c *conn) {
+func (h *Gateway) flush(c *conn) {
 	if c.client() && !c.gone {
 		h.weigh(c)
 	}
@@ -207,14 +207,14 @@
 	}
 }
 
-func (h *Head) pause(c *conn) {
+func (h *Gateway) pause(c *conn) {
 	if !c.paused && !c.gone {
 		c.paused = true
 		h.do(Pause, c)
 	}
 }
 
-func (h *Head) resume(c *conn) {
+func (h *Gateway) resume(c *conn) {
 	if c.paused && !c.gone {
 		c.paused = false
 		h.do(Resume, c)
@@ -222,7 +222,7 @@
 }
 
 // keep stores what was not used of the bytes told: rest is the end of buf.
-func (h *Head) keep(c *conn, rest []byte) {
+func (h *Gateway) keep(c *conn, rest []byte) {
 	switch {
 	case c.gone:
 	case len(rest) == 0:
@@ -237,7 +237,7 @@
 
 // Out returns what is to be written to a connection. It is the one place where bytes are
 // handed out, and where the guard is asked before the first of an attempt.
-func (h *Head) Out(now Time, id ConnID) []byte {
+func (h *Gateway) Out(now Time, id ConnID) []byte {
 	h.tick(now)
 	c := h.conn(id)
 	if c == nil {
@@ -251,7 +251,7 @@
 }
 
 // Wrote tells that n bytes of Out were written.
-func (h *Head) Wrote(now Time, id ConnID, n int) {
+func (h *Gateway) Wrote(now Time, id ConnID, n int) {
 	h.tick(now)
 	c := h.conn(id)
 	if c == nil || n <= 0 {
@@ -276,7 +276,7 @@
 }
 
 // Data tells bytes read from a connection. They are not kept after the call.
-func (h *Head) Data(now Time, id ConnID, p []byte) {
+func (h *Gateway) Data(now Time, id ConnID, p []byte) {
 	h.tick(now)
 	c := h.conn(id)
 	if c == nil || len(p) == 0 {
@@ -304,7 +304,7 @@
 // Stalled tells that a call on a connection failed for a failure of the head's own machine, and
 // is made again later: that is not the other side's doing. A connection asked for with Dial is
 // begun later then.
-func (h *Head) Stalled(now Time, id ConnID) {
+func (h *Gateway) Stalled(now Time, id ConnID) {
 	h.tick(now)
 	c := h.conn(id)
 	if c == nil {
@@ -317,20 +317,20 @@
 	c.postponed = c.postponed || !c.connected
 	if at := c.at; at != nil && !at.stalled {
 		at.stalled = true
-		h.events = append(h.events, scheduler.Stalled{ID: at.ex.id, Attempt: at.number})
+		h.events = append(h.events, scheduler.AttemptStalled{ID: at.ex.id, Attempt: at.number})
 	}
 }
 
 // resumed tells the module that an attempt goes on.
-func (h *Head) resumed(at *attempt) {
+func (h *Gateway) resumed(at *attempt) {
 	if at != nil && at.stalled {
 		at.stalled = false
-		h.events = append(h.events, scheduler.Resumed{ID: at.ex.id, Attempt: at.number})
+		h.events = append(h.events, scheduler.AttemptResumed{ID: at.ex.id, Attempt: at.number})
 	}
 }
 
 // EOF tells that the other side sends no more.
-func (h *Head) EOF(now Time, id ConnID) {
+func (h *Gateway) EOF(now Time, id ConnID) {
 	h.tick(now)
 	c := h.conn(id)
 	switch {
@@ -346,7 +346,7 @@
 
 // Closed tells that a connection is lost or could not be made; the driver has
 // let go of it.
-func (h *Head) Closed(now Time, id ConnID) {
+func (h *Gateway) Closed(now Time, id ConnID) {
 	h.tick(now)
 	c := h.conn(id)
 	switch {
--- a/internal/gateway/crossing_random_test.go
+++ b/internal/gateway/crossing_random_test.go
@@ -161,12 +161,12 @@
 					delete(x.wire, d)
 				case what == 9: // a list
 					state := rapid.SampledFrom([]scheduler.NodeState{scheduler.Serving, scheduler.Draining}).Draw(rt, "state")
-					x.h.Nodes(x.now, []nodelist.Node{{Name: "n0", Addr: "node:0", State: state}, {Name: "n2", Addr: "node:2"}})
+					x.h.SetNodes(x.now, []nodelist.Node{{Name: "n0", Addr: "node:0", State: state}, {Name: "n2", Addr: "node:2"}})
 					x.told = state == scheduler.Draining
 				case what == 10:
 					x.now += time.Duration(rapid.IntRange(1, 400).Draw(rt, "ms")) * time.Millisecond
 				case what == 11 && !stopped && rapid.IntRange(0, 5).Draw(rt, "stop") == 0:
-					x.h.Stop(x.now)
+					x.h.Shutdown(x.now)
 					stopped = true
 				}
 			}
@@ -183,7 +183,7 @@
 			}
 		}
 		if stopped && rapid.Bool().Draw(rt, "cut") {
-			x.h.Cut(x.now)
+			x.h.AbortRemaining(x.now)
 			x.run()
 		}
 		x.pass(5 * time.Second)
--- a/internal/gateway/crossing_test.go
+++ b/internal/gateway/crossing_test.go
@@ -12,27 +12,27 @@
 // held is a protocol whose messages are held whole, as a platform's.
 type held struct{}
 
-func (held) Ask(r *http1.Request) Ask {
+func (held) ParseRequest(r *http1.Request) RequestInfo {
 	class := 0
 	if string(r.Method) == "PUT" {
 		class = 1
 	}
-	return Ask{ID: string(r.Get("id")), Arrival: scheduler.Arrival{Class: class, Volume: "v", Units: 1, Hosts: 1, Left: 800 * time.Millisecond}}
+	return RequestInfo{ID: string(r.Get("id")), Arrival: scheduler.Arrival{Class: class, Volume: "v", Units: 1, Instances: 1, TimeRemaining: 800 * time.Millisecond}}
 }
-func (held) Open(*Ask) *http1.Error { return nil }
-func (held) Closed(string, Outcome) {}
+func (held) BeginRequest(*RequestInfo) *http1.Error { return nil }
+func (held) EndRequest(string, Outcome)             {}
 func (held) AppendRequest(b []byte, r *http1.Request, left time.Duration) []byte {
 	b = append(append(append(b, r.Method...), " /"...), r.Get("id")...)
 	return http1.AppendInt(append(b, " HTTP/1.1\r\n"...), "Left-Ms", int64(left/time.Millisecond))
 }
-func (held) Verdict(r *http1.Response) Verdict                 { return Verdict{Outcome: scheduler.OK} }
+func (held) ParseResponse(r *http1.Response) ResponseInfo      { return ResponseInfo{Outcome: scheduler.OK} }
 func (held) AppendRetryAfter(b []byte, _ time.Duration) []byte { return b }
-func (held) MostAnswer() (one, all int64)                      { return 1 << 16, 1 << 18 }
-func (held) Stall() time.Duration                              { return 250 * time.Millisecond }
+func (held) MaxResponseBytes() (one, all int64)                { return 1 << 16, 1 << 18 }
+func (held) ResponseStallTimeout() time.Duration               { return 250 * time.Millisecond }
 func ask(id string) string                                     { return get("/", "id: "+id) }
-func newHeldRig(t *testing.T) *rig                             { r := newRig(t, ""); r.h.Speak(held{}); return r }
+func newHeldRig(t *testing.T) *rig                             { r := newRig(t, ""); r.h.SetProtocol(held{}); return r }
 func (r *rig) tell(state scheduler.NodeState) {
-	r.h.Nodes(r.now, []nodelist.Node{{Name: "n0", Addr: "node:0", State: state}, {Name: "n2", Addr: "node:2"}})
+	r.h.SetNodes(r.now, []nodelist.Node{{Name: "n0", Addr: "node:0", State: state}, {Name: "n2", Addr: "node:2"}})
 	r.run()
 }
 
@@ -54,7 +54,7 @@
 		if got := r.take(n); got != "" {
 			t.Errorf("%s: %q is sent for a client that has gone", name, got)
 		}
-		r.wantFinals(map[Outcome]int{Left: 1})
+		r.wantFinals(map[Outcome]int{ClientDisconnected: 1})
 		c = r.client(ask("b"))
 		r.want(name+": the next on the connection", r.take(n), "GET /b ")
 		r.say(n, ok("hi"))
@@ -83,7 +83,7 @@
 		if got := r.take(n); got != "" {
 			t.Errorf("before %v: %q", before, got)
 		}
-		r.wantFinals(map[Outcome]int{Left: 1})
+		r.wantFinals(map[Outcome]int{ClientDisconnected: 1})
 	}
 }
 
@@ -102,7 +102,7 @@
 	if r.ended[n] != Abort {
 		t.Errorf("the node's connection goes on: %v", r.ended)
 	}
-	r.wantFinals(map[Outcome]int{Served: 1, Left: 1})
+	r.wantFinals(map[Outcome]int{Served: 1, ClientDisconnected: 1})
 }
 
 // A client that sent ahead is read on while its first request is under way, so that its
@@ -110,7 +110,7 @@
 func TestGoneBehindRequestsSentAhead(t *testing.T) {
 	for _, n := range []int{1, 1000} {
 		r := newHeldRig(t)
-		r.h.Nodes(r.now, nil)
+		r.h.SetNodes(r.now, nil)
 		c := r.client(ask("a"))
 		for range n {
 			r.say(c, ask("b"))
@@ -128,7 +128,7 @@
 		if len(r.dials) != 0 {
 			t.Errorf("%q is sent for a client that has gone", r.take(r.node(0)))
 		}
-		r.wantFinals(map[Outcome]int{Left: 1})
+		r.wantFinals(map[Outcome]int{ClientDisconnected: 1})
 	}
 
 	// One that stays has its answers in turn; one that sent too much has the first, and the end.
@@ -192,7 +192,7 @@
 	r.late = true
 	c = r.client(ask("a"))
 	n = r.node(0)
-	r.h.Nodes(r.now, []nodelist.Node{{Name: "n0", Addr: "node:9"}})
+	r.h.SetNodes(r.now, []nodelist.Node{{Name: "n0", Addr: "node:9"}})
 	r.h.Connected(r.now, n)
 	r.run()
 	if got := r.take(n); got != "" {
@@ -200,7 +200,7 @@
 	}
 	r.pass(time.Second)
 	r.want("the answer", r.take(c), "HTTP/1.1 503 ")
-	r.wantFinals(map[Outcome]int{Refused: 1})
+	r.wantFinals(map[Outcome]int{Rejected: 1})
 }
 
 // What may be repeated within a window alone does not begin after it, though its
--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -16,10 +16,10 @@
 
 	headerBytes []byte
 	req         http1.Request
-	place       route.Place
-	job         route.Job
+	place       route.Location
+	job         route.Classification
 	volume      *config.Volume // as the configuration was when it came
-	ask         Ask            // what the module is told of it
+	ask         RequestInfo    // what the module is told of it
 
 	headerAt     Time // when its header was whole
 	takenAt      Time // when the module was told
@@ -83,7 +83,7 @@
 	sampled bool
 }
 
-func (h *Head) newExchange() *exchange {
+func (h *Gateway) newExchange() *exchange {
 	last := len(h.exchangePool) - 1
 	if last < 0 {
 		return &exchange{}
@@ -95,7 +95,7 @@
 }
 
 // recycle keeps an exchange that nothing speaks of any more for use again.
-func (h *Head) recycle(ex *exchange) {
+func (h *Gateway) recycle(ex *exchange) {
 	if ex.recycled || ex.inUse() {
 		return
 	}
--- a/internal/gateway/head.go
+++ b/internal/gateway/gateway.go
@@ -40,13 +40,13 @@
 
 // Operations.
 const (
-	Dial   Op = iota // connect to Addr; then Connected or Closed
-	Flush            // write what Out gives and tell Wrote
-	Pause            // read no more of it
-	Resume           // read it again
-	Shut             // end the sending side
-	Close            // close it; nothing more is told of it
-	Abort            // the same with a reset
+	Dial       Op = iota // connect to Addr; then Connected or Closed
+	Flush                // write what Out gives and tell Wrote
+	Pause                // read no more of it
+	Resume               // read it again
+	CloseWrite           // end the sending side
+	Close                // close it; nothing more is told of it
+	Abort                // the same with a reset
 )
 
 // Action is asked of the driver; actions are carried out in order.
@@ -56,20 +56,20 @@
 	Addr string // of Dial
 }
 
-// Core decides: the module, or in its place what a comparison or a test wants.
-type Core interface {
+// Scheduler decides: the module, or in its place what a comparison or a test wants.
+type Scheduler interface {
 	Handle(now Time, events []scheduler.Event) []scheduler.Action
 }
 
-// Head is one head. It is not safe for concurrent use.
-type Head struct {
+// Gateway is one head. It is not safe for concurrent use.
+type Gateway struct {
 	config    *config.Config
 	routes    *route.Table
 	admission *admission.Admission
-	core      Core
+	core      Scheduler
 	protocol  protocol
 	observer  Observer
-	guard     invariant.Guard
+	guard     invariant.Checker
 	feeding   feeding
 
 	now      Time
@@ -110,7 +110,7 @@
 	bufferPool   [][]byte
 	heldBytes    int64 // of all client connections
 	answerBytes  int64 // of answers that are held until they are whole
-	turnTexts    [admission.Reasons]turnText
+	turnTexts    [admission.ReasonCount]turnText
 
 	stopping bool
 	leaving  bool // clients are told that their connection ends
@@ -120,22 +120,22 @@
 
 // New returns a head. The seed is for what is spread by chance among heads.
 // origin is the wall-clock time of the head's Time zero.
-func New(c *config.Config, seed uint64, now Time, origin time.Time, obs Observer) (*Head, error) {
-	core, err := scheduler.New(c.Logic, seed, now)
+func New(c *config.Config, seed uint64, now Time, origin time.Time, obs Observer) (*Gateway, error) {
+	core, err := scheduler.New(c.Scheduler, seed, now)
 	if err != nil {
 		return nil, err
 	}
-	return NewWith(core, c, seed, now, origin, obs), nil
+	return NewWithScheduler(core, c, seed, now, origin, obs), nil
 }
 
-// NewWith returns a head with a core in the module's place.
-func NewWith(core Core, c *config.Config, seed uint64, now Time, origin time.Time, obs Observer) *Head {
-	admission, err := admission.New(c.Admit, seed)
+// NewWithScheduler returns a head with a core in the module's place.
+func NewWithScheduler(core Scheduler, c *config.Config, seed uint64, now Time, origin time.Time, obs Observer) *Gateway {
+	admission, err := admission.New(c.Admission, seed)
 	if err != nil { // never: the configuration is checked
 		panic(err)
 	}
 	r := rand.New(rand.NewPCG(seed, 0x6d616464))
-	h := &Head{
+	h := &Gateway{
 		config:      c,
 		routes:      route.NewTable(c, nil),
 		admission:   admission,
@@ -152,18 +152,18 @@
 		wakeAt:      never,
 	}
 	if obs != nil {
-		h.guard.Report = h.violated
+		h.guard.OnViolation = h.violated
 	}
 	return h
 }
 
 // Reload takes a new configuration. What the module was told at start cannot
 // change while it runs; then nothing is applied.
-func (h *Head) Reload(c *config.Config) error {
-	if !reflect.DeepEqual(c.Logic, h.config.Logic) {
+func (h *Gateway) Reload(c *config.Config) error {
+	if !reflect.DeepEqual(c.Scheduler, h.config.Scheduler) {
 		return fmt.Errorf("classes, plans, heads, cold, budget, units and attempts change with a restart only")
 	}
-	if err := h.admission.Change(c.Admit); err != nil {
+	if err := h.admission.Change(c.Admission); err != nil {
 		return err
 	}
 	h.routes = route.NewTable(c, h.routes)
@@ -171,11 +171,11 @@
 	return nil
 }
 
-func (h *Head) tick(now Time) { h.now = max(h.now, now) }
+func (h *Gateway) tick(now Time) { h.now = max(h.now, now) }
 
 // Advance runs timers and the module over what was told, and returns what to
 // do and when to come back at the latest. The actions are good until the next call.
-func (h *Head) Advance(now Time) ([]Action, Time) {
+func (h *Gateway) Advance(now Time) ([]Action, Time) {
 	h.tick(now)
 	h.lag.called(h.now)
 	h.freeSlots, h.closedSlots = append(h.freeSlots, h.closedSlots...), h.closedSlots[:0]
@@ -192,7 +192,7 @@
 	}
 	if h.now >= h.wakeAt {
 		h.wakeAt = never
-		h.events = append(h.events, scheduler.Wake{})
+		h.events = append(h.events, scheduler.TimerFired{})
 	}
 	feedNext := h.advanceFeed()
 	for len(h.events) > 0 || len(h.readyClients) > 0 {
@@ -224,17 +224,17 @@
 }
 
 // carryOut does what the module decided.
-func (h *Head) carryOut(a scheduler.Action) {
+func (h *Gateway) carryOut(a scheduler.Action) {
 	switch a := a.(type) {
 	case scheduler.Send:
-		h.send(h.requests[a.ID], a.Node, a.By)
-	case scheduler.Refuse:
+		h.send(h.requests[a.ID], a.Node, a.StartBefore)
+	case scheduler.Reject:
 		h.refuse(h.requests[a.ID], a.RetryAfter)
 	case scheduler.Fail:
 		h.fail(h.requests[a.ID])
-	case scheduler.WakeIn:
-		h.wakeAt = h.now + a.In // in place of the one before, as the module counts on
+	case scheduler.SetTimer:
+		h.wakeAt = h.now + a.After // in place of the one before, as the module counts on
 	}
 }
 
-func (h *Head) do(op Op, c *conn) { h.actions = append(h.actions, Action{Op: op, Conn: c.id}) }
+func (h *Gateway) do(op Op, c *conn) { h.actions = append(h.actions, Action{Op: op, Conn: c.id}) }
--- a/internal/gateway/head_test.go
+++ b/internal/gateway/gateway_test.go
@@ -28,7 +28,7 @@
 	r.say(n, "def")
 	r.want("the answer", r.take(c), "HTTP/1.1 200 OK\r\n", "Content-Length: 6\r\n", "ETag: \"e\"", "X-Request-Id: ", "\r\n\r\nabcdef")
 	r.wantFinals(map[Outcome]int{Served: 1})
-	if s := r.spans[0]; s.Node != "n0" || s.Ended != scheduler.OK || s.Parent != r.spans[1].ID || fmt.Sprintf("%x", r.spans[1].Parent) != "b7ad6b7169203331" {
+	if s := r.spans[0]; s.Node != "n0" || s.AttemptOutcome != scheduler.OK || s.Parent != r.spans[1].ID || fmt.Sprintf("%x", r.spans[1].Parent) != "b7ad6b7169203331" {
 		t.Errorf("spans %+v", r.spans)
 	}
 	// The kept connections serve the next request.
@@ -120,7 +120,7 @@
 	if r.ended[n] != Abort {
 		t.Error("the node's connection stays open")
 	}
-	r.wantFinals(map[Outcome]int{Left: 1})
+	r.wantFinals(map[Outcome]int{ClientDisconnected: 1})
 	for i := range 2 { // windowStart is 2: both slots are there
 		r.client(get(fmt.Sprint("/feed-a/s/", i)))
 	}
@@ -144,7 +144,7 @@
 	}
 	r.pass(50 * time.Millisecond)
 	r.say(n, ok("x"))
-	r.wantFinals(map[Outcome]int{Left: 1})
+	r.wantFinals(map[Outcome]int{ClientDisconnected: 1})
 	r.client(get("/feed-a/s/y"))
 	if len(r.dials) != 1 {
 		t.Error("the connection was not kept")
@@ -162,7 +162,7 @@
 	if r.ended[n] != Abort {
 		t.Error("the node streams on to nobody")
 	}
-	r.wantFinals(map[Outcome]int{Left: 1})
+	r.wantFinals(map[Outcome]int{ClientDisconnected: 1})
 }
 
 // A node that answers before it has the body: the client has that answer, and
@@ -280,7 +280,7 @@
 	c := r.client(put("/feed-a/s/x", "segment"))
 	r.pass(time.Second)
 	r.want("the answer", r.take(c), "HTTP/1.1 503 ")
-	r.wantFinals(map[Outcome]int{Refused: 1})
+	r.wantFinals(map[Outcome]int{Rejected: 1})
 }
 
 func TestPipelined(t *testing.T) {
@@ -403,7 +403,7 @@
 		t.Error("the node's connection goes on")
 	}
 	r.want("the answer", r.take(c), "HTTP/1.1 400")
-	r.wantFinals(map[Outcome]int{Left: 1})
+	r.wantFinals(map[Outcome]int{ClientDisconnected: 1})
 }
 
 // A byte a second: the header, then the body, is given up in its time, and no
@@ -435,7 +435,7 @@
 	if r.ended[c] != Abort || r.ended[n] != Abort {
 		t.Errorf("%v", r.ended)
 	}
-	r.wantFinals(map[Outcome]int{Left: 1})
+	r.wantFinals(map[Outcome]int{ClientDisconnected: 1})
 }
 
 // A long body goes at the pace of the node: the client is paused at the bound.
@@ -479,7 +479,7 @@
 	if n := r.h.nodes["n0"].conns; n > 4 {
 		t.Errorf("%d connections to a node, want 4 at most", n)
 	}
-	if f := r.finals(); f[Refused] != 40 {
+	if f := r.finals(); f[Rejected] != 40 {
 		t.Errorf("%v, want 40 refused", f)
 	}
 }
@@ -529,7 +529,7 @@
 	r.run()
 	r.say(r.node(0), part("/feed-b/one"))
 	r.say(r.node(1), part("/feed-b/two"))
-	r.wantFinals(map[Outcome]int{Left: 2})
+	r.wantFinals(map[Outcome]int{ClientDisconnected: 2})
 }
 
 // A stop: what was taken is answered, and nothing more is read.
@@ -543,7 +543,7 @@
 	r.say(r.node(1), ok("zero"))
 	r.take(half)
 	r.say(half, "GET /feed-a/s/4 HTT")
-	r.h.Stop(r.now)
+	r.h.Shutdown(r.now)
 	r.run()
 	if r.h.Idle() {
 		t.Error("idle with a request under way")
@@ -564,8 +564,8 @@
 		r.parted(late.c)
 	}
 	r.pass(firstTime)
-	if r.ended[silent] != Close || !r.h.Idle() || r.h.Counts().Taken != 5 {
-		t.Errorf("a silent connection ended by %v, idle %v after %d taken, want 5", r.ended[silent], r.h.Idle(), r.h.Counts().Taken)
+	if r.ended[silent] != Close || !r.h.Idle() || r.h.Counts().Received != 5 {
+		t.Errorf("a silent connection ended by %v, idle %v after %d taken, want 5", r.ended[silent], r.h.Idle(), r.h.Counts().Received)
 	}
 }
 
@@ -574,12 +574,12 @@
 func TestStopAnswersWhatIsLeft(t *testing.T) {
 	r := newRig(t, "")
 	out := r.client(get("/feed-a/s/1"))
-	r.h.Nodes(r.now, nil)
+	r.h.SetNodes(r.now, nil)
 	waits := r.client(get("/feed-a/s/2"))
-	r.h.Stop(r.now)
+	r.h.Shutdown(r.now)
 	r.run()
 	r.pass(100 * time.Millisecond)
-	r.h.Cut(r.now)
+	r.h.AbortRemaining(r.now)
 	r.run()
 	r.want("of what was sent", r.take(out), "HTTP/1.1 502 ", "Connection: close")
 	r.want("of what waited", r.take(waits), "HTTP/1.1 503 ", "Connection: close")
@@ -587,7 +587,7 @@
 	if got := r.take(out); got != "" {
 		t.Errorf("answered twice: %q", got)
 	}
-	r.wantFinals(map[Outcome]int{Failed: 1, Refused: 1})
+	r.wantFinals(map[Outcome]int{Failed: 1, Rejected: 1})
 }
 
 // A warm connection's request costs few allocations, and an idle one little memory.
@@ -633,10 +633,10 @@
 
 func (c *timed) Handle(now Time, events []scheduler.Event) (acts []scheduler.Action) {
 	for _, e := range events {
-		if _, ok := e.(scheduler.Wake); ok {
+		if _, ok := e.(scheduler.TimerFired); ok {
 			c.wakes = append(c.wakes, now)
 		} else if len(c.ask) > 0 {
-			acts = append(acts, scheduler.WakeIn{In: c.ask[0]})
+			acts = append(acts, scheduler.SetTimer{After: c.ask[0]})
 			c.ask = c.ask[1:]
 		}
 	}
@@ -737,7 +737,7 @@
 	r := newRig(t, "")
 	for i := range 3000 {
 		name := fmt.Sprint("x", i)
-		r.h.Nodes(r.now, []nodelist.Node{{Name: name, Addr: "node:" + name}})
+		r.h.SetNodes(r.now, []nodelist.Node{{Name: name, Addr: "node:" + name}})
 		r.run()
 		c := r.client(get("/feed-a/u/x"))
 		r.say(r.dials[len(r.dials)-1], ok("a"))
@@ -755,7 +755,7 @@
 	for name, n := range map[string]nodelist.Node{"moved": {Name: "n0", Addr: "node:9"}, "new start": {Name: "n0", Addr: "node:0", Started: time.Unix(2e9, 0)}} {
 		r := newRig(t, "")
 		r.client(get("/feed-a/s/x"))
-		r.h.Nodes(r.now, []nodelist.Node{n, {Name: "n1", Addr: "node:1", Shard: 1}})
+		r.h.SetNodes(r.now, []nodelist.Node{n, {Name: "n1", Addr: "node:1", Shard: 1}})
 		r.run()
 		r.say(r.node(0), ok("a"))
 		r.client(get("/feed-a/s/y"))
--- a/internal/gateway/invariants.go
+++ b/internal/gateway/invariants.go
@@ -6,15 +6,15 @@
 )
 
 // guarded describes an attempt to the guard.
-func (h *Head) guarded(at *attempt) invariant.Attempt {
+func (h *Gateway) guarded(at *attempt) invariant.Attempt {
 	ex := at.ex
-	a := invariant.Attempt{Request: ex.id, Node: at.node, Number: at.number, InForce: h.listInForce, ClientLeft: ex.clientLeftAt, Deadline: ex.deadline,
-		Timeout: at.timeout, Earlier: h.earlier(at)}
+	a := invariant.Attempt{Request: ex.id, Node: at.node, Number: at.number, MembershipKnown: h.listInForce, ClientDisconnectedAt: ex.clientLeftAt, Deadline: ex.deadline,
+		Timeout: at.timeout, Prior: h.earlier(at)}
 	n := h.nodes[at.node]
 	if n == nil {
 		return a
 	}
-	a.Serving, a.Changed = n.listed && n.state == scheduler.Serving, n.changed
+	a.Serving, a.StateChangedAt = n.listed && n.state == scheduler.Serving, n.changed
 	if c := at.conn; c != nil && (c.node != n || c.addr != n.addr || c.started != n.started) {
 		a.Serving = false
 	}
@@ -22,40 +22,40 @@
 }
 
 // classOf is the class of a request, as it is configured.
-func (h *Head) classOf(ex *exchange) *scheduler.Class {
-	return &h.config.Logic.Classes[ex.ask.Arrival.Class]
+func (h *Gateway) classOf(ex *exchange) *scheduler.Class {
+	return &h.config.Scheduler.Classes[ex.ask.Arrival.Class]
 }
 
 // earlier tells what became of a request's attempts before this one.
-func (h *Head) earlier(at *attempt) invariant.Earlier {
+func (h *Gateway) earlier(at *attempt) invariant.PriorAttempts {
 	ex, class := at.ex, h.classOf(at.ex)
-	e := invariant.Earlier{Effect: class.Effect, Out: ex.attempts.inFlight - 1, Ran: ex.attempts.mayHaveRun.known}
-	if class.Effect != scheduler.Keyed || !e.Ran {
+	e := invariant.PriorAttempts{Effect: class.Effect, InFlight: ex.attempts.inFlight - 1, MayHaveRun: ex.attempts.mayHaveRun.known}
+	if class.Effect != scheduler.Idempotent || !e.MayHaveRun {
 		return e
 	}
-	e.Until = ex.attempts.mayHaveRun.began + class.Window
+	e.RepeatBefore = ex.attempts.mayHaveRun.began + class.DeduplicationWindow
 	n := h.nodes[at.node]
-	switch class.Group {
-	case scheduler.GroupZone:
-		e.Grouped = n != nil && n.zone == ex.attempts.mayHaveRun.zone
-	case scheduler.GroupCell:
-		e.Grouped = n != nil && n.shard == ex.attempts.mayHaveRun.shard
+	switch class.DeduplicationScope {
+	case scheduler.ScopeZone:
+		e.SameScope = n != nil && n.zone == ex.attempts.mayHaveRun.zone
+	case scheduler.ScopeShard:
+		e.SameScope = n != nil && n.shard == ex.attempts.mayHaveRun.shard
 	default:
-		e.Grouped = true
+		e.SameScope = true
 	}
 	return e
 }
 
 // violated reports what the guard found, with the client's name for the request.
-func (h *Head) violated(v invariant.Violation) {
+func (h *Gateway) violated(v invariant.Violation) {
 	if ex := h.requests[v.Request]; ex != nil {
 		v.Name = h.nameOf(ex)
 	}
-	h.observer.Violation(v)
+	h.observer.InvariantViolated(v)
 }
 
 // nameOf is the client's name for a request, or the head's own.
-func (h *Head) nameOf(ex *exchange) string {
+func (h *Gateway) nameOf(ex *exchange) string {
 	if ex.ask.ID != "" {
 		return ex.ask.ID
 	}
@@ -63,21 +63,21 @@
 }
 
 // maySend asks whether an attempt may begin, as the module decides on it.
-func (h *Head) maySend(at *attempt) bool {
+func (h *Gateway) maySend(at *attempt) bool {
 	a := h.guarded(at)
-	return h.guard.MayBegin(h.now, &a) == invariant.None
+	return h.guard.CheckStart(h.now, &a) == invariant.None
 }
 
 // mayBegin asks whether the attempt of a connection may begin, as its first byte is about to
 // be written. One that would tell its node more time than is left is written anew.
-func (h *Head) mayBegin(c *conn) bool {
+func (h *Gateway) mayBegin(c *conn) bool {
 	at := c.at
 	a := h.guarded(at)
-	if at.timeout > 0 && h.now < at.ex.deadline && invariant.Outdated(h.now, at.ex.deadline, at.timeout) {
+	if at.timeout > 0 && h.now < at.ex.deadline && invariant.TimeoutOutdated(h.now, at.ex.deadline, at.timeout) {
 		h.encode(c)
 		a.Timeout = at.timeout
 	}
-	if h.guard.MayBegin(h.now, &a) == invariant.None {
+	if h.guard.CheckStart(h.now, &a) == invariant.None {
 		return true
 	}
 	h.withhold(c)
@@ -86,23 +86,23 @@
 
 // withhold takes an attempt of which nothing was written back from its connection, which
 // serves the next one.
-func (h *Head) withhold(c *conn) {
+func (h *Gateway) withhold(c *conn) {
 	at := c.at
 	c.at = nil
 	h.release(c.out)
 	c.out, c.wrote = nil, 0
-	h.end(at, scheduler.Moot)
+	h.end(at, scheduler.Superseded)
 	h.park(c)
 }
 
 // began tells the guard that the first byte of an attempt was written.
-func (h *Head) began(at *attempt) {
+func (h *Gateway) began(at *attempt) {
 	a := h.guarded(at)
-	h.guard.Began(h.now, &a)
+	h.guard.CheckStarted(h.now, &a)
 }
 
 // mayRun notes that an attempt may have run, by how it ended.
-func (h *Head) mayRun(at *attempt, o scheduler.Outcome) {
+func (h *Gateway) mayRun(at *attempt, o scheduler.Outcome) {
 	ex := at.ex
 	if ex.attempts.mayHaveRun.known || o.ProvesNotRun() {
 		return
--- a/internal/gateway/invariants_test.go
+++ b/internal/gateway/invariants_test.go
@@ -46,21 +46,21 @@
 		want    invariant.Rule
 	}{
 		{"a node that drains", func(r *rig, c *careless, _ ConnID) {
-			r.h.members(membership.News{Nodes: []nodelist.Node{{Name: "n0", Addr: "node:0", State: scheduler.Draining}}})
+			r.h.members(membership.Update{Nodes: []nodelist.Node{{Name: "n0", Addr: "node:0", State: scheduler.Draining}}})
 			c.actions = []scheduler.Action{send}
 		}, invariant.Drain},
 		{"a node that drains while its connection comes up", func(r *rig, c *careless, _ ConnID) {
 			r.late = true
 			c.actions = []scheduler.Action{send}
-			r.h.events = append(r.h.events, scheduler.Wake{})
+			r.h.events = append(r.h.events, scheduler.TimerFired{})
 			r.run()
-			r.h.members(membership.News{Nodes: []nodelist.Node{{Name: "n0", Addr: "node:0", State: scheduler.Draining}}})
+			r.h.members(membership.Update{Nodes: []nodelist.Node{{Name: "n0", Addr: "node:0", State: scheduler.Draining}}})
 			r.run()
 			r.h.Connected(r.now, r.dials[0])
 		}, invariant.Drain},
 		{"a write that may have run", func(r *rig, c *careless, _ ConnID) {
 			c.actions = []scheduler.Action{send}
-			r.h.events = append(r.h.events, scheduler.Wake{})
+			r.h.events = append(r.h.events, scheduler.TimerFired{})
 			r.run()
 			r.sentToNodes()
 			r.h.Closed(r.now, r.dials[0])
@@ -68,7 +68,7 @@
 		}, invariant.Repeat},
 		{"a write that is still out", func(r *rig, c *careless, _ ConnID) {
 			c.actions = []scheduler.Action{send}
-			r.h.events = append(r.h.events, scheduler.Wake{})
+			r.h.events = append(r.h.events, scheduler.TimerFired{})
 			r.run()
 			r.sentToNodes()
 			c.actions = []scheduler.Action{send}
@@ -82,12 +82,12 @@
 		t.Run(test.name, func(t *testing.T) {
 			r, c, client := carelessRig(t)
 			test.arrange(r, c, client)
-			r.h.events = append(r.h.events, scheduler.Wake{})
+			r.h.events = append(r.h.events, scheduler.TimerFired{})
 			r.run()
 			if n := r.sentToNodes(); n != 0 {
 				t.Errorf("%d requests went out", n)
 			}
-			if counts := r.h.Counts().Guard; counts.Withheld[test.want] != 1 || counts.Broken != (invariant.Counts{}).Broken {
+			if counts := r.h.Counts().Invariants; counts.Withheld[test.want] != 1 || counts.Broken != (invariant.Counts{}).Broken {
 				t.Errorf("counted %+v, want one of %v withheld", counts, test.want)
 			}
 			if len(r.violations) != 1 || r.violations[0].Rule != test.want || r.violations[0].Name == "" {
@@ -101,18 +101,18 @@
 func TestGuardFindsWhatIsBroken(t *testing.T) {
 	r, c, client := carelessRig(t)
 	c.actions = []scheduler.Action{scheduler.Send{ID: 1, Node: "n0"}}
-	r.h.events = append(r.h.events, scheduler.Wake{})
+	r.h.events = append(r.h.events, scheduler.TimerFired{})
 	r.late = true
 	r.run()
 	r.h.Connected(r.now, r.dials[0])
 	out := r.h.Out(r.now, r.dials[0]) // the head is held up between this and the write
-	r.h.members(membership.News{Nodes: []nodelist.Node{{Name: "n0", Addr: "node:0", State: scheduler.Draining}}})
+	r.h.members(membership.Update{Nodes: []nodelist.Node{{Name: "n0", Addr: "node:0", State: scheduler.Draining}}})
 	r.now += 200 * time.Millisecond
 	r.h.Wrote(r.now, r.dials[0], len(out))
 	r.h.drop(r.h.conn(client), Close)
-	r.h.reportEnd(r.h.requests[1], Refused)
-	r.h.reportEnd(r.h.requests[1], Refused)
-	broken := r.h.Counts().Guard.Broken
+	r.h.reportEnd(r.h.requests[1], Rejected)
+	r.h.reportEnd(r.h.requests[1], Rejected)
+	broken := r.h.Counts().Invariants.Broken
 	for _, rule := range []invariant.Rule{invariant.Drain, invariant.Close, invariant.Answer} {
 		if broken[rule] != 1 {
 			t.Errorf("%v: counted %d times", rule, broken[rule])
@@ -130,7 +130,7 @@
 		r, c, _ := carelessRig(t)
 		r.late = true
 		c.actions = []scheduler.Action{scheduler.Send{ID: 1, Node: "n0"}}
-		r.h.events = append(r.h.events, scheduler.Wake{})
+		r.h.events = append(r.h.events, scheduler.TimerFired{})
 		r.run()
 		r.h.Stalled(r.now, r.dials[0])
 		if others {
@@ -138,11 +138,11 @@
 			r.h.lastConnected = r.now
 		}
 		r.pass(r.h.config.DialTime + time.Millisecond)
-		want := scheduler.Moot
+		want := scheduler.Superseded
 		if others {
 			want = scheduler.ConnectFailed
 		}
-		if n := len(r.spans); n != 1 || r.spans[0].Ended != want {
+		if n := len(r.spans); n != 1 || r.spans[0].AttemptOutcome != want {
 			t.Errorf("others %v: %+v, want %v", others, r.spans, want)
 		}
 	}
--- a/internal/gateway/listing.go
+++ b/internal/gateway/listing.go
@@ -27,7 +27,7 @@
 }
 
 // list starts it when the request's body is whole.
-func (h *Head) list(ex *exchange) {
+func (h *Gateway) list(ex *exchange) {
 	l, depth := ex.listing, string(ex.req.Get("depth"))
 	l.parent = ex
 	if l.volumes {
@@ -41,11 +41,11 @@
 			names = append(names, v.Name)
 		}
 		ex.answer.reason = "list of volumes"
-		h.counts.Own++
+		h.counts.Local++
 		h.respond(ex, 207, webdav.ListVolumes(find, names, depth), nil)
 		return
 	}
-	h.admission.Taken(h.now, uint64(ex.client.id))
+	h.admission.RequestAccepted(h.now, uint64(ex.client.id))
 	ex.volume = &h.config.Volumes[ex.place.Volume]
 	shards := ex.volume.Shards
 	if depth == "0" {
@@ -63,14 +63,14 @@
 		p.body.whole, p.body.invited, p.body.received = true, true, int64(len(p.body.held))
 		p.trace.id, p.trace.parent, p.trace.sampled = ex.trace.id, ex.trace.span, ex.trace.sampled
 		h.randomID(p.trace.span[:])
-		p.job = h.routes.Job(route.Ask{Method: p.method, Place: p.place, Length: p.body.received, Prefer: string(p.req.Get("prefer"))})
+		p.job = h.routes.Classify(route.RequestHeader{Method: p.method, Location: p.place, Length: p.body.received, Prefer: string(p.req.Get("prefer"))})
 		l.parts = append(l.parts, p)
 		h.take(p)
 	}
 }
 
 // partData keeps a piece of a part's answer; false where it is too much.
-func (h *Head) partData(p *exchange, data []byte) bool {
+func (h *Gateway) partData(p *exchange, data []byte) bool {
 	l := p.listing
 	if l.size += len(data); l.size > h.config.ListingMax {
 		l.bad, l.reason = 507, webdav.ErrTooLarge.Error()
@@ -84,7 +84,7 @@
 }
 
 // partDone counts a part's final answer; the last one makes the listing.
-func (h *Head) partDone(p *exchange) {
+func (h *Gateway) partDone(p *exchange) {
 	l := p.listing
 	if p.part < len(l.parts) {
 		l.parts[p.part] = nil
@@ -108,7 +108,7 @@
 		h.answerOwn(ex, l.bad, l.reason)
 	case l.refused > 0:
 		ex.answer.reason = "a part of the listing was refused; trying again does no harm"
-		h.counts.Own++
+		h.counts.Local++
 		h.respond(ex, 503, []byte(ex.answer.reason+"\n"), func(b []byte) []byte { return appendRetryAfter(b, l.after) })
 	default:
 		body, err := webdav.Merge(l.bodies, h.config.ListingMax)
@@ -119,7 +119,7 @@
 			h.answerOwn(ex, 502, err.Error())
 		default:
 			ex.answer.reason = "merged listing"
-			h.counts.Own++
+			h.counts.Local++
 			h.respond(ex, 207, bytes.TrimSpace(body), nil)
 		}
 	}
--- a/internal/gateway/members.go
+++ b/internal/gateway/members.go
@@ -20,47 +20,47 @@
 	changed   Time // when the head was notified of this state
 }
 
-// Nodes tells a new node list.
-func (h *Head) Nodes(now Time, list []nodelist.Node) {
+// SetNodes tells a new node list.
+func (h *Gateway) SetNodes(now Time, list []nodelist.Node) {
 	h.tick(now)
-	h.members(membership.News{Nodes: list, Full: true})
+	h.members(membership.Update{Nodes: list, Full: true})
 }
 
 // members takes news of the node list and tells the module what changes by it.
-func (h *Head) members(news membership.News) {
+func (h *Gateway) members(news membership.Update) {
 	h.listInForce = true
 	changes := h.memberTable.Apply(h.now, news)
 	if len(changes) == 0 {
 		return
 	}
-	entries := make([]scheduler.Entry, 0, len(changes))
+	entries := make([]scheduler.Endpoint, 0, len(changes))
 	for i := range changes {
 		h.member(&changes[i])
-		entries = append(entries, changes[i].Entry)
+		entries = append(entries, changes[i].Endpoint)
 	}
 	if h.observer != nil {
-		h.observer.Members(changes)
+		h.observer.MembersChanged(changes)
 	}
-	h.events = append(h.events, scheduler.List{Entries: entries})
+	h.events = append(h.events, scheduler.EndpointUpdate{Endpoints: entries})
 }
 
 // member carries a change of one node out on its connections.
-func (h *Head) member(c *membership.Change) {
-	n := h.nodes[c.Entry.Node]
+func (h *Gateway) member(c *membership.Change) {
+	n := h.nodes[c.Endpoint.Node]
 	if n == nil {
-		n = &node{name: c.Entry.Node}
+		n = &node{name: c.Endpoint.Node}
 		h.nodes[n.name] = n
 	}
-	if n.state != c.Entry.State || c.Moved {
+	if n.state != c.Endpoint.State || c.AddressChanged {
 		n.changed = h.now
 	}
-	n.state, n.started, n.addr = c.Entry.State, c.Entry.Started, c.Addr
-	n.zone, n.shard = c.Entry.Zone, c.Entry.Shard
-	n.listed = n.state != scheduler.Gone
-	if c.Moved {
+	n.state, n.started, n.addr = c.Endpoint.State, c.Endpoint.Started, c.Addr
+	n.zone, n.shard = c.Endpoint.Zone, c.Endpoint.Shard
+	n.listed = n.state != scheduler.Removed
+	if c.AddressChanged {
 		n.keepsOpen = false
 	}
-	if c.Moved || !n.listed { // what is kept leads elsewhere, or to a life before
+	if c.AddressChanged || !n.listed { // what is kept leads elsewhere, or to a life before
 		h.closeIdle(n)
 	}
 	if !n.listed && n.conns == 0 {
@@ -68,7 +68,7 @@
 	}
 }
 
-func (h *Head) closeIdle(n *node) {
+func (h *Gateway) closeIdle(n *node) {
 	for _, c := range n.idle {
 		h.kept.remove(c)
 		h.drop(c, Close)
--- a/internal/gateway/members_bench_test.go
+++ b/internal/gateway/members_bench_test.go
@@ -22,42 +22,42 @@
 // BenchmarkMembers is what a list costs the head and the module: the first one, a whole list
 // of which nothing changed, and one node that drains and comes back.
 func BenchmarkMembers(b *testing.B) {
-	settings := scheduler.Settings{Heads: 300, Classes: []scheduler.Class{{Name: "read", Aim: 100 * time.Millisecond, Worth: 1}},
-		Plans: []scheduler.Plan{{Weight: 1, Price: 1}}, MostUnits: 4, MeanUnits: 1}
+	settings := scheduler.Settings{Instances: 300, Classes: []scheduler.Class{{Name: "read", LatencyObjective: 100 * time.Millisecond, PriorityWeight: 1}},
+		Plans: []scheduler.Plan{{Weight: 1, PriorityFactor: 1}}, MaxUnits: 4, MeanUnits: 1}
 	for _, size := range []int{200, 800, 3200} {
 		nodes := memberList(size)
-		fresh := func() *Head {
+		fresh := func() *Gateway {
 			core, err := scheduler.New(settings, 1, 0)
 			if err != nil {
 				b.Fatal(err)
 			}
-			return &Head{core: core, memberTable: membership.New(time.Time{}), nodes: map[string]*node{}, wakeAt: never}
+			return &Gateway{core: core, memberTable: membership.New(time.Time{}), nodes: map[string]*node{}, wakeAt: never}
 		}
 		b.Run(fmt.Sprint("first/", size), func(b *testing.B) {
 			for range b.N {
 				h := fresh()
-				h.Nodes(time.Second, nodes)
+				h.SetNodes(time.Second, nodes)
 				h.Advance(time.Second)
 			}
 		})
 		b.Run(fmt.Sprint("unchanged/", size), func(b *testing.B) {
 			h := fresh()
-			h.Nodes(time.Second, nodes)
+			h.SetNodes(time.Second, nodes)
 			h.Advance(time.Second)
 			for range b.N {
-				h.Nodes(time.Second, nodes)
+				h.SetNodes(time.Second, nodes)
 				h.Advance(time.Second)
 			}
 		})
 		b.Run(fmt.Sprint("one/", size), func(b *testing.B) {
 			h := fresh()
-			h.Nodes(time.Second, nodes)
+			h.SetNodes(time.Second, nodes)
 			h.Advance(time.Second)
 			one := nodes[size/2 : size/2+1]
 			for i := range b.N {
 				change := []nodelist.Node{one[0]}
 				change[0].State = scheduler.NodeState(i % 2)
-				h.members(membership.News{Nodes: change})
+				h.members(membership.Update{Nodes: change})
 				h.Advance(time.Second)
 			}
 		})
--- a/internal/gateway/feed.go
+++ b/internal/gateway/membership_source.go
@@ -2,20 +2,20 @@
 
 import "maddergap/internal/membership"
 
-// Feed is a client of whoever tells the node list, driven by the head: bytes and
+// MembershipSource is a client of whoever tells the node list, driven by the head: bytes and
 // clock readings in, bytes and lists out. It numbers its connections itself.
-type Feed interface {
+type MembershipSource interface {
 	// Step tells what is to be done next, and when to ask again.
-	Step(now Time) (FeedOp, Time)
+	Step(now Time) (SourceOp, Time)
 	Connected(now Time, conn int)
 	Data(now Time, conn int, p []byte)
 	Closed(now Time, conn int)
-	// List returns the news since it was last asked for.
-	List() (news membership.News, ok bool)
+	// TakeUpdate returns the news since it was last asked for.
+	TakeUpdate() (news membership.Update, ok bool)
 }
 
-// FeedOp is what a feed wants done: a connection made, bytes written to it, or it closed.
-type FeedOp struct {
+// SourceOp is what a feed wants done: a connection made, bytes written to it, or it closed.
+type SourceOp struct {
 	Conn  int
 	Dial  string
 	Write []byte
@@ -24,21 +24,23 @@
 
 // feeding is a feed and the connections it has.
 type feeding struct {
-	feed  Feed // nil: the node list is told
+	feed  MembershipSource // nil: the node list is told
 	conns map[int]*conn
 }
 
-// Follow has the node list come from a feed.
-func (h *Head) Follow(f Feed) { h.feeding = feeding{feed: f, conns: map[int]*conn{}} }
+// SetMembershipSource has the node list come from a feed.
+func (h *Gateway) SetMembershipSource(f MembershipSource) {
+	h.feeding = feeding{feed: f, conns: map[int]*conn{}}
+}
 
 // advanceFeed lets the feed go on, and returns when it is to be asked again.
-func (h *Head) advanceFeed() Time {
+func (h *Gateway) advanceFeed() Time {
 	f := &h.feeding
 	if f.feed == nil {
 		return never
 	}
 	for {
-		if news, ok := f.feed.List(); ok {
+		if news, ok := f.feed.TakeUpdate(); ok {
 			h.members(news)
 		}
 		op, next := f.feed.Step(h.now)
@@ -61,14 +63,14 @@
 	}
 }
 
-func (h *Head) dialFeed(op FeedOp) {
+func (h *Gateway) dialFeed(op SourceOp) {
 	c := h.newConn()
 	c.feed, c.feedConn = true, op.Conn
 	h.feeding.conns[op.Conn] = c
 	h.actions = append(h.actions, Action{Op: Dial, Conn: c.id, Addr: op.Dial})
 }
 
-func (h *Head) writeFeed(c *conn, p []byte) {
+func (h *Gateway) writeFeed(c *conn, p []byte) {
 	if c.out == nil {
 		c.out = h.buffer()
 	}
@@ -76,7 +78,7 @@
 	h.flush(c)
 }
 
-func (h *Head) feedClosed(c *conn, open bool) {
+func (h *Gateway) feedClosed(c *conn, open bool) {
 	if open {
 		h.drop(c, Close)
 	} else {
--- a/internal/gateway/node.go
+++ b/internal/gateway/node.go
@@ -10,7 +10,7 @@
 const discardMost = 64 << 10
 
 // Connected tells that a connection asked for with Dial stands.
-func (h *Head) Connected(now Time, id ConnID) {
+func (h *Gateway) Connected(now Time, id ConnID) {
 	h.tick(now)
 	c := h.conn(id)
 	if c == nil || c.connected {
@@ -35,7 +35,7 @@
 }
 
 // readOn resumes a connection and uses what it told before it was paused.
-func (h *Head) readOn(c *conn) {
+func (h *Gateway) readOn(c *conn) {
 	if !c.paused {
 		return
 	}
@@ -48,7 +48,7 @@
 	}
 }
 
-func (h *Head) nodeWrote(c *conn) {
+func (h *Gateway) nodeWrote(c *conn) {
 	at := c.at
 	if at == nil {
 		return
@@ -65,7 +65,7 @@
 }
 
 // nodeData uses bytes of a node and returns those it cannot use yet.
-func (h *Head) nodeData(c *conn, p []byte) []byte {
+func (h *Gateway) nodeData(c *conn, p []byte) []byte {
 	h.resumed(c.at)
 	for more := true; more && len(p) > 0 && !c.gone; {
 		switch {
@@ -90,7 +90,7 @@
 
 // nodeHeader takes the header of a node's answer, if it is whole, and returns what is behind
 // it; more tells whether that can be used now.
-func (h *Head) nodeHeader(c *conn, p []byte) (rest []byte, more bool) {
+func (h *Gateway) nodeHeader(c *conn, p []byte) (rest []byte, more bool) {
 	at := c.at
 	n := h.config.Header.Block(p, &c.scanned)
 	if n == 0 {
@@ -122,7 +122,7 @@
 }
 
 // nodeBody takes a piece of the body of a node's answer.
-func (h *Head) nodeBody(c *conn, p []byte) (rest []byte, more bool) {
+func (h *Gateway) nodeBody(c *conn, p []byte) (rest []byte, more bool) {
 	at := c.at
 	if cl := at.ex.client; at.ex.answer.from == at && cl != nil && len(cl.pending()) > h.room() {
 		h.pause(c)
@@ -139,7 +139,7 @@
 }
 
 // answerMoves sets how long an answer that has begun may stand still.
-func (h *Head) answerMoves(c *conn) {
+func (h *Gateway) answerMoves(c *conn) {
 	at := c.at
 	if at.buffered {
 		h.setDeadline(c, min(at.ex.deadline, h.now+at.stall))
@@ -150,7 +150,7 @@
 	}
 	if !at.begun {
 		at.begun = true
-		h.events = append(h.events, scheduler.Begun{ID: at.ex.id, Attempt: at.number})
+		h.events = append(h.events, scheduler.ResponseStarted{ID: at.ex.id, Attempt: at.number})
 	}
 	if !c.paused {
 		h.setDeadline(c, h.now+h.config.StallTime)
@@ -158,7 +158,7 @@
 }
 
 // answerDone ends an attempt whose answer was read whole.
-func (h *Head) answerDone(c *conn) {
+func (h *Gateway) answerDone(c *conn) {
 	at := c.at
 	c.at, c.inBody = nil, false
 	keep := !c.resp.Close && at.out()
@@ -178,7 +178,7 @@
 	}
 }
 
-func (h *Head) nodeClosed(c *conn, eof bool) {
+func (h *Gateway) nodeClosed(c *conn, eof bool) {
 	h.closedByNode(c)
 	at := c.at
 	if at == nil {
@@ -207,7 +207,7 @@
 	case !c.connected:
 		h.end(at, h.unconnected(c, at))
 	case !at.written: // a kept connection that closed just then: proven not to have run
-		h.end(at, scheduler.Moot)
+		h.end(at, scheduler.Superseded)
 	case !out:
 		h.end(at, h.protocol.truncated())
 	default:
@@ -218,14 +218,14 @@
 // unconnected is the outcome of an attempt whose connection did not come up: the node's
 // failure, unless the head's own machine held it up. Where others came up meanwhile it is of
 // that node all the same, as where there is no route to it.
-func (h *Head) unconnected(c *conn, at *attempt) scheduler.Outcome {
+func (h *Gateway) unconnected(c *conn, at *attempt) scheduler.Outcome {
 	if c.postponed && h.lastConnected <= at.began {
-		return scheduler.Moot
+		return scheduler.Superseded
 	}
 	return scheduler.ConnectFailed
 }
 
-func (h *Head) nodeExpired(c *conn) {
+func (h *Gateway) nodeExpired(c *conn) {
 	at := c.at
 	switch {
 	case at == nil:
@@ -238,7 +238,7 @@
 	case !at.written: // the head's own machine held it up: it never ran
 		c.at = nil
 		h.drop(c, Abort)
-		h.end(at, scheduler.Moot)
+		h.end(at, scheduler.Superseded)
 	case at.ex.answer.from == at, at.buffered && h.now < at.ex.deadline: // the answer stopped in its middle
 		h.broken(c, h.protocol.malformed())
 	default: // the client's time is up; a later answer is nobody's
--- a/internal/gateway/pool.go
+++ b/internal/gateway/pool.go
@@ -19,7 +19,7 @@
 // not run twice gets a new one before one that has not rested. Guards against a node that closes
 // a connection right behind an answer: nobody can tell whether a request that met the reset has
 // run.
-func (h *Head) keptFor(ex *exchange, n *node) *conn {
+func (h *Gateway) keptFor(ex *exchange, n *node) *conn {
 	if n == nil || len(n.idle) == 0 {
 		return nil
 	}
@@ -29,27 +29,27 @@
 			return c
 		}
 	}
-	if !n.keepsOpen && h.classOf(ex).Effect == scheduler.Unsafe && h.spareFor(n) {
+	if !n.keepsOpen && h.classOf(ex).Effect == scheduler.NonIdempotent && h.spareFor(n) {
 		return nil
 	}
 	return n.idle[0]
 }
 
 // closedByNode notes that a node ended a connection: behind an answer, if it had not rested.
-func (h *Head) closedByNode(c *conn) {
+func (h *Gateway) closedByNode(c *conn) {
 	if c.parked > 0 && h.now-c.parked < restTime {
 		c.node.keepsOpen = false
 	}
 }
 
 // spareFor tells whether a connection to a node may be added without closing another.
-func (h *Head) spareFor(n *node) bool {
+func (h *Gateway) spareFor(n *node) bool {
 	return n.conns < h.config.NodeConns && (h.config.NodesConns == 0 || h.counts.NodeConns < h.config.NodesConns)
 }
 
 // roomForNode tells whether one more connection to a node may be opened, after the
 // one that was kept longest was closed for it where need be.
-func (h *Head) roomForNode() bool {
+func (h *Gateway) roomForNode() bool {
 	if h.config.NodesConns == 0 || h.counts.NodeConns < h.config.NodesConns {
 		return true
 	}
@@ -64,7 +64,7 @@
 
 // park keeps a connection for the next request, unless it leads to where its node was
 // before, or to a life of it that is over: a request was under way when that changed.
-func (h *Head) park(c *conn) {
+func (h *Gateway) park(c *conn) {
 	if n := c.node; !n.listed || c.gone || c.addr != n.addr || c.started != n.started {
 		h.drop(c, Close)
 		return
@@ -76,7 +76,7 @@
 	h.setDeadline(c, h.now+h.config.NodeIdle)
 }
 
-func (h *Head) unpark(c *conn) {
+func (h *Gateway) unpark(c *conn) {
 	h.kept.remove(c)
 	idle := c.node.idle
 	for i, o := range idle {
--- a/internal/gateway/protocol.go
+++ b/internal/gateway/protocol.go
@@ -12,18 +12,18 @@
 // bounds, timers and the module's part are the same for all.
 type protocol interface {
 	// begin says what becomes of a request whose header was read and that was admitted.
-	begin(h *Head, c *conn, ex *exchange)
+	begin(h *Gateway, c *conn, ex *exchange)
 	// arrival fills in what the module is told of a request; a fault is answered instead.
-	arrival(h *Head, ex *exchange) *http1.Error
+	arrival(h *Gateway, ex *exchange) *http1.Error
 	// appendRequest writes an attempt's start line and fields, without its length.
-	appendRequest(h *Head, b []byte, at *attempt) []byte
+	appendRequest(h *Gateway, b []byte, at *attempt) []byte
 	// verdict reads the header of a node's answer.
-	verdict(r *http1.Response) Verdict
+	verdict(r *http1.Response) ResponseInfo
 	// answerHead and answerData take the answer that is to go to the client, and
 	// answerDone brings it to its end. A false ends the attempt as broken.
-	answerHead(h *Head, at *attempt) bool
-	answerData(h *Head, at *attempt, data []byte) bool
-	answerDone(h *Head, at *attempt)
+	answerHead(h *Gateway, at *attempt) bool
+	answerData(h *Gateway, at *attempt, data []byte) bool
+	answerDone(h *Gateway, at *attempt)
 	// truncated is the outcome of an attempt whose connection broke when it had gone out in part.
 	truncated() scheduler.Outcome
 	// allowsEarlyAnswer tells whether a node may answer before the request has come whole.
@@ -37,21 +37,21 @@
 	finished(ex *exchange, o Outcome)
 }
 
-// Verdict is what an answer's header says of its attempt.
-type Verdict struct {
-	Outcome scheduler.Outcome
-	Report  float64 // requests that the node said it held or had waiting
-	Reports bool    // it said so
+// ResponseInfo is what an answer's header says of its attempt.
+type ResponseInfo struct {
+	Outcome       scheduler.Outcome
+	ReportedLoad  float64 // requests that the node said it held or had waiting
+	HasLoadReport bool    // it said so
 }
 
-// Ask is what a protocol reads out of a request's header.
-type Ask struct {
+// RequestInfo is what a protocol reads out of a request's header.
+type RequestInfo struct {
 	// Status and Reason are the head's own answer, 0: the request is the module's.
 	Status int
 	Reason string
 	Close  bool   // no more is read of this client
 	ID     string // the client's name for the request
-	// Arrival is what the module is told, but for its ID. Left counts from the
+	// Arrival is what the module is told, but for its ID. ClientDisconnected counts from the
 	// request's last byte.
 	Arrival scheduler.Arrival
 }
@@ -59,18 +59,18 @@
 // Protocol is one whose messages are small: requests and answers are held whole, and
 // checked, before anything of them is passed on. It does no I/O and reads no clock.
 type Protocol interface {
-	Ask(r *http1.Request) Ask
-	// Open takes a whole request's id; one that is taken already is answered with the fault.
-	Open(a *Ask) *http1.Error
-	// Closed tells how it ended.
-	Closed(id string, o Outcome)
+	ParseRequest(r *http1.Request) RequestInfo
+	// BeginRequest takes a whole request's id; one that is taken already is answered with the fault.
+	BeginRequest(a *RequestInfo) *http1.Error
+	// EndRequest tells how it ended.
+	EndRequest(id string, o Outcome)
 	// AppendRequest writes an attempt's start line and fields, without its length;
 	// left is for how long the head will wait.
 	AppendRequest(b []byte, r *http1.Request, left time.Duration) []byte
-	Verdict(r *http1.Response) Verdict
+	ParseResponse(r *http1.Response) ResponseInfo
 	AppendRetryAfter(b []byte, after time.Duration) []byte
-	// MostAnswer is how large an answer may be, and all answers that are held, and Stall
+	// MaxResponseBytes is how large an answer may be, and all answers that are held, and Stall
 	// for how long an answer that has begun may stand still.
-	MostAnswer() (one, all int64)
-	Stall() time.Duration
+	MaxResponseBytes() (one, all int64)
+	ResponseStallTimeout() time.Duration
 }
--- a/internal/gateway/random_test.go
+++ b/internal/gateway/random_test.go
@@ -114,11 +114,11 @@
 				}
 			}
 		}
-		if int(r.h.counts.Taken) != len(seen) {
-			rt.Fatalf("%d taken, %d final answers", r.h.counts.Taken, len(seen))
+		if int(r.h.counts.Received) != len(seen) {
+			rt.Fatalf("%d taken, %d final answers", r.h.counts.Received, len(seen))
 		}
 		c := r.h.counts
-		if c.Taken != c.Served+c.Refused+c.Failed+c.Left {
+		if c.Received != c.Served+c.Rejected+c.Failed+c.Disconnected {
 			rt.Fatalf("sums do not add up: %+v", c)
 		}
 	})
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -8,7 +8,7 @@
 )
 
 // begin takes a request's header.
-func (h *Head) begin(c *conn, block []byte) {
+func (h *Gateway) begin(c *conn, block []byte) {
 	ex := h.newExchange()
 	ex.client, c.ex, ex.headerAt = c, ex, h.now
 	ex.headerBytes = append(h.buffer(), block...)
@@ -32,7 +32,7 @@
 		c.closing = true // the last that this connection may have
 	}
 	h.endAdmitted(c)
-	if ok, why := h.admission.Begin(h.now, uint64(c.id), h.heldBytes, ex.body.whole); !ok {
+	if ok, why := h.admission.BeginRequest(h.now, uint64(c.id), h.heldBytes, ex.body.whole); !ok {
 		c.closing = true
 		h.turned(c.remote, why, true)
 		h.answerOwn(ex, 503, notAdmitted(why))
@@ -52,13 +52,13 @@
 }
 
 // job classifies a request whose body has the length, -1 where it is not told.
-func (h *Head) job(ex *exchange, length int64) route.Job {
-	return h.routes.Job(route.Ask{Method: ex.method, Place: ex.place, Length: length, Range: string(ex.req.Get("range")),
+func (h *Gateway) job(ex *exchange, length int64) route.Classification {
+	return h.routes.Classify(route.RequestHeader{Method: ex.method, Location: ex.place, Length: length, Range: string(ex.req.Get("range")),
 		Prefer: string(ex.req.Get("prefer")), Key: string(ex.req.Get("idempotency-key"))})
 }
 
 // invite lets a client that waits for it send its body (RFC 9110 10.1.1).
-func (h *Head) invite(c *conn, ex *exchange) {
+func (h *Gateway) invite(c *conn, ex *exchange) {
 	if !ex.body.invited && !ex.body.whole {
 		c.out = append(c.out, "HTTP/1.1 100 Continue\r\n\r\n"...)
 		h.flush(c)
@@ -70,13 +70,13 @@
 }
 
 // bodyOn begins to wait for a client's body, or goes on after it waited for us.
-func (h *Head) bodyOn(c *conn) {
+func (h *Gateway) bodyOn(c *conn) {
 	c.body = pace{from: h.now}
 	h.setDeadline(c, h.bodyBy(c))
 }
 
 // bodyData takes a piece of a request's body.
-func (h *Head) bodyData(c *conn, ex *exchange, data []byte) {
+func (h *Gateway) bodyData(c *conn, ex *exchange, data []byte) {
 	ex.body.received += int64(len(data))
 	ex.body.whole = ex.body.decoder.Done()
 	ex.body.invited = true
@@ -109,13 +109,13 @@
 }
 
 // tooLong answers a body that is held whole and too long for it.
-func (h *Head) tooLong(c *conn, ex *exchange) {
+func (h *Gateway) tooLong(c *conn, ex *exchange) {
 	c.closing = true
 	h.answerOwn(ex, 413, "the body is longer than any may be")
 }
 
 // take gives a request to the module: from here on it is owed one final answer.
-func (h *Head) take(ex *exchange) {
+func (h *Gateway) take(ex *exchange) {
 	if fault := h.protocol.arrival(h, ex); fault != nil {
 		h.answerOwn(ex, fault.Status, fault.Reason)
 		return
@@ -123,22 +123,22 @@
 	h.lastID++
 	ex.id, ex.takenAt = h.lastID, h.now
 	a := &ex.ask.Arrival
-	a.ID, a.Left = ex.id, h.clientTimeLeft(a.Left)
+	a.ID, a.TimeRemaining = ex.id, h.clientTimeLeft(a.TimeRemaining)
 	if c := ex.client; c != nil && c.requests == 1 {
-		a.Left = max(a.Left-c.waited, 0)
+		a.TimeRemaining = max(a.TimeRemaining-c.waited, 0)
 	}
-	ex.deadline = h.now + a.Left
+	ex.deadline = h.now + a.TimeRemaining
 	h.requests[ex.id] = ex
-	h.counts.Taken++
+	h.counts.Received++
 	if ex.client != nil {
-		h.admission.Taken(h.now, uint64(ex.client.id))
+		h.admission.RequestAccepted(h.now, uint64(ex.client.id))
 	}
 	h.events = append(h.events, *a)
 }
 
 // badBody ends a request whose body is malformed: nothing of it may run.
-func (h *Head) badBody(c *conn, ex *exchange, err error) {
-	h.counts.Bad++
+func (h *Gateway) badBody(c *conn, ex *exchange, err error) {
+	h.counts.Malformed++
 	if ex.id != 0 && !ex.answer.final {
 		h.leave(ex)
 	}
@@ -153,8 +153,8 @@
 }
 
 // malformed answers a header that does not parse; what follows it cannot be read.
-func (h *Head) malformed(c *conn, ex *exchange, err error) {
-	h.counts.Bad++
+func (h *Gateway) malformed(c *conn, ex *exchange, err error) {
+	h.counts.Malformed++
 	c.closing = true
 	ex.body.whole = true
 	ex.method, ex.req.Minor = "", 1
--- a/internal/gateway/rig_test.go
+++ b/internal/gateway/rig_test.go
@@ -37,7 +37,7 @@
 // rig runs one head over in-memory pipes with a clock of the test's.
 type rig struct {
 	t      *testing.T
-	h      *Head
+	h      *Gateway
 	now    Time
 	next   Time
 	out    map[ConnID]*strings.Builder // written to each connection and not taken yet
@@ -58,11 +58,11 @@
 func (r *rig) Request(s *Span) { r.spans = append(r.spans, *s) }
 func (r *rig) Attempt(s *Span) { r.spans = append(r.spans, *s) }
 
-func (r *rig) Members([]membership.Change) {}
+func (r *rig) MembersChanged([]membership.Change) {}
 
-func (r *rig) Violation(v invariant.Violation) { r.violations = append(r.violations, v) }
+func (r *rig) InvariantViolated(v invariant.Violation) { r.violations = append(r.violations, v) }
 
-func (r *rig) Turned(_ netip.AddrPort, why admission.Reason, _ bool) {
+func (r *rig) ConnectionRejected(_ netip.AddrPort, why admission.Reason, _ bool) {
 	r.turned = append(r.turned, why.String())
 }
 
@@ -76,7 +76,7 @@
 	if r.h, err = New(c, 7, r.now, time.Unix(1e9, 0), r); err != nil {
 		t.Fatal(err)
 	}
-	r.h.Nodes(r.now, []nodelist.Node{{Name: "n0", Addr: "node:0"}, {Name: "n1", Addr: "node:1", Shard: 1}})
+	r.h.SetNodes(r.now, []nodelist.Node{{Name: "n0", Addr: "node:0"}, {Name: "n1", Addr: "node:1", Shard: 1}})
 	r.run()
 	return r
 }
@@ -103,7 +103,7 @@
 				r.write(a.Conn)
 			case Pause, Resume:
 				r.paused[a.Conn] = a.Op == Pause
-			case Shut:
+			case CloseWrite:
 				r.shut[a.Conn] = true
 			case Close, Abort:
 				r.ended[a.Conn] = a.Op
--- a/internal/gateway/send.go
+++ b/internal/gateway/send.go
@@ -6,7 +6,7 @@
 )
 
 // send starts an attempt, as the module decided.
-func (h *Head) send(ex *exchange, name string, by Time) {
+func (h *Gateway) send(ex *exchange, name string, by Time) {
 	if ex == nil { // never: the module sends only what it has no final answer for
 		return
 	}
@@ -20,9 +20,9 @@
 	kept := h.keptFor(ex, n)
 	switch {
 	case ex.answer.final: // it got its answer in this very turn
-		h.end(at, scheduler.Moot)
+		h.end(at, scheduler.Superseded)
 	case !h.maySend(at):
-		h.end(at, scheduler.Moot)
+		h.end(at, scheduler.Superseded)
 	case kept == nil && (n.conns >= h.config.NodeConns || !h.roomForNode()):
 		h.end(at, scheduler.ConnectFailed) // nothing was sent
 	case kept != nil:
@@ -42,7 +42,7 @@
 }
 
 // writeRequest hands a request's header and what is held of its body to a node.
-func (h *Head) writeRequest(c *conn) {
+func (h *Gateway) writeRequest(c *conn) {
 	h.encode(c)
 	at, ex := c.at, c.at.ex
 	if !ex.body.whole {
@@ -59,7 +59,7 @@
 
 // encode writes a request's header and what is held of its body for a connection, in place
 // of what was written before.
-func (h *Head) encode(c *conn) {
+func (h *Gateway) encode(c *conn) {
 	at := c.at
 	ex, r := at.ex, &at.ex.req
 	c.out, c.wrote = c.out[:0], 0
@@ -93,7 +93,7 @@
 }
 
 // uploadData sends a piece of a body on as it comes.
-func (h *Head) uploadData(at *attempt, data []byte) {
+func (h *Gateway) uploadData(at *attempt, data []byte) {
 	c, ex := at.conn, at.ex
 	if c.out == nil {
 		c.out = h.buffer()
--- a/internal/gateway/status.go
+++ b/internal/gateway/status.go
@@ -4,7 +4,7 @@
 
 // Sockets is what crosses the sockets to a node now.
 type Sockets struct {
-	Open   int // attempts on connections, dialling ones included
+	Active int // attempts on connections, dialling ones included
 	Unsent int // of these, not yet written whole
 	Idle   int // connections kept
 }
@@ -20,7 +20,7 @@
 
 // Status compares what the scheduler holds of load and health with the sockets, node by node.
 // A node of the sockets that the scheduler has forgotten is told with its name alone.
-func (h *Head) Status() []NodeStatus {
+func (h *Gateway) Status() []NodeStatus {
 	on := map[string]Sockets{}
 	for _, c := range h.slots {
 		if c == nil || c.node == nil {
@@ -29,7 +29,7 @@
 		s := on[c.node.name]
 		if c.at == nil {
 			s.Idle++
-		} else if s.Open++; !c.connected || !c.at.out() {
+		} else if s.Active++; !c.connected || !c.at.out() {
 			s.Unsent++
 		}
 		on[c.node.name] = s
@@ -42,7 +42,7 @@
 		}
 	}
 	for name, s := range on {
-		if s.Open > 0 {
+		if s.Active > 0 {
 			all = append(all, NodeStatus{scheduler.NodeStatus{Node: name}, s})
 		}
 	}
--- a/internal/gateway/stop.go
+++ b/internal/gateway/stop.go
@@ -8,16 +8,16 @@
 	"maddergap/scheduler"
 )
 
-// Leave tells clients with their next answer that their connection ends; requests go on
+// Drain tells clients with their next answer that their connection ends; requests go on
 // being taken. Guards against a stop that loses what is on its way to the head.
-func (h *Head) Leave(now Time) {
+func (h *Gateway) Drain(now Time) {
 	h.tick(now)
 	h.leaving = true
 }
 
-// Stop begins the end: requests taken get their answers, connections without
+// Shutdown begins the end: requests taken get their answers, connections without
 // one are closed, and no new request is read.
-func (h *Head) Stop(now Time) {
+func (h *Gateway) Shutdown(now Time) {
 	h.tick(now)
 	h.stopping, h.leaving = true, true
 	for _, c := range h.slots {
@@ -34,16 +34,16 @@
 // firstTime is how long a connection that was accepted at the very end has for its request.
 const firstTime = 200 * time.Millisecond
 
-// Cut gives every request that has no final answer one: refused where no attempt was made,
+// AbortRemaining gives every request that has no final answer one: refused where no attempt was made,
 // failed else.
-func (h *Head) Cut(now Time) {
+func (h *Gateway) AbortRemaining(now Time) {
 	h.tick(now)
 	for _, id := range slices.Sorted(maps.Keys(h.requests)) {
 		ex := h.requests[id]
 		if ex.answer.final {
 			continue
 		}
-		h.events = append(h.events, scheduler.Dropped{ID: ex.id})
+		h.events = append(h.events, scheduler.ClientDisconnected{ID: ex.id})
 		if ex.attempts.latest != nil {
 			h.cancel(ex.attempts.latest)
 		}
@@ -56,10 +56,10 @@
 }
 
 // Idle tells whether nothing is under way: no request, and no answer unsent.
-func (h *Head) Idle() bool { return len(h.requests) == 0 && h.counts.Clients == 0 }
+func (h *Gateway) Idle() bool { return len(h.requests) == 0 && h.counts.Clients == 0 }
 
-// Under tells the ids and ages of requests that have no final answer.
-func (h *Head) Under(tell func(id, method, path string, age time.Duration)) {
+// EachPendingRequest tells the ids and ages of requests that have no final answer.
+func (h *Gateway) EachPendingRequest(tell func(id, method, path string, age time.Duration)) {
 	for _, ex := range h.requests {
 		if !ex.answer.final {
 			tell(h.requestID(ex.id), ex.method, ex.place.Path, h.now-ex.takenAt)
--- a/internal/gateway/timers.go
+++ b/internal/gateway/timers.go
@@ -6,7 +6,7 @@
 
 // by sets when expired is called of a connection. An earlier heap entry stays
 // where it is and is looked at then, so moving a deadline on costs nothing.
-func (h *Head) setDeadline(c *conn, at Time) {
+func (h *Gateway) setDeadline(c *conn, at Time) {
 	c.deadline = at
 	switch {
 	case c.gone || at == never:
@@ -19,7 +19,7 @@
 	}
 }
 
-func (h *Head) expired(c *conn) {
+func (h *Gateway) expired(c *conn) {
 	if c.node != nil {
 		h.nodeExpired(c)
 	} else {
--- a/internal/gateway/trace.go
+++ b/internal/gateway/trace.go
@@ -8,7 +8,7 @@
 )
 
 // traceOf takes the trace of W3C Trace Context's traceparent, or begins one.
-func (h *Head) traceOf(ex *exchange) {
+func (h *Gateway) traceOf(ex *exchange) {
 	h.randomID(ex.trace.span[:])
 	v := ex.req.Get("traceparent") // 00-32 hex-16 hex-2 hex
 	if len(v) >= 55 && v[2] == '-' && v[35] == '-' && v[52] == '-' && (len(v) == 55 || v[0] != '0' || v[1] != '0') &&
@@ -27,7 +27,7 @@
 	ex.trace.sampled = true
 }
 
-func (h *Head) randomID(b []byte) {
+func (h *Gateway) randomID(b []byte) {
 	binary.LittleEndian.PutUint64(b, h.rand.Uint64()|1) // never all zero
 }
 
@@ -41,9 +41,9 @@
 }
 
 // reportEnd counts and reports a request's end.
-func (h *Head) reportEnd(ex *exchange, o Outcome) {
+func (h *Gateway) reportEnd(ex *exchange, o Outcome) {
 	if ex.answer.reported && ex.id != 0 {
-		h.guard.AnsweredAgain(h.now, ex.id)
+		h.guard.RecordDuplicateAnswer(h.now, ex.id)
 	}
 	ex.answer.reported = true
 	h.protocol.finished(ex, o)
@@ -58,7 +58,7 @@
 	}
 	if ex.id != 0 {
 		s.Start = ex.takenAt
-		s.Volume, s.Class = ex.ask.Arrival.Volume, h.config.Logic.Classes[ex.ask.Arrival.Class].Name
+		s.Volume, s.Class = ex.ask.Arrival.Volume, h.config.Scheduler.Classes[ex.ask.Arrival.Class].Name
 	}
 	h.span = s
 	h.observer.Request(&h.span)
--- a/internal/gateway/webdav.go
+++ b/internal/gateway/webdav_protocol.go
@@ -14,16 +14,16 @@
 // PROPFIND may be gathered from several nodes.
 type webdavProtocol struct{}
 
-func (webdavProtocol) begin(h *Head, c *conn, ex *exchange) {
+func (webdavProtocol) begin(h *Gateway, c *conn, ex *exchange) {
 	r := &ex.req
 	h.traceOf(ex)
 	if ex.method == "OPTIONS" && string(r.Target) == "*" {
-		h.judged(c, ex, webdav.Verdict{Do: webdav.Options})
+		h.judged(c, ex, webdav.Decision{Handling: webdav.Options})
 		return
 	}
 	path, _, err := route.Path(string(r.Target))
 	if err == nil {
-		ex.place, err = h.routes.Place(path)
+		ex.place, err = h.routes.Locate(path)
 	}
 	if err != nil {
 		status := 400
@@ -33,20 +33,20 @@
 		h.answerOwn(ex, status, err.Error())
 		return
 	}
-	h.judged(c, ex, webdav.Judge(h.routes, ex.method, ex.place, string(r.Get("depth")), string(r.Get("destination")), string(r.Host)))
+	h.judged(c, ex, webdav.Decide(h.routes, ex.method, ex.place, string(r.Get("depth")), string(r.Get("destination")), string(r.Host)))
 }
 
-func (webdavProtocol) arrival(h *Head, ex *exchange) *http1.Error {
+func (webdavProtocol) arrival(h *Gateway, ex *exchange) *http1.Error {
 	if ex.listing == nil && ex.body.whole && ex.req.Length < 0 { // now its length is known
 		ex.job = h.job(ex, ex.body.received)
 	}
 	v, j := ex.volume, &ex.job
-	ex.ask.Arrival = scheduler.Arrival{Shard: ex.place.Shard, Plan: v.Plan, Class: j.Class, Key: j.Key, Volume: v.Name, Left: j.Time,
-		Units: j.Units, Hosts: v.Hosts}
+	ex.ask.Arrival = scheduler.Arrival{Shard: ex.place.Shard, Plan: v.Plan, Class: j.Class, Key: j.Key, Volume: v.Name, TimeRemaining: j.Timeout,
+		Units: j.Units, Instances: v.Hosts}
 	return nil
 }
 
-func (webdavProtocol) appendRequest(h *Head, b []byte, at *attempt) []byte {
+func (webdavProtocol) appendRequest(h *Gateway, b []byte, at *attempt) []byte {
 	ex, r := at.ex, &at.ex.req
 	b = append(append(b, ex.method...), ' ')
 	b = append(append(b, originForm(r.Target)...), " HTTP/1.1\r\n"...)
@@ -60,13 +60,13 @@
 	return append(appendTrace(append(b, "traceparent: "...), ex.trace.id, at.span, ex.trace.sampled), "\r\n"...)
 }
 
-func (webdavProtocol) verdict(r *http1.Response) (v Verdict) {
-	v.Report, v.Reports = loadReport(r.Get("endpoint-load-metrics"))
+func (webdavProtocol) verdict(r *http1.Response) (v ResponseInfo) {
+	v.ReportedLoad, v.HasLoadReport = loadReport(r.Get("endpoint-load-metrics"))
 	switch r.Status {
 	case 503:
 		v.Outcome = scheduler.Failed
-		if http1.Is(r.Get(RanHeader), "no") {
-			v.Outcome = scheduler.Full
+		if http1.Is(r.Get(ExecutedHeader), "no") {
+			v.Outcome = scheduler.QueueFull
 		}
 	case 500, 502, 504:
 		v.Outcome = scheduler.Failed
@@ -74,7 +74,7 @@
 	return v
 }
 
-func (webdavProtocol) answerHead(h *Head, at *attempt) bool {
+func (webdavProtocol) answerHead(h *Gateway, at *attempt) bool {
 	ex, r := at.ex, &at.conn.resp
 	if ex.answer.final || ex.answer.from != nil {
 		return true // swallowed
@@ -114,7 +114,7 @@
 	return true
 }
 
-func (webdavProtocol) answerData(h *Head, at *attempt, data []byte) bool {
+func (webdavProtocol) answerData(h *Gateway, at *attempt, data []byte) bool {
 	ex := at.ex
 	switch {
 	case ex.listing != nil:
@@ -136,7 +136,7 @@
 	return true
 }
 
-func (webdavProtocol) answerDone(h *Head, at *attempt) {
+func (webdavProtocol) answerDone(h *Gateway, at *attempt) {
 	ex, c := at.ex, at.conn
 	ex.answer.final = true
 	h.counts.Served++
@@ -170,33 +170,33 @@
 func (webdavProtocol) finished(*exchange, Outcome) {}
 
 // learn remembers how large a resource is.
-func (h *Head) learn(ex *exchange, c *conn) {
+func (h *Gateway) learn(ex *exchange, c *conn) {
 	switch {
 	case ex.method == "GET" && c.resp.Status == 200 && c.resp.Length >= 0:
-		h.routes.Learn(ex.place.Path, c.resp.Length)
+		h.routes.LearnSize(ex.place.Path, c.resp.Length)
 	case ex.method == "PUT" && c.resp.Status < 300:
-		h.routes.Learn(ex.place.Path, ex.body.received)
+		h.routes.LearnSize(ex.place.Path, ex.body.received)
 	}
 }
 
-func (h *Head) judged(c *conn, ex *exchange, v webdav.Verdict) {
-	switch v.Do {
+func (h *Gateway) judged(c *conn, ex *exchange, v webdav.Decision) {
+	switch v.Handling {
 	case webdav.Answer:
 		h.answerOwn(ex, v.Status, v.Reason)
 	case webdav.Options:
 		ex.answer.reason = "options"
-		h.counts.Own++
+		h.counts.Local++
 		h.respond(ex, 200, nil, func(b []byte) []byte {
 			b = http1.AppendField(b, "Allow", []byte(webdav.Allow))
 			b = http1.AppendField(b, "DAV", []byte(webdav.Compliance))
 			return http1.AppendField(b, "MS-Author-Via", []byte("DAV"))
 		})
-	case webdav.ListRoot, webdav.Gather:
+	case webdav.ListRoot, webdav.MergeListings:
 		if ex.req.Length > int64(h.config.BodyHold) {
 			h.answerOwn(ex, 413, "the body of a PROPFIND is longer than can be held")
 			return
 		}
-		ex.listing = &listing{volumes: v.Do == webdav.ListRoot}
+		ex.listing = &listing{volumes: v.Handling == webdav.ListRoot}
 		h.invite(c, ex)
 		if ex.body.whole {
 			h.list(ex)
