--- a/internal/invariant/guard.go
+++ b/internal/invariant/invariant.go
@@ -18,7 +18,7 @@
 // Rule is an invariant.
 type Rule uint8
 
-// Rules. None is that of an attempt which may begin.
+// RuleCount. None is that of an attempt which may begin.
 const (
 	None      Rule = iota
 	Start          // nothing is sent before a node list is in force
@@ -28,7 +28,7 @@
 	Repeat         // nothing runs twice that may not
 	Answer         // a request has one final answer
 	Close          // no connection is ended while a request on it is owed one
-	Rules          // how many there are
+	RuleCount      // how many there are
 )
 
 func (r Rule) String() string {
@@ -54,46 +54,46 @@
 	afterWrite  = allowance{drain: heldUp, cancel: cancelGrace, due: heldUp, timeout: heldUp, window: heldUp}
 )
 
-// Outdated tells whether an attempt has to be encoded anew before it is written, as it tells
+// TimeoutOutdated tells whether an attempt has to be encoded anew before it is written, as it tells
 // its node clearly more time than is left.
-func Outdated(now, due Time, timeout time.Duration) bool { return now+timeout > due+encodedFor }
+func TimeoutOutdated(now, due Time, timeout time.Duration) bool { return now+timeout > due+encodedFor }
 
 // Attempt is what is known of an attempt when its first byte goes out.
 type Attempt struct {
 	Request uint64 // the head's number of it
 	Node    string
 	Number  int // from 0
-	// InForce: a node list was had. Serving: the node serves by it, and the connection leads to
+	// MembershipKnown: a node list was had. Serving: the node serves by it, and the connection leads to
 	// its present address and life; Changed is when the head was notified of its state.
-	InForce    bool
-	Serving    bool
-	Changed    Time
-	ClientLeft Time // when the client was seen to go, 0: it is there
-	Deadline   Time // when the client's time is over
-	Timeout    time.Duration
-	Earlier    Earlier
+	MembershipKnown      bool
+	Serving              bool
+	StateChangedAt       Time
+	ClientDisconnectedAt Time // when the client was seen to go, 0: it is there
+	Deadline             Time // when the client's time is over
+	Timeout              time.Duration
+	Prior                PriorAttempts
 }
 
-// Earlier is what became of the attempts before it.
-type Earlier struct {
-	Effect  scheduler.Effect
-	Out     int  // attempts that are still out
-	Ran     bool // one may have run
-	Until   Time // a keyed repeat begins before that
-	Grouped bool // the node drops repeats of the one that may have run
+// PriorAttempts is what became of the attempts before it.
+type PriorAttempts struct {
+	Effect       scheduler.Effect
+	InFlight     int  // attempts that are still out
+	MayHaveRun   bool // one may have run
+	RepeatBefore Time // a keyed repeat begins before that
+	SameScope    bool // the node drops repeats of the one that may have run
 }
 
 // mayRepeat tells whether the attempt can run without running twice.
-func (e *Earlier) mayRepeat(now Time) bool {
+func (e *PriorAttempts) mayRepeat(now Time) bool {
 	switch {
 	case e.Effect == scheduler.Safe:
 		return true
-	case e.Out > 0:
-		return e.Effect == scheduler.Keyed && e.Grouped && now < e.Until
-	case !e.Ran:
+	case e.InFlight > 0:
+		return e.Effect == scheduler.Idempotent && e.SameScope && now < e.RepeatBefore
+	case !e.MayHaveRun:
 		return true
 	}
-	return e.Effect == scheduler.Keyed && e.Grouped && now < e.Until
+	return e.Effect == scheduler.Idempotent && e.SameScope && now < e.RepeatBefore
 }
 
 // Violation is an invariant that was broken, or would have been.
@@ -114,24 +114,24 @@
 
 // Counts are sums by rule.
 type Counts struct {
-	Withheld [Rules]uint64 // attempts that were not begun
-	Broken   [Rules]uint64 // found after the fact
+	Withheld [RuleCount]uint64 // attempts that were not begun
+	Broken   [RuleCount]uint64 // found after the fact
 }
 
-// Guard counts what it is asked and told. The zero value is ready.
-type Guard struct {
+// Checker counts what it is asked and told. The zero value is ready.
+type Checker struct {
 	counts Counts
-	// Report is told of each violation, and of each attempt that was withheld; nil: nobody is.
-	Report func(Violation)
+	// OnViolation is told of each violation, and of each attempt that was withheld; nil: nobody is.
+	OnViolation func(Violation)
 }
 
 // Counts returns the sums.
-func (g *Guard) Counts() Counts { return g.counts }
+func (g *Checker) Counts() Counts { return g.counts }
 
-// MayBegin tells whether the first byte of an attempt may go out now, or the rule against it.
+// CheckStart tells whether the first byte of an attempt may go out now, or the rule against it.
 // Guards against whatever came to pass between the decision to send and the write: a
 // connection that came up late, one whose buffer was full, a list, a client that left.
-func (g *Guard) MayBegin(now Time, a *Attempt) Rule {
+func (g *Checker) CheckStart(now Time, a *Attempt) Rule {
 	rule, limit := check(now, a, &beforeWrite)
 	if rule != None {
 		g.counts.Withheld[rule]++
@@ -140,9 +140,9 @@
 	return rule
 }
 
-// Began tells that the first byte of an attempt was written, and returns the rule that it
+// CheckStarted tells that the first byte of an attempt was written, and returns the rule that it
 // broke, allowing for a head that is held up.
-func (g *Guard) Began(now Time, a *Attempt) Rule {
+func (g *Checker) CheckStarted(now Time, a *Attempt) Rule {
 	rule, limit := check(now, a, &afterWrite)
 	if rule != None {
 		g.broke(Violation{Rule: rule, Request: a.Request, Node: a.Node, Attempt: a.Number, Now: now, Limit: limit})
@@ -153,38 +153,38 @@
 // check returns the first rule against an attempt and the time it is held against.
 func check(now Time, a *Attempt, allowed *allowance) (Rule, Time) {
 	switch {
-	case !a.InForce:
+	case !a.MembershipKnown:
 		return Start, 0
-	case !a.Serving && now >= a.Changed+allowed.drain:
-		return Drain, a.Changed
-	case a.ClientLeft > 0 && now >= a.ClientLeft+allowed.cancel:
-		return Cancelled, a.ClientLeft
+	case !a.Serving && now >= a.StateChangedAt+allowed.drain:
+		return Drain, a.StateChangedAt
+	case a.ClientDisconnectedAt > 0 && now >= a.ClientDisconnectedAt+allowed.cancel:
+		return Cancelled, a.ClientDisconnectedAt
 	case now >= a.Deadline+allowed.due || now+a.Timeout > a.Deadline+allowed.timeout:
 		return Deadline, a.Deadline
-	case !a.Earlier.mayRepeat(now - allowed.window):
-		return Repeat, a.Earlier.Until
+	case !a.Prior.mayRepeat(now - allowed.window):
+		return Repeat, a.Prior.RepeatBefore
 	}
 	return None, 0
 }
 
-// AnsweredAgain tells that a request was given a second final answer.
-func (g *Guard) AnsweredAgain(now Time, request uint64) {
+// RecordDuplicateAnswer tells that a request was given a second final answer.
+func (g *Checker) RecordDuplicateAnswer(now Time, request uint64) {
 	g.broke(Violation{Rule: Answer, Request: request, Now: now})
 }
 
-// ClosedUnanswered tells that the head ended a connection while a request on it was owed its
+// RecordUnansweredClose tells that the head ended a connection while a request on it was owed its
 // answer.
-func (g *Guard) ClosedUnanswered(now Time, request uint64) {
+func (g *Checker) RecordUnansweredClose(now Time, request uint64) {
 	g.broke(Violation{Rule: Close, Request: request, Now: now})
 }
 
-func (g *Guard) broke(v Violation) {
+func (g *Checker) broke(v Violation) {
 	g.counts.Broken[v.Rule]++
 	g.report(v)
 }
 
-func (g *Guard) report(v Violation) {
-	if g.Report != nil {
-		g.Report(v)
+func (g *Checker) report(v Violation) {
+	if g.OnViolation != nil {
+		g.OnViolation(v)
 	}
 }
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -15,8 +15,8 @@
 // Time is a reading of the head's monotonic clock.
 type Time = scheduler.Time
 
-// News is a node list, or what changed of it.
-type News struct {
+// Update is a node list, or what changed of it.
+type Update struct {
 	Nodes []nodelist.Node
 	Full  bool // the whole list
 	// Before is when the list that it follows was known to be in force, 0: not told.
@@ -25,11 +25,11 @@
 
 // Change is a node that the news adds, changes or removes.
 type Change struct {
-	Entry scheduler.Entry
-	Addr  string
+	Endpoint scheduler.Endpoint
+	Addr     string
 	// Moved: the node has another address or another start than before. What is kept of it
 	// leads elsewhere, or to a life that is over.
-	Moved bool
+	AddressChanged bool
 }
 
 // Table is the list in force. It is not safe for concurrent use.
@@ -57,7 +57,7 @@
 
 // Apply takes news and returns what changes by it, in its order; removed nodes come last,
 // by name.
-func (t *Table) Apply(now Time, news News) []Change {
+func (t *Table) Apply(now Time, news Update) []Change {
 	t.applied++
 	before := news.Before
 	if before == 0 {
@@ -82,7 +82,7 @@
 		m.listed = t.applied
 		return Change{}, false
 	}
-	change := Change{Addr: n.Addr, Moved: m == nil || m.node.Addr != n.Addr || !m.node.Started.Equal(n.Started)}
+	change := Change{Addr: n.Addr, AddressChanged: m == nil || m.node.Addr != n.Addr || !m.node.Started.Equal(n.Started)}
 	if m == nil {
 		m = &member{started: t.placeStart(now, before, n.Started)}
 	} else if !m.node.Started.Equal(n.Started) {
@@ -90,8 +90,8 @@
 	}
 	m.node, m.listed = n, t.applied
 	t.members[n.Name] = m
-	change.Entry = scheduler.Entry{Node: n.Name, Zone: n.Zone, Shard: n.Shard, State: n.State, Started: m.started}
-	if n.State == scheduler.Gone {
+	change.Endpoint = scheduler.Endpoint{Node: n.Name, Zone: n.Zone, Shard: n.Shard, State: n.State, Started: m.started}
+	if n.State == scheduler.Removed {
 		delete(t.members, n.Name)
 	}
 	return change, true
@@ -108,11 +108,11 @@
 			continue
 		}
 		delete(t.members, name)
-		changes = append(changes, Change{Addr: m.node.Addr, Moved: true, Entry: scheduler.Entry{Node: name, Zone: m.node.Zone,
-			Shard: m.node.Shard, State: scheduler.Gone, Started: m.started}})
+		changes = append(changes, Change{Addr: m.node.Addr, AddressChanged: true, Endpoint: scheduler.Endpoint{Node: name, Zone: m.node.Zone,
+			Shard: m.node.Shard, State: scheduler.Removed, Started: m.started}})
 	}
 	slices.SortFunc(changes, func(a, b Change) int {
-		if a.Entry.Node < b.Entry.Node {
+		if a.Endpoint.Node < b.Endpoint.Node {
 			return -1
 		}
 		return 1
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -25,20 +25,20 @@
 	table := newTable(0)
 	started := wall.Add(-time.Minute)
 	list := []nodelist.Node{node("a", scheduler.Serving, time.Time{}), node("b", scheduler.Serving, started), node("c", scheduler.Draining, time.Time{})}
-	if got := table.Apply(zero, News{Nodes: list, Full: true}); len(got) != 3 || !got[0].Moved {
+	if got := table.Apply(zero, Update{Nodes: list, Full: true}); len(got) != 3 || !got[0].AddressChanged {
 		t.Fatalf("the first list: %+v", got)
 	}
-	if got := table.Apply(zero+1, News{Nodes: list, Full: true}); len(got) != 0 {
+	if got := table.Apply(zero+1, Update{Nodes: list, Full: true}); len(got) != 0 {
 		t.Fatalf("the same list: %+v", got)
 	}
 	list[0].State = scheduler.Draining
 	list[1].Addr = "10.0.0.2:1"
-	got := table.Apply(zero+2, News{Nodes: list[:2], Full: true})
-	if len(got) != 3 || got[0].Moved || !got[1].Moved || got[2].Entry.Node != "c" || got[2].Entry.State != scheduler.Gone || table.Len() != 2 {
+	got := table.Apply(zero+2, Update{Nodes: list[:2], Full: true})
+	if len(got) != 3 || got[0].AddressChanged || !got[1].AddressChanged || got[2].Endpoint.Node != "c" || got[2].Endpoint.State != scheduler.Removed || table.Len() != 2 {
 		t.Fatalf("%+v, %d listed", got, table.Len())
 	}
-	got = table.Apply(zero+3, News{Nodes: []nodelist.Node{node("b", scheduler.Gone, started)}})
-	if len(got) != 1 || got[0].Entry.State != scheduler.Gone || table.Len() != 1 {
+	got = table.Apply(zero+3, Update{Nodes: []nodelist.Node{node("b", scheduler.Removed, started)}})
+	if len(got) != 1 || got[0].Endpoint.State != scheduler.Removed || table.Len() != 1 {
 		t.Fatalf("%+v, %d listed", got, table.Len())
 	}
 }
@@ -59,14 +59,14 @@
 				if draw.IntN(2) == 0 {
 					n := node(fmt.Sprint("n", i), scheduler.NodeState(draw.IntN(3)), wall.Add(time.Duration(draw.IntN(3))*time.Second))
 					nodes = append(nodes, n)
-					if truth[n.Name] = n.State; n.State == scheduler.Gone {
+					if truth[n.Name] = n.State; n.State == scheduler.Removed {
 						delete(truth, n.Name)
 					}
 				}
 			}
-			for _, c := range table.Apply(zero+Time(step)*time.Second, News{Nodes: nodes, Full: full}) {
-				if held[c.Entry.Node] = c.Entry.State; c.Entry.State == scheduler.Gone {
-					delete(held, c.Entry.Node)
+			for _, c := range table.Apply(zero+Time(step)*time.Second, Update{Nodes: nodes, Full: full}) {
+				if held[c.Endpoint.Node] = c.Endpoint.State; c.Endpoint.State == scheduler.Removed {
+					delete(held, c.Endpoint.Node)
 				}
 			}
 			if fmt.Sprint(held) != fmt.Sprint(truth) {
@@ -83,11 +83,11 @@
 	for _, off := range []time.Duration{0, time.Second, 3 * time.Second, time.Hour, -time.Second, -3 * time.Second, -time.Hour} {
 		for _, late := range []time.Duration{0, 300 * time.Millisecond, 1400 * time.Millisecond} {
 			table := newTable(off)
-			table.Apply(zero, News{Nodes: []nodelist.Node{node("a", scheduler.Serving, time.Time{})}, Full: true})
+			table.Apply(zero, Update{Nodes: []nodelist.Node{node("a", scheduler.Serving, time.Time{})}, Full: true})
 			notified := zero + time.Minute
 			news := []nodelist.Node{node("a", scheduler.Serving, wall.Add(time.Minute-late))}
-			got := table.Apply(notified, News{Nodes: news, Before: notified - 150*time.Millisecond})
-			truth, placed := notified-late, got[0].Entry.Started
+			got := table.Apply(notified, Update{Nodes: news, Before: notified - 150*time.Millisecond})
+			truth, placed := notified-late, got[0].Endpoint.Started
 			if early := truth - placed; early > notifiedWithin+150*time.Millisecond {
 				t.Errorf("clock %v off, told %v late: counts as %v older than it is", off, late, early)
 			}
@@ -104,9 +104,9 @@
 // On the first list the wall clock is believed, but not where it puts a start in the future.
 func TestStartsOnTheFirstList(t *testing.T) {
 	for off, want := range map[time.Duration]Time{0: zero - 2*time.Second, -time.Hour: zero, time.Hour: zero - time.Hour - 2*time.Second} {
-		got := newTable(off).Apply(zero, News{Nodes: []nodelist.Node{node("a", scheduler.Serving, wall.Add(-2*time.Second))}, Full: true})
-		if got[0].Entry.Started != want {
-			t.Errorf("clock %v off: %v, want %v", off, got[0].Entry.Started, want)
+		got := newTable(off).Apply(zero, Update{Nodes: []nodelist.Node{node("a", scheduler.Serving, wall.Add(-2*time.Second))}, Full: true})
+		if got[0].Endpoint.Started != want {
+			t.Errorf("clock %v off: %v, want %v", off, got[0].Endpoint.Started, want)
 		}
 	}
 }
--- a/internal/nodelist/nodelist.go
+++ b/internal/nodelist/nodelist.go
@@ -32,7 +32,7 @@
 
 var states = []string{"serving", "draining", "gone"}
 
-// Parse reads a list. The error joins one config.Mistake for each fault.
+// Parse reads a list. The error joins one config.Error for each fault.
 func Parse(file string, data []byte) ([]Node, error) {
 	lines, err := config.Lines(file, data)
 	errs := []error{err}
@@ -47,7 +47,7 @@
 			err = fmt.Errorf("more than %d nodes", MaxNodes)
 		}
 		if err != nil {
-			errs = append(errs, &config.Mistake{File: file, Line: l.Number, Reason: err.Error()})
+			errs = append(errs, &config.Error{File: file, Line: l.Number, Reason: err.Error()})
 			continue
 		}
 		seen[n.Name] = l.Number
@@ -57,7 +57,7 @@
 		return nil, err
 	}
 	if len(nodes) == 0 { // a list cut to nothing is a broken one: guards against emptying the fleet
-		return nil, &config.Mistake{File: file, Reason: "names no node"}
+		return nil, &config.Error{File: file, Reason: "names no node"}
 	}
 	return nodes, nil
 }
--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -36,15 +36,15 @@
 		MemoryMB float64 `json:"memory_mb"`
 		Sockets  int     `json:"sockets"`
 	} `json:"limits"`
-	Known    *discovery.List `json:"known"`
-	Settings *settings.Site  `json:"settings"`
+	Known    *discovery.EndpointList `json:"known"`
+	Settings *settings.Site          `json:"settings"`
 }
 
 // Config is what the platform tells a head, checked.
 type Config struct {
 	Name      string
 	Discovery string
-	Known     *discovery.List
+	Known     *discovery.EndpointList
 	Site      *settings.Site
 	Conf      *config.Config
 	Bounds    Bounds
@@ -195,10 +195,10 @@
 	c := &Config{Name: f.Name, Discovery: f.Discovery, Known: f.Known, Site: f.Settings, Bounds: b,
 		Conf: headConf(path, &f, b)}
 	c.Conf.Seed = seed
-	if _, err := scheduler.New(c.Conf.Logic, 0, 0); err != nil {
+	if _, err := scheduler.New(c.Conf.Scheduler, 0, 0); err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	if err := c.Conf.Admit.Check(); err != nil {
+	if err := c.Conf.Admission.Check(); err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
 	return c, nil
@@ -208,13 +208,13 @@
 // No cap or pace is by address: clients of every kind may share one.
 func headConf(path string, f *file, b Bounds) *config.Config {
 	l := f.Settings.Limits
-	c := &config.Config{File: path, Listen: []string{f.Listen}, Quiet: true, Logic: f.Settings.Settings(),
+	c := &config.Config{File: path, Listen: []string{f.Listen}, Quiet: true, Scheduler: f.Settings.Settings(),
 		Unit: 1, BodyHold: mostBody, BodyRate: 1, Buffer: mostBody * 2,
 		HeaderTime: 1500 * time.Millisecond, IdleTime: idleTime, StallTime: 1200 * time.Millisecond,
 		StopTime: stopTime(f.Settings), StopAfter: stopAfter,
 		NodeIdle: settings.Micros(l.ConnIdle) / 2, NodeConns: b.Nodes, NodesConns: b.Nodes, DialTime: settings.Micros(l.ConnectTimeout),
 		Sizes: 1, Clients: b.Clients, Processes: 1, Header: http1.Limits{Header: 8 << 10, Target: 2 << 10, Fields: 64},
-		Admit: admission.Config{Total: b.Clients, V6Bits: 64, Wide4: 24, Wide6: 48, Entries: 256,
+		Admission: admission.Config{Total: b.Clients, V6Bits: 64, Wide4: 24, Wide6: 48, Entries: 256,
 			AnswerRate: 50, AnswerBurst: b.Told, KnownMultiple: 1, Buffers: b.HeldBytes, BufferLeast: heldLeast,
 			PressureIdle: b.Clients - b.Kept, IdleUnderPress: idleUnderPress, Displace: true}}
 	if c.NodeIdle <= 0 {
@@ -234,7 +234,7 @@
 	for i, k := range c.Site.Classes {
 		p.classes[k.Name] = i
 	}
-	for i, g := range c.Conf.Logic.Plans {
+	for i, g := range c.Conf.Scheduler.Plans {
 		p.plans[g.Name] = i
 	}
 	return p
--- a/internal/platform/drawn_test.go
+++ b/internal/platform/drawn_test.go
@@ -57,7 +57,7 @@
 			return
 		}
 		for i := range classes {
-			left := max(c.Conf.Logic.Classes[i].Deadline, c.Conf.Logic.Classes[i].Aim, 50*time.Millisecond) // of its client
+			left := max(c.Conf.Scheduler.Classes[i].Deadline, c.Conf.Scheduler.Classes[i].LatencyObjective, 50*time.Millisecond) // of its client
 			if status := serveOne(rt, c, fmt.Sprint("c", i), left, plans); status != "200" {
 				rt.Fatalf("class %d gets %s by %s", i, status, b)
 			}
@@ -74,13 +74,13 @@
 		t.Fatal(err)
 	}
 	p := c.Protocol()
-	h.Speak(p)
-	feed := &discovery.List{Index: new(int64), Snapshot: true, Endpoints: []discovery.Entry{{Name: "n", Address: "127.0.0.1:7", Status: "up"}}}
+	h.SetProtocol(p)
+	feed := &discovery.EndpointList{Index: new(int64), Snapshot: true, Endpoints: []discovery.Endpoint{{Name: "n", Address: "127.0.0.1:7", Status: "up"}}}
 	nodes, err := discovery.New("127.0.0.1:9", nil, false, 1).Nodes(feed)
 	if err != nil {
 		t.Fatal(err)
 	}
-	h.Nodes(now, nodes)
+	h.SetNodes(now, nodes)
 	tier := ""
 	if len(plans) > 0 {
 		tier = "Tier: p0\r\n"
--- a/internal/platform/ids.go
+++ b/internal/platform/ids.go
@@ -35,7 +35,7 @@
 		return
 	}
 	delete(t.open, id)
-	if o == gateway.Refused {
+	if o == gateway.Rejected {
 		return
 	}
 	if old := t.ring[t.at]; old != "" {
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -91,23 +91,23 @@
 const good = "PUT /api HTTP/1.1\r\nHost: b\r\nX-Txn: 00c0ffee00c0ffee\r\nX-Lane: write\r\nTier: high\r\nPiece: abcdef9876543210\r\n" +
 	"X-Remaining: 480m\r\nContent-Length: 5\r\nIO-Info: volume=00000000feed0001,units=2.5,shard=-1,hosts=3\r\n\r\n"
 
-func ask(t *testing.T, p *Protocol, text string) gateway.Ask {
+func ask(t *testing.T, p *Protocol, text string) gateway.RequestInfo {
 	t.Helper()
 	var r http1.Request
 	if err := http1.ParseRequest([]byte(text), &r, http1.DefaultLimits); err != nil {
 		t.Fatal(err)
 	}
-	return p.Ask(&r)
+	return p.ParseRequest(&r)
 }
 
 func TestAsk(t *testing.T) {
 	p := protocol(t)
 	a := ask(t, p, good)
-	want := scheduler.Arrival{Shard: -1, Plan: 1, Class: 1, Key: "abcdef9876543210", Volume: "00000000feed0001", Left: 480 * time.Millisecond, Units: 2.5, Hosts: 3}
+	want := scheduler.Arrival{Shard: -1, Plan: 1, Class: 1, Key: "abcdef9876543210", Volume: "00000000feed0001", TimeRemaining: 480 * time.Millisecond, Units: 2.5, Instances: 3}
 	if a.Status != 0 || a.ID != "00c0ffee00c0ffee" || a.Arrival != want {
 		t.Fatalf("%+v", a)
 	}
-	if a = ask(t, p, strings.Replace(good, "480m", "1500.5u\r\nX-Resent: 1", 1)); a.Arrival.Left != 1500500 || !a.Arrival.Again {
+	if a = ask(t, p, strings.Replace(good, "480m", "1500.5u\r\nX-Resent: 1", 1)); a.Arrival.TimeRemaining != 1500500 || !a.Arrival.ClientRetry {
 		t.Errorf("%+v", a)
 	}
 	for _, c := range [][2]string{
@@ -170,8 +170,8 @@
 		{"200 OK\r\nX-Pressure: inflight=NaN", scheduler.OK, 0, false},
 		{"200 OK\r\nX-Pressure: inflight=-3", scheduler.OK, 0, false},
 		{"200 OK\r\nX-Pressure: ,,=,", scheduler.OK, 0, false},
-		{"503 Busy\r\nX-Turned-Away: 1\r\nX-Pressure: queue=3", scheduler.Full, 3, true},
-		{"504 Late\r\nX-Turned-Away: 1", scheduler.Full, 0, false},
+		{"503 Busy\r\nX-Turned-Away: 1\r\nX-Pressure: queue=3", scheduler.QueueFull, 3, true},
+		{"504 Late\r\nX-Turned-Away: 1", scheduler.QueueFull, 0, false},
 		{"503 Busy", scheduler.Failed, 0, false},
 		{"503 Busy\r\nX-Turned-Away: 0", scheduler.Failed, 0, false},
 		{"500 Error\r\nX-Turned-Away: 1", scheduler.Failed, 0, false},
@@ -182,7 +182,7 @@
 		if err := http1.ParseResponse([]byte("HTTP/1.1 "+c.text+"\r\nContent-Length: 0\r\n\r\n"), &r, "GET", http1.DefaultLimits); err != nil {
 			t.Fatal(err)
 		}
-		if v := p.Verdict(&r); v.Outcome != c.o || v.Report != c.load || v.Reports != c.says {
+		if v := p.ParseResponse(&r); v.Outcome != c.o || v.ReportedLoad != c.load || v.HasLoadReport != c.says {
 			t.Errorf("%q: %+v", c.text, v)
 		}
 	}
@@ -200,9 +200,9 @@
 	}
 	take("a", true)
 	take("a", false)
-	x.end("a", gateway.Refused)
+	x.end("a", gateway.Rejected)
 	take("a", true)
-	for _, o := range []gateway.Outcome{gateway.Failed, gateway.Served, gateway.Left} {
+	for _, o := range []gateway.Outcome{gateway.Failed, gateway.Served, gateway.ClientDisconnected} {
 		id := fmt.Sprint("b", o)
 		take(id, true)
 		x.end(id, o)
@@ -237,20 +237,20 @@
 		if n == 0 || http1.ParseRequest(b[:n], &r, http1.DefaultLimits) != nil {
 			return
 		}
-		a := p.Ask(&r)
+		a := p.ParseRequest(&r)
 		v := a.Arrival
 		if a.Status != 0 {
 			return
 		}
-		if a.ID == "" || v.Left <= 0 || v.Left > mostLeft || !(v.Units > 0 && v.Units <= 6) || v.Shard < -1 || v.Shard > 3 || v.Hosts < 1 || v.Hosts > 3 || math.IsNaN(v.Units) {
+		if a.ID == "" || v.TimeRemaining <= 0 || v.TimeRemaining > mostLeft || !(v.Units > 0 && v.Units <= 6) || v.Shard < -1 || v.Shard > 3 || v.Instances < 1 || v.Instances > 3 || math.IsNaN(v.Units) {
 			t.Fatalf("%q: %+v", b, a)
 		}
-		again := append(p.AppendRequest(nil, &r, v.Left), "\r\n"...)
+		again := append(p.AppendRequest(nil, &r, v.TimeRemaining), "\r\n"...)
 		var s http1.Request
 		if err := http1.ParseRequest(again, &s, http1.DefaultLimits); err != nil {
 			t.Fatalf("%q is sent on as %q: %v", b, again, err)
 		}
-		if o := p.Ask(&s); o.ID != a.ID || o.Arrival.Volume != v.Volume || o.Arrival.Units != v.Units {
+		if o := p.ParseRequest(&s); o.ID != a.ID || o.Arrival.Volume != v.Volume || o.Arrival.Units != v.Units {
 			t.Fatalf("%q is sent on as %q", b, again)
 		}
 	})
--- a/internal/platform/protocol.go
+++ b/internal/platform/protocol.go
@@ -56,38 +56,40 @@
 
 var errOpen = &http1.Error{Status: 409, Reason: "the id is that of a request that is open, or that was answered"}
 
-// Open takes a request's id.
-func (p *Protocol) Open(a *gateway.Ask) *http1.Error {
+// BeginRequest takes a request's id.
+func (p *Protocol) BeginRequest(a *gateway.RequestInfo) *http1.Error {
 	if !p.ids.take(a.ID) {
 		return errOpen
 	}
 	return nil
 }
 
-// Closed lets go of it.
-func (p *Protocol) Closed(id string, o gateway.Outcome) { p.ids.end(id, o) }
+// EndRequest lets go of it.
+func (p *Protocol) EndRequest(id string, o gateway.Outcome) { p.ids.end(id, o) }
 
-// MostAnswer is how large an answer may be, and all that are held at once.
-func (p *Protocol) MostAnswer() (one, all int64) { return p.answer, p.answers }
+// MaxResponseBytes is how large an answer may be, and all that are held at once.
+func (p *Protocol) MaxResponseBytes() (one, all int64) { return p.answer, p.answers }
 
-// Stall is for how long an answer that has begun may stand still.
-func (p *Protocol) Stall() time.Duration { return p.stall }
+// ResponseStallTimeout is for how long an answer that has begun may stand still.
+func (p *Protocol) ResponseStallTimeout() time.Duration { return p.stall }
 
-func bad(reason string) gateway.Ask { return gateway.Ask{Status: 400, Reason: reason, Close: true} }
+func bad(reason string) gateway.RequestInfo {
+	return gateway.RequestInfo{Status: 400, Reason: reason, Close: true}
+}
 
-// Ask reads a request.
-func (p *Protocol) Ask(r *http1.Request) gateway.Ask {
+// ParseRequest reads a request.
+func (p *Protocol) ParseRequest(r *http1.Request) gateway.RequestInfo {
 	if bytes.HasPrefix(r.Target, []byte(pathReserved)) {
 		switch path, _, _ := bytes.Cut(r.Target, []byte("?")); string(path) {
 		case pathReady:
 			if p.Ready != nil && !p.Ready() {
-				return gateway.Ask{Status: 503, Reason: "not ready"}
+				return gateway.RequestInfo{Status: 503, Reason: "not ready"}
 			}
-			return gateway.Ask{Status: 200, Reason: "ready"}
+			return gateway.RequestInfo{Status: 200, Reason: "ready"}
 		case pathHealthy:
-			return gateway.Ask{Status: 200, Reason: "alive"}
+			return gateway.RequestInfo{Status: 200, Reason: "alive"}
 		}
-		return gateway.Ask{Status: 404, Reason: "there is no such page"}
+		return gateway.RequestInfo{Status: 404, Reason: "there is no such page"}
 	}
 	// Guards against a request that would reach its node without a field it was read by.
 	for name := range http1.Parts(r.Get("connection")) {
@@ -125,8 +127,8 @@
 	if !hex16(key) {
 		return bad("want " + fieldKey + ", 16 hex digits")
 	}
-	a := gateway.Ask{Arrival: scheduler.Arrival{Class: c, Plan: g}}
-	if a.Arrival.Left, ok = remaining(left); !ok {
+	a := gateway.RequestInfo{Arrival: scheduler.Arrival{Class: c, Plan: g}}
+	if a.Arrival.TimeRemaining, ok = remaining(left); !ok {
 		return bad("want " + fieldLeft + ", a number above 0 and its unit")
 	}
 	if !p.extras(extras, &a.Arrival) {
@@ -135,13 +137,13 @@
 	write := string(r.Method) == "PUT"
 	switch {
 	case !write && string(r.Method) != "GET":
-		return gateway.Ask{Status: 405, Reason: "a read is a GET, a write a PUT", Close: true}
+		return gateway.RequestInfo{Status: 405, Reason: "a read is a GET, a write a PUT", Close: true}
 	case !write && (r.Length > 0 || r.Chunked):
 		return bad("a read has no body")
 	case len(p.writes) > 0 && p.writes[c] != write:
 		return bad("the method does not fit the class")
 	}
-	a.ID, a.Arrival.Key, a.Arrival.Again = string(id), string(key), string(r.Get(fieldRetry)) == "1"
+	a.ID, a.Arrival.Key, a.Arrival.ClientRetry = string(id), string(key), string(r.Get(fieldRetry)) == "1"
 	return a
 }
 
@@ -227,7 +229,7 @@
 			var n int64
 			n, ok = http1.Number(value)
 			ok = ok && n >= 1 && n <= int64(p.heads)
-			a.Hosts = int(n)
+			a.Instances = int(n)
 		default: // of a later day
 			continue
 		}
@@ -252,16 +254,16 @@
 	return append(b, "u\r\n"...)
 }
 
-// Verdict reads the header of a node's answer.
-func (p *Protocol) Verdict(r *http1.Response) gateway.Verdict {
-	v := gateway.Verdict{Outcome: scheduler.Failed}
-	v.Report, v.Reports = load(r.Get(fieldLoad))
+// ParseResponse reads the header of a node's answer.
+func (p *Protocol) ParseResponse(r *http1.Response) gateway.ResponseInfo {
+	v := gateway.ResponseInfo{Outcome: scheduler.Failed}
+	v.ReportedLoad, v.HasLoadReport = load(r.Get(fieldLoad))
 	switch r.Status {
 	case 200:
 		v.Outcome = scheduler.OK
 	case 503, 504:
 		if string(r.Get(fieldTurned)) == "1" {
-			v.Outcome = scheduler.Full
+			v.Outcome = scheduler.QueueFull
 		}
 	}
 	return v
--- a/internal/platform/told_test.go
+++ b/internal/platform/told_test.go
@@ -24,7 +24,7 @@
 
 // toldRig is a head with a request for a node whose connection stands and takes nothing yet.
 type toldRig struct {
-	h    *gateway.Head
+	h    *gateway.Gateway
 	now  gateway.Time
 	node gateway.ConnID
 }
@@ -39,10 +39,10 @@
 	if r.h, err = gateway.New(c.Conf, 1, r.now, time.Unix(0, 0), nil); err != nil {
 		t.Fatal(err)
 	}
-	r.h.Speak(c.Protocol())
-	r.h.Nodes(r.now, []nodelist.Node{{Name: "n", Addr: "10.0.0.1:1"}})
+	r.h.SetProtocol(c.Protocol())
+	r.h.SetNodes(r.now, []nodelist.Node{{Name: "n", Addr: "10.0.0.1:1"}})
 	client := r.h.Accept(r.now, netip.MustParseAddrPort("127.0.0.1:1000"), 0).ID
-	r.h.Waited(client, waited)
+	r.h.SetAcceptDelay(client, waited)
 	r.h.Data(r.now, client, fmt.Appendf(nil, "GET /api HTTP/1.1\r\nHost: b\r\nX-Txn: 1\r\nX-Lane: read\r\nTier: low\r\nPiece: abcdef9876543210\r\n"+
 		"X-Remaining: 1000m\r\nIO-Info: volume=00000000feed0001,units=1,shard=0,hosts=1\r\n\r\n"))
 	for {
@@ -90,7 +90,7 @@
 // What waits in a buffer while its node is told to drain is not handed out.
 func TestNothingIsHandedOutBehindADrain(t *testing.T) {
 	r := newToldRig(t, 0)
-	r.h.Nodes(r.now, []nodelist.Node{{Name: "n", Addr: "10.0.0.1:1", State: scheduler.Draining}})
+	r.h.SetNodes(r.now, []nodelist.Node{{Name: "n", Addr: "10.0.0.1:1", State: scheduler.Draining}})
 	if out := r.h.Out(r.now, r.node); len(out) > 0 {
 		t.Errorf("%q is handed out", out)
 	}
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -25,8 +25,8 @@
 	Unit                   // a placement unit or something below it, on one shard
 )
 
-// Place is where a path lives.
-type Place struct {
+// Location is where a path lives.
+type Location struct {
 	Kind   Kind
 	Volume int    // place among the configuration's volumes
 	Unit   string // the placement unit's name, decoded
@@ -149,13 +149,13 @@
 	return -1
 }
 
-// Place finds where a path (as Path gives it) lives.
-func (t *Table) Place(path string) (Place, error) {
+// Locate finds where a path (as Path gives it) lives.
+func (t *Table) Locate(path string) (Location, error) {
 	path, err := Decode(path)
 	if err != nil {
-		return Place{}, err
+		return Location{}, err
 	}
-	p := Place{Path: path}
+	p := Location{Path: path}
 	name, rest, below := strings.Cut(path[1:], "/")
 	if name == "" {
 		return p, nil
@@ -189,63 +189,63 @@
 	return best
 }
 
-// Ask is what a request's header tells.
-type Ask struct {
-	Method string
-	Place  Place
-	Length int64 // of the body, -1 where it is not told
-	Range  string
-	Prefer string
-	Key    string // Idempotency-Key
+// RequestHeader is what a request's header tells.
+type RequestHeader struct {
+	Method   string
+	Location Location
+	Length   int64 // of the body, -1 where it is not told
+	Range    string
+	Prefer   string
+	Key      string // Idempotency-Key
 }
 
-// Job is what the module is told of a request, and the head keeps to.
-type Job struct {
-	Class int
-	Units float64
-	Time  time.Duration // before the client gives up; the answer margin is taken off
-	Key   string        // of order, "" where the class has none
+// Classification is what the module is told of a request, and the head keeps to.
+type Classification struct {
+	Class   int
+	Units   float64
+	Timeout time.Duration // before the client gives up; the answer margin is taken off
+	Key     string        // of order, "" where the class has none
 }
 
-// Job classifies a request.
-func (t *Table) Job(a Ask) Job {
+// Classify classifies a request.
+func (t *Table) Classify(a RequestHeader) Classification {
 	size := a.Length
 	reads := a.Method == "GET" || a.Method == "HEAD" || a.Method == "PROPFIND"
 	if a.Method == "HEAD" {
 		size = 0
 	} else if reads {
 		size = rangeLength(a.Range)
-		if known, ok := t.sizes.get(a.Place.Path); ok && (size < 0 || known < size) {
+		if known, ok := t.sizes.get(a.Location.Path); ok && (size < 0 || known < size) {
 			size = known
 		}
 	}
-	j := Job{Class: t.class(a, size)}
-	class := &t.c.Logic.Classes[j.Class]
+	j := Classification{Class: t.class(a, size)}
+	class := &t.c.Scheduler.Classes[j.Class]
 	switch {
 	case size >= 0:
 		j.Units = max(1, math.Ceil(float64(size)/float64(t.c.Unit)))
 	default:
-		j.Units = max(1, t.c.Logic.MeanUnits)
+		j.Units = max(1, t.c.Scheduler.MeanUnits)
 	}
-	j.Time = t.c.Deadlines[j.Class]
-	if w := wait(a.Prefer); w > 0 && w < j.Time {
-		j.Time = w
+	j.Timeout = t.c.Deadlines[j.Class]
+	if w := wait(a.Prefer); w > 0 && w < j.Timeout {
+		j.Timeout = w
 	}
-	j.Time = max(j.Time-t.c.AnswerMargin, 0)
+	j.Timeout = max(j.Timeout-t.c.AnswerMargin, 0)
 	if !reads && size > int64(t.c.BodyHold) { // a long body's own time is the client's
-		j.Time += time.Duration(float64(size) / float64(t.c.BodyRate) * float64(time.Second))
+		j.Timeout += time.Duration(float64(size) / float64(t.c.BodyRate) * float64(time.Second))
 	} else if !reads && size < 0 {
-		j.Time += t.c.StallTime
+		j.Timeout += t.c.StallTime
 	}
-	if class.InOrder {
+	if class.Ordered {
 		if j.Key = a.Key; j.Key == "" {
-			j.Key = a.Place.Path
+			j.Key = a.Location.Path
 		}
 	}
 	return j
 }
 
-func (t *Table) class(a Ask, size int64) int {
+func (t *Table) class(a RequestHeader, size int64) int {
 	for i := range t.c.Routes {
 		r := &t.c.Routes[i]
 		if len(r.Methods) > 0 {
@@ -257,7 +257,7 @@
 				continue
 			}
 		}
-		if (r.Prefix == "" || strings.HasPrefix(a.Place.Path, r.Prefix)) && (!r.Ranged || a.Range != "") &&
+		if (r.Prefix == "" || strings.HasPrefix(a.Location.Path, r.Prefix)) && (!r.Ranged || a.Range != "") &&
 			(r.SizeOver < 0 || size > r.SizeOver) {
 			return r.Class
 		}
@@ -265,8 +265,8 @@
 	return 0 // never: the last route takes every request
 }
 
-// Learn tells the size that an answer showed a resource to have.
-func (t *Table) Learn(path string, size int64) { t.sizes.put(path, size) }
+// LearnSize tells the size that an answer showed a resource to have.
+func (t *Table) LearnSize(path string, size int64) { t.sizes.put(path, size) }
 
 // rangeLength returns the bytes of a single range with both ends, else -1.
 func rangeLength(r string) int64 {
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -40,19 +40,19 @@
 	tab := table(t)
 	for path, want := range map[string]Kind{"/": Root, "/feed-a": VolumeRoot, "/feed-a/": VolumeRoot,
 		"/feed%2Da/": VolumeRoot, "/feed-a/x": Unit, "/feed-a/x/": Unit, "/feed-a/x/y": Unit} {
-		if p, err := tab.Place(path); err != nil || p.Kind != want {
+		if p, err := tab.Locate(path); err != nil || p.Kind != want {
 			t.Errorf("%s: %+v %v", path, p, err)
 		}
 	}
 	for path, want := range map[string]error{"/nope/x": ErrNoVolume, "/feed-a//x": ErrPath, "/feed-a/../feed-b/x": ErrPath,
 		"/feed-a/%2e%2e/x": ErrPath, "/feed-a/a%2fb": ErrPath, "/feed-a/%zz": ErrPath, "/feed-a/%4": ErrPath, "/feed-a/.": ErrPath,
 		"//": ErrPath, "/feed-a/a%00": ErrPath, "/feed-a/a\\b": ErrPath} {
-		if _, err := tab.Place(path); err != want {
+		if _, err := tab.Locate(path); err != want {
 			t.Errorf("%s: %v, want %v", path, err, want)
 		}
 	}
-	a, _ := tab.Place("/feed-a/st%61tion/one")
-	b, _ := tab.Place("/feed-a/station")
+	a, _ := tab.Locate("/feed-a/st%61tion/one")
+	b, _ := tab.Locate("/feed-a/station")
 	if a.Unit != "station" || a.Shard != b.Shard {
 		t.Errorf("an escape moved the unit: %+v %+v", a, b)
 	}
@@ -93,34 +93,34 @@
 
 func TestJobs(t *testing.T) {
 	tab := table(t)
-	at := func(path string) Place { p, _ := tab.Place(path); return p }
-	tab.Learn("/feed-a/big/x", 5<<20)
-	tab.Learn("/feed-a/s/x", 150<<10)
+	at := func(path string) Location { p, _ := tab.Locate(path); return p }
+	tab.LearnSize("/feed-a/big/x", 5<<20)
+	tab.LearnSize("/feed-a/s/x", 150<<10)
 	for name, c := range map[string]struct {
-		ask   Ask
+		ask   RequestHeader
 		class int
 		units float64
 		time  time.Duration
 		key   string
 	}{
-		"unknown read":  {Ask{Method: "GET", Place: at("/feed-a/u/x")}, 0, 3, 980 * time.Millisecond, ""},
-		"known read":    {Ask{Method: "GET", Place: at("/feed-a/s/x")}, 0, 2, 980 * time.Millisecond, ""},
-		"large read":    {Ask{Method: "GET", Place: at("/feed-a/big/x")}, 2, 52, 4980 * time.Millisecond, ""},
-		"head of large": {Ask{Method: "HEAD", Place: at("/feed-a/big/x")}, 0, 1, 980 * time.Millisecond, ""},
-		"ranged":        {Ask{Method: "GET", Place: at("/feed-a/big/x"), Range: "bytes=0-99"}, 2, 1, 4980 * time.Millisecond, ""},
-		"range past it": {Ask{Method: "GET", Place: at("/feed-a/s/x"), Range: "bytes=0-99999999"}, 2, 2, 4980 * time.Millisecond, ""},
-		"write":         {Ask{Method: "PUT", Place: at("/feed-a/s/y"), Length: 100<<10 + 1}, 1, 2, 1980 * time.Millisecond, ""},
-		"ordered":       {Ask{Method: "PUT", Place: at("/feed-a/log/y"), Length: 1}, 3, 1, 4980 * time.Millisecond, "/feed-a/log/y"},
-		"ordered, key":  {Ask{Method: "PUT", Place: at("/feed-a/log/y"), Length: 1, Key: "k"}, 3, 1, 4980 * time.Millisecond, "k"},
-		"shorter wait":  {Ask{Method: "PUT", Place: at("/feed-a/s/y"), Prefer: "respond-async, wait=1"}, 1, 1, 980 * time.Millisecond, ""},
-		"longer wait":   {Ask{Method: "PUT", Place: at("/feed-a/s/y"), Prefer: "wait=100"}, 1, 1, 1980 * time.Millisecond, ""},
+		"unknown read":  {RequestHeader{Method: "GET", Location: at("/feed-a/u/x")}, 0, 3, 980 * time.Millisecond, ""},
+		"known read":    {RequestHeader{Method: "GET", Location: at("/feed-a/s/x")}, 0, 2, 980 * time.Millisecond, ""},
+		"large read":    {RequestHeader{Method: "GET", Location: at("/feed-a/big/x")}, 2, 52, 4980 * time.Millisecond, ""},
+		"head of large": {RequestHeader{Method: "HEAD", Location: at("/feed-a/big/x")}, 0, 1, 980 * time.Millisecond, ""},
+		"ranged":        {RequestHeader{Method: "GET", Location: at("/feed-a/big/x"), Range: "bytes=0-99"}, 2, 1, 4980 * time.Millisecond, ""},
+		"range past it": {RequestHeader{Method: "GET", Location: at("/feed-a/s/x"), Range: "bytes=0-99999999"}, 2, 2, 4980 * time.Millisecond, ""},
+		"write":         {RequestHeader{Method: "PUT", Location: at("/feed-a/s/y"), Length: 100<<10 + 1}, 1, 2, 1980 * time.Millisecond, ""},
+		"ordered":       {RequestHeader{Method: "PUT", Location: at("/feed-a/log/y"), Length: 1}, 3, 1, 4980 * time.Millisecond, "/feed-a/log/y"},
+		"ordered, key":  {RequestHeader{Method: "PUT", Location: at("/feed-a/log/y"), Length: 1, Key: "k"}, 3, 1, 4980 * time.Millisecond, "k"},
+		"shorter wait":  {RequestHeader{Method: "PUT", Location: at("/feed-a/s/y"), Prefer: "respond-async, wait=1"}, 1, 1, 980 * time.Millisecond, ""},
+		"longer wait":   {RequestHeader{Method: "PUT", Location: at("/feed-a/s/y"), Prefer: "wait=100"}, 1, 1, 1980 * time.Millisecond, ""},
 	} {
-		if j := tab.Job(c.ask); j.Class != c.class || j.Units != c.units || j.Time != c.time || j.Key != c.key {
+		if j := tab.Classify(c.ask); j.Class != c.class || j.Units != c.units || j.Timeout != c.time || j.Key != c.key {
 			t.Errorf("%s: %+v, want %+v", name, j, c)
 		}
 	}
-	if j := tab.Job(Ask{Method: "PUT", Place: at("/feed-a/s/y"), Length: 10 << 20}); j.Time != 1980*time.Millisecond+10*time.Second {
-		t.Errorf("a body of 10 MiB at 1 MiB/s has %v", j.Time)
+	if j := tab.Classify(RequestHeader{Method: "PUT", Location: at("/feed-a/s/y"), Length: 10 << 20}); j.Timeout != 1980*time.Millisecond+10*time.Second {
+		t.Errorf("a body of 10 MiB at 1 MiB/s has %v", j.Timeout)
 	}
 }
 
@@ -128,7 +128,7 @@
 func TestSizesAreBounded(t *testing.T) {
 	tab := table(t)
 	for i := range 10000 {
-		tab.Learn(fmt.Sprint("/feed-a/s/", i), int64(i))
+		tab.LearnSize(fmt.Sprint("/feed-a/s/", i), int64(i))
 	}
 	if n := len(tab.sizes.entries); n != 64 {
 		t.Errorf("%d entries", n)
@@ -146,12 +146,12 @@
 		if err != nil {
 			return
 		}
-		p, err := tab.Place(path)
+		p, err := tab.Locate(path)
 		if err != nil || p.Kind != Unit {
 			return
 		}
 		if again, err := Decode(p.Path); err == nil && again == p.Path { // no escape is left: it is one place
-			if q, err := tab.Place(p.Path); err != nil || q.Shard != p.Shard || q.Unit != p.Unit {
+			if q, err := tab.Locate(p.Path); err != nil || q.Shard != p.Shard || q.Unit != p.Unit {
 				t.Fatalf("%q: %+v, decoded: %+v %v", target, p, q, err)
 			}
 		}
--- a/internal/scenario/badday_test.go
+++ b/internal/scenario/badday_test.go
@@ -30,7 +30,7 @@
 // meddler breaks a head for the proof of the audit: it changes what the module
 // is told, or what it decides.
 type meddler struct {
-	inner  gateway.Core
+	inner  gateway.Scheduler
 	told   func(scheduler.Event) []scheduler.Event
 	decide func(*meddler, scheduler.Time, scheduler.Event) ([]scheduler.Action, bool) // instead of telling the module
 	acts   func([]scheduler.Action) []scheduler.Action
@@ -65,8 +65,8 @@
 }
 
 // breakage makes a broken core out of the module with settings and a meddler changed.
-func breakage(set func(*scheduler.Settings), with func(*meddler)) daemon.CoreOf {
-	return func(s scheduler.Settings, seed uint64, now scheduler.Time) (gateway.Core, error) {
+func breakage(set func(*scheduler.Settings), with func(*meddler)) daemon.SchedulerFactory {
+	return func(s scheduler.Settings, seed uint64, now scheduler.Time) (gateway.Scheduler, error) {
 		s.Classes, s.Plans = slices.Clone(s.Classes), slices.Clone(s.Plans)
 		if set != nil {
 			set(&s)
@@ -82,13 +82,13 @@
 
 // bypass sends, without the module, what some rule picks: at once, to the node
 // that the rule names; "" leaves a request to the module.
-func bypass(which func(now scheduler.Time, a scheduler.Arrival, nodes map[int]scheduler.Entry) string) func(*meddler) {
+func bypass(which func(now scheduler.Time, a scheduler.Arrival, nodes map[int]scheduler.Endpoint) string) func(*meddler) {
 	return func(m *meddler) {
-		nodes, mine := map[int]scheduler.Entry{}, map[uint64]bool{}
+		nodes, mine := map[int]scheduler.Endpoint{}, map[uint64]bool{}
 		m.decide = func(m *meddler, now scheduler.Time, e scheduler.Event) ([]scheduler.Action, bool) {
 			switch e := e.(type) {
-			case scheduler.List:
-				for _, n := range e.Entries {
+			case scheduler.EndpointUpdate:
+				for _, n := range e.Endpoints {
 					nodes[n.Shard] = n
 				}
 			case scheduler.Arrival:
@@ -96,16 +96,16 @@
 					mine[e.ID] = true
 					return []scheduler.Action{scheduler.Send{ID: e.ID, Node: node}}, true
 				}
-			case scheduler.Dropped:
+			case scheduler.ClientDisconnected:
 				return nil, mine[e.ID]
-			case scheduler.Ended:
+			case scheduler.AttemptEnded:
 				switch {
 				case !mine[e.ID]:
 					return nil, false
-				case e.Closed:
+				case e.Answered:
 					return nil, true
-				case e.Outcome == scheduler.Full || e.Outcome == scheduler.ConnectFailed || e.Outcome == scheduler.Moot:
-					return []scheduler.Action{scheduler.Refuse{ID: e.ID}}, true
+				case e.Outcome == scheduler.QueueFull || e.Outcome == scheduler.ConnectFailed || e.Outcome == scheduler.Superseded:
+					return []scheduler.Action{scheduler.Reject{ID: e.ID}}, true
 				}
 				return []scheduler.Action{scheduler.Fail{ID: e.ID}}, true
 			}
@@ -125,7 +125,7 @@
 	m.decide = func(m *meddler, now scheduler.Time, e scheduler.Event) ([]scheduler.Action, bool) {
 		var acts []scheduler.Action
 		give := func(a scheduler.Arrival, spent time.Duration) {
-			a.Key, a.Left = fmt.Sprint(a.ID), a.Left-spent
+			a.Key, a.TimeRemaining = fmt.Sprint(a.ID), a.TimeRemaining-spent
 			acts = append(acts, m.inner.Handle(now, []scheduler.Event{a})...)
 		}
 		a, ok := e.(scheduler.Arrival)
@@ -155,8 +155,8 @@
 func again(most int, classes ...int) func(*meddler) {
 	return func(m *meddler) {
 		m.decide = func(m *meddler, _ scheduler.Time, e scheduler.Event) ([]scheduler.Action, bool) {
-			end, ok := e.(scheduler.Ended)
-			if !ok || !slices.Contains(classes, m.class[end.ID]) || end.Closed {
+			end, ok := e.(scheduler.AttemptEnded)
+			if !ok || !slices.Contains(classes, m.class[end.ID]) || end.Answered {
 				return nil, false
 			}
 			if (end.Outcome == scheduler.Reset || end.Outcome == scheduler.ConnectFailed) && m.tries[end.ID] < most {
@@ -188,7 +188,7 @@
 			return out
 		}
 		m.told = func(e scheduler.Event) []scheduler.Event {
-			if end, ok := e.(scheduler.Ended); ok && m.tries[end.ID] > 0 && end.Attempt > 0 {
+			if end, ok := e.(scheduler.AttemptEnded); ok && m.tries[end.ID] > 0 && end.Attempt > 0 {
 				if end.Attempt == 1 { // the copy's
 					return nil
 				}
@@ -206,13 +206,13 @@
 	if testing.Short() {
 		t.Skip("eight days of nine seconds")
 	}
-	lists := func(f func(*scheduler.Entry)) func(*meddler) {
+	lists := func(f func(*scheduler.Endpoint)) func(*meddler) {
 		return func(m *meddler) {
 			m.told = func(e scheduler.Event) []scheduler.Event {
-				if l, ok := e.(scheduler.List); ok {
-					l.Entries = slices.Clone(l.Entries)
-					for i := range l.Entries {
-						f(&l.Entries[i])
+				if l, ok := e.(scheduler.EndpointUpdate); ok {
+					l.Endpoints = slices.Clone(l.Endpoints)
+					for i := range l.Endpoints {
+						f(&l.Endpoints[i])
 					}
 					return []scheduler.Event{l}
 				}
@@ -222,14 +222,14 @@
 	}
 	for i, c := range []struct {
 		name string
-		core daemon.CoreOf
+		core daemon.SchedulerFactory
 		want []int
 	}{
 		{"whole", nil, nil},
 		{"gives some requests no answer", breakage(nil, func(m *meddler) {
 			m.acts = func(acts []scheduler.Action) []scheduler.Action {
 				return slices.DeleteFunc(acts, func(a scheduler.Action) bool {
-					r, ok := a.(scheduler.Refuse)
+					r, ok := a.(scheduler.Reject)
 					return ok && r.ID%5 == 0
 				})
 			}
@@ -237,13 +237,13 @@
 		{"sends unsafe requests again", breakage(nil, again(1, segmentWrite)), []int{2}},
 		// A module that takes a draining node for one that serves is withheld by the guard: no
 		// rule is broken. A head whose list has it as serving sends there.
-		{"decides on a draining node", breakage(nil, lists(func(e *scheduler.Entry) {
+		{"decides on a draining node", breakage(nil, lists(func(e *scheduler.Endpoint) {
 			if e.State == scheduler.Draining {
 				e.State = scheduler.Serving
 			}
 		})), nil},
 		{"sends to a draining node", nil, []int{3}},
-		{"floods a cold node", breakage(nil, bypass(func(now scheduler.Time, a scheduler.Arrival, nodes map[int]scheduler.Entry) string {
+		{"floods a cold node", breakage(nil, bypass(func(now scheduler.Time, a scheduler.Arrival, nodes map[int]scheduler.Endpoint) string {
 			for shard := range proof.Nodes { // every read goes there, wherever its data is
 				if n := nodes[shard]; a.Class == traceRead && n.Started > 0 && n.State == scheduler.Serving && now < n.Started+1500*time.Millisecond {
 					return n.Node
@@ -253,7 +253,7 @@
 		})), []int{4}},
 		{"keeps no order", breakage(nil, swapTurns), []int{5}},
 		{"overspends the attempt budget", breakage(nil, copies(5, traceRead, archiveExport)), []int{6}},
-		{"overspends a limit", breakage(nil, bypass(func(_ scheduler.Time, a scheduler.Arrival, nodes map[int]scheduler.Entry) string {
+		{"overspends a limit", breakage(nil, bypass(func(_ scheduler.Time, a scheduler.Arrival, nodes map[int]scheduler.Endpoint) string {
 			if n := nodes[a.Shard]; a.Class != journalAppend && a.Plan == 0 && n.Started == 0 && n.State == scheduler.Serving {
 				return n.Node
 			}
--- a/internal/scenario/passthrough.go
+++ b/internal/scenario/passthrough.go
@@ -11,25 +11,25 @@
 	nodes map[int]string // by shard
 }
 
-// PassThrough makes one; it fits daemon.CoreOf.
-func PassThrough(scheduler.Settings, uint64, scheduler.Time) (gateway.Core, error) {
+// PassThrough makes one; it fits daemon.SchedulerFactory.
+func PassThrough(scheduler.Settings, uint64, scheduler.Time) (gateway.Scheduler, error) {
 	return &passThrough{nodes: map[int]string{}}, nil
 }
 
 func (p *passThrough) Handle(_ scheduler.Time, events []scheduler.Event) (acts []scheduler.Action) {
 	for _, e := range events {
 		switch e := e.(type) {
-		case scheduler.List:
-			for _, n := range e.Entries {
+		case scheduler.EndpointUpdate:
+			for _, n := range e.Endpoints {
 				p.nodes[n.Shard] = n.Node
 			}
 		case scheduler.Arrival:
 			acts = append(acts, scheduler.Send{ID: e.ID, Node: p.nodes[e.Shard]})
-		case scheduler.Ended:
+		case scheduler.AttemptEnded:
 			switch {
-			case e.Closed:
-			case e.Outcome == scheduler.Full || e.Outcome == scheduler.ConnectFailed || e.Outcome == scheduler.Moot:
-				acts = append(acts, scheduler.Refuse{ID: e.ID})
+			case e.Answered:
+			case e.Outcome == scheduler.QueueFull || e.Outcome == scheduler.ConnectFailed || e.Outcome == scheduler.Superseded:
+				acts = append(acts, scheduler.Reject{ID: e.ID})
 			default:
 				acts = append(acts, scheduler.Fail{ID: e.ID})
 			}
--- a/internal/scenario/plan.go
+++ b/internal/scenario/plan.go
@@ -130,7 +130,7 @@
 		Change{At: up + listLate, State: map[int]scheduler.NodeState{}, Start: map[int]time.Duration{}}
 	for i, n := range cold {
 		fault(i, fakenode.Restart, down, up, 0)
-		p.Starts[n], gone.State[n], back.State[n], back.Start[n] = up, scheduler.Gone, scheduler.Serving, up
+		p.Starts[n], gone.State[n], back.State[n], back.Start[n] = up, scheduler.Removed, scheduler.Serving, up
 	}
 	p.Changes = append(p.Changes, gone, back)
 	for i := range max(1, size.Heads/3) {
--- a/internal/scenario/run.go
+++ b/internal/scenario/run.go
@@ -33,9 +33,9 @@
 	// Exe is the program and its first arguments; with none, heads and nodes run
 	// in this process, and heads are stopped where they would be killed.
 	Exe      []string
-	HeadArgs []string      // further arguments of serve
-	Core     daemon.CoreOf // in this process only
-	Progress io.Writer     // nil: none
+	HeadArgs []string                // further arguments of serve
+	Core     daemon.SchedulerFactory // in this process only
+	Progress io.Writer               // nil: none
 	// Flood presses on every head with connections from many addresses all day; the
 	// day's own clients are listed as known.
 	Flood bool
@@ -193,7 +193,7 @@
 		go func() {
 			limit <- struct{}{}
 			defer func() { <-limit }()
-			at, err := t.Place(path)
+			at, err := t.Locate(path)
 			if err != nil {
 				errs <- err
 				return
--- a/internal/settings/sitesettings.go
+++ b/internal/settings/settings.go
@@ -67,9 +67,9 @@
 // Micros is a duration of so many microseconds.
 func Micros(n int64) time.Duration { return time.Duration(n) * time.Microsecond }
 
-var effects = map[string]scheduler.Effect{"retryable": scheduler.Safe, "dedup": scheduler.Keyed, "fragile": scheduler.Unsafe}
+var effects = map[string]scheduler.Effect{"retryable": scheduler.Safe, "dedup": scheduler.Idempotent, "fragile": scheduler.NonIdempotent}
 
-var groups = map[string]scheduler.Group{"all": scheduler.GroupAll, "zone": scheduler.GroupZone, "cell": scheduler.GroupCell}
+var groups = map[string]scheduler.DeduplicationScope{"all": scheduler.ScopeAll, "zone": scheduler.ScopeZone, "cell": scheduler.ScopeShard}
 
 // Check names what a head cannot go by. Guards against an effect unknown here that
 // would be taken for the one that may be repeated.
@@ -123,11 +123,11 @@
 func (site *Site) Settings() scheduler.Settings {
 	g, l := site.Guarantees, site.Limits
 	s := scheduler.Settings{
-		Heads: site.FleetSize, AskDiscovery: site.Discovery == "ask",
-		MostUnits: site.FamilyInfo.UnitsTop, MeanUnits: site.FamilyInfo.UsualUnits, ColdUnits: site.FamilyInfo.ColdUnits,
-		ShareWorth: site.FamilyInfo.FairWorth,
-		FallWindow: Micros(g.OverloadFor), Cold: Micros(g.Cold), ColdFrom: g.ColdFrom, FallMultiple: g.FallMultiple,
-		OrderRest: Micros(g.OrderSettle), BudgetOver: Micros(g.CountedOver), Budget: g.CountedOver > 0,
+		Instances: site.FleetSize, PollDiscovery: site.Discovery == "ask",
+		MaxUnits: site.FamilyInfo.UnitsTop, MeanUnits: site.FamilyInfo.UsualUnits, SlowStartMinUnits: site.FamilyInfo.ColdUnits,
+		ExcessWeight:   site.FamilyInfo.FairWorth,
+		OverloadWindow: Micros(g.OverloadFor), WarmupDuration: Micros(g.Cold), SlowStartInitialFraction: g.ColdFrom, OverloadFactor: g.FallMultiple,
+		KeyCooldown: Micros(g.OrderSettle), BudgetOver: Micros(g.CountedOver), Budget: g.CountedOver > 0,
 		MaxAttempts: l.MaxAttempts,
 	}
 	if g.FreeResends != nil {
@@ -140,15 +140,15 @@
 		s.MaxRetryAfter = Micros(l.MaxRetryAfter)
 	}
 	for _, c := range site.Classes {
-		s.Classes = append(s.Classes, scheduler.Class{Name: c.Name, Aim: Micros(c.Target), Deadline: Micros(c.Deadline), Effect: effects[c.Effect],
-			Group: groups[c.Group], Window: Micros(c.Window), InOrder: c.InTurn, Worth: c.Gain, LateWorth: c.Late})
+		s.Classes = append(s.Classes, scheduler.Class{Name: c.Name, LatencyObjective: Micros(c.Target), Deadline: Micros(c.Deadline), Effect: effects[c.Effect],
+			DeduplicationScope: groups[c.Group], DeduplicationWindow: Micros(c.Window), Ordered: c.InTurn, PriorityWeight: c.Gain, LateWeightFactor: c.Late})
 	}
 	if len(site.Grades) == 0 { // a site without plans has one, of no name
-		s.Plans = []scheduler.Plan{{Weight: 1, Price: 1}}
+		s.Plans = []scheduler.Plan{{Weight: 1, PriorityFactor: 1}}
 	}
 	for _, p := range site.Grades {
 		s.Plans = append(s.Plans, scheduler.Plan{Name: p.Name, Rate: p.Nominal, Reserve: p.Guaranteed,
-			Weight: p.Shares, Price: p.ValueFactor, Limit: p.CeilingRate, LimitBurst: p.LimitBurst})
+			Weight: p.Shares, PriorityFactor: p.ValueFactor, Limit: p.CeilingRate, LimitBurst: p.LimitBurst})
 	}
 	return s
 }
--- a/internal/soak/members.go
+++ b/internal/soak/members.go
@@ -36,10 +36,10 @@
 
 func membersOf(exe []string, dir string, size int, out io.Writer) error {
 	registry := discoverytest.NewRegistry()
-	var entries []discovery.Entry
+	var entries []discovery.Endpoint
 	for i := range size {
 		address := fmt.Sprintf("127.200.%d.%d:8000", i/250, i%250+1)
-		entries = append(entries, discovery.Entry{Name: fmt.Sprintf("s-%08x", i), Address: address, Zone: "z0", Group: i / 4, Status: "up"})
+		entries = append(entries, discovery.Endpoint{Name: fmt.Sprintf("s-%08x", i), Address: address, Zone: "z0", Group: i / 4, Status: "up"})
 	}
 	registry.Replace(entries...)
 	log, err := os.Create(filepath.Join(dir, "members.log"))
@@ -57,7 +57,7 @@
 	for round := range roundsOfMembers {
 		h.agent.GoDown()
 		time.Sleep(downForMembers)
-		registry.Set(func(e *discovery.Entry) { e.Status = []string{"draining", "up"}[round%2] }, "s-00000000")
+		registry.Set(func(e *discovery.Endpoint) { e.Status = []string{"draining", "up"}[round%2] }, "s-00000000")
 		h.agent.ComeBack()
 		time.Sleep(upForMembers)
 	}
--- a/internal/soak/settings.go
+++ b/internal/soak/settings.go
@@ -97,7 +97,7 @@
 func micros(d time.Duration) int64 { return d.Microseconds() }
 
 // file is the configuration of a head.
-func (s *settings) file(head int, listen, agent string, known discovery.List) ([]byte, error) {
+func (s *settings) file(head int, listen, agent string, known discovery.EndpointList) ([]byte, error) {
 	var classes []map[string]any
 	var writes []bool
 	for _, c := range s.classes {
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -91,8 +91,8 @@
 			return err
 		}
 		f.nodes = append(f.nodes, n)
-		f.registry.Set(func(e *discovery.Entry) {
-			*e = discovery.Entry{Name: n.name, Address: n.addr(), Zone: fmt.Sprint("z", i%2), Group: n.shard, Status: "up"}
+		f.registry.Set(func(e *discovery.Endpoint) {
+			*e = discovery.Endpoint{Name: n.name, Address: n.addr(), Zone: fmt.Sprint("z", i%2), Group: n.shard, Status: "up"}
 		}, n.name)
 	}
 	return nil
@@ -233,9 +233,9 @@
 	n := f.nodes[e.Who]
 	switch e.Kind {
 	case Drain:
-		f.registry.Set(func(e *discovery.Entry) { e.Status = "draining" }, n.name)
+		f.registry.Set(func(e *discovery.Endpoint) { e.Status = "draining" }, n.name)
 		time.Sleep(e.For)
-		f.registry.Set(func(e *discovery.Entry) { e.Status = "up" }, n.name)
+		f.registry.Set(func(e *discovery.Endpoint) { e.Status = "up" }, n.name)
 	case NodeRestart:
 		if !n.life.TryLock() { // it is down already
 			return
@@ -251,7 +251,7 @@
 		f.mu.Lock()
 		f.starts = append(f.starts, audit.Span{Name: n.name, From: micro()})
 		f.mu.Unlock()
-		f.registry.Set(func(e *discovery.Entry) { e.Since = float64(time.Now().UnixMilli()) }, n.name)
+		f.registry.Set(func(e *discovery.Endpoint) { e.Since = float64(time.Now().UnixMilli()) }, n.name)
 	case NodeLate:
 		n.pause(true)
 		time.Sleep(e.For)
@@ -281,7 +281,7 @@
 
 // judge joins the records.
 func (f *fleet) judge(script *Script, dir string, lag *stallwatch.Watch) (*Report, error) {
-	text, err := f.settings.file(0, "127.0.0.1:1", "127.0.0.1:1", discovery.List{})
+	text, err := f.settings.file(0, "127.0.0.1:1", "127.0.0.1:1", discovery.EndpointList{})
 	if err != nil {
 		return nil, err
 	}
--- a/internal/syscalls/clocks_test.go
+++ b/internal/syscalls/clocks_test.go
@@ -30,7 +30,7 @@
 var wallReaders = map[string]string{
 	"internal/discovery/list.go":    "since_ms of the node list",
 	"internal/nodelist/nodelist.go": "started of the node list",
-	"internal/admission/admit.go":   "monotonic readings in the form that the rate limiter takes",
+	"internal/admission/admission.go":   "monotonic readings in the form that the rate limiter takes",
 	"internal/gateway/answer.go":    "the Date field",
 	"internal/gateway/accept.go":    "the Date field",
 }
--- a/internal/waitqueue/item.go
+++ b/internal/waitqueue/item.go
@@ -6,11 +6,11 @@
 type Time = time.Duration
 
 // Item is the queue's part of a request; requests embed it. Aim is not after Deadline, and
-// Sequence tells requests apart; none of the three changes. HoldUntil is when the request
+// Sequence tells requests apart; none of the three changes. ExpiresAt is when the request
 // expires; while it is in a queue, RemoveExpired alone changes it.
 type Item[R any, K, V comparable] struct {
-	Deadline, Aim, HoldUntil Time
-	Sequence                 int
+	Deadline, LatencyDeadline, ExpiresAt Time
+	Sequence                             int
 
 	held          bool
 	position      int
@@ -22,8 +22,8 @@
 // QueueItem returns the item itself.
 func (item *Item[R, K, V]) QueueItem() *Item[R, K, V] { return item }
 
-// Held tells whether a queue has it.
-func (item *Item[R, K, V]) Held() bool { return item.held }
+// Queued tells whether a queue has it.
+func (item *Item[R, K, V]) Queued() bool { return item.held }
 
 // Placed tells whether it is ready or deferred.
 func (item *Item[R, K, V]) Placed() bool { return item.own != nil || item.deferredUntil > 0 }
@@ -32,7 +32,7 @@
 func (item *Item[R, K, V]) Profile() *K { return &item.own.Profile }
 
 func (item *Item[R, K, V]) times() itemTimes {
-	return itemTimes{aim: int64(item.Aim), deadline: int64(item.Deadline), sequence: int64(item.Sequence)}
+	return itemTimes{aim: int64(item.LatencyDeadline), deadline: int64(item.Deadline), sequence: int64(item.Sequence)}
 }
 
 // Waiter is a request that embeds an Item.
--- a/internal/waitqueue/queue.go
+++ b/internal/waitqueue/queue.go
@@ -38,7 +38,7 @@
 	Isolated []*OwnerQueue[R, K, V] // of those that are
 
 	orders    []func(a, b R) bool
-	held      *orderedset.Set[R] // by HoldUntil
+	held      *orderedset.Set[R] // by ExpiresAt
 	deferred  *orderedset.Set[R] // by the time until when
 	finished  []R                // to be removed by RemoveExpired
 	byProfile map[K]*Subqueue[R, K]
@@ -67,7 +67,7 @@
 func (q *Queue[R, K, V]) Add(request R, position int) {
 	item := request.QueueItem()
 	item.held, item.position = true, position
-	q.held.Add(int64(item.HoldUntil), int64(item.Sequence), request)
+	q.held.Add(int64(item.ExpiresAt), int64(item.Sequence), request)
 }
 
 // Remove lets go of a request.
@@ -75,7 +75,7 @@
 	q.Unplace(request)
 	item := request.QueueItem()
 	item.held = false
-	q.held.Remove(int64(item.HoldUntil), int64(item.Sequence))
+	q.held.Remove(int64(item.ExpiresAt), int64(item.Sequence))
 }
 
 // RemoveLater has the next RemoveExpired let go of a request without returning it.
@@ -94,7 +94,7 @@
 	q.finished = q.finished[:0]
 	for {
 		request, ok := q.held.First()
-		if !ok || request.QueueItem().HoldUntil >= t {
+		if !ok || request.QueueItem().ExpiresAt >= t {
 			break
 		}
 		if extend != nil && q.extend(request, t, extend(request)) {
@@ -113,16 +113,16 @@
 		return false
 	}
 	item := request.QueueItem()
-	q.held.Remove(int64(item.HoldUntil), int64(item.Sequence))
-	item.HoldUntil = until
-	q.held.Add(int64(item.HoldUntil), int64(item.Sequence), request)
+	q.held.Remove(int64(item.ExpiresAt), int64(item.Sequence))
+	item.ExpiresAt = until
+	q.held.Add(int64(item.ExpiresAt), int64(item.Sequence), request)
 	return true
 }
 
 // NextExpiry is when the first request expires, the end of time where nothing is held.
 func (q *Queue[R, K, V]) NextExpiry() Time {
 	if request, ok := q.held.First(); ok {
-		return request.QueueItem().HoldUntil
+		return request.QueueItem().ExpiresAt
 	}
 	return math.MaxInt64
 }
--- a/internal/waitqueue/subqueue.go
+++ b/internal/waitqueue/subqueue.go
@@ -19,8 +19,8 @@
 // Empty tells whether it has no request.
 func (sub *Subqueue[R, K]) Empty() bool { return sub.count == 0 }
 
-// BestByAim returns the first by an order of the requests whose aim is not before t.
-func (sub *Subqueue[R, K]) BestByAim(order int, t Time) (R, bool) {
+// BestByLatencyDeadline returns the first by an order of the requests whose aim is not before t.
+func (sub *Subqueue[R, K]) BestByLatencyDeadline(order int, t Time) (R, bool) {
 	if sub.inSets {
 		return sub.byAim.Best(order, int64(t))
 	}
--- a/internal/waitqueue/waitqueue_test.go
+++ b/internal/waitqueue/waitqueue_test.go
@@ -17,7 +17,9 @@
 
 func byTag(a, b *request) bool { return a.tag < b.tag || a.tag == b.tag && a.Sequence < b.Sequence }
 
-func byAim(a, b *request) bool { return a.Aim < b.Aim || a.Aim == b.Aim && a.Sequence < b.Sequence }
+func byAim(a, b *request) bool {
+	return a.LatencyDeadline < b.LatencyDeadline || a.LatencyDeadline == b.LatencyDeadline && a.Sequence < b.Sequence
+}
 
 // In any history every subqueue tells what a look at all its requests would tell, each
 // ready request stands in one subqueue of its owner and, unless that is isolated, in one
@@ -49,9 +51,9 @@
 			default: // a new one
 				r := &request{owner: rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "owner"), profile: rapid.IntRange(0, 2).Draw(t, "profile"), tag: rapid.IntRange(0, 5).Draw(t, "tag")}
 				r.Sequence = seq
-				r.Aim = now + Time(rapid.IntRange(0, 8).Draw(t, "aim"))
-				r.Deadline = r.Aim + Time(rapid.IntRange(0, 8).Draw(t, "due"))
-				r.HoldUntil = r.Aim + Time(rapid.IntRange(0, 8).Draw(t, "by"))
+				r.LatencyDeadline = now + Time(rapid.IntRange(0, 8).Draw(t, "aim"))
+				r.Deadline = r.LatencyDeadline + Time(rapid.IntRange(0, 8).Draw(t, "due"))
+				r.ExpiresAt = r.LatencyDeadline + Time(rapid.IntRange(0, 8).Draw(t, "by"))
 				p.Add(r, seq)
 				held = append(held, r)
 				if what == 0 {
@@ -90,25 +92,25 @@
 			case 9:
 				stays := rapid.IntRange(0, 2).Draw(t, "stays")
 				out := p.RemoveExpired(now, func(r *request) Time {
-					if r.profile == stays && r.HoldUntil < r.Deadline {
+					if r.profile == stays && r.ExpiresAt < r.Deadline {
 						return r.Deadline
 					}
 					return 0
 				})
 				for i, r := range out {
-					if r.HoldUntil >= now || r.profile == stays && r.HoldUntil < r.Deadline && r.Deadline >= now || i > 0 && out[i-1].Sequence > r.Sequence {
+					if r.ExpiresAt >= now || r.profile == stays && r.ExpiresAt < r.Deadline && r.Deadline >= now || i > 0 && out[i-1].Sequence > r.Sequence {
 						t.Fatal("let go too early, or out of order")
 					}
 					held = without(held, r)
 					unready(r)
 				}
 				for _, r := range held {
-					if r.HoldUntil < now {
+					if r.ExpiresAt < now {
 						t.Fatal("kept too long")
 					}
 				}
 			}
-			if p.Len() != len(held) || len(held) > 0 && p.NextExpiry() != slices.MinFunc(held, func(a, b *request) int { return int(a.HoldUntil - b.HoldUntil) }).HoldUntil {
+			if p.Len() != len(held) || len(held) > 0 && p.NextExpiry() != slices.MinFunc(held, func(a, b *request) int { return int(a.ExpiresAt - b.ExpiresAt) }).ExpiresAt {
 				t.Fatalf("%d held, first expiry %v; want %d", p.Len(), p.NextExpiry(), len(held))
 			}
 			check := func(what string, l *Subqueue[*request, int], belongs func(r *request) bool) {
@@ -119,14 +121,14 @@
 							if r.profile != l.Profile || !belongs(r) {
 								continue
 							}
-							if r.Aim >= from && (inTime == nil || better(r, inTime)) {
+							if r.LatencyDeadline >= from && (inTime == nil || better(r, inTime)) {
 								inTime = r
 							}
 							if r.Deadline >= from && (alive == nil || better(r, alive)) {
 								alive = r
 							}
 						}
-						if r, _ := l.BestByAim(order, from); r != inTime {
+						if r, _ := l.BestByLatencyDeadline(order, from); r != inTime {
 							t.Fatalf("%s subqueue %d, order %d: in time is %v, want %v", what, l.Profile, order, r, inTime)
 						}
 						if r, _ := l.BestByDeadline(order, from); r != alive {
@@ -147,7 +149,7 @@
 				for _, l := range p.SubqueuesOf(r.owner) {
 					check("own", l, func(o *request) bool { return o.owner == r.owner })
 				}
-				if *r.Profile() != r.profile || !r.Placed() || !r.Held() {
+				if *r.Profile() != r.profile || !r.Placed() || !r.Queued() {
 					t.Fatal("a ready request does not know where it stands")
 				}
 			}
@@ -163,8 +165,8 @@
 	p := New[*request, int, string](byTag, byAim)
 	for i := range 10_000 {
 		r := &request{owner: "v", profile: i}
-		r.Sequence, r.Aim, r.Deadline = i, Time(i), Time(i)+time.Second
-		r.HoldUntil = r.Deadline
+		r.Sequence, r.LatencyDeadline, r.Deadline = i, Time(i), Time(i)+time.Second
+		r.ExpiresAt = r.Deadline
 		p.Add(r, i)
 		p.MakeReady(r, r.owner, r.profile)
 		p.Remove(r)
--- a/internal/webdav/dav.go
+++ b/internal/webdav/webdav.go
@@ -14,23 +14,23 @@
 	"maddergap/internal/route"
 )
 
-// Do says how a request is dealt with.
-type Do int
+// Handling says how a request is dealt with.
+type Handling int
 
 // Ways to deal with a request.
 const (
-	Forward  Do = iota // to the node of its place
-	Options            // the head's own answer
-	ListRoot           // the head's own: the volumes
-	Gather             // ask all shards of the volume and merge
-	Answer             // the status and reason given
+	Forward       Handling = iota // to the node of its place
+	Options                       // the head's own answer
+	ListRoot                      // the head's own: the volumes
+	MergeListings                 // ask all shards of the volume and merge
+	Answer                        // the status and reason given
 )
 
-// Verdict is how a request is dealt with; Status and Reason where Do is Answer.
-type Verdict struct {
-	Do     Do
-	Status int
-	Reason string
+// Decision is how a request is dealt with; Status and Reason where Do is Answer.
+type Decision struct {
+	Handling Handling
+	Status   int
+	Reason   string
 }
 
 // Allow names the methods that the head speaks.
@@ -39,14 +39,14 @@
 // Compliance is the DAV header's value (RFC 4918 18).
 const Compliance = "1, 2, 3"
 
-func answer(status int, reason string) Verdict { return Verdict{Answer, status, reason} }
+func answer(status int, reason string) Decision { return Decision{Answer, status, reason} }
 
-// Judge looks at method, place and the headers that matter. destination is the
+// Decide looks at method, place and the headers that matter. destination is the
 // Destination header; host is the request's own authority; depth is Depth.
-func Judge(t *route.Table, method string, at route.Place, depth, destination, host string) Verdict {
+func Decide(t *route.Table, method string, at route.Location, depth, destination, host string) Decision {
 	switch method {
 	case "OPTIONS":
-		return Verdict{Do: Options}
+		return Decision{Handling: Options}
 	case "GET", "HEAD", "PUT", "DELETE", "MKCOL", "COPY", "MOVE", "PROPFIND", "PROPPATCH", "LOCK", "UNLOCK":
 	case "POST":
 		return answer(405, "POST has no meaning on stored data")
@@ -57,7 +57,7 @@
 		if method == "COPY" || method == "MOVE" {
 			return judgeDestination(t, at, destination, host)
 		}
-		return Verdict{Do: Forward}
+		return Decision{Handling: Forward}
 	}
 	switch method {
 	case "GET", "HEAD":
@@ -67,16 +67,16 @@
 			return answer(403, "propfind-finite-depth: ask for Depth 0 or 1 here") // RFC 4918 9.1
 		}
 		if at.Kind == route.Root {
-			return Verdict{Do: ListRoot}
+			return Decision{Handling: ListRoot}
 		}
-		return Verdict{Do: Gather}
+		return Decision{Handling: MergeListings}
 	case "MKCOL", "PUT":
 		return answer(405, "volumes are made by configuration") // RFC 4918 9.3.1: it exists
 	}
 	return answer(403, "volumes are changed by configuration alone")
 }
 
-func judgeDestination(t *route.Table, at route.Place, destination, host string) Verdict {
+func judgeDestination(t *route.Table, at route.Location, destination, host string) Decision {
 	if destination == "" {
 		return answer(400, "Destination is missing")
 	}
@@ -87,7 +87,7 @@
 	if authority != "" && !strings.EqualFold(authority, host) {
 		return answer(502, "Destination is on another server")
 	}
-	to, err := t.Place(path)
+	to, err := t.Locate(path)
 	switch {
 	case errors.Is(err, route.ErrNoVolume):
 		return answer(409, "Destination: "+err.Error())
@@ -98,7 +98,7 @@
 	case to.Volume != at.Volume || to.Unit != at.Unit: // RFC 4918 9.8.5, 9.9.4
 		return answer(502, "Destination lies in another placement unit (volume and first segment below it); copy the content instead")
 	}
-	return Verdict{Do: Forward}
+	return Decision{Handling: Forward}
 }
 
 // Errors of XML bodies.
--- a/internal/webdav/dav_test.go
+++ b/internal/webdav/webdav_test.go
@@ -22,7 +22,7 @@
 	tab := table(t)
 	for _, c := range []struct {
 		method, path, depth, dest string
-		do                        Do
+		do                        Handling
 		status                    int
 	}{
 		{"GET", "/feed-a/s/x", "", "", Forward, 0},
@@ -31,7 +31,7 @@
 		{"BREW", "/feed-a/s/x", "", "", Answer, 501},
 		{"GET", "/feed-a/", "", "", Answer, 405},
 		{"PROPFIND", "/", "1", "", ListRoot, 0},
-		{"PROPFIND", "/feed-a", "1", "", Gather, 0},
+		{"PROPFIND", "/feed-a", "1", "", MergeListings, 0},
 		{"PROPFIND", "/feed-a", "infinity", "", Answer, 403},
 		{"PROPFIND", "/feed-a", "", "", Answer, 403},
 		{"PROPFIND", "/feed-a/s", "infinity", "", Forward, 0},
@@ -48,11 +48,11 @@
 		{"COPY", "/feed-a/s/x", "", "http://h:1/feed-a/", Answer, 403},
 		{"COPY", "/feed-a/s/x", "", "http://h:1/feed-a/s/../x", Answer, 400},
 	} {
-		at, err := tab.Place(c.path)
+		at, err := tab.Locate(c.path)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if v := Judge(tab, c.method, at, c.depth, c.dest, "h:1"); v.Do != c.do || v.Status != c.status {
+		if v := Decide(tab, c.method, at, c.depth, c.dest, "h:1"); v.Handling != c.do || v.Status != c.status {
 			t.Errorf("%+v: %+v", c, v)
 		}
 	}
@@ -135,13 +135,13 @@
 	})
 }
 
-// FuzzDestination holds that no header takes Judge down.
+// FuzzDestination holds that no header takes Decide down.
 func FuzzDestination(f *testing.F) {
 	f.Add("http://h:1/feed-a/s/y")
 	tab := table(f)
-	at, _ := tab.Place("/feed-a/s/x")
+	at, _ := tab.Locate("/feed-a/s/x")
 	f.Fuzz(func(t *testing.T, dest string) {
-		if v := Judge(tab, "MOVE", at, "", dest, "h:1"); v.Do == Answer && v.Status < 400 {
+		if v := Decide(tab, "MOVE", at, "", dest, "h:1"); v.Handling == Answer && v.Status < 400 {
 			t.Fatal(v)
 		}
 	})
--- a/scheduler/bench_test.go
+++ b/scheduler/bench_test.go
@@ -14,7 +14,7 @@
 	handle func(Time, []Event) []Action
 	now    Time
 	id     uint64
-	out    []Ended
+	out    []AttemptEnded
 	volume func(i uint64) (string, int)
 	nodes  int
 	key    func(i uint64) string
@@ -24,7 +24,7 @@
 func (c *crowd) arrival() Arrival {
 	c.id++
 	v, plan := c.volume(c.id)
-	a := Arrival{ID: c.id, Shard: int(c.id) % c.nodes, Plan: plan, Class: int(c.id) % 2, Volume: v, Left: time.Hour, Units: float64(1 + c.id%3), Hosts: 1}
+	a := Arrival{ID: c.id, Shard: int(c.id) % c.nodes, Plan: plan, Class: int(c.id) % 2, Volume: v, TimeRemaining: time.Hour, Units: float64(1 + c.id%3), Instances: 1}
 	if c.varied {
 		a.Units = 1 + float64(c.id*7919%1000)/500
 	}
@@ -37,7 +37,7 @@
 func (c *crowd) told(acts []Action) {
 	for _, a := range acts {
 		if s, ok := a.(Send); ok {
-			c.out = append(c.out, Ended{ID: s.ID, Node: s.Node, Closed: true})
+			c.out = append(c.out, AttemptEnded{ID: s.ID, Node: s.Node, Answered: true})
 		}
 	}
 }
@@ -53,9 +53,9 @@
 }
 
 func newCrowd(b *testing.B, old bool, waiting, nodes int, volume func(uint64) (string, int), key func(uint64) string) *crowd {
-	s := Settings{Heads: 1, MostUnits: 8, MeanUnits: 2, ShareWorth: 0.3,
-		Classes: []Class{{Name: "read", Aim: time.Hour, Worth: 2, LateWorth: 0.2}, {Name: "write", Aim: time.Hour, Worth: 1, LateWorth: 0.2, InOrder: key != nil}},
-		Plans:   []Plan{{Name: "free", Reserve: 50, Weight: 1, Price: 1}, {Name: "limited", Reserve: 10, Weight: 1, Price: 0.8, Limit: 1000, LimitBurst: 1000}}}
+	s := Settings{Instances: 1, MaxUnits: 8, MeanUnits: 2, ExcessWeight: 0.3,
+		Classes: []Class{{Name: "read", LatencyObjective: time.Hour, PriorityWeight: 2, LateWeightFactor: 0.2}, {Name: "write", LatencyObjective: time.Hour, PriorityWeight: 1, LateWeightFactor: 0.2, Ordered: key != nil}},
+		Plans:   []Plan{{Name: "free", Reserve: 50, Weight: 1, PriorityFactor: 1}, {Name: "limited", Reserve: 10, Weight: 1, PriorityFactor: 0.8, Limit: 1000, LimitBurst: 1000}}}
 	c := &crowd{now: time.Hour, nodes: nodes, volume: volume, key: key}
 	if old {
 		h, _ := newReference(s, 1, c.now)
@@ -67,12 +67,12 @@
 		}
 		c.handle = h.Handle
 	}
-	var list []Entry
+	var list []Endpoint
 	for i := range nodes {
-		list = append(list, Entry{Node: fmt.Sprint("n", i), Shard: i})
+		list = append(list, Endpoint{Node: fmt.Sprint("n", i), Shard: i})
 	}
 	c.now += 5 * time.Second // buckets of limits fill
-	events := []Event{List{Full: true, Entries: list}}
+	events := []Event{EndpointUpdate{Full: true, Endpoints: list}}
 	for range waiting {
 		events = append(events, c.arrival())
 	}
--- a/scheduler/deadlines.go
+++ b/scheduler/deadlines.go
@@ -20,12 +20,12 @@
 // setDeadlines sets a request's times at its arrival.
 func (s *Scheduler) setDeadlines(r *request) {
 	class := r.class
-	r.Deadline = s.now + r.Left
-	r.Aim = min(s.now+class.Aim, r.Deadline) // one whose client leaves before its aim aims at that
-	if r.Again && class.Deadline > r.Left {  // its aim counts from its client's first try
-		r.Aim = min(r.Aim, s.now+class.Aim-(class.Deadline-r.Left))
+	r.Deadline = s.now + r.TimeRemaining
+	r.LatencyDeadline = min(s.now+class.LatencyObjective, r.Deadline) // one whose client leaves before its aim aims at that
+	if r.ClientRetry && class.Deadline > r.TimeRemaining {            // its aim counts from its client's first try
+		r.LatencyDeadline = min(r.LatencyDeadline, s.now+class.LatencyObjective-(class.Deadline-r.TimeRemaining))
 	}
-	r.HoldUntil = max(s.now+Time(firstAttemptPart*float64(r.Left)), r.Aim)
+	r.ExpiresAt = max(s.now+Time(firstAttemptPart*float64(r.TimeRemaining)), r.LatencyDeadline)
 }
 
 // holdLonger is until when a request is held that no node has had for half of its time.
--- a/scheduler/deadlines_test.go
+++ b/scheduler/deadlines_test.go
@@ -14,21 +14,21 @@
 	var timers []Time
 	do := func(acts []Action) {
 		for _, a := range acts {
-			if w, ok := a.(WakeIn); ok {
-				timers = append(timers, r.now+w.In.Truncate(time.Microsecond))
+			if w, ok := a.(SetTimer); ok {
+				timers = append(timers, r.now+w.After.Truncate(time.Microsecond))
 			}
 		}
 		slices.Sort(timers)
 	}
-	do(r.at(0, req(1, func(a *Arrival) { a.Left = 100 * ms })))
+	do(r.at(0, req(1, func(a *Arrival) { a.TimeRemaining = 100 * ms })))
 	do(r.end(1, OK))
 	n.window, n.paceJitter, n.sentAt = 0.1, 1, r.now
 	n.observed.latency.sum = 0.1 + 1e-7/3 // a gap that ends between microseconds
-	do(r.at(0, req(2, func(a *Arrival) { a.Left = 3 * time.Second })))
+	do(r.at(0, req(2, func(a *Arrival) { a.TimeRemaining = 3 * time.Second })))
 	for len(timers) > 0 {
 		next := timers[0]
 		timers = timers[1:]
-		acts := r.at(next-r.now, Wake{})
+		acts := r.at(next-r.now, TimerFired{})
 		do(acts)
 		if r.tries[2] > 0 || len(answers(acts)) > 0 {
 			return
@@ -42,17 +42,17 @@
 func TestOvertakenRequestIsRefusedAtHalfOfItsTime(t *testing.T) {
 	late := func(overtakers int) time.Duration {
 		r := start(t, site(func(s *Settings) {
-			s.Plans = append(s.Plans, Plan{Name: "limited", Weight: 1, Price: 1, Limit: 0.001, LimitBurst: 10})
-		}), Entry{Node: "n0"})
+			s.Plans = append(s.Plans, Plan{Name: "limited", Weight: 1, PriorityFactor: 1, Limit: 0.001, LimitBurst: 10})
+		}), Endpoint{Node: "n0"})
 		came := r.now
-		r.at(0, Arrival{ID: 9, Class: 1, Plan: 1, Volume: "v", Left: 2 * time.Second, Units: 1}) // its limit holds it
+		r.at(0, Arrival{ID: 9, Class: 1, Plan: 1, Volume: "v", TimeRemaining: 2 * time.Second, Units: 1}) // its limit holds it
 		for i := range overtakers {
 			id := uint64(20 + i)
-			r.at(0, Arrival{ID: id, Volume: "w", Left: 5 * time.Second, Units: 1})
+			r.at(0, Arrival{ID: id, Volume: "w", TimeRemaining: 5 * time.Second, Units: 1})
 			r.end(id, OK)
 		}
 		for r.now < came+3*time.Second {
-			if answers(r.at(5*ms, Wake{}))[9] == "r" {
+			if answers(r.at(5*ms, TimerFired{}))[9] == "r" {
 				return r.now - came
 			}
 		}
@@ -70,13 +70,13 @@
 // does not go before what can still be in time.
 func TestRepeatAimsFromItsFirstTry(t *testing.T) {
 	for _, again := range []bool{false, true} {
-		r := start(t, site(func(s *Settings) { s.Classes[0].Deadline = time.Second }), Entry{Node: "n0"})
+		r := start(t, site(func(s *Settings) { s.Classes[0].Deadline = time.Second }), Endpoint{Node: "n0"})
 		for id := uint64(1); id <= 2; id++ {
-			r.at(0, Arrival{ID: id, Volume: "x", Left: time.Second, Units: 1})
+			r.at(0, Arrival{ID: id, Volume: "x", TimeRemaining: time.Second, Units: 1})
 		}
-		r.at(0, Arrival{ID: 3, Volume: "v", Left: 600 * ms, Units: 1, Again: again})
-		r.at(0, Arrival{ID: 4, Volume: "w", Left: time.Second, Units: 1})
-		r.at(20*ms, Ended{ID: 1, Outcome: OK, Closed: true})
+		r.at(0, Arrival{ID: 3, Volume: "v", TimeRemaining: 600 * ms, Units: 1, ClientRetry: again})
+		r.at(0, Arrival{ID: 4, Volume: "w", TimeRemaining: time.Second, Units: 1})
+		r.at(20*ms, AttemptEnded{ID: 1, Outcome: OK, Answered: true})
 		want := []uint64{1, 2, 3}
 		if again {
 			want[2] = 4
--- a/scheduler/dispatch.go
+++ b/scheduler/dispatch.go
@@ -124,7 +124,7 @@
 	if s.firstRefusal(profileGuards, candidate{node: n, profile: &sub.Profile, late: late}) != Allowed {
 		return nil
 	}
-	answered, best := s.now+s.expected(n, sub.Profile.units), sub.BestByAim
+	answered, best := s.now+s.expected(n, sub.Profile.units), sub.BestByLatencyDeadline
 	if late {
 		best = sub.BestByDeadline
 	}
@@ -164,5 +164,5 @@
 	s.attempts[attemptID{r.ID, uint64(r.attempts)}] = a
 	r.attempts++
 	r.inFlight++
-	s.do(Send{ID: r.ID, Node: n.Node, By: r.repeatBy()})
+	s.do(Send{ID: r.ID, Node: n.Node, StartBefore: r.repeatBy()})
 }
--- a/scheduler/estimates.go
+++ b/scheduler/estimates.go
@@ -92,12 +92,12 @@
 // waitingTime is how much of an answer's time was waiting. A load report stands for its
 // requests at a unit's usual time and counts half. Guards against reports that stand still or
 // lie: answer times outweigh them.
-func (s *Scheduler) waitingTime(took float64, r *request, e Ended) float64 {
+func (s *Scheduler) waitingTime(took float64, r *request, e AttemptEnded) float64 {
 	waited := took - s.serviceTime(took, r)
-	if !e.Reports || e.Reported < 0 || !(e.Reported < math.Inf(1)) {
+	if !e.HasLoadReport || e.ReportedLoad < 0 || !(e.ReportedLoad < math.Inf(1)) {
 		return waited
 	}
-	reported := e.Reported * s.estimates.unitTime * s.settings.MeanUnits
+	reported := e.ReportedLoad * s.estimates.unitTime * s.settings.MeanUnits
 	return (max(waited, 0) + reported) / 2
 }
 
--- a/scheduler/estimates_test.go
+++ b/scheduler/estimates_test.go
@@ -10,7 +10,7 @@
 // others stands in, old answers count less, and what has no answer counts too.
 func TestFewObservationsLeanOnAllNodes(t *testing.T) {
 	slow := func(n *node) *attempt {
-		return &attempt{request: &request{Arrival: req(1), class: &Class{Aim: 200 * ms}}, node: n}
+		return &attempt{request: &request{Arrival: req(1), class: &Class{LatencyObjective: 200 * ms}}, node: n}
 	}
 	for _, c := range []struct {
 		name    string
@@ -21,7 +21,7 @@
 	}{
 		{"a quick answer", OK, 20 * ms, 0, 0.05},
 		{"a slow answer", OK, 300 * ms, 0, 1},
-		{"turned away at once", Full, 2 * ms, 0, 1},
+		{"turned away at once", QueueFull, 2 * ms, 0, 1},
 		{"no answer", TimedOut, time.Second, 0, 1},
 		{"a slow answer long ago, others quick since", OK, 300 * ms, 10 * observationHalfLife, 0.05},
 	} {
@@ -31,13 +31,13 @@
 			n, other := r.h.members.nodes[0], r.h.members.nodes[1]
 			a := slow(n)
 			a.sentAt = r.now - c.took
-			r.h.observe(n, a, Ended{Outcome: c.outcome})
+			r.h.observe(n, a, AttemptEnded{Outcome: c.outcome})
 			if c.age > 0 {
 				r.wait(c.age)
 				b := slow(other)
 				b.sentAt = r.now - 20*ms
 				for range 10 {
-					r.h.observe(other, b, Ended{Outcome: OK})
+					r.h.observe(other, b, AttemptEnded{Outcome: OK})
 				}
 			}
 			r.h.estimate(n)
@@ -71,7 +71,7 @@
 			r.h.estimates.unitTime = 0.005
 			n := r.h.members.nodes[0]
 			a := &attempt{request: &request{Arrival: req(1), class: &r.h.settings.Classes[0]}, node: n, sentAt: r.now - c.took}
-			r.h.observe(n, a, Ended{Outcome: OK, Reports: c.says, Reported: c.reported})
+			r.h.observe(n, a, AttemptEnded{Outcome: OK, HasLoadReport: c.says, ReportedLoad: c.reported})
 			r.h.estimate(n)
 			if n.pressure < c.lo-0.01 || n.pressure > c.hi+0.01 {
 				t.Errorf("pressure %.3f, want %.2f to %.2f", n.pressure, c.lo, c.hi)
--- a/scheduler/events.go
+++ b/scheduler/events.go
@@ -9,11 +9,11 @@
 const (
 	Serving NodeState = iota
 	Draining
-	Gone
+	Removed
 )
 
-// Entry is a line of the node list.
-type Entry struct {
+// Endpoint is a line of the node list.
+type Endpoint struct {
 	Node    string
 	Zone    int
 	Shard   int
@@ -28,84 +28,84 @@
 const (
 	OK Outcome = iota
 	Failed
-	Full
+	QueueFull
 	TimedOut
 	ConnectFailed
 	Reset
 	Cancelled
-	Moot
+	Superseded
 )
 
 // ProvesNotRun tells whether an outcome proves that its attempt did not run.
-func (o Outcome) ProvesNotRun() bool { return o == Full || o == ConnectFailed || o == Moot }
+func (o Outcome) ProvesNotRun() bool { return o == QueueFull || o == ConnectFailed || o == Superseded }
 
-// Event is one of Arrival, List, Ended, Begun, Stalled, Resumed, Dropped, Wake.
+// Event is one of Arrival, EndpointUpdate, AttemptEnded, ResponseStarted, AttemptStalled, AttemptResumed, ClientDisconnected, TimerFired.
 type Event interface{ event() }
 
 // Arrival is a request taken from a client.
 type Arrival struct {
-	ID     uint64
-	Shard  int // that holds the data, -1 for a new object
-	Plan   int
-	Class  int
-	Key    string
-	Volume string
-	Left   time.Duration // before the client gives up
-	Units  float64
-	Hosts  int  // through which the volume's requests may come
-	Again  bool // a client's repeat, where clients mark theirs
+	ID            uint64
+	Shard         int // that holds the data, -1 for a new object
+	Plan          int
+	Class         int
+	Key           string
+	Volume        string
+	TimeRemaining time.Duration // before the client gives up
+	Units         float64
+	Instances     int  // through which the volume's requests may come
+	ClientRetry   bool // a client's repeat, where clients mark theirs
 }
 
-// List is news of the node list.
-type List struct {
-	Full    bool // the complete list, else changes only
-	Failed  bool // a call failed: no entries, ask again
-	Entries []Entry
+// EndpointUpdate is news of the node list.
+type EndpointUpdate struct {
+	Full      bool // the complete list, else changes only
+	Failed    bool // a call failed: no entries, ask again
+	Endpoints []Endpoint
 }
 
-// Ended tells how an attempt ended.
-type Ended struct {
-	ID       uint64
-	Attempt  int
-	Node     string
-	Outcome  Outcome
-	Took     time.Duration
-	Closed   bool    // the request has its final answer
-	Spent    bool    // it cannot be sent again: what it carried is gone
-	Reported float64 // requests that the node said it held or had waiting
-	Reports  bool    // it said so
+// AttemptEnded tells how an attempt ended.
+type AttemptEnded struct {
+	ID            uint64
+	Attempt       int
+	Node          string
+	Outcome       Outcome
+	Duration      time.Duration
+	Answered      bool    // the request has its final answer
+	BodyConsumed  bool    // it cannot be sent again: what it carried is gone
+	ReportedLoad  float64 // requests that the node said it held or had waiting
+	HasLoadReport bool    // it said so
 }
 
-// Begun tells that a streamed answer has started.
-type Begun struct {
+// ResponseStarted tells that a streamed answer has started.
+type ResponseStarted struct {
 	ID      uint64
 	Attempt int
 }
 
-// Stalled tells that the head's own machine holds an attempt up: nothing of that is the node's
-// doing. Resumed tells that it no longer does.
-type Stalled struct {
+// AttemptStalled tells that the head's own machine holds an attempt up: nothing of that is the node's
+// doing. AttemptResumed tells that it no longer does.
+type AttemptStalled struct {
 	ID      uint64
 	Attempt int
 }
 
-// Resumed is told after Stalled; see there.
-type Resumed struct {
+// AttemptResumed is told after AttemptStalled; see there.
+type AttemptResumed struct {
 	ID      uint64
 	Attempt int
 }
 
-// Dropped tells that the client has left.
-type Dropped struct{ ID uint64 }
+// ClientDisconnected tells that the client has left.
+type ClientDisconnected struct{ ID uint64 }
 
-// Wake is a timer that was asked for.
-type Wake struct{}
+// TimerFired is a timer that was asked for.
+type TimerFired struct{}
 
-func (Arrival) event() {}
-func (List) event()    {}
-func (Ended) event()   {}
-func (Begun) event()   {}
-func (Stalled) event() {}
-func (Resumed) event() {}
-func (Dropped) event() {}
-func (Wake) event()    {}
+func (Arrival) event()            {}
+func (EndpointUpdate) event()     {}
+func (AttemptEnded) event()       {}
+func (ResponseStarted) event()    {}
+func (AttemptStalled) event()     {}
+func (AttemptResumed) event()     {}
+func (ClientDisconnected) event() {}
+func (TimerFired) event()         {}
--- a/scheduler/fair_queue.go
+++ b/scheduler/fair_queue.go
@@ -59,7 +59,7 @@
 		v = s.newVolume(a.Plan)
 		s.volumes[a.Volume] = v
 	}
-	heads, hosts := float64(s.settings.Heads), float64(a.Hosts)
+	heads, hosts := float64(s.settings.Instances), float64(a.Instances)
 	if hosts < 1 || hosts > heads {
 		hosts = heads
 	}
@@ -84,7 +84,7 @@
 
 // setReserve sizes the bucket of this host's part of a volume's reserve.
 func (s *Scheduler) setReserve(v *volume) {
-	largest := s.settings.MostUnits
+	largest := s.settings.MaxUnits
 	if part := min(1, reserveShareFactor/v.hosts); v.plan.Reserve > 0 {
 		v.reserve.rate = part * v.plan.Reserve
 		v.reserve.capacity = max(part*(v.plan.Reserve+largest), largest)
--- a/scheduler/fair_queue_test.go
+++ b/scheduler/fair_queue_test.go
@@ -7,7 +7,7 @@
 
 // Tags worked by hand: S = max(v, F + delay/φ), F = S + cost/φ.
 func TestTags(t *testing.T) {
-	two := func(s *Settings) { s.Plans = []Plan{{Weight: 1, Price: 1}, {Weight: 3, Price: 1}} }
+	two := func(s *Settings) { s.Plans = []Plan{{Weight: 1, PriorityFactor: 1}, {Weight: 3, PriorityFactor: 1}} }
 	type step struct {
 		vol    string
 		plan   int
@@ -64,12 +64,12 @@
 
 func TestWithinReserveLeavesBeforeExcess(t *testing.T) {
 	s := site(func(s *Settings) {
-		s.Plans = []Plan{{Weight: 1, Price: 1}, {Weight: 1, Price: 1, Reserve: 10}}
+		s.Plans = []Plan{{Weight: 1, PriorityFactor: 1}, {Weight: 1, PriorityFactor: 1, Reserve: 10}}
 	})
 	r := start(t, s, nodeA)
 	r.h.members.nodes[0].window = 1
 	r.at(0, req(1, ofVolume("heavy", 0)), req(2, ofVolume("heavy", 0)), req(3, ofVolume("reserved", 1)))
-	r.at(90*ms, Wake{})
+	r.at(90*ms, TimerFired{})
 	r.end(1, OK)
 	if got := r.sent(); len(got) < 2 || got[1] != 3 {
 		t.Errorf("sent %v, want the reserved request 3 second", got)
@@ -81,9 +81,9 @@
 		hosts int
 		rate  float64
 	}{{1, 8}, {2, 8}, {4, 4}, {16, 1}, {0, 8.0 * reserveShareFactor / 50}, {99, 8.0 * reserveShareFactor / 50}} {
-		r := start(t, site(func(s *Settings) { s.Heads, s.Plans[0].Reserve = 50, 8 }), nodeA)
+		r := start(t, site(func(s *Settings) { s.Instances, s.Plans[0].Reserve = 50, 8 }), nodeA)
 		v := r.h.volumeOf(req(1, hosts(c.hosts)))
-		if math.Abs(v.reserve.rate-c.rate) > 1e-9 || v.reserve.level < r.h.settings.MostUnits {
+		if math.Abs(v.reserve.rate-c.rate) > 1e-9 || v.reserve.level < r.h.settings.MaxUnits {
 			t.Errorf("%d hosts: rate %v level %v, want rate %v and one largest request", c.hosts, v.reserve.rate,
 				v.reserve.level, c.rate)
 		}
--- a/scheduler/fleet_test.go
+++ b/scheduler/fleet_test.go
@@ -55,7 +55,7 @@
 func newFleet(s Settings, seed uint64) *fleet {
 	f := &fleet{s: s, rand: rand.New(rand.NewPCG(seed, 9)), now: time.Minute}
 	sum := 0.0
-	for i := range s.Heads {
+	for i := range s.Instances {
 		h, _ := New(s, seed<<16+uint64(i)+1, f.now)
 		f.heads = append(f.heads, h)
 		sum += f.rand.ExpFloat64() // some see several times the mean, some next to nothing
@@ -69,7 +69,7 @@
 func (f *fleet) list(node string, started Time) {
 	f.node = node
 	for i := range f.heads {
-		heap.Push(&f.queue, happening{f.now + Time(f.rand.Int64N(int64(time.Second))), i, List{Full: true, Entries: []Entry{{Node: node, Started: started}}}})
+		heap.Push(&f.queue, happening{f.now + Time(f.rand.Int64N(int64(time.Second))), i, EndpointUpdate{Full: true, Endpoints: []Endpoint{{Node: node, Started: started}}}})
 	}
 }
 
@@ -97,7 +97,7 @@
 			}
 			f.id++
 			f.asked++
-			e.ev = Arrival{ID: f.id, Key: "k", Volume: fmt.Sprint("v", f.id%7), Left: 1500 * ms, Units: f.s.MeanUnits, Hosts: 3}
+			e.ev = Arrival{ID: f.id, Key: "k", Volume: fmt.Sprint("v", f.id%7), TimeRemaining: 1500 * ms, Units: f.s.MeanUnits, Instances: 3}
 			next()
 		}
 		acts := f.heads[e.head].Handle(f.now, []Event{e.ev})
@@ -115,13 +115,13 @@
 				f.tries[id]++
 				o := OK
 				if f.rand.Float64() < f.again {
-					o = Full
+					o = QueueFull
 				} else {
 					f.done++
 				}
-				heap.Push(&f.queue, happening{f.now + 20*ms, e.head, Ended{ID: a.ID, Attempt: n, Node: a.Node, Outcome: o, Took: 20 * ms, Closed: o == OK}})
-			case WakeIn:
-				heap.Push(&f.queue, happening{f.now + a.In, e.head, Wake{}})
+				heap.Push(&f.queue, happening{f.now + 20*ms, e.head, AttemptEnded{ID: a.ID, Attempt: n, Node: a.Node, Outcome: o, Duration: 20 * ms, Answered: o == OK}})
+			case SetTimer:
+				heap.Push(&f.queue, happening{f.now + a.After, e.head, TimerFired{}})
 			}
 		}
 	}
@@ -138,12 +138,12 @@
 			continue
 		}
 		sum += x.units
-		for f.sent[from].at <= x.at-s.FallWindow {
+		for f.sent[from].at <= x.at-s.OverloadWindow {
 			sum -= f.sent[from].units
 			from++
 		}
-		age := math.Min(1, float64(x.at-started)/float64(s.Cold))
-		now := s.FallMultiple * units * (s.ColdFrom + (1-s.ColdFrom)*age) * s.FallWindow.Seconds() / s.MeanUnits
+		age := math.Min(1, float64(x.at-started)/float64(s.WarmupDuration))
+		now := s.OverloadFactor * units * (s.SlowStartInitialFraction + (1-s.SlowStartInitialFraction)*age) * s.OverloadWindow.Seconds() / s.MeanUnits
 		chance = max(chance, sum/s.MeanUnits/(now+2*math.Sqrt(now)+2))
 		n = max(n, sum/s.MeanUnits/now)
 	}
@@ -185,10 +185,10 @@
 // coldSite is a site with a rule on cold nodes, whose nodes do so many units a second.
 func coldSite(heads int, units float64) Settings {
 	return site(func(s *Settings) {
-		s.Heads, s.FallWindow, s.Cold, s.ColdFrom, s.FallMultiple = heads, 1500*ms, 10*time.Second, 0.25, 3
-		s.ColdUnits = 0.7 * 3 * 0.25 * units * 1.5 // the least of all nodes bears it
+		s.Instances, s.OverloadWindow, s.WarmupDuration, s.SlowStartInitialFraction, s.OverloadFactor = heads, 1500*ms, 10*time.Second, 0.25, 3
+		s.SlowStartMinUnits = 0.7 * 3 * 0.25 * units * 1.5 // the least of all nodes bears it
 		s.Plans[0].Reserve = 4 * units
-		s.ShareWorth, s.MaxRetryAfter = 0.3, 500*ms
+		s.ExcessWeight, s.MaxRetryAfter = 0.3, 500*ms
 	})
 }
 
@@ -205,7 +205,7 @@
 	for i := range 9 {
 		for k := i; i < restarts && k < heads; k += 10 { // a tenth of the heads at a time
 			f.heads[k], _ = New(s, seed<<20+uint64(k*10+i), f.now)
-			heap.Push(&f.queue, happening{f.now + 100*ms, k, List{Full: true, Entries: []Entry{{Node: "B", Started: started}}}})
+			heap.Push(&f.queue, happening{f.now + 100*ms, k, EndpointUpdate{Full: true, Endpoints: []Endpoint{{Node: "B", Started: started}}}})
 		}
 		f.run(time.Second, load*units/s.MeanUnits)
 	}
--- a/scheduler/golden_test.go
+++ b/scheduler/golden_test.go
@@ -39,14 +39,14 @@
 func writeAction(w io.Writer, action Action) {
 	switch a := action.(type) {
 	case Send:
-		fmt.Fprintf(w, "send %d %q %d\n", a.ID, a.Node, int64(a.By))
-	case Refuse:
+		fmt.Fprintf(w, "send %d %q %d\n", a.ID, a.Node, int64(a.StartBefore))
+	case Reject:
 		fmt.Fprintf(w, "reject %d %d\n", a.ID, int64(a.RetryAfter))
 	case Fail:
 		fmt.Fprintf(w, "fail %d\n", a.ID)
-	case WakeIn:
-		fmt.Fprintf(w, "timer %d\n", int64(a.In))
-	case Watch:
+	case SetTimer:
+		fmt.Fprintf(w, "timer %d\n", int64(a.After))
+	case WatchEndpoints:
 		fmt.Fprintf(w, "watch\n")
 	default:
 		panic(fmt.Sprintf("golden_test: no encoding for %T", action))
--- a/scheduler/guards.go
+++ b/scheduler/guards.go
@@ -101,10 +101,10 @@
 	p, n := c.profile, c.node
 	worth, calm := p.worth()/s.maxWorth, calmAims
 	if c.late {
-		worth, calm = worth*p.class.LateWorth, calmAimsLate
+		worth, calm = worth*p.class.LateWeightFactor, calmAimsLate
 	}
 	if p.excess {
-		worth *= s.settings.ShareWorth
+		worth *= s.settings.ExcessWeight
 	}
 	// All heads of a volume together try a crowded node at the pace of one.
 	silentAims := float64(s.now-n.heardAt) / float64(s.shortestAim)
@@ -146,7 +146,7 @@
 	n := r.node
 	p := r.currentProfile()
 	answered := s.now + s.expected(n, r.Units)
-	c := candidate{node: n, profile: &p, request: r, late: r.Aim < answered}
+	c := candidate{node: n, profile: &p, request: r, late: r.LatencyDeadline < answered}
 	if reason := s.firstRefusal(nodeGuards, c); reason != Allowed {
 		return reason
 	}
--- a/scheduler/guards_test.go
+++ b/scheduler/guards_test.go
@@ -20,7 +20,7 @@
 			r.end(1, Reset)
 			return 2
 		}},
-		{RetryBackoff, func(r *rig) uint64 { r.at(0, req(1)); r.end(1, Full); return 1 }},
+		{RetryBackoff, func(r *rig) uint64 { r.at(0, req(1)); r.end(1, QueueFull); return 1 }},
 		{BreakerOpen, func(r *rig) uint64 {
 			n := r.h.members.nodes[0]
 			n.breaker.open, n.breaker.trialAt = true, r.now+time.Hour
@@ -46,7 +46,7 @@
 			return 1
 		}},
 		{SlowStart, func(r *rig) uint64 {
-			r.at(0, List{Entries: []Entry{{Node: "A", Started: r.now}}})
+			r.at(0, EndpointUpdate{Endpoints: []Endpoint{{Node: "A", Started: r.now}}})
 			r.h.members.nodes[0].coldBudget.at, r.h.members.nodes[0].coldBudget.level = r.now, 0
 			r.at(0, req(1))
 			return 1
@@ -64,10 +64,10 @@
 		}},
 	} {
 		r := start(t, site(func(s *Settings) {
-			s.ShareWorth, s.Classes[0].InOrder, s.OrderRest = 0.3, true, time.Second
+			s.ExcessWeight, s.Classes[0].Ordered, s.KeyCooldown = 0.3, true, time.Second
 			s.Budget, s.BudgetOver = true, time.Second
-			s.Plans[0].Limit, s.Plans[0].LimitBurst, s.Plans[0].Reserve, s.Classes[1].Worth = 10, 10, 100, 1
-			s.Cold, s.ColdFrom, s.ColdUnits, s.FallWindow, s.FallMultiple = 10*time.Second, 0.25, 1, time.Second, 1
+			s.Plans[0].Limit, s.Plans[0].LimitBurst, s.Plans[0].Reserve, s.Classes[1].PriorityWeight = 10, 10, 100, 1
+			s.WarmupDuration, s.SlowStartInitialFraction, s.SlowStartMinUnits, s.OverloadWindow, s.OverloadFactor = 10*time.Second, 0.25, 1, time.Second, 1
 		}), nodeA)
 		r.wait(2 * time.Second) // the limit's bucket fills
 		id := c.setUp(r)
@@ -95,7 +95,7 @@
 // ic23155, ifb7f1d: what earns little must stand back at a crowded node.
 func TestLittleWorthStandsBackWhileTheNodeIsSlow(t *testing.T) {
 	s := site(func(s *Settings) {
-		s.ShareWorth, s.Classes[0].LateWorth, s.Classes[1].Worth = 0.3, 0.1, 1
+		s.ExcessWeight, s.Classes[0].LateWeightFactor, s.Classes[1].PriorityWeight = 0.3, 0.1, 1
 	})
 	r := start(t, s, nodeA)
 	n := r.h.members.nodes[0]
@@ -125,7 +125,7 @@
 
 // All heads of a volume together try a crowded node at the pace of one.
 func TestPressureFadesSlowerWithMoreHosts(t *testing.T) {
-	r := start(t, site(func(s *Settings) { s.Heads, s.ShareWorth = 100, 0.3 }), nodeA)
+	r := start(t, site(func(s *Settings) { s.Instances, s.ExcessWeight = 100, 0.3 }), nodeA)
 	n := r.h.members.nodes[0]
 	for _, c := range []struct {
 		hosts int
--- a/scheduler/health.go
+++ b/scheduler/health.go
@@ -24,9 +24,9 @@
 //
 // The breaker opens here on failed connections and resets in a row (a node that resets a part
 // of its work still serves the rest), and on silence in checkSilence.
-func (s *Scheduler) observe(n *node, a *attempt, e Ended) {
+func (s *Scheduler) observe(n *node, a *attempt, e AttemptEnded) {
 	took := (s.now - a.outSince(s.now)).Seconds()
-	aim := a.request.class.Aim.Seconds()
+	aim := a.request.class.LatencyObjective.Seconds()
 	switch e.Outcome {
 	case OK, Failed:
 		n.heardAt = s.now
@@ -35,7 +35,7 @@
 		s.bookAnswer(n, answer{latency: took, waiting: waited / aim})
 		s.servedOnShard(n.Shard, s.now, a.request.Units)
 		s.adjustWindow(n, a, took/aim)
-	case Full:
+	case QueueFull:
 		s.bookSilence(n, answer{latency: n.latency, waiting: 1})
 		n.heardAt = s.now
 		s.collapseWindow(n)
--- a/scheduler/health_test.go
+++ b/scheduler/health_test.go
@@ -45,28 +45,28 @@
 func TestStalledAttemptsAreNotTheNodes(t *testing.T) {
 	r := start(t, site(), nodeA)
 	n := r.h.members.nodes[0]
-	r.at(0, req(1, func(a *Arrival) { a.Left = 10 * time.Second }))
-	r.at(0, Stalled{ID: 1}, Stalled{ID: 1}, Stalled{ID: 7})
+	r.at(0, req(1, func(a *Arrival) { a.TimeRemaining = 10 * time.Second }))
+	r.at(0, AttemptStalled{ID: 1}, AttemptStalled{ID: 1}, AttemptStalled{ID: 7})
 	r.wait(3 * time.Second)
 	want(t, "open while it is held up", n.breaker.open, false)
-	r.at(0, Resumed{ID: 1}, Resumed{ID: 1}, Resumed{ID: 7})
+	r.at(0, AttemptResumed{ID: 1}, AttemptResumed{ID: 1}, AttemptResumed{ID: 7})
 	r.wait(10 * ms)
 	r.end(1, OK)
 	if n.latency > 0.05 {
 		t.Errorf("the answer counts as one of %v s", n.latency)
 	}
-	r.at(0, req(2, func(a *Arrival) { a.Left = 10 * time.Second }))
+	r.at(0, req(2, func(a *Arrival) { a.TimeRemaining = 10 * time.Second }))
 	window := n.window
-	r.at(0, Stalled{ID: 2})
+	r.at(0, AttemptStalled{ID: 2})
 	r.wait(2 * time.Second)
 	r.end(2, TimedOut)
 	want(t, "window after a time-out of the head's own", n.window, window)
 
 	r = start(t, site(), nodeA)
-	r.at(0, req(1, func(a *Arrival) { a.Left = 10 * time.Second }))
-	r.at(0, Stalled{ID: 1})
+	r.at(0, req(1, func(a *Arrival) { a.TimeRemaining = 10 * time.Second }))
+	r.at(0, AttemptStalled{ID: 1})
 	r.wait(time.Second)
-	r.at(0, Resumed{ID: 1})
+	r.at(0, AttemptResumed{ID: 1})
 	r.wait(2 * time.Second)
 	want(t, "open after silence of the node's own", r.h.members.nodes[0].breaker.open, true)
 }
--- a/scheduler/key_order.go
+++ b/scheduler/key_order.go
@@ -16,7 +16,7 @@
 
 // joinKeyOrder gives a request its turn among those of its key.
 func (s *Scheduler) joinKeyOrder(r *request) {
-	if !r.class.InOrder || r.Key == "" {
+	if !r.class.Ordered || r.Key == "" {
 		return
 	}
 	order := s.keyOrders[r.Key]
@@ -31,7 +31,7 @@
 // is its turn.
 func (s *Scheduler) readyAt(r *request) (at Time, isNext bool) {
 	order := s.keyOrders[r.Key]
-	if !r.class.InOrder || order == nil {
+	if !r.class.Ordered || order == nil {
 		return r.notBefore, true
 	}
 	if len(order.requests) == 0 || order.requests[0] != r {
@@ -46,10 +46,10 @@
 // restKey has a key rest after an attempt that may still run.
 func (s *Scheduler) restKey(r *request, o Outcome) {
 	order := s.keyOrders[r.Key]
-	if order == nil || !r.class.InOrder || o.ProvesNotRun() || o == OK || o == Failed {
+	if order == nil || !r.class.Ordered || o.ProvesNotRun() || o == OK || o == Failed {
 		return
 	}
-	order.restUntil, order.restOf = s.now+s.settings.OrderRest, r
+	order.restUntil, order.restOf = s.now+s.settings.KeyCooldown, r
 }
 
 // leaveKeyOrder gives the turn of a request that is over to the next of its key.
@@ -71,7 +71,7 @@
 	}
 	next := order.requests[0]
 	s.markDirty(next.node)
-	if next.Held() && next.node != nil && !next.Placed() {
+	if next.Queued() && next.node != nil && !next.Placed() {
 		s.makeReady(next)
 	}
 }
--- a/scheduler/limits_test.go
+++ b/scheduler/limits_test.go
@@ -7,10 +7,10 @@
 )
 
 func TestLimitIsSplitAndEmptyAtBoot(t *testing.T) {
-	s := site(func(s *Settings) { s.Heads, s.Plans[0].Limit, s.Plans[0].LimitBurst = 2, 20, 24 })
+	s := site(func(s *Settings) { s.Instances, s.Plans[0].Limit, s.Plans[0].LimitBurst = 2, 20, 24 })
 	r := start(t, s, nodeA)
 	r.h.members.nodes[0].window = 8
-	long := func(a *Arrival) { a.Left, a.Hosts = time.Minute, 2 }
+	long := func(a *Arrival) { a.TimeRemaining, a.Instances = time.Minute, 2 }
 	r.at(0, req(1, long), req(2, long), req(3, long))
 	want(t, "sent from an empty bucket", len(r.sends), 0)
 	r.wait(250 * ms) // 10 units a second: 2.5 units
@@ -29,7 +29,7 @@
 }
 
 func TestMoreThanThePartOfTheLimitIsRefusedAtOnce(t *testing.T) {
-	s := site(func(s *Settings) { s.Heads, s.Plans[0].Limit, s.Plans[0].LimitBurst = 10, 20, 24 })
+	s := site(func(s *Settings) { s.Instances, s.Plans[0].Limit, s.Plans[0].LimitBurst = 10, 20, 24 })
 	r := start(t, s, nodeA)
 	want(t, "answer", answers(r.at(0, req(1, hosts(10), units(6)))), map[uint64]string{1: "r"})
 	want(t, "what fits waits", answers(r.at(0, req(2, hosts(10), units(2)))), map[uint64]string{})
--- a/scheduler/membership.go
+++ b/scheduler/membership.go
@@ -22,7 +22,7 @@
 
 // node is a node of the list, with all that is held of it.
 type node struct {
-	Entry
+	Endpoint
 	queue       *requestQueue
 	virtualTime float64    // v of fair queuing: the start tag last sent
 	inFlight    []*attempt // in order of sending, less those written off
@@ -48,7 +48,7 @@
 }
 
 // updateMembers takes news of the node list.
-func (s *Scheduler) updateMembers(list List) {
+func (s *Scheduler) updateMembers(list EndpointUpdate) {
 	if list.Failed {
 		s.timers.listAt = s.now + listRetry
 		return
@@ -59,7 +59,7 @@
 	anyGone := false
 	for _, n := range s.members.nodes {
 		if list.Full && !listed[n] {
-			n.State = Gone
+			n.State = Removed
 		}
 		if list.Full || listed[n] {
 			s.markDirty(n)
@@ -67,7 +67,7 @@
 		if n.State != Serving {
 			moved = append(moved, n.queue.RemoveExpired(never, nil)...)
 		}
-		anyGone = anyGone || n.State == Gone
+		anyGone = anyGone || n.State == Removed
 	}
 	if regroup {
 		s.members.groupByShard()
@@ -82,9 +82,9 @@
 
 // takeEntries takes the entries of a list and tells which nodes they name, and whether the
 // nodes of any shard may have changed.
-func (s *Scheduler) takeEntries(list List) (listed map[*node]bool, regroup bool) {
+func (s *Scheduler) takeEntries(list EndpointUpdate) (listed map[*node]bool, regroup bool) {
 	listed, regroup = map[*node]bool{}, list.Full
-	for _, entry := range list.Entries {
+	for _, entry := range list.Endpoints {
 		n := s.members.byName[entry.Node]
 		if n == nil {
 			n = s.join(entry)
@@ -99,10 +99,10 @@
 }
 
 // join adds a node that the list has for the first time.
-func (s *Scheduler) join(entry Entry) *node {
+func (s *Scheduler) join(entry Endpoint) *node {
 	m := &s.members
 	m.joined++
-	n := &node{Entry: entry, window: windowStart, heardAt: s.now, queue: newRequestQueue(), joined: m.joined}
+	n := &node{Endpoint: entry, window: windowStart, heardAt: s.now, queue: newRequestQueue(), joined: m.joined}
 	m.nodes = append(m.nodes, n)
 	m.byName[n.Node] = n
 	s.beginSlowStart(n)
@@ -111,9 +111,9 @@
 
 // updateNode takes what the list has of a node that is known. After a restart nothing that was
 // known of it holds any more.
-func (s *Scheduler) updateNode(n *node, entry Entry) {
+func (s *Scheduler) updateNode(n *node, entry Endpoint) {
 	restarted := entry.Started != n.Started && entry.State == Serving
-	n.Entry = entry
+	n.Endpoint = entry
 	if !restarted {
 		return
 	}
@@ -135,7 +135,7 @@
 func (s *Scheduler) forgetGone() {
 	m := &s.members
 	m.nodes = slices.DeleteFunc(m.nodes, func(n *node) bool {
-		if n.State != Gone || len(n.inFlight) > 0 {
+		if n.State != Removed || len(n.inFlight) > 0 {
 			return false
 		}
 		delete(m.byName, n.Node)
--- a/scheduler/placement_test.go
+++ b/scheduler/placement_test.go
@@ -13,9 +13,9 @@
 
 // bangna-main-later: all heads sent new objects to the first of the nodes alike.
 func TestNewObjectsOfManyHeadsAreSpread(t *testing.T) {
-	var nodes []Entry
+	var nodes []Endpoint
 	for i := range 10 {
-		nodes = append(nodes, Entry{Node: string(rune('a' + i)), Shard: i})
+		nodes = append(nodes, Endpoint{Node: string(rune('a' + i)), Shard: i})
 	}
 	took := map[string]int{}
 	for seed := uint64(1); seed <= 40; seed++ {
@@ -23,7 +23,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		for _, a := range h.Handle(0, []Event{List{Full: true, Entries: nodes}, req(1, shard(-1))}) {
+		for _, a := range h.Handle(0, []Event{EndpointUpdate{Full: true, Endpoints: nodes}, req(1, shard(-1))}) {
 			if s, ok := a.(Send); ok {
 				took[s.Node]++
 			}
--- a/scheduler/reference_test.go
+++ b/scheduler/reference_test.go
@@ -87,7 +87,7 @@
 }
 
 type node struct {
-	Entry
+	Endpoint
 	queue    []*request
 	v        float64 // virtual time: the start tag last sent
 	window   float64
@@ -155,17 +155,17 @@
 	h := &reference{s: s, now: now, crowd: 1, boot: now, swept: now, watchAt: -1, armed: now,
 		reqs: map[uint64]*request{}, attempts: map[attemptID]*attempt{}, vols: map[string]*volume{},
 		turns: map[string]*turn{}, flows: map[int]*faded{}, rand: rand.New(rand.NewPCG(seed, seed))}
-	h.aim = s.Classes[0].Aim
+	h.aim = s.Classes[0].LatencyObjective
 	for _, c := range s.Classes {
-		h.aim = min(h.aim, c.Aim)
+		h.aim = min(h.aim, c.LatencyObjective)
 	}
 	for _, p := range s.Plans {
 		h.weights += p.Weight
 		for _, c := range s.Classes {
-			h.top = max(h.top, c.Worth*p.Price, 1e-9)
+			h.top = max(h.top, c.PriorityWeight*p.PriorityFactor, 1e-9)
 		}
 	}
-	if s.AskDiscovery {
+	if s.PollDiscovery {
 		h.watchAt = now
 	}
 	return h, nil
@@ -177,15 +177,15 @@
 		switch e := e.(type) {
 		case Arrival:
 			h.arrive(e)
-		case List:
+		case EndpointUpdate:
 			h.list(e)
-		case Ended:
+		case AttemptEnded:
 			h.ended(e)
-		case Begun:
+		case ResponseStarted:
 			if r := h.reqs[e.ID]; r != nil {
 				r.streaming = true
 			}
-		case Dropped:
+		case ClientDisconnected:
 			if r := h.reqs[e.ID]; r != nil {
 				h.close(r)
 			}
@@ -209,7 +209,7 @@
 		return // told twice; the first is being dealt with
 	}
 	if a.Class < 0 || a.Class >= len(h.s.Classes) || math.IsNaN(a.Units) {
-		h.do(Refuse{ID: a.ID}) // nothing known may be promised of it but that it never ran
+		h.do(Reject{ID: a.ID}) // nothing known may be promised of it but that it never ran
 		return
 	}
 	if h.s.Budget {
@@ -218,19 +218,19 @@
 	h.seq++
 	a.Units = max(a.Units, 0)
 	r := &request{Arrival: a, seq: h.seq, class: &h.s.Classes[a.Class], vol: h.volume(a)}
-	r.due = h.now + a.Left
-	r.aimAt = min(h.now+r.class.Aim, r.due) // changed on purpose: no aim is after the client's end
-	r.by = max(h.now+Time(patience*float64(a.Left)), r.aimAt)
-	if c := r.class; a.Again && c.Deadline > a.Left {
-		r.aimAt = min(r.aimAt, h.now+c.Aim-(c.Deadline-a.Left))
-		r.by = max(h.now+Time(patience*float64(a.Left)), r.aimAt)
+	r.due = h.now + a.TimeRemaining
+	r.aimAt = min(h.now+r.class.LatencyObjective, r.due) // changed on purpose: no aim is after the client's end
+	r.by = max(h.now+Time(patience*float64(a.TimeRemaining)), r.aimAt)
+	if c := r.class; a.ClientRetry && c.Deadline > a.TimeRemaining {
+		r.aimAt = min(r.aimAt, h.now+c.LatencyObjective-(c.Deadline-a.TimeRemaining))
+		r.by = max(h.now+Time(patience*float64(a.TimeRemaining)), r.aimAt)
 	}
 	h.reqs[a.ID] = r
 	if r.vol.plan.Limit > 0 && r.vol.limit.cap < a.Units {
 		h.finish(r) // more than this host's part of the burst ever holds
 		return
 	}
-	if r.class.InOrder && a.Key != "" {
+	if r.class.Ordered && a.Key != "" {
 		t := h.turns[a.Key]
 		if t == nil {
 			t = &turn{}
@@ -252,14 +252,14 @@
 		v.reserve.at, v.limit.at = h.boot, h.boot
 		h.vols[a.Volume] = v
 	}
-	heads, hosts := float64(h.s.Heads), float64(a.Hosts)
+	heads, hosts := float64(h.s.Instances), float64(a.Instances)
 	if hosts < 1 || hosts > heads {
 		hosts = heads
 	}
 	v.hosts, h.crowd = hosts, max(h.crowd, min(heads, sharers*hosts))
 	if part := min(1, reserveHosts/hosts); v.plan.Reserve > 0 {
 		v.reserve.rate = part * v.plan.Reserve
-		v.reserve.cap = max(part*(v.plan.Reserve+h.s.MostUnits), h.s.MostUnits)
+		v.reserve.cap = max(part*(v.plan.Reserve+h.s.MaxUnits), h.s.MaxUnits)
 	}
 	if v.used == 0 {
 		v.reserve.level = v.reserve.cap
@@ -313,11 +313,11 @@
 	if r.ran == nil || r.class.Effect == Safe {
 		return true
 	}
-	if r.class.Effect == Unsafe || h.now >= r.ranAt+r.class.Window {
+	if r.class.Effect == NonIdempotent || h.now >= r.ranAt+r.class.DeduplicationWindow {
 		return false
 	}
-	return r.class.Group == GroupAll || (r.class.Group == GroupZone && n.Zone == r.ran.Zone) ||
-		(r.class.Group == GroupCell && n.Shard == r.ran.Shard)
+	return r.class.DeduplicationScope == ScopeAll || (r.class.DeduplicationScope == ScopeZone && n.Zone == r.ran.Zone) ||
+		(r.class.DeduplicationScope == ScopeShard && n.Shard == r.ran.Shard)
 }
 
 func (h *reference) tag(r *request, n *node) {
@@ -348,8 +348,8 @@
 func (h *reference) finish(r *request) {
 	switch {
 	case r.done:
-	case r.ran == nil || r.class.Effect == Safe || (r.class.Effect == Keyed && r.class.Group == GroupAll):
-		h.do(Refuse{ID: r.ID, RetryAfter: h.s.MaxRetryAfter})
+	case r.ran == nil || r.class.Effect == Safe || (r.class.Effect == Idempotent && r.class.DeduplicationScope == ScopeAll):
+		h.do(Reject{ID: r.ID, RetryAfter: h.s.MaxRetryAfter})
 	default:
 		h.do(Fail{ID: r.ID})
 	}
@@ -378,13 +378,13 @@
 
 func (h *reference) hasTurn(r *request) bool {
 	t := h.turns[r.Key]
-	if !r.class.InOrder || t == nil {
+	if !r.class.Ordered || t == nil {
 		return true
 	}
 	return len(t.queue) > 0 && t.queue[0] == r && (t.restOf == r || h.now >= t.rest)
 }
 
-func (h *reference) ended(e Ended) {
+func (h *reference) ended(e AttemptEnded) {
 	id := attemptID{e.ID, uint64(e.Attempt)}
 	a := h.attempts[id]
 	if a == nil {
@@ -396,26 +396,26 @@
 	n.outs = slices.DeleteFunc(n.outs, func(o *attempt) bool { return o == a })
 	h.touch(n)
 	h.health(n, a, e)
-	proven := e.Outcome == Full || e.Outcome == ConnectFailed || e.Outcome == Moot
-	if e.Outcome != ConnectFailed && e.Outcome != Moot {
+	proven := e.Outcome == QueueFull || e.Outcome == ConnectFailed || e.Outcome == Superseded
+	if e.Outcome != ConnectFailed && e.Outcome != Superseded {
 		r.by = r.due
 	}
 	if !proven && e.Outcome != OK && r.ran == nil {
 		r.ran, r.ranAt = n, a.sent
 	}
-	if t := h.turns[r.Key]; t != nil && r.class.InOrder && !proven && e.Outcome != OK && e.Outcome != Failed {
-		t.rest, t.restOf = h.now+h.s.OrderRest, r
+	if t := h.turns[r.Key]; t != nil && r.class.Ordered && !proven && e.Outcome != OK && e.Outcome != Failed {
+		t.rest, t.restOf = h.now+h.s.KeyCooldown, r
 	}
 	switch {
 	case r.done:
 		h.endTurn(r)
-	case e.Closed:
+	case e.Answered:
 		h.close(r)
 	case r.live > 0:
-	case r.streaming || e.Spent || h.now+lastCall >= r.due ||
+	case r.streaming || e.BodyConsumed || h.now+lastCall >= r.due ||
 		(h.s.MaxAttempts > 0 && r.tries >= h.s.MaxAttempts):
 		h.finish(r)
-	case !proven && (r.class.Effect == Unsafe || h.target(r) == nil):
+	case !proven && (r.class.Effect == NonIdempotent || h.target(r) == nil):
 		h.finish(r)
 	default:
 		r.notBefore = h.now + h.aim/10
@@ -450,24 +450,24 @@
 	n.lat, n.pressure = (lat+k*allLat)/weight, (part+k*allPart)/weight
 }
 
-func (h *reference) health(n *node, a *attempt, e Ended) {
+func (h *reference) health(n *node, a *attempt, e AttemptEnded) {
 	took := (h.now - a.sent).Seconds()
 	switch e.Outcome {
 	case OK, Failed:
 		n.heard, n.open, n.trialGap, n.failures = h.now, false, 0, 0
-		part := took / a.r.class.Aim.Seconds()
+		part := took / a.r.class.LatencyObjective.Seconds()
 		wait := took - h.service(took, a.r)
-		if e.Reports && e.Reported >= 0 && e.Reported < math.Inf(1) {
-			wait = (max(wait, 0) + e.Reported*h.unit*h.s.MeanUnits) / 2
+		if e.HasLoadReport && e.ReportedLoad >= 0 && e.ReportedLoad < math.Inf(1) {
+			wait = (max(wait, 0) + e.ReportedLoad*h.unit*h.s.MeanUnits) / 2
 		}
-		h.saw(n, took, wait/a.r.class.Aim.Seconds(), true)
+		h.saw(n, took, wait/a.r.class.LatencyObjective.Seconds(), true)
 		h.served(n.Shard, h.now, a.r.Units)
 		if part > congested && a.sent >= n.shrunk {
 			n.window, n.shrunk = max(min(1, n.window), n.window*shrink), h.now
 		} else if part < relaxed && a.full {
 			n.window += min(n.window, 1/n.window)
 		}
-	case Full:
+	case QueueFull:
 		h.saw(n, n.lat, 1, false)
 		n.heard, n.window, n.shrunk = h.now, 1/h.crowd, h.now
 	case ConnectFailed, Reset:
@@ -490,24 +490,24 @@
 	}
 }
 
-func (h *reference) list(l List) {
+func (h *reference) list(l EndpointUpdate) {
 	if l.Failed {
 		h.watchAt = h.now + listRetry
 		return
 	}
 	seen := map[string]bool{}
-	for _, e := range l.Entries {
+	for _, e := range l.Endpoints {
 		seen[e.Node] = true
 		i := slices.IndexFunc(h.nodes, func(n *node) bool { return n.Node == e.Node })
 		if i < 0 {
-			n := &node{Entry: e, window: windowStart, heard: h.now}
+			n := &node{Endpoint: e, window: windowStart, heard: h.now}
 			h.nodes = append(h.nodes, n)
 			h.coldStart(n)
 			continue
 		}
 		n := h.nodes[i]
 		restart := e.Started != n.Started && e.State == Serving
-		n.Entry = e
+		n.Endpoint = e
 		if restart { // nothing known of it holds any more
 			n.window, n.seen, n.open, n.heard = 1, sight{}, false, h.now
 			h.coldStart(n)
@@ -515,7 +515,7 @@
 	}
 	for _, n := range h.nodes {
 		if l.Full && !seen[n.Node] {
-			n.State = Gone
+			n.State = Removed
 		}
 	}
 	moved := h.homeless
@@ -533,11 +533,11 @@
 			h.queue(r)
 		}
 	}
-	h.nodes = slices.DeleteFunc(h.nodes, func(n *node) bool { return n.State == Gone && len(n.outs) == 0 })
+	h.nodes = slices.DeleteFunc(h.nodes, func(n *node) bool { return n.State == Removed && len(n.outs) == 0 })
 }
 
 func (h *reference) isCold(n *node) bool {
-	return n.Started > 0 && h.s.Cold > 0 && h.now < n.Started+h.s.Cold
+	return n.Started > 0 && h.s.WarmupDuration > 0 && h.now < n.Started+h.s.WarmupDuration
 }
 
 func (h *reference) served(shard int, until Time, units float64) float64 {
@@ -557,17 +557,17 @@
 	if !h.isCold(n) {
 		return
 	}
-	window, units := max(h.s.FallWindow.Seconds(), 1e-3), cmp.Or(h.s.ColdUnits, h.s.MeanUnits)
-	rate := max(coldKeep*units/float64(h.s.Heads)/window,
-		h.s.FallMultiple*h.s.ColdFrom*h.served(n.Shard, n.Started, 0)/h.sharing(n))
+	window, units := max(h.s.OverloadWindow.Seconds(), 1e-3), cmp.Or(h.s.SlowStartMinUnits, h.s.MeanUnits)
+	rate := max(coldKeep*units/float64(h.s.Instances)/window,
+		h.s.OverloadFactor*h.s.SlowStartInitialFraction*h.served(n.Shard, n.Started, 0)/h.sharing(n))
 	n.cold = bucket{rate: rate, cap: rate * window * (1 - coldKeep) / coldKeep}
-	n.cold.at = max(h.now, h.boot+h.s.FallWindow)
+	n.cold.at = max(h.now, h.boot+h.s.OverloadWindow)
 	n.cold.level = n.cold.cap - h.rand.Float64()*h.s.MeanUnits
 }
 
 func (h *reference) sharing(started *node) (nodes float64) {
 	for _, n := range h.byShard[started.Shard] {
-		if n.State != Gone {
+		if n.State != Removed {
 			nodes++
 		}
 	}
@@ -576,8 +576,8 @@
 
 func (h *reference) coldLevel(n *node) bucket {
 	grown := 1.0
-	if from := h.s.ColdFrom; from > 0 && from < 1 {
-		age := float64(h.now-n.Started-h.s.FallWindow) / float64(h.s.Cold)
+	if from := h.s.SlowStartInitialFraction; from > 0 && from < 1 {
+		age := float64(h.now-n.Started-h.s.OverloadWindow) / float64(h.s.WarmupDuration)
 		grown += max(0, age) * (1 - from) / from
 	}
 	b := n.cold
@@ -638,10 +638,10 @@
 func (h *reference) yields(r *request, n *node, late bool) bool {
 	worth, calm := h.worth(r)/h.top, calmAims
 	if late {
-		worth, calm = worth*r.class.LateWorth, calmLate
+		worth, calm = worth*r.class.LateWeightFactor, calmLate
 	}
 	if r.excess {
-		worth *= h.s.ShareWorth
+		worth *= h.s.ExcessWeight
 	}
 	pressure := n.pressure * math.Exp2(-float64(h.now-n.heard)/float64(h.aim)/calm/max(1, 2*r.vol.hosts-2))
 	if h.isCold(n) { // what a cold node bears is for what earns most
@@ -651,7 +651,9 @@
 	return pressure > max(worth, yieldLeast) && worth < 1
 }
 
-func (h *reference) worth(r *request) float64 { return r.class.Worth * r.vol.plan.Price }
+func (h *reference) worth(r *request) float64 {
+	return r.class.PriorityWeight * r.vol.plan.PriorityFactor
+}
 
 func (h *reference) pick(n *node) (best *request) {
 	late := func(r *request) bool { return h.now+h.expected(n, r) > r.aimAt }
@@ -759,10 +761,10 @@
 	r.tries++
 	r.live++
 	by := Time(0)
-	if r.ran != nil && r.class.Effect == Keyed {
-		by = r.ranAt + r.class.Window
+	if r.ran != nil && r.class.Effect == Idempotent {
+		by = r.ranAt + r.class.DeduplicationWindow
 	}
-	h.do(Send{ID: r.ID, Node: n.Node, By: by})
+	h.do(Send{ID: r.ID, Node: n.Node, StartBefore: by})
 }
 
 func (h *reference) expire(held []*request) []*request {
@@ -788,7 +790,7 @@
 func (h *reference) settle() {
 	wake := Time(math.MaxInt64)
 	if h.watchAt >= 0 && h.now >= h.watchAt {
-		h.do(Watch{})
+		h.do(WatchEndpoints{})
 		h.watchAt = -1
 	} else if h.watchAt >= 0 {
 		wake = h.watchAt
@@ -820,7 +822,7 @@
 	if wake < math.MaxInt64 && (h.armed <= h.now || wake < h.armed) {
 		in := max(wake-h.now+time.Millisecond-1, time.Millisecond).Truncate(time.Millisecond)
 		h.armed = h.now + in
-		h.do(WakeIn{In: in})
+		h.do(SetTimer{After: in})
 	}
 }
 
--- a/scheduler/requests.go
+++ b/scheduler/requests.go
@@ -62,7 +62,7 @@
 }
 
 // worth is what a unit earns in time and within the reserve.
-func (p *profile) worth() float64 { return p.class.Worth * p.plan.Price }
+func (p *profile) worth() float64 { return p.class.PriorityWeight * p.plan.PriorityFactor }
 
 // Orders of requests of a profile.
 const (
@@ -77,7 +77,7 @@
 }
 
 func aimBefore(a, b *request) bool {
-	return a.Aim < b.Aim || (a.Aim == b.Aim && a.Sequence < b.Sequence)
+	return a.LatencyDeadline < b.LatencyDeadline || (a.LatencyDeadline == b.LatencyDeadline && a.Sequence < b.Sequence)
 }
 
 // attempt is one sending of a request.
@@ -99,7 +99,7 @@
 
 // attemptStalled stops an attempt's clock. Guards against a head that takes failures of its own
 // machine for a slow or silent node.
-func (s *Scheduler) attemptStalled(e Stalled) {
+func (s *Scheduler) attemptStalled(e AttemptStalled) {
 	a := s.attempts[attemptID{e.ID, uint64(e.Attempt)}]
 	if a != nil && a.stalledAt == 0 {
 		a.stalledAt = s.now
@@ -107,7 +107,7 @@
 }
 
 // attemptResumed has an attempt's clock go on.
-func (s *Scheduler) attemptResumed(e Resumed) {
+func (s *Scheduler) attemptResumed(e AttemptResumed) {
 	a := s.attempts[attemptID{e.ID, uint64(e.Attempt)}]
 	if a != nil && a.stalledAt > 0 {
 		a.sentAt, a.stalledAt = a.outSince(s.now), 0
@@ -122,7 +122,7 @@
 		return // told twice; the first is being dealt with
 	}
 	if a.Class < 0 || a.Class >= len(s.settings.Classes) || math.IsNaN(a.Units) {
-		s.do(Refuse{ID: a.ID}) // nothing known may be promised of it but that it never ran
+		s.do(Reject{ID: a.ID}) // nothing known may be promised of it but that it never ran
 		return
 	}
 	s.bookArrival()
@@ -173,20 +173,20 @@
 }
 
 // answerBegun notes that part of an answer is with the client: there is no second one.
-func (s *Scheduler) answerBegun(e Begun) {
+func (s *Scheduler) answerBegun(e ResponseStarted) {
 	if r := s.requests[e.ID]; r != nil {
 		r.streaming = true
 	}
 }
 
-func (s *Scheduler) clientLeft(e Dropped) {
+func (s *Scheduler) clientLeft(e ClientDisconnected) {
 	if r := s.requests[e.ID]; r != nil {
 		s.forget(r)
 	}
 }
 
 // attemptEnded takes an attempt's outcome, and has the request sent again or answered.
-func (s *Scheduler) attemptEnded(e Ended) {
+func (s *Scheduler) attemptEnded(e AttemptEnded) {
 	id := attemptID{e.ID, uint64(e.Attempt)}
 	a := s.attempts[id]
 	if a == nil {
@@ -203,7 +203,7 @@
 	switch {
 	case r.done:
 		s.leaveKeyOrder(r)
-	case e.Closed:
+	case e.Answered:
 		s.forget(r)
 	case r.inFlight > 0:
 	case s.isFinal(r, e):
@@ -220,7 +220,7 @@
 	switch {
 	case r.done:
 	case s.repeatsAreHarmless(r):
-		s.do(Refuse{ID: r.ID, RetryAfter: s.settings.MaxRetryAfter})
+		s.do(Reject{ID: r.ID, RetryAfter: s.settings.MaxRetryAfter})
 	default:
 		s.do(Fail{ID: r.ID})
 	}
@@ -234,7 +234,7 @@
 	delete(s.requests, r.ID)
 	s.markDirty(r.node)
 	switch {
-	case !r.Held():
+	case !r.Queued():
 	case r.node != nil:
 		r.node.queue.RemoveLater(r)
 	default:
--- a/scheduler/retries.go
+++ b/scheduler/retries.go
@@ -9,8 +9,8 @@
 
 // noteMayHaveRun books what an attempt's outcome says of where the request has been.
 func (s *Scheduler) noteMayHaveRun(r *request, a *attempt, o Outcome) {
-	if o != ConnectFailed && o != Moot {
-		r.HoldUntil = r.Deadline // a node had it
+	if o != ConnectFailed && o != Superseded {
+		r.ExpiresAt = r.Deadline // a node had it
 	}
 	if !o.ProvesNotRun() && o != OK && r.mayHaveRunAt == nil {
 		r.mayHaveRunAt, r.firstRunAt = a.node, a.sentAt
@@ -18,10 +18,10 @@
 }
 
 // isFinal tells whether a request whose attempt ended gets its final answer now.
-func (s *Scheduler) isFinal(r *request, e Ended) bool {
+func (s *Scheduler) isFinal(r *request, e AttemptEnded) bool {
 	most := s.settings.MaxAttempts
 	switch {
-	case r.streaming, e.Spent:
+	case r.streaming, e.BodyConsumed:
 		return true
 	case s.now+expiryMargin >= r.Deadline:
 		return true
@@ -30,14 +30,14 @@
 	case e.Outcome.ProvesNotRun():
 		return false
 	default:
-		return r.class.Effect == Unsafe || s.chooseNode(r) == nil
+		return r.class.Effect == NonIdempotent || s.chooseNode(r) == nil
 	}
 }
 
 // repeatsAreHarmless tells whether a client that tries again does no harm.
 func (s *Scheduler) repeatsAreHarmless(r *request) bool {
 	class := r.class
-	return r.mayHaveRunAt == nil || class.Effect == Safe || (class.Effect == Keyed && class.Group == GroupAll)
+	return r.mayHaveRunAt == nil || class.Effect == Safe || (class.Effect == Idempotent && class.DeduplicationScope == ScopeAll)
 }
 
 // mayRepeat tells whether another attempt may go to a node, given where an earlier one may
@@ -47,15 +47,15 @@
 	switch {
 	case r.mayHaveRunAt == nil || class.Effect == Safe:
 		return true
-	case class.Effect == Unsafe || s.now >= r.firstRunAt+class.Window:
+	case class.Effect == NonIdempotent || s.now >= r.firstRunAt+class.DeduplicationWindow:
 		return false
 	}
-	switch class.Group {
-	case GroupAll:
+	switch class.DeduplicationScope {
+	case ScopeAll:
 		return true
-	case GroupZone:
+	case ScopeZone:
 		return n.Zone == r.mayHaveRunAt.Zone
-	case GroupCell:
+	case ScopeShard:
 		return n.Shard == r.mayHaveRunAt.Shard
 	}
 	return false
@@ -64,10 +64,10 @@
 // repeatBy is when an attempt must have begun, 0: at any time. It keeps the window of repeats
 // also where a connection comes up late.
 func (r *request) repeatBy() Time {
-	if r.mayHaveRunAt == nil || r.class.Effect != Keyed {
+	if r.mayHaveRunAt == nil || r.class.Effect != Idempotent {
 		return 0
 	}
-	return r.firstRunAt + r.class.Window
+	return r.firstRunAt + r.class.DeduplicationWindow
 }
 
 // retryBudget bounds attempts past the first by the requests taken in a window of time.
--- a/scheduler/retries_test.go
+++ b/scheduler/retries_test.go
@@ -20,9 +20,9 @@
 		{"unsafe, error", 1, Failed, false, "f"},
 		{"unsafe, reset", 1, Reset, false, "f"},
 		{"unsafe, cancelled", 1, Cancelled, false, "f"},
-		{"unsafe, full", 1, Full, true, ""},
+		{"unsafe, full", 1, QueueFull, true, ""},
 		{"unsafe, not connected", 1, ConnectFailed, true, ""},
-		{"unsafe, moot", 1, Moot, true, ""},
+		{"unsafe, moot", 1, Superseded, true, ""},
 		{"keyed, reset", 2, Reset, true, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -37,24 +37,26 @@
 }
 
 func TestKeyedStaysInItsGroupAndWindow(t *testing.T) {
-	other := Entry{Node: "A2", Shard: 0, Zone: 1}
+	other := Endpoint{Node: "A2", Shard: 0, Zone: 1}
 	for _, c := range []struct {
 		name   string
-		group  Group
+		group  DeduplicationScope
 		window time.Duration
 		again  bool
 		final  string
 	}{
-		{"all", GroupAll, time.Second, true, ""},
-		{"cell", GroupCell, time.Second, true, ""},
-		{"zone", GroupZone, time.Second, false, "f"},
-		{"window over", GroupAll, 50 * ms, false, "r"},
+		{"all", ScopeAll, time.Second, true, ""},
+		{"cell", ScopeShard, time.Second, true, ""},
+		{"zone", ScopeZone, time.Second, false, "f"},
+		{"window over", ScopeAll, 50 * ms, false, "r"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			s := site(func(s *Settings) { s.Classes[2].Group, s.Classes[2].Window = c.group, c.window })
+			s := site(func(s *Settings) {
+				s.Classes[2].DeduplicationScope, s.Classes[2].DeduplicationWindow = c.group, c.window
+			})
 			r := start(t, s, nodeA)
 			r.at(0, req(1, class(2)))
-			r.at(60*ms, List{Entries: []Entry{{Node: "A", Shard: 0, State: Gone}, other}})
+			r.at(60*ms, EndpointUpdate{Endpoints: []Endpoint{{Node: "A", Shard: 0, State: Removed}, other}})
 			acts := r.end(1, Reset)
 			acts = append(acts, r.wait(1100*ms)...)
 			want(t, "sent again", r.tries[1] > 1, c.again)
@@ -68,10 +70,10 @@
 func TestAttemptMaximum(t *testing.T) {
 	r := start(t, site(func(s *Settings) { s.MaxAttempts = 2 }), nodeA)
 	r.at(0, req(1))
-	r.end(1, Full)
+	r.end(1, QueueFull)
 	r.wait(200 * ms)
 	want(t, "attempts", r.tries[1], 2)
-	want(t, "answer", answers(r.end(1, Full))[1], "r")
+	want(t, "answer", answers(r.end(1, QueueFull))[1], "r")
 }
 
 func TestBudgetOfFurtherAttempts(t *testing.T) {
@@ -82,11 +84,11 @@
 	r := start(t, s, nodeA)
 	r.wait(s.BudgetOver + ms) // a life before may have spent the budget until then
 	r.h.members.nodes[0].window = 8
-	long := func(a *Arrival) { a.Left = time.Minute }
+	long := func(a *Arrival) { a.TimeRemaining = time.Minute }
 	r.at(0, req(1, long), req(2, long))
 	for range 20 { // two taken: 1 + 0.5*2 further attempts in five seconds
 		for id := range r.tries {
-			r.end(id, Full)
+			r.end(id, QueueFull)
 		}
 		r.wait(100 * ms)
 	}
@@ -100,7 +102,7 @@
 		s.Budget, s.BudgetFree, s.BudgetShare, s.BudgetOver = true, 3, 1, 2*time.Second
 	})
 	r := start(t, s, nodeA)
-	long := func(a *Arrival) { a.Left = time.Minute }
+	long := func(a *Arrival) { a.TimeRemaining = time.Minute }
 	r.at(0, req(1, long))
 	r.end(1, Reset)
 	r.wait(s.BudgetOver - 100*ms)
@@ -117,21 +119,21 @@
 		effect  Effect
 		outcome Outcome
 		refused bool
-	}{{Unsafe, Full, true}, {Unsafe, Reset, false}, {Safe, Reset, true}} {
-		h, err := New(Settings{Heads: 1, Classes: []Class{{Aim: 100 * time.Millisecond, Effect: c.effect, Worth: 1}},
-			Plans: []Plan{{Weight: 1, Price: 1}}}, 1, 0)
+	}{{NonIdempotent, QueueFull, true}, {NonIdempotent, Reset, false}, {Safe, Reset, true}} {
+		h, err := New(Settings{Instances: 1, Classes: []Class{{LatencyObjective: 100 * time.Millisecond, Effect: c.effect, PriorityWeight: 1}},
+			Plans: []Plan{{Weight: 1, PriorityFactor: 1}}}, 1, 0)
 		if err != nil {
 			t.Fatal(err)
 		}
-		h.Handle(0, []Event{List{Full: true, Entries: []Entry{{Node: "a"}}},
-			Arrival{ID: 1, Volume: "v", Left: time.Second, Units: 1, Hosts: 1}})
-		acts := h.Handle(time.Millisecond, []Event{Ended{ID: 1, Node: "a", Outcome: c.outcome, Spent: true}})
+		h.Handle(0, []Event{EndpointUpdate{Full: true, Endpoints: []Endpoint{{Node: "a"}}},
+			Arrival{ID: 1, Volume: "v", TimeRemaining: time.Second, Units: 1, Instances: 1}})
+		acts := h.Handle(time.Millisecond, []Event{AttemptEnded{ID: 1, Node: "a", Outcome: c.outcome, BodyConsumed: true}})
 		var refused, failed bool
 		for _, a := range acts {
 			switch a.(type) {
 			case Send:
 				t.Errorf("%+v: sent again", c)
-			case Refuse:
+			case Reject:
 				refused = true
 			case Fail:
 				failed = true
--- a/scheduler/rig_test.go
+++ b/scheduler/rig_test.go
@@ -11,13 +11,13 @@
 // site returns settings that the tests change to their needs: one head, one
 // plan without reserve or limit, three classes of the three effects.
 func site(change ...func(*Settings)) Settings {
-	s := Settings{Heads: 1, MostUnits: 6, MeanUnits: 2, MaxAttempts: 4, ShareWorth: 1,
+	s := Settings{Instances: 1, MaxUnits: 6, MeanUnits: 2, MaxAttempts: 4, ExcessWeight: 1,
 		Classes: []Class{
-			{Name: "read", Aim: 200 * ms, Effect: Safe, Worth: 2},
-			{Name: "write", Aim: 400 * ms, Effect: Unsafe, Worth: 2},
-			{Name: "put", Aim: 400 * ms, Effect: Keyed, Group: GroupAll, Window: 5 * time.Second, Worth: 2},
+			{Name: "read", LatencyObjective: 200 * ms, Effect: Safe, PriorityWeight: 2},
+			{Name: "write", LatencyObjective: 400 * ms, Effect: NonIdempotent, PriorityWeight: 2},
+			{Name: "put", LatencyObjective: 400 * ms, Effect: Idempotent, DeduplicationScope: ScopeAll, DeduplicationWindow: 5 * time.Second, PriorityWeight: 2},
 		},
-		Plans: []Plan{{Name: "one", Weight: 1, Price: 1}}}
+		Plans: []Plan{{Name: "one", Weight: 1, PriorityFactor: 1}}}
 	for _, c := range change {
 		c(&s)
 	}
@@ -34,14 +34,14 @@
 	tries map[uint64]int
 }
 
-func start(t *testing.T, s Settings, nodes ...Entry) *rig {
+func start(t *testing.T, s Settings, nodes ...Endpoint) *rig {
 	t.Helper()
 	h, err := New(s, 1, time.Minute)
 	if err != nil {
 		t.Fatal(err)
 	}
 	r := &rig{t: t, h: h, now: time.Minute, tries: map[uint64]int{}}
-	r.at(0, List{Full: true, Entries: nodes})
+	r.at(0, EndpointUpdate{Full: true, Endpoints: nodes})
 	return r
 }
 
@@ -61,13 +61,13 @@
 // wait steps through an interval as timers would and returns all actions.
 func (r *rig) wait(d time.Duration) (all []Action) {
 	for end := r.now + d; r.now < end; {
-		all = append(all, r.at(min(5*ms, end-r.now), Wake{})...)
+		all = append(all, r.at(min(5*ms, end-r.now), TimerFired{})...)
 	}
 	return all
 }
 
 func (r *rig) end(id uint64, o Outcome) []Action {
-	return r.at(0, Ended{ID: id, Attempt: r.tries[id] - 1, Outcome: o, Closed: o == OK})
+	return r.at(0, AttemptEnded{ID: id, Attempt: r.tries[id] - 1, Outcome: o, Answered: o == OK})
 }
 
 func (r *rig) sent() (ids []uint64) {
@@ -82,7 +82,7 @@
 	m := map[uint64]string{}
 	for _, a := range acts {
 		switch a := a.(type) {
-		case Refuse:
+		case Reject:
 			m[a.ID] += "r"
 		case Fail:
 			m[a.ID] += "f"
@@ -92,7 +92,7 @@
 }
 
 func req(id uint64, change ...func(*Arrival)) Arrival {
-	a := Arrival{ID: id, Volume: "v", Left: time.Second, Units: 2, Hosts: 1}
+	a := Arrival{ID: id, Volume: "v", TimeRemaining: time.Second, Units: 2, Instances: 1}
 	for _, c := range change {
 		c(&a)
 	}
@@ -109,9 +109,9 @@
 
 func key(k string) func(*Arrival) { return func(a *Arrival) { a.Key = k } }
 
-func hosts(n int) func(*Arrival) { return func(a *Arrival) { a.Hosts = n } }
+func hosts(n int) func(*Arrival) { return func(a *Arrival) { a.Instances = n } }
 
-var nodeA, nodeB = Entry{Node: "A", Shard: 0}, Entry{Node: "B", Shard: 1}
+var nodeA, nodeB = Endpoint{Node: "A", Shard: 0}, Endpoint{Node: "B", Shard: 1}
 
 func want[T any](t *testing.T, what string, got, want T) {
 	t.Helper()
--- a/scheduler/same_test.go
+++ b/scheduler/same_test.go
@@ -20,7 +20,7 @@
 	id    uint64
 	out   []out
 	wake  Time
-	nodes []Entry
+	nodes []Endpoint
 	live  []uint64
 	shape shape
 }
@@ -41,16 +41,16 @@
 }
 
 func settings(r *rand.Rand) Settings {
-	s := Settings{Heads: 1 + r.IntN(4), MostUnits: 8, MeanUnits: 2, ShareWorth: 0.3, MaxAttempts: 4, MaxRetryAfter: time.Second,
-		OrderRest: 300 * time.Millisecond,
-		Classes: []Class{{Name: "read", Aim: 100 * time.Millisecond, Worth: 2, LateWorth: 0.2},
-			{Name: "write", Aim: 200 * time.Millisecond, Effect: Unsafe, Worth: 2, LateWorth: 0.2, InOrder: true},
-			{Name: "keyed", Aim: 150 * time.Millisecond, Effect: Keyed, Group: Group(r.IntN(3)), Window: 400 * time.Millisecond, Worth: 1, LateWorth: 0.5},
-			{Name: "export", Aim: 500 * time.Millisecond, Worth: 1, LateWorth: 0.2}},
-		Plans: []Plan{{Name: "limited", Reserve: 16, Weight: 1, Price: 0.75, Limit: 64, LimitBurst: 128},
-			{Name: "free", Reserve: 32, Weight: 2, Price: 1}}}
+	s := Settings{Instances: 1 + r.IntN(4), MaxUnits: 8, MeanUnits: 2, ExcessWeight: 0.3, MaxAttempts: 4, MaxRetryAfter: time.Second,
+		KeyCooldown: 300 * time.Millisecond,
+		Classes: []Class{{Name: "read", LatencyObjective: 100 * time.Millisecond, PriorityWeight: 2, LateWeightFactor: 0.2},
+			{Name: "write", LatencyObjective: 200 * time.Millisecond, Effect: NonIdempotent, PriorityWeight: 2, LateWeightFactor: 0.2, Ordered: true},
+			{Name: "keyed", LatencyObjective: 150 * time.Millisecond, Effect: Idempotent, DeduplicationScope: DeduplicationScope(r.IntN(3)), DeduplicationWindow: 400 * time.Millisecond, PriorityWeight: 1, LateWeightFactor: 0.5},
+			{Name: "export", LatencyObjective: 500 * time.Millisecond, PriorityWeight: 1, LateWeightFactor: 0.2}},
+		Plans: []Plan{{Name: "limited", Reserve: 16, Weight: 1, PriorityFactor: 0.75, Limit: 64, LimitBurst: 128},
+			{Name: "free", Reserve: 32, Weight: 2, PriorityFactor: 1}}}
 	if r.IntN(2) == 0 {
-		s.Cold, s.ColdFrom, s.ColdUnits, s.FallWindow, s.FallMultiple = 2*time.Second, 0.25, 8, time.Second, 2
+		s.WarmupDuration, s.SlowStartInitialFraction, s.SlowStartMinUnits, s.OverloadWindow, s.OverloadFactor = 2*time.Second, 0.25, 8, time.Second, 2
 	}
 	if r.IntN(2) == 0 {
 		s.Budget, s.BudgetFree, s.BudgetShare, s.BudgetOver = true, 2, 0.0625, 2*time.Second
@@ -62,10 +62,10 @@
 	w.id++
 	v := w.r.IntN(w.shape.volumes)
 	a := Arrival{ID: w.id, Shard: w.r.IntN(w.shape.nodes), Plan: v % 2, Class: w.r.IntN(4), Volume: fmt.Sprint("v", v),
-		Left: 800 * time.Millisecond, Units: float64(1 + w.r.IntN(3)), Hosts: 1 + v%3}
+		TimeRemaining: 800 * time.Millisecond, Units: float64(1 + w.r.IntN(3)), Instances: 1 + v%3}
 	if w.shape.varied {
 		a.Units = w.r.Float64() * 4
-		a.Left = time.Duration(20+w.r.IntN(1500)) * time.Millisecond
+		a.TimeRemaining = time.Duration(20+w.r.IntN(1500)) * time.Millisecond
 	}
 	if w.r.IntN(10) == 0 {
 		a.Shard = -1
@@ -88,14 +88,14 @@
 			w.nodes[i].State = Serving
 		}
 	}
-	return List{Full: true, Entries: append([]Entry(nil), w.nodes...)}
+	return EndpointUpdate{Full: true, Endpoints: append([]Endpoint(nil), w.nodes...)}
 }
 
 // events draws what happens at one moment.
 func (w *world) events() (list []Event) {
 	if w.wake > 0 && w.now >= w.wake {
 		w.wake = 0
-		list = append(list, Wake{})
+		list = append(list, TimerFired{})
 	}
 	if w.r.Float64() < 0.03 {
 		list = append(list, w.list())
@@ -112,21 +112,21 @@
 		o := w.out[i]
 		w.out[i] = w.out[len(w.out)-1]
 		w.out = w.out[:len(w.out)-1]
-		e := Ended{ID: o.id, Attempt: o.attempt, Node: o.node}
+		e := AttemptEnded{ID: o.id, Attempt: o.attempt, Node: o.node}
 		if w.r.Float64() < w.shape.faults {
 			e.Outcome = Outcome(w.r.IntN(8))
 		}
-		e.Spent = w.r.IntN(20) == 0
+		e.BodyConsumed = w.r.IntN(20) == 0
 		if w.r.IntN(4) == 0 {
-			e.Reports, e.Reported = true, float64(w.r.IntN(20))
+			e.HasLoadReport, e.ReportedLoad = true, float64(w.r.IntN(20))
 		}
 		if w.r.IntN(5) == 0 {
-			list = append(list, Begun{ID: o.id, Attempt: o.attempt})
+			list = append(list, ResponseStarted{ID: o.id, Attempt: o.attempt})
 		}
 		list = append(list, e)
 	}
 	if len(w.live) > 0 && w.r.IntN(12) == 0 {
-		list = append(list, Dropped{ID: w.live[w.r.IntN(len(w.live))]})
+		list = append(list, ClientDisconnected{ID: w.live[w.r.IntN(len(w.live))]})
 	}
 	return list
 }
@@ -138,8 +138,8 @@
 		case Send:
 			w.out = append(w.out, out{a.ID, attempts[a.ID], a.Node})
 			attempts[a.ID]++
-		case WakeIn:
-			w.wake = w.now + a.In
+		case SetTimer:
+			w.wake = w.now + a.After
 		}
 	}
 }
@@ -223,7 +223,7 @@
 	w := &world{r: rand.New(rand.NewPCG(seed, 1)), now: time.Hour, shape: shape}
 	w.s = settings(w.r)
 	for i := range shape.nodes {
-		w.nodes = append(w.nodes, Entry{Node: fmt.Sprint("n", i), Zone: i % 2, Shard: i})
+		w.nodes = append(w.nodes, Endpoint{Node: fmt.Sprint("n", i), Zone: i % 2, Shard: i})
 	}
 	return w
 }
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -51,7 +51,7 @@
 		random:      rand.New(rand.NewPCG(seed, seed)),
 		startedAt:   now,
 		now:         now,
-		shortestAim: settings.Classes[0].Aim,
+		shortestAim: settings.Classes[0].LatencyObjective,
 		requests:    map[uint64]*request{},
 		attempts:    map[attemptID]*attempt{},
 		volumes:     map[string]*volume{},
@@ -64,11 +64,11 @@
 	}
 	for _, plan := range settings.Plans {
 		for _, class := range settings.Classes {
-			s.maxWorth = max(s.maxWorth, class.Worth*plan.Price, minWorth)
-			s.shortestAim = min(s.shortestAim, class.Aim)
+			s.maxWorth = max(s.maxWorth, class.PriorityWeight*plan.PriorityFactor, minWorth)
+			s.shortestAim = min(s.shortestAim, class.LatencyObjective)
 		}
 	}
-	if settings.AskDiscovery {
+	if settings.PollDiscovery {
 		s.timers.listAt = now
 	}
 	return s, nil
@@ -84,17 +84,17 @@
 		switch event := event.(type) {
 		case Arrival:
 			s.arrive(event)
-		case List:
+		case EndpointUpdate:
 			s.updateMembers(event)
-		case Ended:
+		case AttemptEnded:
 			s.attemptEnded(event)
-		case Begun:
+		case ResponseStarted:
 			s.answerBegun(event)
-		case Stalled:
+		case AttemptStalled:
 			s.attemptStalled(event)
-		case Resumed:
+		case AttemptResumed:
 			s.attemptResumed(event)
-		case Dropped:
+		case ClientDisconnected:
 			s.clientLeft(event)
 		}
 	}
--- a/scheduler/slow_start.go
+++ b/scheduler/slow_start.go
@@ -22,7 +22,7 @@
 )
 
 func (s *Scheduler) isCold(n *node) bool {
-	return n.Started > 0 && s.settings.Cold > 0 && s.now < n.Started+s.settings.Cold
+	return n.Started > 0 && s.settings.WarmupDuration > 0 && s.now < n.Started+s.settings.WarmupDuration
 }
 
 // beginSlowStart sets a node's bucket for the time that it is cold. At many heads the rate is
@@ -34,13 +34,13 @@
 		return
 	}
 	settings := &s.settings
-	window := max(settings.FallWindow.Seconds(), minColdWindow)
-	units := cmp.Or(settings.ColdUnits, settings.MeanUnits)
-	evenPart := coldRatePart * units / float64(settings.Heads) / window
-	servedPart := settings.FallMultiple * settings.ColdFrom * s.servedOnShard(n.Shard, n.Started, 0) / s.sharedAmong(n)
+	window := max(settings.OverloadWindow.Seconds(), minColdWindow)
+	units := cmp.Or(settings.SlowStartMinUnits, settings.MeanUnits)
+	evenPart := coldRatePart * units / float64(settings.Instances) / window
+	servedPart := settings.OverloadFactor * settings.SlowStartInitialFraction * s.servedOnShard(n.Shard, n.Started, 0) / s.sharedAmong(n)
 	rate := max(evenPart, servedPart)
 	n.coldBudget = tokenBucket{rate: rate, capacity: rate * window * (1 - coldRatePart) / coldRatePart}
-	n.coldBudget.at = max(s.now, s.startedAt+settings.FallWindow)
+	n.coldBudget.at = max(s.now, s.startedAt+settings.OverloadWindow)
 	n.coldBudget.level = n.coldBudget.capacity - s.random.Float64()*settings.MeanUnits
 }
 
@@ -48,7 +48,7 @@
 // started. Guards against a cold node that is held to bear what several bore together.
 func (s *Scheduler) sharedAmong(started *node) (nodes float64) {
 	for _, n := range s.members.byShard[started.Shard] {
-		if n.State != Gone {
+		if n.State != Removed {
 			nodes++
 		}
 	}
@@ -74,8 +74,8 @@
 // as it is by now.
 func (s *Scheduler) fillColdBudget(n *node) tokenBucket {
 	grown := 1.0
-	if from := s.settings.ColdFrom; from > 0 && from < 1 {
-		age := float64(s.now-n.Started-s.settings.FallWindow) / float64(s.settings.Cold)
+	if from := s.settings.SlowStartInitialFraction; from > 0 && from < 1 {
+		age := float64(s.now-n.Started-s.settings.OverloadWindow) / float64(s.settings.WarmupDuration)
 		grown += max(0, age) * (1 - from) / from
 	}
 	bucket := n.coldBudget
--- a/scheduler/slow_start_test.go
+++ b/scheduler/slow_start_test.go
@@ -11,7 +11,7 @@
 func TestColdBudgetAccruesOverManyHeads(t *testing.T) {
 	const heads, cold = 40, 24.0
 	s := site(func(s *Settings) {
-		s.Heads, s.ColdUnits, s.FallWindow, s.Cold, s.ColdFrom = heads, cold, time.Second, 10*time.Second, 0.5
+		s.Instances, s.SlowStartMinUnits, s.OverloadWindow, s.WarmupDuration, s.SlowStartInitialFraction = heads, cold, time.Second, 10*time.Second, 0.5
 		s.Plans[0].Reserve = 100
 	})
 	sent := map[int]float64{} // units by tenth of a second
@@ -20,13 +20,13 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		h.Handle(2*time.Second, []Event{List{Entries: []Entry{{Node: "A", Started: 2 * time.Second}}}})
+		h.Handle(2*time.Second, []Event{EndpointUpdate{Endpoints: []Endpoint{{Node: "A", Started: 2 * time.Second}}}})
 		for i := range 50 {
 			now := 2*time.Second + time.Duration(i)*100*ms
-			for _, a := range h.Handle(now, []Event{req(uint64(i+1), func(a *Arrival) { a.Left = 200 * ms })}) {
+			for _, a := range h.Handle(now, []Event{req(uint64(i+1), func(a *Arrival) { a.TimeRemaining = 200 * ms })}) {
 				if x, ok := a.(Send); ok {
 					sent[i] += 2
-					h.Handle(now, []Event{Ended{ID: x.ID, Outcome: OK, Closed: true, Node: "A"}})
+					h.Handle(now, []Event{AttemptEnded{ID: x.ID, Outcome: OK, Answered: true, Node: "A"}})
 				}
 			}
 		}
@@ -50,14 +50,14 @@
 // What heads were served on the shard before is what they may send a part of.
 func TestColdBudgetFollowsWhatWasServedBefore(t *testing.T) {
 	s := site(func(s *Settings) {
-		s.Heads, s.ColdUnits, s.FallWindow, s.Cold, s.ColdFrom, s.FallMultiple = 100, 1, time.Second, 10*time.Second, 0.25, 3
+		s.Instances, s.SlowStartMinUnits, s.OverloadWindow, s.WarmupDuration, s.SlowStartInitialFraction, s.OverloadFactor = 100, 1, time.Second, 10*time.Second, 0.25, 3
 	})
 	r := start(t, s, nodeA, nodeB)
 	for id := uint64(1); id <= 400; id++ { // 20 units a second on A, none on B
 		r.at(100*ms, req(id))
 		r.end(id, OK)
 	}
-	r.at(0, List{Entries: []Entry{{Node: "A", Shard: 0, Started: r.now}, {Node: "B", Shard: 1, Started: r.now}}})
+	r.at(0, EndpointUpdate{Endpoints: []Endpoint{{Node: "A", Shard: 0, Started: r.now}, {Node: "B", Shard: 1, Started: r.now}}})
 	a, b := r.h.members.nodes[0].coldBudget.rate, r.h.members.nodes[1].coldBudget.rate
 	if want := 3.0 * 0.25 * 20; math.Abs(a-want) > want/5 {
 		t.Errorf("rate at A %.2f, want about %.2f", a, want)
@@ -70,15 +70,15 @@
 // Of two nodes that shared a shard, one that comes back bears half of what both bore.
 func TestColdBudgetOfANodeThatSharedItsShard(t *testing.T) {
 	s := site(func(s *Settings) {
-		s.Heads, s.ColdUnits, s.FallWindow, s.Cold, s.ColdFrom, s.FallMultiple = 100, 1, time.Second, 10*time.Second, 0.25, 3
+		s.Instances, s.SlowStartMinUnits, s.OverloadWindow, s.WarmupDuration, s.SlowStartInitialFraction, s.OverloadFactor = 100, 1, time.Second, 10*time.Second, 0.25, 3
 	})
-	both := []Entry{{Node: "A", Shard: 0}, {Node: "B", Shard: 0}}
+	both := []Endpoint{{Node: "A", Shard: 0}, {Node: "B", Shard: 0}}
 	r := start(t, s, both...)
 	for id := uint64(1); id <= 400; id++ { // 20 units a second on the shard
 		r.at(100*ms, req(id))
 		r.end(id, OK)
 	}
-	r.at(0, List{Entries: []Entry{{Node: "A", Shard: 0, Started: r.now}}})
+	r.at(0, EndpointUpdate{Endpoints: []Endpoint{{Node: "A", Shard: 0, Started: r.now}}})
 	if a, want := r.h.members.nodes[0].coldBudget.rate, 3.0*0.25*20/2; math.Abs(a-want) > want/5 {
 		t.Errorf("rate at A %.2f, want about %.2f", a, want)
 	}
@@ -86,10 +86,10 @@
 
 func TestColdWindowCountsAsSpentAfterARestart(t *testing.T) {
 	s := site(func(s *Settings) {
-		s.ColdUnits, s.FallWindow, s.Cold, s.ColdFrom = 12, time.Second, 10*time.Second, 0.25
+		s.SlowStartMinUnits, s.OverloadWindow, s.WarmupDuration, s.SlowStartInitialFraction = 12, time.Second, 10*time.Second, 0.25
 	})
-	r := start(t, s, Entry{Node: "A", Shard: 0, Started: time.Minute - time.Second})
-	r.at(0, req(1, func(a *Arrival) { a.Left = 3 * time.Second }))
+	r := start(t, s, Endpoint{Node: "A", Shard: 0, Started: time.Minute - time.Second})
+	r.at(0, req(1, func(a *Arrival) { a.TimeRemaining = 3 * time.Second }))
 	r.wait(900 * ms)
 	want(t, "sent in the first window", len(r.sends), 0)
 	r.wait(300 * ms)
@@ -100,18 +100,18 @@
 // excess while reads within reserves waited.
 func TestColdBudgetIsKeptForWhatEarnsMost(t *testing.T) {
 	s := site(func(s *Settings) {
-		s.ColdUnits, s.FallWindow, s.Cold, s.ColdFrom, s.ShareWorth = 12, time.Second, 10*time.Second, 0.25, 0.3
-		s.Plans = append(s.Plans, Plan{Weight: 1, Price: 1, Reserve: 50})
+		s.SlowStartMinUnits, s.OverloadWindow, s.WarmupDuration, s.SlowStartInitialFraction, s.ExcessWeight = 12, time.Second, 10*time.Second, 0.25, 0.3
+		s.Plans = append(s.Plans, Plan{Weight: 1, PriorityFactor: 1, Reserve: 50})
 	})
 	r := start(t, s)
 	r.wait(2 * time.Second)
-	r.at(0, List{Entries: []Entry{{Node: "A", Shard: 0, Started: r.now}}})
+	r.at(0, EndpointUpdate{Endpoints: []Endpoint{{Node: "A", Shard: 0, Started: r.now}}})
 	n := r.h.members.nodes[0]
 	n.window = 8
 	n.coldBudget.level = n.coldBudget.capacity / 2
 	r.at(0, req(1, ofVolume("excess", 0), units(1)), req(10, ofVolume("reserved", 1), units(1)))
 	want(t, "sent at half of the budget", r.sent(), []uint64{10})
 	n.coldBudget.level = n.coldBudget.capacity
-	r.at(20*ms, Wake{})
+	r.at(20*ms, TimerFired{})
 	want(t, "sent at all of it", r.sent(), []uint64{10, 1})
 }
--- a/scheduler/status.go
+++ b/scheduler/status.go
@@ -5,19 +5,19 @@
 // NodeStatus is what the scheduler holds of a node, for those who watch it; nothing is decided
 // by it.
 type NodeStatus struct {
-	Node    string
-	State   NodeState
-	Out     int // attempts without an outcome, those written off included
-	Counted int // of these, those that take a place in the window
-	Held    int // requests that wait for it
-	// Refusal is why the one of them that expires first is not sent; Allowed where others go
+	Node     string
+	State    NodeState
+	InFlight int // attempts without an outcome, those written off included
+	InWindow int // of these, those that take a place in the window
+	Queued   int // requests that wait for it
+	// WaitReason is why the one of them that expires first is not sent; Allowed where others go
 	// before it, or none waits.
-	Refusal  Reason
-	Window   float64
-	Answer   time.Duration // how long an answer is held to take
-	Pressure float64
-	Open     bool // the breaker
-	Cold     bool
+	WaitReason      Reason
+	Window          float64
+	ExpectedLatency time.Duration // how long an answer is held to take
+	Pressure        float64
+	BreakerOpen     bool // the breaker
+	WarmingUp       bool
 }
 
 // Status tells what is held of each node of the list.
@@ -29,17 +29,17 @@
 	var all []NodeStatus
 	for _, n := range s.members.nodes {
 		all = append(all, NodeStatus{
-			Node:     n.Node,
-			State:    n.State,
-			Out:      out[n],
-			Counted:  len(n.inFlight),
-			Held:     n.queue.Len(),
-			Refusal:  s.refusalAt(n),
-			Window:   n.window,
-			Answer:   time.Duration(n.latency * float64(time.Second)),
-			Pressure: n.pressure,
-			Open:     n.breaker.open,
-			Cold:     s.isCold(n),
+			Node:            n.Node,
+			State:           n.State,
+			InFlight:        out[n],
+			InWindow:        len(n.inFlight),
+			Queued:          n.queue.Len(),
+			WaitReason:      s.refusalAt(n),
+			Window:          n.window,
+			ExpectedLatency: time.Duration(n.latency * float64(time.Second)),
+			Pressure:        n.pressure,
+			BreakerOpen:     n.breaker.open,
+			WarmingUp:       s.isCold(n),
 		})
 	}
 	return all
--- a/scheduler/timers.go
+++ b/scheduler/timers.go
@@ -70,7 +70,7 @@
 	case s.now < at:
 		return at
 	}
-	s.do(Watch{})
+	s.do(WatchEndpoints{})
 	s.timers.listAt = -1
 	return never
 }
@@ -135,7 +135,7 @@
 	}
 	in := max(wake-s.now+timerStep-1, timerStep).Truncate(timerStep)
 	s.timers.armedAt = s.now + in
-	s.do(WakeIn{In: in})
+	s.do(SetTimer{After: in})
 }
 
 // sweep forgets idle volumes and keys. A volume whose limit's bucket is not full yet is kept:
--- a/scheduler/window_test.go
+++ b/scheduler/window_test.go
@@ -13,7 +13,7 @@
 	}
 	r.at(0, evs...)
 	want(t, "out at once", len(r.sends), int(windowStart))
-	r.at(180*ms, Ended{ID: r.sends[0].ID, Outcome: OK, Closed: true}) // slow for its aim
+	r.at(180*ms, AttemptEnded{ID: r.sends[0].ID, Outcome: OK, Answered: true}) // slow for its aim
 	if w := r.h.members.nodes[0].window; w >= windowStart {
 		t.Errorf("window %v did not shrink", w)
 	}
@@ -32,10 +32,10 @@
 		{"a lone head keeps one out", 1, 1, TimedOut, 1},
 		{"more hosts told than heads", 4, 99, TimedOut, 1.0 / 4},
 		{"time-out before many", 100, 10, TimedOut, 1 / (headsPerVolumeHost * 10)},
-		{"full before many", 100, 10, Full, 1 / (headsPerVolumeHost * 10)},
+		{"full before many", 100, 10, QueueFull, 1 / (headsPerVolumeHost * 10)},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			r := start(t, site(func(s *Settings) { s.Heads = c.heads }), nodeA)
+			r := start(t, site(func(s *Settings) { s.Instances = c.heads }), nodeA)
 			r.at(0, req(1, hosts(c.hosts)))
 			r.end(1, c.outcome)
 			want(t, "window", r.h.members.nodes[0].window, c.want)
@@ -44,10 +44,10 @@
 }
 
 func TestWindowUnderOneIsAGap(t *testing.T) {
-	r := start(t, site(func(s *Settings) { s.Classes[0].LateWorth = 1 }), nodeA)
-	long := func(a *Arrival) { a.Left = 10 * time.Second }
+	r := start(t, site(func(s *Settings) { s.Classes[0].LateWeightFactor = 1 }), nodeA)
+	long := func(a *Arrival) { a.TimeRemaining = 10 * time.Second }
 	r.at(0, req(1, long))
-	r.at(100*ms, Ended{ID: 1, Outcome: OK, Closed: true})
+	r.at(100*ms, AttemptEnded{ID: 1, Outcome: OK, Answered: true})
 	r.h.members.nodes[0].window = 0.2 // with answers of 100 ms a gap of 250 to 750 ms
 	r.at(0, req(2, long))
 	r.wait(140 * ms) // 240 ms after the first was sent
@@ -61,7 +61,7 @@
 		heads, hosts int
 		want         float64
 	}{{1, 1, windowMax}, {4, 2, windowMax}, {100, 8, windowOfAllHeads / 16}, {100, 50, 1}} {
-		r := start(t, site(func(s *Settings) { s.Heads = c.heads }), nodeA)
+		r := start(t, site(func(s *Settings) { s.Instances = c.heads }), nodeA)
 		r.at(0, req(1, hosts(c.hosts)))
 		n := r.h.members.nodes[0]
 		n.window = 100
