--- a/cmd/maddergap/platform.go
+++ b/cmd/maddergap/platform.go
@@ -20,7 +20,7 @@
 	}
 	c.Conf.Quiet = !s.Requests
 	if s.Inject != "" {
-		if c.Conf.SyscallFaults, err = syscalls.Parse(s.Inject); err != nil {
+		if c.Conf.SyscallFaults, err = syscalls.ParseFaultTable(s.Inject); err != nil {
 			return usage{err}
 		}
 	}
--- a/cmd/maddergap/workers.go
+++ b/cmd/maddergap/workers.go
@@ -26,7 +26,7 @@
 	}
 	var files []*os.File
 	var queues []string
-	for i, q := range l.Queues() {
+	for i, q := range l.ListenQueues() {
 		fd, err := syscall.Dup(q.FD)
 		if err != nil {
 			return err
@@ -37,7 +37,7 @@
 		syscall.SetNonblock(fd, false)
 		files = append(files, os.NewFile(uintptr(fd), "listener"))
 		syscall.SetNonblock(fd, true)
-		queues = append(queues, fmt.Sprintf("%d:%d:%t", 3+i, q.Key, q.Sorted))
+		queues = append(queues, fmt.Sprintf("%d:%d:%t", 3+i, q.AddressKey, q.KnownClients))
 	}
 	exe, err := os.Executable()
 	if err != nil {
@@ -78,7 +78,7 @@
 	w := &daemon.Worker{Index: s.Worker}
 	for part := range strings.SplitSeq(s.Queues, ",") {
 		var q eventloop.ListenQueue
-		if _, err := fmt.Sscanf(strings.ReplaceAll(part, ":", " "), "%d %d %t", &q.FD, &q.Key, &q.Sorted); err != nil {
+		if _, err := fmt.Sscanf(strings.ReplaceAll(part, ":", " "), "%d %d %t", &q.FD, &q.AddressKey, &q.KnownClients); err != nil {
 			return nil, usage{fmt.Errorf("--queues %q: %w", s.Queues, err)}
 		}
 		w.Queues = append(w.Queues, q)
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -19,7 +19,7 @@
 // Config is what a file says, checked.
 type Config struct {
 	// SyscallFaults is what fails of the system calls, for tests and rehearsals; nil: nothing.
-	SyscallFaults *syscalls.Table
+	SyscallFaults *syscalls.FaultTable
 	File          string
 	Listen        []string // addresses, host:port
 	Nodes         string   // the node list's path
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -132,7 +132,7 @@
 	}
 	d.loop.OnFileChange = d.reread
 	d.head.SetNodes(d.loop.Now(), nodes)
-	if err := d.loop.Watch(c.Nodes); err != nil {
+	if err := d.loop.WatchFile(c.Nodes); err != nil {
 		return err
 	}
 	if c.Metrics != "" {
@@ -146,7 +146,7 @@
 			if err != nil {
 				return err
 			}
-			if !q.Sorted {
+			if !q.KnownClients {
 				d.addrs = append(d.addrs, addr)
 			}
 		}
@@ -157,7 +157,7 @@
 
 // makeHead puts a head on the loop.
 func (d *Daemon) makeHead(core SchedulerFactory, seed uint64) (err error) {
-	if d.obs, err = newObserver(d.c, d.log, d.loop.Start()); err != nil {
+	if d.obs, err = newObserver(d.c, d.log, d.loop.Origin()); err != nil {
 		return err
 	}
 	if core == nil {
@@ -169,7 +169,7 @@
 	if err != nil {
 		return err
 	}
-	d.head = gateway.NewWithScheduler(decides, d.c, seed, d.loop.Now(), d.loop.Start(), d.obs)
+	d.head = gateway.NewWithScheduler(decides, d.c, seed, d.loop.Now(), d.loop.Origin(), d.obs)
 	d.loop.Gateway, d.loop.OnWake = d.head, d.woken
 	d.loop.OnIteration = func(t *eventloop.Iteration) { d.turns.took(d.loop.Now(), t) }
 	return nil
@@ -312,7 +312,7 @@
 	if err := d.head.Reload(c); err != nil {
 		return err
 	}
-	if err := d.loop.SetFilter(sorter(c)); err != nil { // what is decided does not hang on it
+	if err := d.loop.SetKnownClientFilter(sorter(c)); err != nil { // what is decided does not hang on it
 		d.log.Warn("known clients are not sorted anew", "cause", err)
 	}
 	d.c = c
--- a/internal/daemon/iterations.go
+++ b/internal/daemon/iterations.go
@@ -40,7 +40,7 @@
 	if now >= t.began+turnWindow {
 		t.longest[1], t.longest[0], t.began = t.longest[0], [eventloop.PhaseCount + 1]time.Duration{}, now
 	}
-	sum := turn.Sum()
+	sum := turn.Total()
 	t.seconds.Observe(sum.Seconds())
 	most := &t.longest[0]
 	most[eventloop.PhaseCount] = max(most[eventloop.PhaseCount], sum)
--- a/internal/daemon/iterations_test.go
+++ b/internal/daemon/iterations_test.go
@@ -17,7 +17,7 @@
 	w := newTurns(slog.New(slog.NewTextHandler(&b, nil)))
 	turn := func(now, accept, files time.Duration) {
 		var x eventloop.Iteration
-		x.Durations[eventloop.Accept], x.Durations[eventloop.Files] = accept, files
+		x.Durations[eventloop.PhaseAccept], x.Durations[eventloop.PhaseFiles] = accept, files
 		w.took(now, &x)
 	}
 	turn(time.Second, time.Millisecond, 0)
@@ -26,7 +26,7 @@
 	if s := b.String(); strings.Count(s, "a long turn") != 1 || !strings.Contains(s, "took=72ms") || !strings.Contains(s, "files=70ms") {
 		t.Error(s)
 	}
-	if m := w.most(); m[eventloop.PhaseCount] != 72*time.Millisecond || m[eventloop.Accept] != 2*time.Millisecond {
+	if m := w.most(); m[eventloop.PhaseCount] != 72*time.Millisecond || m[eventloop.PhaseAccept] != 2*time.Millisecond {
 		t.Error(m)
 	}
 	turn(65*time.Second, 0, 0)
@@ -35,7 +35,7 @@
 	}
 	turn(130*time.Second, 3*time.Millisecond, 0)
 	turn(200*time.Second, 0, 0)
-	if m := w.most(); m[eventloop.PhaseCount] != 3*time.Millisecond || m[eventloop.Files] != 0 {
+	if m := w.most(); m[eventloop.PhaseCount] != 3*time.Millisecond || m[eventloop.PhaseFiles] != 0 {
 		t.Error(m)
 	}
 }
--- a/internal/e2e/outage_test.go
+++ b/internal/e2e/outage_test.go
@@ -83,12 +83,12 @@
 						measured.Lock()
 						waits = append(waits, had.Sub(back))
 						measured.Unlock()
-						if wait := had.Sub(back); wait > listWithin+rig.Since(back) {
+						if wait := had.Sub(back); wait > listWithin+rig.LongestSince(back) {
 							t.Errorf("the list was had %v after the return, want %v at most", wait, listWithin)
 						}
 					}
 					mu.Lock()
-					if late := lastAtDraining.Sub(back); late > drainGrace+rig.Since(back) {
+					if late := lastAtDraining.Sub(back); late > drainGrace+rig.LongestSince(back) {
 						t.Errorf("a request went to a draining server %v after the return, past the grace of %v", late, drainGrace)
 					}
 					mu.Unlock()
--- a/internal/e2e/platform_test.go
+++ b/internal/e2e/platform_test.go
@@ -237,7 +237,7 @@
 		t.Fatal(err)
 	}
 	if faults != "" {
-		if c.Conf.SyscallFaults, err = syscalls.Parse(faults); err != nil {
+		if c.Conf.SyscallFaults, err = syscalls.ParseFaultTable(faults); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/eventloop/faults_test.go
+++ b/internal/eventloop/faults_test.go
@@ -13,7 +13,7 @@
 func injected(t *testing.T, text string) (*Loop, *syscalls.Faulty, []string) {
 	t.Helper()
 	l, _, addrs := newLoop(t, 1, "")
-	table, err := syscalls.Parse(text)
+	table, err := syscalls.ParseFaultTable(text)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/eventloop/listen.go
+++ b/internal/eventloop/listen.go
@@ -56,7 +56,7 @@
 		if err != nil {
 			return fail(err)
 		}
-		if l.SetFilter(sorter) != nil { // an old kernel: one queue does for all
+		if l.SetKnownClientFilter(sorter) != nil { // an old kernel: one queue does for all
 			l.drop(len(l.listeners) - 1)
 		}
 	}
@@ -111,13 +111,13 @@
 // ListenQueue is a listen queue that processes share: its descriptor, the address's other
 // queue if it has one, and whether it is that of the clients the sorter names.
 type ListenQueue struct {
-	FD     int
-	Key    int // the same of both queues of an address
-	Sorted bool
+	FD           int
+	AddressKey   int // the same of both queues of an address
+	KnownClients bool
 }
 
-// Queues returns the listen queues, for other processes to adopt.
-func (l *Loop) Queues() (out []ListenQueue) {
+// ListenQueues returns the listen queues, for other processes to adopt.
+func (l *Loop) ListenQueues() (out []ListenQueue) {
 	for _, n := range l.listeners {
 		out = append(out, ListenQueue{n.fd, n.key, n.sorted})
 	}
@@ -133,11 +133,11 @@
 	}
 	unix.CloseOnExec(q.FD)
 	unix.SetNonblock(q.FD, true)
-	return addrOf(sa).String(), l.listen(listener{fd: q.FD, key: q.Key, sorted: q.Sorted, shared: true})
+	return addrOf(sa).String(), l.listen(listener{fd: q.FD, key: q.AddressKey, sorted: q.KnownClients, shared: true})
 }
 
-// SetFilter puts another sorter in force, for the addresses that have two queues.
-func (l *Loop) SetFilter(sorter []bpf.RawInstruction) error {
+// SetKnownClientFilter puts another sorter in force, for the addresses that have two queues.
+func (l *Loop) SetKnownClientFilter(sorter []bpf.RawInstruction) error {
 	if len(sorter) == 0 { // no one has the queue to himself
 		sorter = []bpf.RawInstruction{{Op: unix.BPF_RET | unix.BPF_K}}
 	}
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -38,13 +38,13 @@
 
 // PhaseCount, in their order within a turn: what is due, and answers, before newcomers.
 const (
-	Wake       Phase = iota // how much later than asked the kernel woke the loop
-	Nodes                   // what nodes sent
-	Clients                 // what clients sent
-	Actions                 // timers, decisions and writes
-	Accept                  // newcomers, those turned away with them
-	Files                   // node list, configuration, signals
-	PhaseCount              // how many there are
+	PhaseWakeup  Phase = iota // how much later than asked the kernel woke the loop
+	PhaseNodes                // what nodes sent
+	PhaseClients              // what clients sent
+	PhaseActions              // timers, decisions and writes
+	PhaseAccept               // newcomers, those turned away with them
+	PhaseFiles                // node list, configuration, signals
+	PhaseCount                // how many there are
 )
 
 func (p Phase) String() string {
@@ -57,8 +57,8 @@
 	Events    int
 }
 
-// Sum is all that a turn took.
-func (t *Iteration) Sum() (sum time.Duration) {
+// Total is all that a turn took.
+func (t *Iteration) Total() (sum time.Duration) {
 	for _, d := range t.Durations {
 		sum += d
 	}
@@ -71,7 +71,7 @@
 
 	// OnFileChange is called when a watched file was replaced or written.
 	OnFileChange func()
-	// OnWake is called after Wake.
+	// OnWake is called after PhaseWakeup.
 	OnWake func()
 	// OnIteration is told of every turn, if it is not nil. It must not keep the turn.
 	OnIteration func(*Iteration)
@@ -137,7 +137,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("epoll: %w", err)
 	}
-	monotonic, wall := calls.Start()
+	monotonic, wall := calls.Clocks()
 	l := &Loop{calls: calls, epfd: epfd, inotify: -1, start: monotonic.Add(-past), wall: wall.Add(-past), buf: make([]byte, readSize), most: most, kind: map[int]int{}}
 	l.lingering.most = told
 	if l.wakefd, err = unix.Eventfd(0, unix.EFD_CLOEXEC|unix.EFD_NONBLOCK); err != nil {
@@ -155,10 +155,10 @@
 // Now is the time since a day before the loop was made.
 func (l *Loop) Now() time.Duration { return time.Since(l.start) }
 
-// Start is the wall-clock time of the clock's zero.
-func (l *Loop) Start() time.Time { return l.wall }
+// Origin is the wall-clock time of the clock's zero.
+func (l *Loop) Origin() time.Time { return l.wall }
 
-// Wake makes a loop that waits call Woken; it may be called from any goroutine,
+// PhaseWakeup makes a loop that waits call Woken; it may be called from any goroutine,
 // also after Close. Guards against a late call that writes to whatever has the
 // descriptor's number by then.
 func (l *Loop) Wake() {
@@ -203,8 +203,8 @@
 	return netip.AddrPort{}
 }
 
-// Watch calls Watched when the file is replaced or written.
-func (l *Loop) Watch(file string) error {
+// WatchFile calls Watched when the file is replaced or written.
+func (l *Loop) WatchFile(file string) error {
 	fd, err := unix.InotifyInit1(unix.IN_CLOEXEC | unix.IN_NONBLOCK)
 	if err == nil {
 		// The folder is watched: a file that is replaced is another file.
@@ -255,7 +255,7 @@
 	l.mark = l.Now()
 	for {
 		next := l.act()
-		l.took(Actions)
+		l.took(PhaseActions)
 		if l.OnIteration != nil {
 			l.OnIteration(&l.turn)
 		}
@@ -277,7 +277,7 @@
 		}
 		l.mark = l.Now()
 		if n <= 0 && next < 1<<62 {
-			l.turn.Durations[Wake] = max(l.mark-next-time.Millisecond, 0)
+			l.turn.Durations[PhaseWakeup] = max(l.mark-next-time.Millisecond, 0)
 		}
 		l.serve(events[:max(n, 0)])
 		l.redial()
@@ -305,9 +305,9 @@
 			}
 		}
 		if client {
-			l.took(Clients)
+			l.took(PhaseClients)
 		} else {
-			l.took(Nodes)
+			l.took(PhaseNodes)
 		}
 	}
 	if files {
@@ -316,7 +316,7 @@
 				l.special(fd, l.kind[fd])
 			}
 		}
-		l.took(Files)
+		l.took(PhaseFiles)
 	}
 	l.lingering.end(l.mark)
 	if l.resumeAt > 0 && l.mark >= l.resumeAt {
@@ -326,10 +326,10 @@
 		return
 	}
 	due := l.act()
-	l.took(Actions)
+	l.took(PhaseActions)
 	until := l.mark + min(max(l.mark-began, acceptLeast), acceptMost)
 	l.accept(min(until, max(due, l.mark+acceptLeast)))
-	l.took(Accept)
+	l.took(PhaseAccept)
 }
 
 func (l *Loop) special(fd, kind int) {
--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -38,7 +38,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(l.Close)
-	h, err := gateway.New(c, 1, l.Now(), l.Start(), nil)
+	h, err := gateway.New(c, 1, l.Now(), l.Origin(), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -40,7 +40,7 @@
 			}
 		}
 		for _, text := range s.Inject {
-			if _, err := syscalls.Parse(text); err != nil {
+			if _, err := syscalls.ParseFaultTable(text); err != nil {
 				t.Fatalf("seed %d: %v", seed, err)
 			}
 		}
--- a/internal/stallwatch/stallwatch.go
+++ b/internal/stallwatch/stallwatch.go
@@ -10,19 +10,19 @@
 )
 
 const (
-	// tick is how often the watch wakes.
-	tick = 2 * time.Millisecond
-	// least is how long the process is held up for a span to be kept.
-	least = 5 * time.Millisecond
-	// kept is how many spans are kept, the latest.
-	kept = 1 << 16
+	// tickInterval is how often the watch wakes.
+	tickInterval = 2 * time.Millisecond
+	// minSpan is how long the process is held up for a span to be kept.
+	minSpan = 5 * time.Millisecond
+	// maxSpans is how many spans are kept, the latest.
+	maxSpans = 1 << 16
 )
 
 // Watch measures until it is stopped.
 type Watch struct {
 	mu      sync.Mutex
 	longest time.Duration
-	late    []Span
+	spans   []Span
 	stop    chan struct{}
 	stopped chan struct{}
 	once    sync.Once
@@ -31,7 +31,7 @@
 // Span is a time in which the process was held up.
 type Span struct{ From, To time.Time }
 
-func (s Span) length() time.Duration { return s.To.Sub(s.From) }
+func (s Span) duration() time.Duration { return s.To.Sub(s.From) }
 
 // Start begins to measure.
 func Start() *Watch {
@@ -47,30 +47,30 @@
 		select {
 		case <-w.stop:
 			return
-		case <-time.After(tick):
+		case <-time.After(tickInterval):
 		}
-		w.note(Span{From: before.Add(tick), To: time.Now()})
+		w.record(Span{From: before.Add(tickInterval), To: time.Now()})
 	}
 }
 
-func (w *Watch) note(s Span) {
+func (w *Watch) record(s Span) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.longest = max(w.longest, s.length())
-	if s.length() < least {
+	w.longest = max(w.longest, s.duration())
+	if s.duration() < minSpan {
 		return
 	}
-	if len(w.late) == kept {
-		w.late = w.late[1:]
+	if len(w.spans) == maxSpans {
+		w.spans = w.spans[1:]
 	}
-	w.late = append(w.late, s)
+	w.spans = append(w.spans, s)
 }
 
 // Spans are the times in which the process was held up, in their order.
 func (w *Watch) Spans() []Span {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return slices.Clone(w.late)
+	return slices.Clone(w.spans)
 }
 
 // Longest is the longest that the process was held up.
@@ -80,14 +80,14 @@
 	return w.longest
 }
 
-// Since is the longest that the process was held up by what was noticed after a time; short times
+// LongestSince is the longest that the process was held up by what was noticed after a time; short times
 // count as nothing.
-func (w *Watch) Since(t time.Time) (longest time.Duration) {
+func (w *Watch) LongestSince(t time.Time) (longest time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for _, late := range w.late {
+	for _, late := range w.spans {
 		if late.To.After(t) {
-			longest = max(longest, late.length())
+			longest = max(longest, late.duration())
 		}
 	}
 	return longest
--- a/internal/syscalls/clocks_test.go
+++ b/internal/syscalls/clocks_test.go
@@ -28,11 +28,11 @@
 
 // wallReaders are the files that may turn a wall-clock time into a number, or the reverse.
 var wallReaders = map[string]string{
-	"internal/discovery/list.go":    "since_ms of the node list",
-	"internal/nodelist/nodelist.go": "started of the node list",
-	"internal/admission/admission.go":   "monotonic readings in the form that the rate limiter takes",
-	"internal/gateway/answer.go":    "the Date field",
-	"internal/gateway/accept.go":    "the Date field",
+	"internal/discovery/list.go":      "since_ms of the node list",
+	"internal/nodelist/nodelist.go":   "started of the node list",
+	"internal/admission/admission.go": "monotonic readings in the form that the rate limiter takes",
+	"internal/gateway/answer.go":      "the Date field",
+	"internal/gateway/accept.go":      "the Date field",
 }
 
 // No span comes from the wall clock: clocks are read in few named places, and wall-clock times
--- a/internal/syscalls/faulty.go
+++ b/internal/syscalls/faulty.go
@@ -14,49 +14,49 @@
 type Fault struct {
 	Call string
 	// Errno is what it fails with; 0: a read or write of one byte.
-	Errno  unix.Errno
-	Chance float64       // of each call
-	Count  int           // at most, 0: without bound
-	From   time.Duration // since the start
-	For    time.Duration // 0: to the end
+	Errno       unix.Errno
+	Probability float64       // of each call
+	MaxCount    int           // at most, 0: without bound
+	StartAfter  time.Duration // since the start
+	Duration    time.Duration // 0: to the end
 }
 
-// Table is what is injected.
-type Table struct {
+// FaultTable is what is injected.
+type FaultTable struct {
 	Seed   uint64
 	Faults []Fault
-	// Step is how far the wall clock is from the true time.
-	Step time.Duration
+	// WallClockStep is how far the wall clock is from the true time.
+	WallClockStep time.Duration
 }
 
-// short is the word for a read or write of one byte.
-const short = "SHORT"
+// shortTransfer is the word for a read or write of one byte.
+const shortTransfer = "SHORT"
 
 var callNames = []string{"epoll_wait", "epoll_ctl", "poll", "socket", "connect", "accept", "read", "write", "shutdown"}
 
-var errnos = map[string]unix.Errno{short: 0, "EINTR": unix.EINTR, "EAGAIN": unix.EAGAIN, "EMFILE": unix.EMFILE, "ENFILE": unix.ENFILE,
+var errnos = map[string]unix.Errno{shortTransfer: 0, "EINTR": unix.EINTR, "EAGAIN": unix.EAGAIN, "EMFILE": unix.EMFILE, "ENFILE": unix.ENFILE,
 	"ENOBUFS": unix.ENOBUFS, "ENOMEM": unix.ENOMEM, "ENOSPC": unix.ENOSPC, "ECONNABORTED": unix.ECONNABORTED,
 	"EADDRNOTAVAIL": unix.EADDRNOTAVAIL, "ENETUNREACH": unix.ENETUNREACH, "EHOSTUNREACH": unix.EHOSTUNREACH,
 	"ETIMEDOUT": unix.ETIMEDOUT, "ECONNRESET": unix.ECONNRESET, "EPIPE": unix.EPIPE, "EPERM": unix.EPERM, "EPROTO": unix.EPROTO,
 	"EINVAL": unix.EINVAL}
 
-// Parse reads a table: entries separated by semicolons, each "seed N", "step DURATION", or
+// ParseFaultTable reads a table: entries separated by semicolons, each "seed N", "step DURATION", or
 // "CALL ERRNO [chance P] [count N] [from DURATION] [for DURATION]".
-func Parse(text string) (*Table, error) {
-	t := &Table{Seed: 1}
+func ParseFaultTable(text string) (*FaultTable, error) {
+	t := &FaultTable{Seed: 1}
 	for entry := range strings.SplitSeq(text, ";") {
 		words := strings.Fields(entry)
 		if len(words) == 0 {
 			continue
 		}
-		if err := t.entry(words); err != nil {
+		if err := t.parseEntry(words); err != nil {
 			return nil, fmt.Errorf("%q: %w", strings.TrimSpace(entry), err)
 		}
 	}
 	return t, nil
 }
 
-func (t *Table) entry(words []string) (err error) {
+func (t *FaultTable) parseEntry(words []string) (err error) {
 	if len(words) < 2 {
 		return fmt.Errorf("want a word and its value")
 	}
@@ -65,10 +65,10 @@
 		t.Seed, err = strconv.ParseUint(words[1], 10, 64)
 		return err
 	case "step":
-		t.Step, err = time.ParseDuration(words[1])
+		t.WallClockStep, err = time.ParseDuration(words[1])
 		return err
 	}
-	f := Fault{Call: words[0], Chance: 1}
+	f := Fault{Call: words[0], Probability: 1}
 	known := false
 	for _, name := range callNames {
 		known = known || name == f.Call
@@ -78,7 +78,7 @@
 		return fmt.Errorf("want one of %v and one of the errors known here", callNames)
 	}
 	if f.Errno = errno; errno == 0 && f.Call != "read" && f.Call != "write" {
-		return fmt.Errorf("%s is for read and write", short)
+		return fmt.Errorf("%s is for read and write", shortTransfer)
 	}
 	if len(words)%2 != 0 {
 		return fmt.Errorf("a word without its value")
@@ -86,13 +86,13 @@
 	for i := 2; i < len(words); i += 2 {
 		switch value := words[i+1]; words[i] {
 		case "chance":
-			f.Chance, err = strconv.ParseFloat(value, 64)
+			f.Probability, err = strconv.ParseFloat(value, 64)
 		case "count":
-			f.Count, err = strconv.Atoi(value)
+			f.MaxCount, err = strconv.Atoi(value)
 		case "from":
-			f.From, err = time.ParseDuration(value)
+			f.StartAfter, err = time.ParseDuration(value)
 		case "for":
-			f.For, err = time.ParseDuration(value)
+			f.Duration, err = time.ParseDuration(value)
 		default:
 			err = fmt.Errorf("%s is none of chance, count, from, for", words[i])
 		}
@@ -108,42 +108,42 @@
 // a time.
 type Faulty struct {
 	Calls
-	table Table
-	rand  *rand.Rand
-	start time.Time
-	left  []int // of each fault's count
-	made  []int // how often each was injected
+	table     FaultTable
+	rand      *rand.Rand
+	start     time.Time
+	remaining []int // of each fault's count
+	injected  []int // how often each was injected
 }
 
 // NewFaulty returns calls that fail by a table, and else go to those given.
-func NewFaulty(calls Calls, table Table) *Faulty {
+func NewFaulty(calls Calls, table FaultTable) *Faulty {
 	f := &Faulty{Calls: calls, table: table, rand: rand.New(rand.NewPCG(table.Seed, 0x66617578)), start: time.Now(),
-		left: make([]int, len(table.Faults)), made: make([]int, len(table.Faults))}
+		remaining: make([]int, len(table.Faults)), injected: make([]int, len(table.Faults))}
 	for i := range table.Faults {
-		f.left[i] = table.Faults[i].Count
+		f.remaining[i] = table.Faults[i].MaxCount
 	}
 	return f
 }
 
 // Injected is how many calls were made to fail, or cut short.
 func (f *Faulty) Injected() (n int) {
-	for _, made := range f.made {
+	for _, made := range f.injected {
 		n += made
 	}
 	return n
 }
 
-// fault draws whether a call fails now.
-func (f *Faulty) fault(call string) (unix.Errno, bool) {
+// drawFault draws whether a call fails now.
+func (f *Faulty) drawFault(call string) (unix.Errno, bool) {
 	age := time.Since(f.start)
 	for i := range f.table.Faults {
 		fault := &f.table.Faults[i]
-		if fault.Call != call || age < fault.From || fault.For > 0 && age >= fault.From+fault.For ||
-			fault.Count > 0 && f.left[i] == 0 || f.rand.Float64() >= fault.Chance {
+		if fault.Call != call || age < fault.StartAfter || fault.Duration > 0 && age >= fault.StartAfter+fault.Duration ||
+			fault.MaxCount > 0 && f.remaining[i] == 0 || f.rand.Float64() >= fault.Probability {
 			continue
 		}
-		f.left[i]--
-		f.made[i]++
+		f.remaining[i]--
+		f.injected[i]++
 		return fault.Errno, true
 	}
 	return 0, false
@@ -151,7 +151,7 @@
 
 // EpollWait waits for events.
 func (f *Faulty) EpollWait(epfd int, events []unix.EpollEvent, msec int) (int, error) {
-	if errno, fails := f.fault("epoll_wait"); fails {
+	if errno, fails := f.drawFault("epoll_wait"); fails {
 		return -1, errno
 	}
 	return f.Calls.EpollWait(epfd, events, msec)
@@ -159,7 +159,7 @@
 
 // EpollCtl changes what is waited for.
 func (f *Faulty) EpollCtl(epfd, op, fd int, event *unix.EpollEvent) error {
-	if errno, fails := f.fault("epoll_ctl"); fails && op != unix.EPOLL_CTL_DEL {
+	if errno, fails := f.drawFault("epoll_ctl"); fails && op != unix.EPOLL_CTL_DEL {
 		return errno
 	}
 	return f.Calls.EpollCtl(epfd, op, fd, event)
@@ -167,7 +167,7 @@
 
 // Poll tells the events of descriptors.
 func (f *Faulty) Poll(fds []unix.PollFd) (int, error) {
-	if errno, fails := f.fault("poll"); fails {
+	if errno, fails := f.drawFault("poll"); fails {
 		return -1, errno
 	}
 	return f.Calls.Poll(fds)
@@ -175,7 +175,7 @@
 
 // Socket opens a socket.
 func (f *Faulty) Socket(family int) (int, error) {
-	if errno, fails := f.fault("socket"); fails {
+	if errno, fails := f.drawFault("socket"); fails {
 		return -1, errno
 	}
 	return f.Calls.Socket(family)
@@ -183,7 +183,7 @@
 
 // Connect begins a connection; one that is interrupted goes on by itself (connect(2)).
 func (f *Faulty) Connect(fd int, to unix.Sockaddr) error {
-	if errno, fails := f.fault("connect"); fails {
+	if errno, fails := f.drawFault("connect"); fails {
 		if errno == unix.EINTR {
 			f.Calls.Connect(fd, to)
 		}
@@ -194,14 +194,14 @@
 
 // Accept takes a connection. One that is aborted is gone, as it is from the system's queue.
 func (f *Faulty) Accept(fd int) (int, unix.Sockaddr, error) {
-	if errno, fails := f.fault("accept"); fails {
+	if errno, fails := f.drawFault("accept"); fails {
 		return -1, nil, errno
 	}
 	return f.Calls.Accept(fd)
 }
 
 func (f *Faulty) Read(fd int, p []byte) (int, error) {
-	if errno, fails := f.fault("read"); fails {
+	if errno, fails := f.drawFault("read"); fails {
 		if errno != 0 {
 			return -1, errno
 		}
@@ -211,7 +211,7 @@
 }
 
 func (f *Faulty) Write(fd int, p []byte) (int, error) {
-	if errno, fails := f.fault("write"); fails {
+	if errno, fails := f.drawFault("write"); fails {
 		if errno != 0 {
 			return -1, errno
 		}
@@ -222,14 +222,14 @@
 
 // Shutdown ends one side of a connection.
 func (f *Faulty) Shutdown(fd, how int) error {
-	if errno, fails := f.fault("shutdown"); fails {
+	if errno, fails := f.drawFault("shutdown"); fails {
 		return errno
 	}
 	return f.Calls.Shutdown(fd, how)
 }
 
-// Start reads both clocks, the wall clock with its step.
-func (f *Faulty) Start() (monotonic, wall time.Time) {
-	monotonic, wall = f.Calls.Start()
-	return monotonic, wall.Add(f.table.Step)
+// Clocks reads both clocks, the wall clock with its step.
+func (f *Faulty) Clocks() (monotonic, wall time.Time) {
+	monotonic, wall = f.Calls.Clocks()
+	return monotonic, wall.Add(f.table.WallClockStep)
 }
--- a/internal/syscalls/faulty_test.go
+++ b/internal/syscalls/faulty_test.go
@@ -9,16 +9,16 @@
 )
 
 func TestParse(t *testing.T) {
-	table, err := Parse("seed 7; step -1h; accept ENFILE chance 0.5 count 3 from 1s for 2s; read SHORT; ")
-	if err != nil || table.Seed != 7 || table.Step != -time.Hour || len(table.Faults) != 2 {
+	table, err := ParseFaultTable("seed 7; step -1h; accept ENFILE chance 0.5 count 3 from 1s for 2s; read SHORT; ")
+	if err != nil || table.Seed != 7 || table.WallClockStep != -time.Hour || len(table.Faults) != 2 {
 		t.Fatalf("%+v, %v", table, err)
 	}
-	want := Fault{Call: "accept", Errno: unix.ENFILE, Chance: 0.5, Count: 3, From: time.Second, For: 2 * time.Second}
+	want := Fault{Call: "accept", Errno: unix.ENFILE, Probability: 0.5, MaxCount: 3, StartAfter: time.Second, Duration: 2 * time.Second}
 	if table.Faults[0] != want {
 		t.Errorf("%+v, want %+v", table.Faults[0], want)
 	}
 	for _, text := range []string{"accept", "open EINTR", "accept SHORT", "read EWHAT", "read EINTR chance", "read EINTR often 2", "step soon"} {
-		if _, err := Parse(text); err == nil {
+		if _, err := ParseFaultTable(text); err == nil {
 			t.Errorf("%q is taken", text)
 		}
 	}
@@ -28,7 +28,7 @@
 // one byte.
 func TestFaulty(t *testing.T) {
 	draw := func() (failed []int) {
-		table, err := Parse("seed 3; socket ENFILE chance 0.3 count 4")
+		table, err := ParseFaultTable("seed 3; socket ENFILE chance 0.3 count 4")
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -56,7 +56,7 @@
 	}
 	defer unix.Close(pair[0])
 	defer unix.Close(pair[1])
-	table, _ := Parse("write SHORT count 1; read SHORT count 1; step 1h")
+	table, _ := ParseFaultTable("write SHORT count 1; read SHORT count 1; step 1h")
 	f := NewFaulty(Linux{}, *table)
 	if n, err := f.Write(pair[0], []byte("abc")); n != 1 || err != nil {
 		t.Errorf("wrote %d, %v", n, err)
@@ -66,7 +66,7 @@
 	if n, err := f.Read(pair[1], b); n != 1 || err != nil {
 		t.Errorf("read %d, %v", n, err)
 	}
-	if monotonic, wall := f.Start(); wall.Sub(monotonic.Round(0)) < 59*time.Minute || time.Since(monotonic) > time.Second {
+	if monotonic, wall := f.Clocks(); wall.Sub(monotonic.Round(0)) < 59*time.Minute || time.Since(monotonic) > time.Second {
 		t.Errorf("clocks %v and %v", monotonic, wall)
 	}
 }
--- a/internal/syscalls/syscalls.go
+++ b/internal/syscalls/syscalls.go
@@ -22,9 +22,9 @@
 	Write(fd int, p []byte) (int, error)
 	Shutdown(fd, how int) error
 	SocketError(fd int) (unix.Errno, error)
-	// Start is one reading of both clocks: the monotonic one that spans are taken from, and
+	// Clocks is one reading of both clocks: the monotonic one that spans are taken from, and
 	// the wall-clock time, which is for showing and for comparing with other machines.
-	Start() (monotonic, wall time.Time)
+	Clocks() (monotonic, wall time.Time)
 }
 
 // Linux makes the calls.
@@ -69,8 +69,8 @@
 	return unix.Errno(code), err
 }
 
-// Start reads both clocks.
-func (Linux) Start() (monotonic, wall time.Time) {
+// Clocks reads both clocks.
+func (Linux) Clocks() (monotonic, wall time.Time) {
 	now := time.Now()
 	return now, now.Round(0)
 }
