--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -71,7 +71,7 @@
 
 	// OnFileChange is called when a watched file was replaced or written.
 	OnFileChange func()
-	// OnWake is called after PhaseWakeup.
+	// OnWake is called after Wake.
 	OnWake func()
 	// OnIteration is told of every turn, if it is not nil. It must not keep the turn.
 	OnIteration func(*Iteration)
@@ -158,7 +158,7 @@
 // Origin is the wall-clock time of the clock's zero.
 func (l *Loop) Origin() time.Time { return l.wall }
 
-// PhaseWakeup makes a loop that waits call Woken; it may be called from any goroutine,
+// Wake makes a loop that waits call Woken; it may be called from any goroutine,
 // also after Close. Guards against a late call that writes to whatever has the
 // descriptor's number by then.
 func (l *Loop) Wake() {
