--- a/cmd/maddergap/platform.go
+++ b/cmd/maddergap/platform.go
@@ -18,19 +18,19 @@
 	if err != nil {
 		return err
 	}
-	c.Conf.Quiet = !s.Requests
+	c.Gateway.Quiet = !s.Requests
 	if s.Inject != "" {
-		if c.Conf.SyscallFaults, err = syscalls.ParseFaultTable(s.Inject); err != nil {
+		if c.Gateway.SyscallFaults, err = syscalls.ParseFaultTable(s.Inject); err != nil {
 			return usage{err}
 		}
 	}
 	runtime.GOMAXPROCS(1) // one core, which others may share
-	debug.SetMemoryLimit(c.Bounds.Memory)
-	return attend(io.err, []any{"head", c.Name},
+	debug.SetMemoryLimit(c.Bounds.RuntimeMemoryBytes)
+	return attend(io.err, []any{"head", c.InstanceName},
 		func(log *slog.Logger) (*daemon.Daemon, error) {
 			return daemon.NewPlatform(c, nil, s.Beliefs, load, log)
 		},
 		func(d *daemon.Daemon, log *slog.Logger) {
-			log.Info("serving", "listen", d.Addrs(), "discovery", c.Discovery, "bounds", c.Bounds, "pid", os.Getpid())
+			log.Info("serving", "listen", d.Addrs(), "discovery", c.DiscoveryAddr, "bounds", c.Bounds, "pid", os.Getpid())
 		})
 }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -354,7 +354,7 @@
 	n := d.head.Counts()
 	d.log.Info("stopped", "taken", n.Received, "served", n.Served, "refused", n.Rejected, "failed", n.Failed, "left", n.Disconnected,
 		"attempts", n.Attempts, "turned", sum(n.ConnectionsRejected[:]), "preempted", n.Preempted, "bad", n.Malformed, "own", n.Local,
-		"withheld", sum(n.Invariants.Withheld[:]), "invariants_broken", sum(n.Invariants.Broken[:]), "took", time.Since(d.stopped))
+		"withheld", sum(n.Invariants.Withheld[:]), "invariants_broken", sum(n.Invariants.Violated[:]), "took", time.Since(d.stopped))
 	if d.cut > 0 {
 		return fmt.Errorf("%d requests were cut off after the stop time of %v", d.cut, d.c.StopTime)
 	}
--- a/internal/daemon/metrics.go
+++ b/internal/daemon/metrics.go
@@ -104,7 +104,7 @@
 	}
 	for r := invariant.None + 1; r < invariant.RuleCount; r++ {
 		count(withheldDesc, c.Invariants.Withheld[r], r.String())
-		count(brokenDesc, c.Invariants.Broken[r], r.String())
+		count(brokenDesc, c.Invariants.Violated[r], r.String())
 	}
 	gauge(connsDesc, c.Clients, "client")
 	gauge(connsDesc, c.Admitted.Known, "known")
--- a/internal/daemon/observer.go
+++ b/internal/daemon/observer.go
@@ -165,7 +165,7 @@
 	if v.Withheld {
 		level, text = slog.LevelInfo, "attempt withheld"
 	}
-	o.log.LogAttrs(context.Background(), level, text, slog.String("rule", v.Rule.String()), slog.String("request", v.Name),
+	o.log.LogAttrs(context.Background(), level, text, slog.String("rule", v.Rule.String()), slog.String("request", v.RequestID),
 		slog.String("node", v.Node), slog.Int("attempt", v.Attempt), slog.Duration("now", v.Now), slog.Duration("limit", v.Limit),
 		slog.Int("others_not_logged", o.unlogged))
 	o.unlogged = 0
--- a/internal/daemon/platform.go
+++ b/internal/daemon/platform.go
@@ -38,14 +38,14 @@
 // nodes' and its node list. load reads the configuration again; beliefs is how often what
 // the module holds is compared with the sockets in the log, 0 for never.
 func NewPlatform(c *platform.Config, core SchedulerFactory, beliefs time.Duration, load func() (*platform.Config, error), log *slog.Logger) (*Daemon, error) {
-	if limit, few := tooFew(c.Bounds.Descriptors()); few {
-		return nil, fmt.Errorf("%s: the bounds need %d descriptors, the limit is %d", c.Conf.File, c.Bounds.Descriptors(), limit)
+	if limit, few := tooFew(c.Bounds.RequiredDescriptors()); few {
+		return nil, fmt.Errorf("%s: the bounds need %d descriptors, the limit is %d", c.Gateway.File, c.Bounds.RequiredDescriptors(), limit)
 	}
-	l, err := eventloop.NewWithCalls(calls(c.Conf), c.Bounds.Accepted(), c.Bounds.Told)
+	l, err := eventloop.NewWithCalls(calls(c.Gateway), c.Bounds.MaxAcceptedConns(), c.Bounds.MaxRejectionConns)
 	if err != nil {
 		return nil, err
 	}
-	d := &Daemon{c: c.Conf, log: log, loop: l, turns: newTurns(log), service: &service{c: c, load: load, every: beliefs}}
+	d := &Daemon{c: c.Gateway, log: log, loop: l, turns: newTurns(log), service: &service{c: c, load: load, every: beliefs}}
 	if err := d.openPlatform(core); err != nil {
 		l.Close()
 		return nil, err
@@ -59,15 +59,15 @@
 		return err
 	}
 	s.began = d.loop.Now()
-	s.feed = discovery.New(s.c.Discovery, s.c.Site.Zones, c.Scheduler.PollDiscovery, c.Seed)
+	s.feed = discovery.New(s.c.DiscoveryAddr, s.c.Settings.Zones, c.Scheduler.PollDiscovery, c.Seed)
 	p := s.c.Protocol()
-	if s.c.Known != nil {
-		nodes, err := s.feed.Nodes(s.c.Known)
+	if s.c.InitialList != nil {
+		nodes, err := s.feed.NodesFromList(s.c.InitialList)
 		if err != nil {
 			d.log.Warn("the list of the configuration is not used", "cause", err)
 		}
 		if err == nil {
-			s.feed.ResumeFrom(*s.c.Known.Index, nodes)
+			s.feed.ResumeFrom(*s.c.InitialList.Index, nodes)
 		}
 		s.known, s.knownFrom = nodes, d.loop.Now()+knownAfter
 		time.AfterFunc(knownAfter+time.Millisecond, d.loop.Wake)
@@ -85,12 +85,12 @@
 	if err != nil {
 		return err
 	}
-	if c.Discovery != s.c.Discovery {
-		d.log.Info("discovery moves", "from", s.c.Discovery, "to", c.Discovery)
-		s.feed.SetAddress(d.loop.Now(), c.Discovery)
-		s.c.Discovery = c.Discovery
+	if c.DiscoveryAddr != s.c.DiscoveryAddr {
+		d.log.Info("discovery moves", "from", s.c.DiscoveryAddr, "to", c.DiscoveryAddr)
+		s.feed.SetAddress(d.loop.Now(), c.DiscoveryAddr)
+		s.c.DiscoveryAddr = c.DiscoveryAddr
 	}
-	if fmt.Sprint(c.Conf.Listen) != fmt.Sprint(d.c.Listen) || !reflect.DeepEqual(c.Conf.Scheduler, d.c.Scheduler) || c.Bounds != s.c.Bounds {
+	if fmt.Sprint(c.Gateway.Listen) != fmt.Sprint(d.c.Listen) || !reflect.DeepEqual(c.Gateway.Scheduler, d.c.Scheduler) || c.Bounds != s.c.Bounds {
 		return errors.New("discovery is followed where the file says; listen, settings and limits change with a restart only")
 	}
 	return nil
@@ -130,21 +130,21 @@
 // is back: one line for each change, however many calls are made meanwhile.
 func (s *service) logDiscovery(d *Daemon) {
 	status, now := s.feed.Status(), d.loop.Now()
-	last := max(status.LastAnswer, s.began)
+	last := max(status.LastResponseAt, s.began)
 	switch o := &s.outage; {
 	case !o.silent && now-last >= outageAfter:
-		*o = outage{silent: true, since: last, calls: status.Calls}
-		if status.Fault != nil {
-			o.fault = status.Fault.Error()
+		*o = outage{silent: true, since: last, calls: status.CallsSent}
+		if status.LastError != nil {
+			o.fault = status.LastError.Error()
 		}
 		d.log.Warn("discovery does not answer; the last good list stays in force", "version", status.Version, "cause", o.fault,
 			"since", now-last)
-	case o.silent && status.LastAnswer > o.since:
-		d.log.Info("discovery answers again", "version", status.Version, "after", status.LastAnswer-o.since,
-			"calls", status.Calls-o.calls, "given_up", status.GivenUp)
+	case o.silent && status.LastResponseAt > o.since:
+		d.log.Info("discovery answers again", "version", status.Version, "after", status.LastResponseAt-o.since,
+			"calls", status.CallsSent-o.calls, "given_up", status.CallsAbandoned)
 		o.silent = false
-	case o.silent && status.Fault != nil && status.Fault.Error() != o.fault:
-		o.fault = status.Fault.Error()
+	case o.silent && status.LastError != nil && status.LastError.Error() != o.fault:
+		o.fault = status.LastError.Error()
 		d.log.Warn("the node list is not news; the last good one stays in force", "cause", o.fault)
 	}
 }
@@ -156,7 +156,7 @@
 // two differ where attempts are written off, or where the head has told nothing yet.
 func (s *service) compare(d *Daemon) {
 	n := d.head.Counts()
-	d.log.Info("belief", "version", s.feed.Status().Version, "lists", s.feed.Status().Lists, "lag", n.Stall, "clients", n.Clients,
+	d.log.Info("belief", "version", s.feed.Status().Version, "lists", s.feed.Status().ListsReceived, "lag", n.Stall, "clients", n.Clients,
 		"node_connections", n.NodeConns, "taken", n.Received, "served", n.Served, "refused", n.Rejected, "failed", n.Failed, "left", n.Disconnected)
 	for i, v := range d.head.Status() {
 		if i == comparedMost {
--- a/internal/discovery/bench_test.go
+++ b/internal/discovery/bench_test.go
@@ -22,7 +22,7 @@
 				c.Step(start)
 				c.Data(start, op.Conn, []byte(text))
 				if news, ok := c.TakeUpdate(); !ok || len(news.Nodes) != size {
-					b.Fatal(c.Status().Fault)
+					b.Fatal(c.Status().LastError)
 				}
 			}
 		})
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -51,12 +51,12 @@
 
 // Status is what became of the calls so far.
 type Status struct {
-	Version    int64
-	Lists      int   // that were taken
-	Calls      int   // that were made
-	GivenUp    int   // of these, without an answer
-	LastAnswer Time  // when the last answer came whole, 0: none yet
-	Fault      error // of the last call, nil: it brought a list
+	Version        int64
+	ListsReceived  int   // that were taken
+	CallsSent      int   // that were made
+	CallsAbandoned int   // of these, without an answer
+	LastResponseAt Time  // when the last answer came whole, 0: none yet
+	LastError      error // of the last call, nil: it brought a list
 }
 
 // New returns a client that asks at once. zones are the names of the settings, in their
@@ -172,7 +172,7 @@
 func (c *Client) ask(k *call, now Time) []byte {
 	k.state, k.base, k.whole = waiting, c.version, !c.known
 	k.list.zones = c.zones
-	c.status.Calls++
+	c.status.CallsSent++
 	hold := c.pacing.hold
 	if c.pacing.spread > 0 {
 		hold += Time(c.rand.Int64N(int64(c.pacing.spread)))
@@ -195,7 +195,7 @@
 // deadline. Guards against an agent that is slow, for which every call would be given up
 // while its answer is on its way.
 func (c *Client) makeRoom() {
-	c.status.GivenUp++
+	c.status.CallsAbandoned++
 	c.behind = true
 	c.end(c.calls[min(1, len(c.calls)-1)], true)
 }
@@ -204,7 +204,7 @@
 func (c *Client) expire(now Time) {
 	for _, k := range slices.Clone(c.calls) {
 		if k.state != connected && now >= k.deadline {
-			c.status.GivenUp++
+			c.status.CallsAbandoned++
 			c.failed(now, k, failure{why: errors.New("is silent"), missed: true})
 		}
 	}
@@ -252,7 +252,7 @@
 func (c *Client) failed(now Time, k *call, f failure) {
 	c.end(k, !f.closed)
 	c.behind = c.behind || f.missed
-	c.status.Fault = fmt.Errorf("discovery at %s: %w", c.addr, f.why)
+	c.status.LastError = fmt.Errorf("discovery at %s: %w", c.addr, f.why)
 	c.rest(now, k)
 }
 
@@ -310,10 +310,10 @@
 		c.spoilt(now, k, err)
 		return
 	}
-	c.status.LastAnswer, c.status.Fault = now, nil
+	c.status.LastResponseAt, c.status.LastError = now, nil
 	for _, other := range slices.Clone(c.calls) {
 		if other != k {
-			c.status.GivenUp++
+			c.status.CallsAbandoned++
 			c.end(other, true)
 		}
 	}
@@ -337,7 +337,7 @@
 		return fmt.Errorf("went back from version %d to %d", c.version, a.index)
 	}
 	c.version, c.known = a.index, true
-	c.status.Lists++
+	c.status.ListsReceived++
 	c.status.Version = a.index
 	if c.base != nil && !a.snapshot {
 		a.nodes, a.snapshot = overlaid(c.base, a.nodes), true
@@ -350,7 +350,7 @@
 		c.news.Nodes, c.news.Full = nil, true
 	}
 	if !c.have {
-		c.news.Before = c.status.LastAnswer
+		c.news.PreviousConfirmedAt = c.status.LastResponseAt
 	}
 	c.news.Nodes, c.have = append(c.news.Nodes, a.nodes...), true
 	return nil
@@ -374,7 +374,7 @@
 }
 
 // Synced tells whether a whole list was had.
-func (c *Client) Synced() bool { return c.status.Lists > 0 }
+func (c *Client) Synced() bool { return c.status.ListsReceived > 0 }
 
 // Status tells what became of the calls so far.
 func (c *Client) Status() Status { return c.status }
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -97,12 +97,12 @@
 			if r.asked != c.next {
 				t.Fatalf("%s: then asked %q", c.name, r.asked)
 			}
-			if r.c.Status().Fault == nil && r.c.Status().GivenUp == 0 && len(r.calls) < 2 {
+			if r.c.Status().LastError == nil && r.c.Status().CallsAbandoned == 0 && len(r.calls) < 2 {
 				t.Fatalf("%s: no fault is told", c.name)
 			}
 			r.answer(list(41, true, entry("a", "up")), 99)
 			r.c.TakeUpdate()
-			if fault := r.c.Status().Fault; fault != nil || len(r.open) != 1 {
+			if fault := r.c.Status().LastError; fault != nil || len(r.open) != 1 {
 				t.Fatalf("%s: %v is told after a good list, %d connections", c.name, fault, len(r.open))
 			}
 		}
@@ -234,10 +234,10 @@
 		}
 		r.onCall = serve
 		r.c.TakeUpdate()
-		calls := r.c.Status().Calls
+		calls := r.c.Status().CallsSent
 		length := Time(1+draw.IntN(10_000_000)) * time.Microsecond
 		r.pass(length)
-		if made := r.c.Status().Calls - calls; made > 8+int(length/pushed.every) {
+		if made := r.c.Status().CallsSent - calls; made > 8+int(length/pushed.every) {
 			t.Fatalf("seed %d: %d calls within %v of an outage", seed, made, length)
 		}
 		back = r.now
@@ -298,9 +298,9 @@
 		r.data(conn, response(list(41, false)))
 	}
 	r.answer(list(41, true, entry("a", "up")), 1<<20)
-	before := r.c.Status().Calls
+	before := r.c.Status().CallsSent
 	r.pass(time.Second)
-	if made := r.c.Status().Calls - before; made > int(time.Second/spacing)+1 {
+	if made := r.c.Status().CallsSent - before; made > int(time.Second/spacing)+1 {
 		t.Errorf("%d calls within a second", made)
 	}
 }
@@ -420,12 +420,12 @@
 		}
 		r.answer(list(41, true, entry("a", "up")), n)
 		if news, ok := r.c.TakeUpdate(); !news.Full || !ok || len(r.dials) != 1 {
-			t.Fatalf("no list behind 1xx: %v", r.c.Status().Fault)
+			t.Fatalf("no list behind 1xx: %v", r.c.Status().LastError)
 		}
 	}
 	r := newRig(t)
 	r.data(r.conn, strings.Repeat(more, 20))
-	if r.run(); r.c.Status().Fault == nil {
+	if r.run(); r.c.Status().LastError == nil {
 		t.Error("1xx without end")
 	}
 }
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -83,9 +83,9 @@
 	return n, nil
 }
 
-// Nodes checks a list and gives its entries in the head's form. An entry that cannot be
+// NodesFromList checks a list and gives its entries in the head's form. An entry that cannot be
 // used makes the whole list one that is not.
-func (c *Client) Nodes(l *EndpointList) ([]nodelist.Node, error) {
+func (c *Client) NodesFromList(l *EndpointList) ([]nodelist.Node, error) {
 	if l.Index == nil {
 		return nil, errNoIndex
 	}
--- a/internal/discoverytest/agent.go
+++ b/internal/discoverytest/agent.go
@@ -39,8 +39,8 @@
 // NewRegistry returns an empty list.
 func NewRegistry() *Registry { return &Registry{index: 1, entries: map[string]discovery.Endpoint{}} }
 
-// Set changes an entry and sends the list to all agents.
-func (g *Registry) Set(change func(e *discovery.Endpoint), name string) {
+// UpdateEndpoint changes an entry and sends the list to all agents.
+func (g *Registry) UpdateEndpoint(change func(e *discovery.Endpoint), name string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	e := g.entries[name]
@@ -50,8 +50,8 @@
 	g.send()
 }
 
-// Replace has the list be these entries, and sends it to all agents.
-func (g *Registry) Replace(entries ...discovery.Endpoint) {
+// ReplaceAll has the list be these entries, and sends it to all agents.
+func (g *Registry) ReplaceAll(entries ...discovery.Endpoint) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.entries = map[string]discovery.Endpoint{}
@@ -104,12 +104,12 @@
 
 // Usage is what an agent was asked for.
 type Usage struct {
-	Calls int
-	Bytes int64 // of answers
+	Calls         int
+	ResponseBytes int64 // of answers
 }
 
-// Agent returns a new agent for a head.
-func (g *Registry) Agent(head int) *Agent {
+// NewAgent returns a new agent for a head.
+func (g *Registry) NewAgent(head int) *Agent {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	a := &Agent{head: head, registry: g, conns: map[net.Conn]bool{}, changed: map[string]int64{}}
@@ -202,8 +202,8 @@
 	return ln.Addr().String(), nil
 }
 
-// Moved notes that the head was told of the new address.
-func (a *Agent) Moved() {
+// AddressChangeDelivered notes that the head was told of the new address.
+func (a *Agent) AddressChangeDelivered() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.countsFrom = time.Now().Add(countsAfterReload)
@@ -213,8 +213,8 @@
 // sure to have asked it in a shorter time.
 const reachable = 350 * time.Millisecond
 
-// GoDown makes the agent silent, for good on the connections that it has.
-func (a *Agent) GoDown() {
+// StartOutage makes the agent silent, for good on the connections that it has.
+func (a *Agent) StartOutage() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.outages++
@@ -243,8 +243,8 @@
 	}
 }
 
-// ComeBack has it answer, with what there is by now.
-func (a *Agent) ComeBack() {
+// EndOutage has it answer, with what there is by now.
+func (a *Agent) EndOutage() {
 	a.registry.mu.Lock()
 	defer a.registry.mu.Unlock()
 	a.mu.Lock()
@@ -265,8 +265,8 @@
 	a.countsFrom = time.Now().Add(countsAfterSilence)
 }
 
-// SetSlow has each answer take so much longer, 0: no longer; what slow answers tell counts later.
-func (a *Agent) SetSlow(d time.Duration) {
+// SetResponseDelay has each answer take so much longer, 0: no longer; what slow answers tell counts later.
+func (a *Agent) SetResponseDelay(d time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.slow = d
@@ -275,8 +275,8 @@
 	}
 }
 
-// Known is the list for a configuration: what the agent had last.
-func (a *Agent) Known() discovery.EndpointList {
+// FullList is the list for a configuration: what the agent had last.
+func (a *Agent) FullList() discovery.EndpointList {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.list()
@@ -382,7 +382,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.usage.Calls++
-	a.usage.Bytes += int64(n)
+	a.usage.ResponseBytes += int64(n)
 	if a.answered.IsZero() {
 		a.answered = time.Now()
 	}
@@ -396,9 +396,9 @@
 	return a.usage
 }
 
-// Answered is when the agent came back last, and when it wrote its first answer since, zero
+// RecoveryTimes is when the agent came back last, and when it wrote its first answer since, zero
 // where it has not.
-func (a *Agent) Answered() (returned, first time.Time) {
+func (a *Agent) RecoveryTimes() (returned, first time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.returned, a.answered
--- a/internal/discoverytest/agent_test.go
+++ b/internal/discoverytest/agent_test.go
@@ -11,17 +11,17 @@
 // or behind silent watches within the protocol's time.
 func TestNotices(t *testing.T) {
 	g := NewRegistry()
-	g.Set(func(e *discovery.Endpoint) { *e = discovery.Endpoint{Name: "n", Status: "up"} }, "n")
-	well, down, moved := g.Agent(0), g.Agent(1), g.Agent(2)
-	down.GoDown()
-	moved.Moved()
+	g.UpdateEndpoint(func(e *discovery.Endpoint) { *e = discovery.Endpoint{Name: "n", Status: "up"} }, "n")
+	well, down, moved := g.NewAgent(0), g.NewAgent(1), g.NewAgent(2)
+	down.StartOutage()
+	moved.AddressChangeDelivered()
 	before := micro()
-	g.Set(func(e *discovery.Endpoint) { e.Status = "draining" }, "n")
+	g.UpdateEndpoint(func(e *discovery.Endpoint) { e.Status = "draining" }, "n")
 	if len(down.notices) != 0 {
 		t.Error("an agent that is down was sent a list")
 	}
 	time.Sleep(20 * time.Millisecond)
-	down.ComeBack()
+	down.EndOutage()
 	all, _ := g.Notices()
 	if len(all) != 3 {
 		t.Fatalf("%+v", all)
@@ -43,7 +43,7 @@
 			}
 		}
 	}
-	g.Set(func(e *discovery.Endpoint) { e.Status = "up" }, "n")
+	g.UpdateEndpoint(func(e *discovery.Endpoint) { e.Status = "up" }, "n")
 	if n := well.notices[0]; n.To == 0 {
 		t.Error("the notice of a node that serves again goes on")
 	}
@@ -53,24 +53,24 @@
 // next one.
 func TestOutagesThatOverlap(t *testing.T) {
 	g := NewRegistry()
-	g.Set(func(e *discovery.Endpoint) { *e = discovery.Endpoint{Name: "n", Status: "up"} }, "n")
-	a := g.Agent(0)
-	a.GoDown()
-	a.GoDown()
-	g.Set(func(e *discovery.Endpoint) { e.Status = "draining" }, "n")
-	a.ComeBack()
+	g.UpdateEndpoint(func(e *discovery.Endpoint) { *e = discovery.Endpoint{Name: "n", Status: "up"} }, "n")
+	a := g.NewAgent(0)
+	a.StartOutage()
+	a.StartOutage()
+	g.UpdateEndpoint(func(e *discovery.Endpoint) { e.Status = "draining" }, "n")
+	a.EndOutage()
 	if !a.down || len(a.notices) != 0 {
 		t.Error("it is back while an outage goes on")
 	}
-	a.ComeBack()
+	a.EndOutage()
 	if a.down || len(a.notices) != 1 {
 		t.Errorf("down %v, %+v after both", a.down, a.notices)
 	}
-	a.GoDown()
+	a.StartOutage()
 	if len(a.notices) != 0 {
 		t.Error("what nobody could ask for counts")
 	}
-	a.ComeBack()
+	a.EndOutage()
 	if len(a.notices) != 1 {
 		t.Errorf("%+v after the next return", a.notices)
 	}
@@ -81,17 +81,17 @@
 func TestChangesAfterAShortReturn(t *testing.T) {
 	g := NewRegistry()
 	set := func(status string) {
-		g.Set(func(e *discovery.Endpoint) { *e = discovery.Endpoint{Name: "n", Status: status} }, "n")
+		g.UpdateEndpoint(func(e *discovery.Endpoint) { *e = discovery.Endpoint{Name: "n", Status: status} }, "n")
 	}
 	set("draining")
-	a := g.Agent(0)
-	a.GoDown()
+	a := g.NewAgent(0)
+	a.StartOutage()
 	set("up")
-	a.ComeBack()
-	had := a.Known() // as a head has it that asks at once
-	a.GoDown()
+	a.EndOutage()
+	had := a.FullList() // as a head has it that asks at once
+	a.StartOutage()
 	set("draining")
-	a.ComeBack()
+	a.EndOutage()
 	if told := a.changes(*had.Index); len(told.Endpoints) != 1 || told.Endpoints[0].Status != "draining" {
 		t.Errorf("%+v is told of what changed since %+v", told, had)
 	}
@@ -102,25 +102,25 @@
 func TestNoticeJustBeforeAnOutage(t *testing.T) {
 	g := NewRegistry()
 	set := func(status string) {
-		g.Set(func(e *discovery.Endpoint) { *e = discovery.Endpoint{Name: "n", Status: status} }, "n")
+		g.UpdateEndpoint(func(e *discovery.Endpoint) { *e = discovery.Endpoint{Name: "n", Status: status} }, "n")
 	}
 	set("up")
-	a := g.Agent(0)
+	a := g.NewAgent(0)
 	time.Sleep(reachable + 10*time.Millisecond)
 	set("draining")
-	a.GoDown()
+	a.StartOutage()
 	if len(a.notices) != 0 {
 		t.Errorf("%+v counts while the agent is silent", a.notices)
 	}
 	time.Sleep(20 * time.Millisecond)
 	back := micro()
-	a.ComeBack()
+	a.EndOutage()
 	if len(a.notices) != 1 || a.notices[0].From < back {
 		t.Errorf("%+v after the return", a.notices)
 	}
 	time.Sleep(reachable + 10*time.Millisecond)
 	set("up")
-	a.GoDown()
+	a.StartOutage()
 	if len(a.notices) != 1 || a.notices[0].To != 0 {
 		t.Errorf("%+v: ended by what nobody heard", a.notices)
 	}
--- a/internal/e2e/crossing_test.go
+++ b/internal/e2e/crossing_test.go
@@ -326,7 +326,7 @@
 	c := s.dial(t)
 	fmt.Fprint(c, second(s.request("GET", "read", 0, "1200m", "")))
 	within(t, time.Second, func() bool { return s.counted("taken") == "1" })
-	d.GoDown() // discovery is down from here on
+	d.StartOutage() // discovery is down from here on
 	s.tell(silentDiscovery(t))
 	s.d.Reload()
 	s.d.Stop()
--- a/internal/e2e/outage_test.go
+++ b/internal/e2e/outage_test.go
@@ -71,12 +71,12 @@
 				defer func() { close(end); load.Wait() }()
 				for range 2 {
 					time.Sleep(time.Duration(draw.IntN(400)) * time.Millisecond)
-					d.GoDown()
+					d.StartOutage()
 					time.Sleep(time.Duration(100+draw.IntN(3400)) * time.Millisecond)
 					d.set(drained...)
-					d.ComeBack()
+					d.EndOutage()
 					time.Sleep(drainGrace + 500*time.Millisecond)
-					back, had := d.Answered()
+					back, had := d.RecoveryTimes()
 					if had.IsZero() {
 						t.Errorf("no list was had within %v of the return", time.Since(back))
 					} else {
@@ -92,9 +92,9 @@
 						t.Errorf("a request went to a draining server %v after the return, past the grace of %v", late, drainGrace)
 					}
 					mu.Unlock()
-					d.GoDown()
+					d.StartOutage()
 					d.set(up...)
-					d.ComeBack()
+					d.EndOutage()
 					within(t, 2*time.Second, func() bool {
 						_, text := s.request("GET", "read", 0, "400m", "")
 						_, body := s.raw(text)
--- a/internal/e2e/platform_test.go
+++ b/internal/e2e/platform_test.go
@@ -137,7 +137,7 @@
 		entries = append(entries, endpointOf(fmt.Sprint("s", i), n, i, "up"))
 	}
 	d.set(entries...)
-	d.Agent = d.registry.Agent(0)
+	d.Agent = d.registry.NewAgent(0)
 	var err error
 	if d.addr, err = d.Listen(); err != nil {
 		t.Fatal(err)
@@ -150,7 +150,7 @@
 func silentDiscovery(t *testing.T) string {
 	t.Helper()
 	d := newStubDiscovery(t)
-	d.GoDown()
+	d.StartOutage()
 	return d.addr
 }
 
@@ -170,7 +170,7 @@
 }
 
 // set tells another list.
-func (d *stubDiscovery) set(entries ...discovery.Endpoint) { d.registry.Replace(entries...) }
+func (d *stubDiscovery) set(entries ...discovery.Endpoint) { d.registry.ReplaceAll(entries...) }
 
 // service runs a head on the platform over real sockets.
 type service struct {
@@ -237,7 +237,7 @@
 		t.Fatal(err)
 	}
 	if faults != "" {
-		if c.Conf.SyscallFaults, err = syscalls.ParseFaultTable(faults); err != nil {
+		if c.Gateway.SyscallFaults, err = syscalls.ParseFaultTable(faults); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/gateway/invariants.go
+++ b/internal/gateway/invariants.go
@@ -33,15 +33,15 @@
 	if class.Effect != scheduler.Idempotent || !e.MayHaveRun {
 		return e
 	}
-	e.RepeatBefore = ex.attempts.mayHaveRun.began + class.DeduplicationWindow
+	e.RetryBefore = ex.attempts.mayHaveRun.began + class.DeduplicationWindow
 	n := h.nodes[at.node]
 	switch class.DeduplicationScope {
 	case scheduler.ScopeZone:
-		e.SameScope = n != nil && n.zone == ex.attempts.mayHaveRun.zone
+		e.SameDeduplicationScope = n != nil && n.zone == ex.attempts.mayHaveRun.zone
 	case scheduler.ScopeShard:
-		e.SameScope = n != nil && n.shard == ex.attempts.mayHaveRun.shard
+		e.SameDeduplicationScope = n != nil && n.shard == ex.attempts.mayHaveRun.shard
 	default:
-		e.SameScope = true
+		e.SameDeduplicationScope = true
 	}
 	return e
 }
@@ -49,7 +49,7 @@
 // violated reports what the guard found, with the client's name for the request.
 func (h *Gateway) violated(v invariant.Violation) {
 	if ex := h.requests[v.Request]; ex != nil {
-		v.Name = h.nameOf(ex)
+		v.RequestID = h.nameOf(ex)
 	}
 	h.observer.InvariantViolated(v)
 }
@@ -65,7 +65,7 @@
 // maySend asks whether an attempt may begin, as the module decides on it.
 func (h *Gateway) maySend(at *attempt) bool {
 	a := h.guarded(at)
-	return h.guard.CheckStart(h.now, &a) == invariant.None
+	return h.guard.CheckBeforeWrite(h.now, &a) == invariant.None
 }
 
 // mayBegin asks whether the attempt of a connection may begin, as its first byte is about to
@@ -77,7 +77,7 @@
 		h.encode(c)
 		a.Timeout = at.timeout
 	}
-	if h.guard.CheckStart(h.now, &a) == invariant.None {
+	if h.guard.CheckBeforeWrite(h.now, &a) == invariant.None {
 		return true
 	}
 	h.withhold(c)
@@ -98,7 +98,7 @@
 // began tells the guard that the first byte of an attempt was written.
 func (h *Gateway) began(at *attempt) {
 	a := h.guarded(at)
-	h.guard.CheckStarted(h.now, &a)
+	h.guard.CheckAfterWrite(h.now, &a)
 }
 
 // mayRun notes that an attempt may have run, by how it ended.
--- a/internal/gateway/invariants_test.go
+++ b/internal/gateway/invariants_test.go
@@ -48,7 +48,7 @@
 		{"a node that drains", func(r *rig, c *careless, _ ConnID) {
 			r.h.members(membership.Update{Nodes: []nodelist.Node{{Name: "n0", Addr: "node:0", State: scheduler.Draining}}})
 			c.actions = []scheduler.Action{send}
-		}, invariant.Drain},
+		}, invariant.NodeServing},
 		{"a node that drains while its connection comes up", func(r *rig, c *careless, _ ConnID) {
 			r.late = true
 			c.actions = []scheduler.Action{send}
@@ -57,7 +57,7 @@
 			r.h.members(membership.Update{Nodes: []nodelist.Node{{Name: "n0", Addr: "node:0", State: scheduler.Draining}}})
 			r.run()
 			r.h.Connected(r.now, r.dials[0])
-		}, invariant.Drain},
+		}, invariant.NodeServing},
 		{"a write that may have run", func(r *rig, c *careless, _ ConnID) {
 			c.actions = []scheduler.Action{send}
 			r.h.events = append(r.h.events, scheduler.TimerFired{})
@@ -65,18 +65,18 @@
 			r.sentToNodes()
 			r.h.Closed(r.now, r.dials[0])
 			c.actions = []scheduler.Action{send}
-		}, invariant.Repeat},
+		}, invariant.SafeRetry},
 		{"a write that is still out", func(r *rig, c *careless, _ ConnID) {
 			c.actions = []scheduler.Action{send}
 			r.h.events = append(r.h.events, scheduler.TimerFired{})
 			r.run()
 			r.sentToNodes()
 			c.actions = []scheduler.Action{send}
-		}, invariant.Repeat},
+		}, invariant.SafeRetry},
 		{"past its client's time", func(r *rig, c *careless, _ ConnID) {
 			r.pass(2 * time.Second)
 			c.actions = []scheduler.Action{send}
-		}, invariant.Deadline},
+		}, invariant.WithinDeadline},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -87,10 +87,10 @@
 			if n := r.sentToNodes(); n != 0 {
 				t.Errorf("%d requests went out", n)
 			}
-			if counts := r.h.Counts().Invariants; counts.Withheld[test.want] != 1 || counts.Broken != (invariant.Counts{}).Broken {
+			if counts := r.h.Counts().Invariants; counts.Withheld[test.want] != 1 || counts.Violated != (invariant.Counts{}).Violated {
 				t.Errorf("counted %+v, want one of %v withheld", counts, test.want)
 			}
-			if len(r.violations) != 1 || r.violations[0].Rule != test.want || r.violations[0].Name == "" {
+			if len(r.violations) != 1 || r.violations[0].Rule != test.want || r.violations[0].RequestID == "" {
 				t.Errorf("reported %v", r.violations)
 			}
 		})
@@ -112,8 +112,8 @@
 	r.h.drop(r.h.conn(client), Close)
 	r.h.reportEnd(r.h.requests[1], Rejected)
 	r.h.reportEnd(r.h.requests[1], Rejected)
-	broken := r.h.Counts().Invariants.Broken
-	for _, rule := range []invariant.Rule{invariant.Drain, invariant.Close, invariant.Answer} {
+	broken := r.h.Counts().Invariants.Violated
+	for _, rule := range []invariant.Rule{invariant.NodeServing, invariant.ResponseBeforeClose, invariant.SingleResponse} {
 		if broken[rule] != 1 {
 			t.Errorf("%v: counted %d times", rule, broken[rule])
 		}
--- a/internal/gateway/trace.go
+++ b/internal/gateway/trace.go
@@ -43,7 +43,7 @@
 // reportEnd counts and reports a request's end.
 func (h *Gateway) reportEnd(ex *exchange, o Outcome) {
 	if ex.answer.reported && ex.id != 0 {
-		h.guard.RecordDuplicateAnswer(h.now, ex.id)
+		h.guard.RecordDuplicateResponse(h.now, ex.id)
 	}
 	ex.answer.reported = true
 	h.protocol.finished(ex, o)
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -20,15 +20,15 @@
 
 // RuleCount. None is that of an attempt which may begin.
 const (
-	None      Rule = iota
-	Start          // nothing is sent before a node list is in force
-	Drain          // nothing begins at a node that drains, is removed, or moved
-	Cancelled      // nothing begins for a client that has gone
-	Deadline       // nothing begins after the client's time, or tells a node more than is left
-	Repeat         // nothing runs twice that may not
-	Answer         // a request has one final answer
-	Close          // no connection is ended while a request on it is owed one
-	RuleCount      // how many there are
+	None                Rule = iota
+	MembershipKnown          // nothing is sent before a node list is in force
+	NodeServing              // nothing begins at a node that drains, is removed, or moved
+	ClientConnected          // nothing begins for a client that has gone
+	WithinDeadline           // nothing begins after the client's time, or tells a node more than is left
+	SafeRetry                // nothing runs twice that may not
+	SingleResponse           // a request has one final answer
+	ResponseBeforeClose      // no connection is ended while a request on it is owed one
+	RuleCount                // how many there are
 )
 
 func (r Rule) String() string {
@@ -76,46 +76,46 @@
 
 // PriorAttempts is what became of the attempts before it.
 type PriorAttempts struct {
-	Effect       scheduler.Effect
-	InFlight     int  // attempts that are still out
-	MayHaveRun   bool // one may have run
-	RepeatBefore Time // a keyed repeat begins before that
-	SameScope    bool // the node drops repeats of the one that may have run
+	Effect                 scheduler.Effect
+	InFlight               int  // attempts that are still out
+	MayHaveRun             bool // one may have run
+	RetryBefore            Time // a keyed repeat begins before that
+	SameDeduplicationScope bool // the node drops repeats of the one that may have run
 }
 
-// mayRepeat tells whether the attempt can run without running twice.
-func (e *PriorAttempts) mayRepeat(now Time) bool {
+// allowRetry tells whether the attempt can run without running twice.
+func (e *PriorAttempts) allowRetry(now Time) bool {
 	switch {
 	case e.Effect == scheduler.Safe:
 		return true
 	case e.InFlight > 0:
-		return e.Effect == scheduler.Idempotent && e.SameScope && now < e.RepeatBefore
+		return e.Effect == scheduler.Idempotent && e.SameDeduplicationScope && now < e.RetryBefore
 	case !e.MayHaveRun:
 		return true
 	}
-	return e.Effect == scheduler.Idempotent && e.SameScope && now < e.RepeatBefore
+	return e.Effect == scheduler.Idempotent && e.SameDeduplicationScope && now < e.RetryBefore
 }
 
 // Violation is an invariant that was broken, or would have been.
 type Violation struct {
-	Rule     Rule
-	Withheld bool // nothing of it went out
-	Request  uint64
-	Name     string // the client's name for the request, filled in by the head
-	Node     string
-	Attempt  int
-	Now      Time
-	Limit    Time // the time that it was held against, 0: none
+	Rule      Rule
+	Withheld  bool // nothing of it went out
+	Request   uint64
+	RequestID string // the client's name for the request, filled in by the head
+	Node      string
+	Attempt   int
+	Now       Time
+	Limit     Time // the time that it was held against, 0: none
 }
 
 func (v Violation) String() string {
-	return fmt.Sprintf("%v: request %d %s, node %s, attempt %d, at %v, limit %v", v.Rule, v.Request, v.Name, v.Node, v.Attempt, v.Now, v.Limit)
+	return fmt.Sprintf("%v: request %d %s, node %s, attempt %d, at %v, limit %v", v.Rule, v.Request, v.RequestID, v.Node, v.Attempt, v.Now, v.Limit)
 }
 
 // Counts are sums by rule.
 type Counts struct {
 	Withheld [RuleCount]uint64 // attempts that were not begun
-	Broken   [RuleCount]uint64 // found after the fact
+	Violated [RuleCount]uint64 // found after the fact
 }
 
 // Checker counts what it is asked and told. The zero value is ready.
@@ -128,10 +128,10 @@
 // Counts returns the sums.
 func (g *Checker) Counts() Counts { return g.counts }
 
-// CheckStart tells whether the first byte of an attempt may go out now, or the rule against it.
+// CheckBeforeWrite tells whether the first byte of an attempt may go out now, or the rule against it.
 // Guards against whatever came to pass between the decision to send and the write: a
 // connection that came up late, one whose buffer was full, a list, a client that left.
-func (g *Checker) CheckStart(now Time, a *Attempt) Rule {
+func (g *Checker) CheckBeforeWrite(now Time, a *Attempt) Rule {
 	rule, limit := check(now, a, &beforeWrite)
 	if rule != None {
 		g.counts.Withheld[rule]++
@@ -140,9 +140,9 @@
 	return rule
 }
 
-// CheckStarted tells that the first byte of an attempt was written, and returns the rule that it
+// CheckAfterWrite tells that the first byte of an attempt was written, and returns the rule that it
 // broke, allowing for a head that is held up.
-func (g *Checker) CheckStarted(now Time, a *Attempt) Rule {
+func (g *Checker) CheckAfterWrite(now Time, a *Attempt) Rule {
 	rule, limit := check(now, a, &afterWrite)
 	if rule != None {
 		g.broke(Violation{Rule: rule, Request: a.Request, Node: a.Node, Attempt: a.Number, Now: now, Limit: limit})
@@ -154,32 +154,32 @@
 func check(now Time, a *Attempt, allowed *allowance) (Rule, Time) {
 	switch {
 	case !a.MembershipKnown:
-		return Start, 0
+		return MembershipKnown, 0
 	case !a.Serving && now >= a.StateChangedAt+allowed.drain:
-		return Drain, a.StateChangedAt
+		return NodeServing, a.StateChangedAt
 	case a.ClientDisconnectedAt > 0 && now >= a.ClientDisconnectedAt+allowed.cancel:
-		return Cancelled, a.ClientDisconnectedAt
+		return ClientConnected, a.ClientDisconnectedAt
 	case now >= a.Deadline+allowed.due || now+a.Timeout > a.Deadline+allowed.timeout:
-		return Deadline, a.Deadline
-	case !a.Prior.mayRepeat(now - allowed.window):
-		return Repeat, a.Prior.RepeatBefore
+		return WithinDeadline, a.Deadline
+	case !a.Prior.allowRetry(now - allowed.window):
+		return SafeRetry, a.Prior.RetryBefore
 	}
 	return None, 0
 }
 
-// RecordDuplicateAnswer tells that a request was given a second final answer.
-func (g *Checker) RecordDuplicateAnswer(now Time, request uint64) {
-	g.broke(Violation{Rule: Answer, Request: request, Now: now})
+// RecordDuplicateResponse tells that a request was given a second final answer.
+func (g *Checker) RecordDuplicateResponse(now Time, request uint64) {
+	g.broke(Violation{Rule: SingleResponse, Request: request, Now: now})
 }
 
 // RecordUnansweredClose tells that the head ended a connection while a request on it was owed its
 // answer.
 func (g *Checker) RecordUnansweredClose(now Time, request uint64) {
-	g.broke(Violation{Rule: Close, Request: request, Now: now})
+	g.broke(Violation{Rule: ResponseBeforeClose, Request: request, Now: now})
 }
 
 func (g *Checker) broke(v Violation) {
-	g.counts.Broken[v.Rule]++
+	g.counts.Violated[v.Rule]++
 	g.report(v)
 }
 
--- a/internal/invariant/invariant_test.go
+++ b/internal/invariant/invariant_test.go
@@ -16,7 +16,7 @@
 // Each rule, broken on purpose: at once it is withheld; once written it counts as broken past
 // what a held-up head may take, and not before.
 func TestRules(t *testing.T) {
-	keyed := PriorAttempts{Effect: scheduler.Idempotent, MayHaveRun: true, SameScope: true, RepeatBefore: now + time.Second}
+	keyed := PriorAttempts{Effect: scheduler.Idempotent, MayHaveRun: true, SameDeduplicationScope: true, RetryBefore: now + time.Second}
 	tests := []struct {
 		name   string
 		change func(a *Attempt)
@@ -25,24 +25,24 @@
 		broken bool
 	}{
 		{"nothing against it", func(a *Attempt) {}, None, false},
-		{"no list", func(a *Attempt) { a.MembershipKnown = false }, Start, true},
-		{"drains, just notified", func(a *Attempt) { a.Serving, a.StateChangedAt = false, now-100*time.Millisecond }, Drain, false},
-		{"drains", func(a *Attempt) { a.Serving, a.StateChangedAt = false, now-200*time.Millisecond }, Drain, true},
-		{"client gone just now", func(a *Attempt) { a.ClientDisconnectedAt = now - 50*time.Millisecond }, Cancelled, false},
-		{"client gone", func(a *Attempt) { a.ClientDisconnectedAt = now - 120*time.Millisecond }, Cancelled, true},
-		{"past its time", func(a *Attempt) { a.Deadline, a.Timeout = now, 0 }, Deadline, false},
-		{"long past its time", func(a *Attempt) { a.Deadline, a.Timeout = now-200*time.Millisecond, 0 }, Deadline, true},
+		{"no list", func(a *Attempt) { a.MembershipKnown = false }, MembershipKnown, true},
+		{"drains, just notified", func(a *Attempt) { a.Serving, a.StateChangedAt = false, now-100*time.Millisecond }, NodeServing, false},
+		{"drains", func(a *Attempt) { a.Serving, a.StateChangedAt = false, now-200*time.Millisecond }, NodeServing, true},
+		{"client gone just now", func(a *Attempt) { a.ClientDisconnectedAt = now - 50*time.Millisecond }, ClientConnected, false},
+		{"client gone", func(a *Attempt) { a.ClientDisconnectedAt = now - 120*time.Millisecond }, ClientConnected, true},
+		{"past its time", func(a *Attempt) { a.Deadline, a.Timeout = now, 0 }, WithinDeadline, false},
+		{"long past its time", func(a *Attempt) { a.Deadline, a.Timeout = now-200*time.Millisecond, 0 }, WithinDeadline, true},
 		{"was encoded just now", func(a *Attempt) { a.Timeout += 15 * time.Millisecond }, None, false},
-		{"tells a little more than is left", func(a *Attempt) { a.Timeout += 100 * time.Millisecond }, Deadline, false},
-		{"tells more than is left", func(a *Attempt) { a.Timeout += 200 * time.Millisecond }, Deadline, true},
+		{"tells a little more than is left", func(a *Attempt) { a.Timeout += 100 * time.Millisecond }, WithinDeadline, false},
+		{"tells more than is left", func(a *Attempt) { a.Timeout += 200 * time.Millisecond }, WithinDeadline, true},
 		{"safe repeat", func(a *Attempt) { a.Prior = PriorAttempts{Effect: scheduler.Safe, MayHaveRun: true, InFlight: 1} }, None, false},
 		{"unsafe, none ran", func(a *Attempt) { a.Prior = PriorAttempts{Effect: scheduler.NonIdempotent} }, None, false},
-		{"unsafe, may have run", func(a *Attempt) { a.Prior = PriorAttempts{Effect: scheduler.NonIdempotent, MayHaveRun: true} }, Repeat, true},
-		{"unsafe, still out", func(a *Attempt) { a.Prior = PriorAttempts{Effect: scheduler.NonIdempotent, InFlight: 1} }, Repeat, true},
+		{"unsafe, may have run", func(a *Attempt) { a.Prior = PriorAttempts{Effect: scheduler.NonIdempotent, MayHaveRun: true} }, SafeRetry, true},
+		{"unsafe, still out", func(a *Attempt) { a.Prior = PriorAttempts{Effect: scheduler.NonIdempotent, InFlight: 1} }, SafeRetry, true},
 		{"keyed within its window", func(a *Attempt) { a.Prior = keyed }, None, false},
-		{"keyed elsewhere", func(a *Attempt) { a.Prior = keyed; a.Prior.SameScope = false }, Repeat, true},
-		{"keyed just past its window", func(a *Attempt) { a.Prior = keyed; a.Prior.RepeatBefore = now - 50*time.Millisecond }, Repeat, false},
-		{"keyed past its window", func(a *Attempt) { a.Prior = keyed; a.Prior.RepeatBefore = now - 200*time.Millisecond }, Repeat, true},
+		{"keyed elsewhere", func(a *Attempt) { a.Prior = keyed; a.Prior.SameDeduplicationScope = false }, SafeRetry, true},
+		{"keyed just past its window", func(a *Attempt) { a.Prior = keyed; a.Prior.RetryBefore = now - 50*time.Millisecond }, SafeRetry, false},
+		{"keyed past its window", func(a *Attempt) { a.Prior = keyed; a.Prior.RetryBefore = now - 200*time.Millisecond }, SafeRetry, true},
 	}
 	for _, c := range tests {
 		t.Run(c.name, func(t *testing.T) {
@@ -50,14 +50,14 @@
 			g := Checker{OnViolation: func(v Violation) { reports = append(reports, v) }}
 			a := good()
 			c.change(&a)
-			if got := g.CheckStart(now, &a); got != c.want {
+			if got := g.CheckBeforeWrite(now, &a); got != c.want {
 				t.Errorf("may begin: %v, want %v", got, c.want)
 			}
 			found := None
 			if c.broken {
 				found = c.want
 			}
-			if got := g.CheckStarted(now, &a); got != found {
+			if got := g.CheckAfterWrite(now, &a); got != found {
 				t.Errorf("began: %v, want %v", got, found)
 			}
 			want := Counts{}
@@ -65,7 +65,7 @@
 				want.Withheld[c.want] = 1
 			}
 			if c.broken {
-				want.Broken[c.want] = 1
+				want.Violated[c.want] = 1
 			}
 			if got := g.Counts(); got != want {
 				t.Errorf("counted %+v, want %+v", got, want)
@@ -79,9 +79,9 @@
 
 func TestAnswersAndCloses(t *testing.T) {
 	var g Checker
-	g.RecordDuplicateAnswer(now, 7)
+	g.RecordDuplicateResponse(now, 7)
 	g.RecordUnansweredClose(now, 7)
-	if got := g.Counts().Broken; got[Answer] != 1 || got[Close] != 1 {
+	if got := g.Counts().Violated; got[SingleResponse] != 1 || got[ResponseBeforeClose] != 1 {
 		t.Errorf("%v", got)
 	}
 }
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -19,8 +19,8 @@
 type Update struct {
 	Nodes []nodelist.Node
 	Full  bool // the whole list
-	// Before is when the list that it follows was known to be in force, 0: not told.
-	Before Time
+	// PreviousConfirmedAt is when the list that it follows was known to be in force, 0: not told.
+	PreviousConfirmedAt Time
 }
 
 // Change is a node that the news adds, changes or removes.
@@ -59,7 +59,7 @@
 // by name.
 func (t *Table) Apply(now Time, news Update) []Change {
 	t.applied++
-	before := news.Before
+	before := news.PreviousConfirmedAt
 	if before == 0 {
 		before = t.last
 	}
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -86,7 +86,7 @@
 			table.Apply(zero, Update{Nodes: []nodelist.Node{node("a", scheduler.Serving, time.Time{})}, Full: true})
 			notified := zero + time.Minute
 			news := []nodelist.Node{node("a", scheduler.Serving, wall.Add(time.Minute-late))}
-			got := table.Apply(notified, Update{Nodes: news, Before: notified - 150*time.Millisecond})
+			got := table.Apply(notified, Update{Nodes: news, PreviousConfirmedAt: notified - 150*time.Millisecond})
 			truth, placed := notified-late, got[0].Endpoint.Started
 			if early := truth - placed; early > notifiedWithin+150*time.Millisecond {
 				t.Errorf("clock %v off, told %v late: counts as %v older than it is", off, late, early)
--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -42,34 +42,36 @@
 
 // Config is what the platform tells a head, checked.
 type Config struct {
-	Name      string
-	Discovery string
-	Known     *discovery.EndpointList
-	Site      *settings.Site
-	Conf      *config.Config
-	Bounds    Bounds
+	InstanceName  string
+	DiscoveryAddr string
+	InitialList   *discovery.EndpointList
+	Settings      *settings.Site
+	Gateway       *config.Config
+	Bounds        Bounds
 }
 
 // Bounds are what follows from the limits of the platform.
 type Bounds struct {
-	Memory    int64 // bytes that the runtime keeps to
-	Clients   int   // connections
-	Kept      int   // of these, past which idle ones end soon
-	Told      int   // of those turned away with an answer
-	Nodes     int   // connections to nodes
-	Reserved  int   // descriptors for all else
-	Sockets   int
-	HeldBytes int64 // for clients
-	Answer    int64 // bytes of one answer; nodes send some larger than the protocol has them
-	Answers   int64 // of all that are held until they are whole
+	RuntimeMemoryBytes       int64 // bytes that the runtime keeps to
+	MaxClientConns           int   // connections
+	IdlePressureConns        int   // of these, past which idle ones end soon
+	MaxRejectionConns        int   // of those turned away with an answer
+	MaxNodeConns             int   // connections to nodes
+	ReservedDescriptors      int   // descriptors for all else
+	DescriptorLimit          int
+	ClientBufferBytes        int64 // for clients
+	MaxResponseBytes         int64 // bytes of one answer; nodes send some larger than the protocol has them
+	MaxBufferedResponseBytes int64 // of all that are held until they are whole
 }
 
-// Descriptors is the sum with every bound reached.
-func (b Bounds) Descriptors() int { return b.Accepted() + b.Told + b.Nodes + b.Reserved }
+// RequiredDescriptors is the sum with every bound reached.
+func (b Bounds) RequiredDescriptors() int {
+	return b.MaxAcceptedConns() + b.MaxRejectionConns + b.MaxNodeConns + b.ReservedDescriptors
+}
 
-// Accepted is how many client connections there may be, those included that are to be
+// MaxAcceptedConns is how many client connections there may be, those included that are to be
 // told or to take another's place.
-func (b Bounds) Accepted() int { return b.Clients + clientsOver }
+func (b Bounds) MaxAcceptedConns() int { return b.MaxClientConns + clientsOver }
 
 const (
 	mostFile    = 16 << 20
@@ -81,16 +83,16 @@
 
 // bounds divides the platform's limits.
 func bounds(sockets int, memory float64) (Bounds, error) {
-	b := Bounds{Sockets: sockets, Reserved: reserved, Told: 8, Memory: int64(memory * 0.6 * (1 << 20))}
-	free := sockets - reserved - clientsOver - b.Told
+	b := Bounds{DescriptorLimit: sockets, ReservedDescriptors: reserved, MaxRejectionConns: 8, RuntimeMemoryBytes: int64(memory * 0.6 * (1 << 20))}
+	free := sockets - reserved - clientsOver - b.MaxRejectionConns
 	if free < 32 || memory < 16 {
 		return b, fmt.Errorf("limits: %d sockets and %v MB are less than a head needs", sockets, memory)
 	}
-	b.Clients = free * 3 / 5
-	b.Nodes = free - b.Clients
-	b.Kept = sockets / 4
-	b.Answer, b.Answers = b.Memory/16, b.Memory/4
-	b.HeldBytes = max(b.Memory/4, int64(b.Clients)*heldLeast)
+	b.MaxClientConns = free * 3 / 5
+	b.MaxNodeConns = free - b.MaxClientConns
+	b.IdlePressureConns = sockets / 4
+	b.MaxResponseBytes, b.MaxBufferedResponseBytes = b.RuntimeMemoryBytes/16, b.RuntimeMemoryBytes/4
+	b.ClientBufferBytes = max(b.RuntimeMemoryBytes/4, int64(b.MaxClientConns)*heldLeast)
 	return b, nil
 }
 
@@ -192,13 +194,13 @@
 	if err := errors.Join(errs...); err != nil {
 		return nil, err
 	}
-	c := &Config{Name: f.Name, Discovery: f.Discovery, Known: f.Known, Site: f.Settings, Bounds: b,
-		Conf: headConf(path, &f, b)}
-	c.Conf.Seed = seed
-	if _, err := scheduler.New(c.Conf.Scheduler, 0, 0); err != nil {
+	c := &Config{InstanceName: f.Name, DiscoveryAddr: f.Discovery, InitialList: f.Known, Settings: f.Settings, Bounds: b,
+		Gateway: headConf(path, &f, b)}
+	c.Gateway.Seed = seed
+	if _, err := scheduler.New(c.Gateway.Scheduler, 0, 0); err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	if err := c.Conf.Admission.Check(); err != nil {
+	if err := c.Gateway.Admission.Check(); err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
 	return c, nil
@@ -212,11 +214,11 @@
 		Unit: 1, BodyHold: mostBody, BodyRate: 1, Buffer: mostBody * 2,
 		HeaderTime: 1500 * time.Millisecond, IdleTime: idleTime, StallTime: 1200 * time.Millisecond,
 		StopTime: stopTime(f.Settings), StopAfter: stopAfter,
-		NodeIdle: settings.Micros(l.ConnIdle) / 2, NodeConns: b.Nodes, NodesConns: b.Nodes, DialTime: settings.Micros(l.ConnectTimeout),
-		Sizes: 1, Clients: b.Clients, Processes: 1, Header: http1.Limits{Header: 8 << 10, Target: 2 << 10, Fields: 64},
-		Admission: admission.Config{Total: b.Clients, V6Bits: 64, Wide4: 24, Wide6: 48, Entries: 256,
-			AnswerRate: 50, AnswerBurst: b.Told, KnownMultiple: 1, Buffers: b.HeldBytes, BufferLeast: heldLeast,
-			PressureIdle: b.Clients - b.Kept, IdleUnderPress: idleUnderPress, Displace: true}}
+		NodeIdle: settings.Micros(l.ConnIdle) / 2, NodeConns: b.MaxNodeConns, NodesConns: b.MaxNodeConns, DialTime: settings.Micros(l.ConnectTimeout),
+		Sizes: 1, Clients: b.MaxClientConns, Processes: 1, Header: http1.Limits{Header: 8 << 10, Target: 2 << 10, Fields: 64},
+		Admission: admission.Config{Total: b.MaxClientConns, V6Bits: 64, Wide4: 24, Wide6: 48, Entries: 256,
+			AnswerRate: 50, AnswerBurst: b.MaxRejectionConns, KnownMultiple: 1, Buffers: b.ClientBufferBytes, BufferLeast: heldLeast,
+			PressureIdle: b.MaxClientConns - b.IdlePressureConns, IdleUnderPress: idleUnderPress, Displace: true}}
 	if c.NodeIdle <= 0 {
 		c.NodeIdle = 10 * time.Second
 	}
@@ -228,13 +230,13 @@
 
 // Protocol makes what reads and writes the platform's messages.
 func (c *Config) Protocol() *Protocol {
-	p := &Protocol{classes: map[string]int{}, plans: map[string]int{}, writes: c.Site.FamilyInfo.Writes,
-		most: c.Site.FamilyInfo.UnitsTop, shards: c.Site.FamilyInfo.Shards, heads: c.Site.FleetSize,
-		stall: c.Conf.DialTime, answer: c.Bounds.Answer, answers: c.Bounds.Answers, ids: newIDs(endedKept)}
-	for i, k := range c.Site.Classes {
+	p := &Protocol{classes: map[string]int{}, plans: map[string]int{}, writes: c.Settings.FamilyInfo.Writes,
+		most: c.Settings.FamilyInfo.UnitsTop, shards: c.Settings.FamilyInfo.Shards, heads: c.Settings.FleetSize,
+		stall: c.Gateway.DialTime, answer: c.Bounds.MaxResponseBytes, answers: c.Bounds.MaxBufferedResponseBytes, ids: newIDs(endedKept)}
+	for i, k := range c.Settings.Classes {
 		p.classes[k.Name] = i
 	}
-	for i, g := range c.Conf.Scheduler.Plans {
+	for i, g := range c.Gateway.Scheduler.Plans {
 		p.plans[g.Name] = i
 	}
 	return p
--- a/internal/platform/drawn_test.go
+++ b/internal/platform/drawn_test.go
@@ -57,7 +57,7 @@
 			return
 		}
 		for i := range classes {
-			left := max(c.Conf.Scheduler.Classes[i].Deadline, c.Conf.Scheduler.Classes[i].LatencyObjective, 50*time.Millisecond) // of its client
+			left := max(c.Gateway.Scheduler.Classes[i].Deadline, c.Gateway.Scheduler.Classes[i].LatencyObjective, 50*time.Millisecond) // of its client
 			if status := serveOne(rt, c, fmt.Sprint("c", i), left, plans); status != "200" {
 				rt.Fatalf("class %d gets %s by %s", i, status, b)
 			}
@@ -69,14 +69,14 @@
 // returns the status that its client gets.
 func serveOne(t *rapid.T, c *Config, class string, left time.Duration, plans []map[string]any) string {
 	now := 24 * time.Hour
-	h, err := gateway.New(c.Conf, 1, now, time.Unix(1e9, 0), nil)
+	h, err := gateway.New(c.Gateway, 1, now, time.Unix(1e9, 0), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	p := c.Protocol()
 	h.SetProtocol(p)
 	feed := &discovery.EndpointList{Index: new(int64), Snapshot: true, Endpoints: []discovery.Endpoint{{Name: "n", Address: "127.0.0.1:7", Status: "up"}}}
-	nodes, err := discovery.New("127.0.0.1:9", nil, false, 1).Nodes(feed)
+	nodes, err := discovery.New("127.0.0.1:9", nil, false, 1).NodesFromList(feed)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -61,7 +61,7 @@
 	file := t.TempDir() + "/c"
 	os.WriteFile(file, text(`"discovery":"127.0.0.1:9"`, `"discovery":""`), 0o644)
 	c, err := Load(func(name string) string { return map[string]string{EnvConfig: file, EnvDiscovery: "127.0.0.2:1"}[name] })
-	if err != nil || c.Discovery != "127.0.0.2:1" {
+	if err != nil || c.DiscoveryAddr != "127.0.0.2:1" {
 		t.Errorf("what the file leaves out comes from the environment: %v %v", c, err)
 	}
 }
@@ -75,13 +75,13 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if b.Descriptors() > sockets || b.Clients < sockets/3 || b.Kept >= sockets/3 || b.Nodes < sockets/4 {
-				t.Errorf("%d sockets: %+v is %d descriptors", sockets, b, b.Descriptors())
+			if b.RequiredDescriptors() > sockets || b.MaxClientConns < sockets/3 || b.IdlePressureConns >= sockets/3 || b.MaxNodeConns < sockets/4 {
+				t.Errorf("%d sockets: %+v is %d descriptors", sockets, b, b.RequiredDescriptors())
 			}
-			if b.Answer < 1<<20 || b.Answers < b.Answer {
+			if b.MaxResponseBytes < 1<<20 || b.MaxBufferedResponseBytes < b.MaxResponseBytes {
 				t.Errorf("%v MB: %+v", memory, b)
 			}
-			if float64(b.Memory+b.HeldBytes) > memory*(1<<20)*0.95 {
+			if float64(b.RuntimeMemoryBytes+b.ClientBufferBytes) > memory*(1<<20)*0.95 {
 				t.Errorf("%v MB: %+v", memory, b)
 			}
 		}
@@ -261,7 +261,7 @@
 	f.Add(text("", ""))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		if c, err := Parse("c", b, none); err == nil {
-			if _, err := netip.ParseAddrPort(c.Discovery); err != nil || c.Bounds.Descriptors() > c.Bounds.Sockets {
+			if _, err := netip.ParseAddrPort(c.DiscoveryAddr); err != nil || c.Bounds.RequiredDescriptors() > c.Bounds.DescriptorLimit {
 				t.Fatalf("%q: %+v", b, c)
 			}
 		}
--- a/internal/platform/told_test.go
+++ b/internal/platform/told_test.go
@@ -36,7 +36,7 @@
 		t.Fatal(err)
 	}
 	r := &toldRig{now: 24 * time.Hour}
-	if r.h, err = gateway.New(c.Conf, 1, r.now, time.Unix(0, 0), nil); err != nil {
+	if r.h, err = gateway.New(c.Gateway, 1, r.now, time.Unix(0, 0), nil); err != nil {
 		t.Fatal(err)
 	}
 	r.h.SetProtocol(c.Protocol())
--- a/internal/soak/fleet.go
+++ b/internal/soak/fleet.go
@@ -57,7 +57,7 @@
 	if err != nil {
 		return err
 	}
-	text, err := h.settings.file(h.number, h.listen, address, h.agent.Known())
+	text, err := h.settings.file(h.number, h.listen, address, h.agent.FullList())
 	if err != nil {
 		return err
 	}
@@ -136,7 +136,7 @@
 		h.fault("reload: %v", err)
 		return
 	}
-	h.agent.Moved()
+	h.agent.AddressChangeDelivered()
 	h.process.Signal(syscall.SIGHUP)
 }
 
--- a/internal/soak/members.go
+++ b/internal/soak/members.go
@@ -41,24 +41,24 @@
 		address := fmt.Sprintf("127.200.%d.%d:8000", i/250, i%250+1)
 		entries = append(entries, discovery.Endpoint{Name: fmt.Sprintf("s-%08x", i), Address: address, Zone: "z0", Group: i / 4, Status: "up"})
 	}
-	registry.Replace(entries...)
+	registry.ReplaceAll(entries...)
 	log, err := os.Create(filepath.Join(dir, "members.log"))
 	if err != nil {
 		return err
 	}
 	defer log.Close()
 	o := &Options{Seed: 1, Heads: 1, Nodes: 4}
-	h := &head{listen: loopback.Addr(250, 1, headPort), agent: registry.Agent(0), settings: drawSettings(o), dir: dir, exe: exe, log: log}
+	h := &head{listen: loopback.Addr(250, 1, headPort), agent: registry.NewAgent(0), settings: drawSettings(o), dir: dir, exe: exe, log: log}
 	if err := h.start(); err != nil {
 		return err
 	}
 	defer h.process.Kill()
 	defer h.agent.Close()
 	for round := range roundsOfMembers {
-		h.agent.GoDown()
+		h.agent.StartOutage()
 		time.Sleep(downForMembers)
-		registry.Set(func(e *discovery.Endpoint) { e.Status = []string{"draining", "up"}[round%2] }, "s-00000000")
-		h.agent.ComeBack()
+		registry.UpdateEndpoint(func(e *discovery.Endpoint) { e.Status = []string{"draining", "up"}[round%2] }, "s-00000000")
+		h.agent.EndOutage()
 		time.Sleep(upForMembers)
 	}
 	used, err := usageOf(h.process.Pid())
@@ -67,7 +67,7 @@
 	}
 	asked := h.agent.Usage()
 	fmt.Fprintf(out, "  %5d nodes: CPU %.2f s, peak %.1f MB, %d descriptors, %d answers of %d KB in all\n", size, used.cpu.Seconds(),
-		float64(used.peakKB)/1024, used.descriptors, asked.Calls, asked.Bytes/1024)
+		float64(used.peakKB)/1024, used.descriptors, asked.Calls, asked.ResponseBytes/1024)
 	return nil
 }
 
--- a/internal/soak/settings.go
+++ b/internal/soak/settings.go
@@ -134,9 +134,9 @@
 		return nil, err
 	}
 	for i, v := range volumes {
-		c.Conf.Volumes = append(c.Conf.Volumes, config.Volume{Name: v.name, Plan: i})
+		c.Gateway.Volumes = append(c.Gateway.Volumes, config.Volume{Name: v.name, Plan: i})
 	}
-	return c.Conf, nil
+	return c.Gateway, nil
 }
 
 func (s *settings) cold() audit.Cold {
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -91,7 +91,7 @@
 			return err
 		}
 		f.nodes = append(f.nodes, n)
-		f.registry.Set(func(e *discovery.Endpoint) {
+		f.registry.UpdateEndpoint(func(e *discovery.Endpoint) {
 			*e = discovery.Endpoint{Name: n.name, Address: n.addr(), Zone: fmt.Sprint("z", i%2), Group: n.shard, Status: "up"}
 		}, n.name)
 	}
@@ -105,7 +105,7 @@
 			return err
 		}
 		listen := f.address(i, headPort)
-		h := &head{number: i, listen: listen, agent: f.registry.Agent(i), settings: f.settings, dir: dir, exe: exe,
+		h := &head{number: i, listen: listen, agent: f.registry.NewAgent(i), settings: f.settings, dir: dir, exe: exe,
 			inject: script.Inject[i], log: log}
 		h.clients = &clients{head: i, addr: listen, config: f.settings, nextID: &f.ids}
 		f.heads = append(f.heads, h)
@@ -211,20 +211,20 @@
 	for _, a := range agents {
 		switch e.Kind {
 		case DiscoveryDown:
-			a.GoDown()
+			a.StartOutage()
 		case WatchesSilent:
 			a.SilenceWatches()
 		case DiscoverySlow:
-			a.SetSlow(e.For / 10)
+			a.SetResponseDelay(e.For / 10)
 		}
 	}
 	time.Sleep(e.For)
 	for _, a := range agents {
 		switch e.Kind {
 		case DiscoveryDown:
-			a.ComeBack()
+			a.EndOutage()
 		case DiscoverySlow:
-			a.SetSlow(0)
+			a.SetResponseDelay(0)
 		}
 	}
 }
@@ -233,9 +233,9 @@
 	n := f.nodes[e.Who]
 	switch e.Kind {
 	case Drain:
-		f.registry.Set(func(e *discovery.Endpoint) { e.Status = "draining" }, n.name)
+		f.registry.UpdateEndpoint(func(e *discovery.Endpoint) { e.Status = "draining" }, n.name)
 		time.Sleep(e.For)
-		f.registry.Set(func(e *discovery.Endpoint) { e.Status = "up" }, n.name)
+		f.registry.UpdateEndpoint(func(e *discovery.Endpoint) { e.Status = "up" }, n.name)
 	case NodeRestart:
 		if !n.life.TryLock() { // it is down already
 			return
@@ -251,7 +251,7 @@
 		f.mu.Lock()
 		f.starts = append(f.starts, audit.Span{Name: n.name, From: micro()})
 		f.mu.Unlock()
-		f.registry.Set(func(e *discovery.Endpoint) { e.Since = float64(time.Now().UnixMilli()) }, n.name)
+		f.registry.UpdateEndpoint(func(e *discovery.Endpoint) { e.Since = float64(time.Now().UnixMilli()) }, n.name)
 	case NodeLate:
 		n.pause(true)
 		time.Sleep(e.For)
