--- a/cmd/maddergap/descriptors_test.go
+++ b/cmd/maddergap/descriptors_test.go
@@ -14,6 +14,7 @@
 	"golang.org/x/sys/unix"
 
 	"maddergap/internal/fakenode"
+	"maddergap/internal/loopback"
 	"maddergap/internal/nodelist"
 )
 
@@ -28,7 +29,7 @@
 	}
 	defer node.Close()
 	nodelist.Replace(filepath.Join(dir, "nodes.list"), []nodelist.Node{{Name: "n0", Addr: node.Addr()}})
-	addr := "127.0.99.2:18099"
+	addr := loopback.Addr(99, 2, 18099)
 	file := filepath.Join(dir, "m.conf")
 	os.WriteFile(file, []byte(fmt.Sprintf(demoConf, addr, 0, 0)), 0o644)
 	cmd := program(t, "serve", "--config", file)
--- a/cmd/maddergap/main_test.go
+++ b/cmd/maddergap/main_test.go
@@ -19,6 +19,7 @@
 
 	"maddergap/internal/fakenode"
 	"maddergap/internal/flood"
+	"maddergap/internal/loopback"
 	"maddergap/internal/nodelist"
 	"maddergap/internal/scenario"
 )
@@ -147,7 +148,7 @@
 	}
 	defer node.Close()
 	nodelist.Replace(filepath.Join(dir, "nodes.list"), []nodelist.Node{{Name: "n0", Addr: node.Addr()}})
-	addr := "127.0.99.3:18099"
+	addr := loopback.Addr(99, 3, 18099)
 	conf := filepath.Join(dir, "m.conf")
 	text := strings.Replace(fmt.Sprintf(demoConf, addr, 0, 0), "clients 512", "clients 200", 1)
 	os.WriteFile(conf, []byte(text+"admit address 8 reserve 50 answers 20 answers-burst 20\nknown 127.9.0.0/16\n"), 0o644)
@@ -216,7 +217,7 @@
 	}
 	defer node.Close()
 	nodelist.Replace(filepath.Join(dir, "nodes.list"), []nodelist.Node{{Name: "n0", Addr: node.Addr()}})
-	addr := "127.0.99.1:18099"
+	addr := loopback.Addr(99, 1, 18099)
 	conf := filepath.Join(dir, "m.conf")
 	os.WriteFile(conf, []byte(fmt.Sprintf(demoConf, addr, 0, 0)), 0o644)
 	start := func() *exec.Cmd { return serving(t, addr, conf) }
--- a/cmd/maddergap/workers_test.go
+++ b/cmd/maddergap/workers_test.go
@@ -17,6 +17,7 @@
 	"time"
 
 	"maddergap/internal/fakenode"
+	"maddergap/internal/loopback"
 	"maddergap/internal/nodelist"
 )
 
@@ -56,7 +57,7 @@
 	}
 	defer node.Close()
 	nodelist.Replace(filepath.Join(dir, "nodes.list"), []nodelist.Node{{Name: "n0", Addr: node.Addr()}})
-	addr := "127.0.99.4:18099"
+	addr := loopback.Addr(99, 4, 18099)
 	conf := filepath.Join(dir, "m.conf")
 	text := strings.ReplaceAll(fmt.Sprintf(demoConf, addr, 0, 0), "shards 0-0", "shards 0 heads 2")
 	os.WriteFile(conf, []byte(text+"heads 2\nprocesses 2\nadmit reserve 10\nknown 127.9.0.0/16\n"), 0o644)
