--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -26,7 +26,7 @@
 			"dispatch head_0 7 s 0\n"},
 		{"stopped and started in one batch", "clock 5 1\n" + boot + "over_to_you\nclock 9 2\njob_in head_0 7" + job +
 			"shutdown head_0\n" + boot + "job_in head_0 8" + job + "over_to_you\n", "dispatch head_0 8 s 0\n"},
-		{"unusable settings", "clock 5 1\nboot head_0 5 {}\nover_to_you\n", "broken head_0 settings: Heads"},
+		{"unusable settings", "clock 5 1\nboot head_0 5 {}\nover_to_you\n", "broken head_0 settings: Instances"},
 		{"nothing after a stop", "clock 5 1\n" + boot + "shutdown head_0\nbell head_0 w\nover_to_you\n", "next 1\n"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/audit/budgets.go
+++ b/internal/audit/budgets.go
@@ -9,7 +9,7 @@
 func (j *judge) budget() Rule {
 	s := j.in.Config.Scheduler
 	r := Rule{Number: 6, Name: "attempt budget", Unit: "x the budget, in any window", Bound: 1}
-	if !s.Budget {
+	if s.RetryBudget == nil {
 		return r
 	}
 	further, taken := map[int][]int64{}, map[int][]int64{}
@@ -25,7 +25,7 @@
 			taken[c.Head] = append(taken[c.Head], c.Sent)
 		}
 	}
-	over := s.BudgetOver.Microseconds()
+	over := s.RetryBudget.Window.Microseconds()
 	for head, ends := range further {
 		slices.Sort(ends)
 		in := taken[head]
@@ -37,11 +37,11 @@
 			}
 			lo, _ := slices.BinarySearch(in, at-over-j.blur())
 			hi, _ := slices.BinarySearch(in, at+j.blur())
-			budget := s.BudgetFree + s.BudgetShare*float64(hi-lo)
+			budget := s.RetryBudget.MinRetries + s.RetryBudget.Ratio*float64(hi-lo)
 			n := float64(i - from + 1)
 			r.Figure = max(r.Figure, n/max(budget, 1e-9))
 			if n > budget+1e-9 {
-				r.breach("head %d made %.0f further attempts in %v, with %d requests %.1f are allowed", head, n, s.BudgetOver, hi-lo, budget)
+				r.breach("head %d made %.0f further attempts in %v, with %d requests %.1f are allowed", head, n, s.RetryBudget.Window, hi-lo, budget)
 			}
 		}
 	}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -285,12 +285,12 @@
 	"route":  (*parser).route,
 	"cold":   (*parser).cold,
 	"budget": func(p *parser, _ int, a *Args) {
-		s := &p.c.Scheduler
-		s.Budget = true
+		budget := &scheduler.RetryBudget{}
+		p.c.Scheduler.RetryBudget = budget
 		pairs(a, map[string]func(string){
-			"free":  func(k string) { s.BudgetFree = a.Float(k) },
-			"share": func(k string) { s.BudgetShare = a.Share(k) },
-			"over":  func(k string) { s.BudgetOver = a.Duration(k, time.Millisecond) },
+			"free":  func(k string) { budget.MinRetries = a.Float(k) },
+			"share": func(k string) { budget.Ratio = a.Share(k) },
+			"over":  func(k string) { budget.Window = a.Duration(k, time.Millisecond) },
 		}, "over")
 	},
 	"attempts":    func(p *parser, _ int, a *Args) { p.c.Scheduler.MaxAttempts = a.Int("number", 1, 100) },
@@ -538,11 +538,11 @@
 }
 
 func (p *parser) cold(_ int, a *Args) {
-	s := &p.c.Scheduler
+	s := &p.c.Scheduler.SlowStart
 	pairs(a, map[string]func(string){
 		"for":      func(k string) { s.WarmupDuration = a.Duration(k, 0) },
-		"from":     func(k string) { s.SlowStartInitialFraction = a.Share(k) },
-		"units":    func(k string) { s.SlowStartMinUnits = a.Float(k) },
+		"from":     func(k string) { s.InitialFraction = a.Share(k) },
+		"units":    func(k string) { s.MinUnits = a.Float(k) },
 		"window":   func(k string) { s.OverloadWindow = a.Duration(k, time.Millisecond) },
 		"multiple": func(k string) { s.OverloadFactor = a.Float(k) },
 	}, "for", "from", "units", "window", "multiple")
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -124,18 +124,19 @@
 	g, l := site.Guarantees, site.Limits
 	s := scheduler.Settings{
 		Instances: site.FleetSize, PollDiscovery: site.Discovery == "ask",
-		MaxUnits: site.FamilyInfo.UnitsTop, MeanUnits: site.FamilyInfo.UsualUnits, SlowStartMinUnits: site.FamilyInfo.ColdUnits,
-		ExcessWeight:   site.FamilyInfo.FairWorth,
-		OverloadWindow: Micros(g.OverloadFor), WarmupDuration: Micros(g.Cold), SlowStartInitialFraction: g.ColdFrom, OverloadFactor: g.FallMultiple,
-		KeyCooldown: Micros(g.OrderSettle), BudgetOver: Micros(g.CountedOver), Budget: g.CountedOver > 0,
+		MaxUnits: site.FamilyInfo.UnitsTop, MeanUnits: site.FamilyInfo.UsualUnits,
+		ExcessWeight: site.FamilyInfo.FairWorth,
+		SlowStart: scheduler.SlowStart{
+			WarmupDuration:  Micros(g.Cold),
+			InitialFraction: g.ColdFrom,
+			MinUnits:        site.FamilyInfo.ColdUnits,
+			OverloadWindow:  Micros(g.OverloadFor),
+			OverloadFactor:  g.FallMultiple,
+		},
+		RetryBudget: site.retryBudget(),
+		KeyCooldown: Micros(g.OrderSettle),
 		MaxAttempts: l.MaxAttempts,
 	}
-	if g.FreeResends != nil {
-		s.BudgetFree = *g.FreeResends
-	}
-	if g.FurtherRatio != nil {
-		s.BudgetShare = *g.FurtherRatio
-	}
 	if l.RetryAfter {
 		s.MaxRetryAfter = Micros(l.MaxRetryAfter)
 	}
@@ -152,3 +153,19 @@
 	}
 	return s
 }
+
+// retryBudget returns nil where the site has no retry budget.
+func (site *Site) retryBudget() *scheduler.RetryBudget {
+	g := site.Guarantees
+	if g.CountedOver <= 0 {
+		return nil
+	}
+	budget := &scheduler.RetryBudget{Window: Micros(g.CountedOver)}
+	if g.FreeResends != nil {
+		budget.MinRetries = *g.FreeResends
+	}
+	if g.FurtherRatio != nil {
+		budget.Ratio = *g.FurtherRatio
+	}
+	return budget
+}
--- a/scheduler/dispatch.go
+++ b/scheduler/dispatch.go
@@ -15,7 +15,7 @@
 		if n.breaker.trialDue(s.now) {
 			s.openBreaker(n) // what is out is written off once more
 		}
-		if s.firstRefusal(nodeGuards, candidate{node: n}) != Allowed {
+		if s.firstRefusal(nodeGuards, candidate{node: n}) != ReasonAllowed {
 			break
 		}
 		next := s.next(n)
@@ -121,7 +121,7 @@
 	if sub.Empty() {
 		return nil
 	}
-	if s.firstRefusal(profileGuards, candidate{node: n, profile: &sub.Profile, late: late}) != Allowed {
+	if s.firstRefusal(profileGuards, candidate{node: n, profile: &sub.Profile, late: late}) != ReasonAllowed {
 		return nil
 	}
 	answered, best := s.now+s.expected(n, sub.Profile.units), sub.BestByLatencyDeadline
--- a/scheduler/fleet_test.go
+++ b/scheduler/fleet_test.go
@@ -138,12 +138,12 @@
 			continue
 		}
 		sum += x.units
-		for f.sent[from].at <= x.at-s.OverloadWindow {
+		for f.sent[from].at <= x.at-s.SlowStart.OverloadWindow {
 			sum -= f.sent[from].units
 			from++
 		}
-		age := math.Min(1, float64(x.at-started)/float64(s.WarmupDuration))
-		now := s.OverloadFactor * units * (s.SlowStartInitialFraction + (1-s.SlowStartInitialFraction)*age) * s.OverloadWindow.Seconds() / s.MeanUnits
+		age := math.Min(1, float64(x.at-started)/float64(s.SlowStart.WarmupDuration))
+		now := s.SlowStart.OverloadFactor * units * (s.SlowStart.InitialFraction + (1-s.SlowStart.InitialFraction)*age) * s.SlowStart.OverloadWindow.Seconds() / s.MeanUnits
 		chance = max(chance, sum/s.MeanUnits/(now+2*math.Sqrt(now)+2))
 		n = max(n, sum/s.MeanUnits/now)
 	}
@@ -185,8 +185,9 @@
 // coldSite is a site with a rule on cold nodes, whose nodes do so many units a second.
 func coldSite(heads int, units float64) Settings {
 	return site(func(s *Settings) {
-		s.Instances, s.OverloadWindow, s.WarmupDuration, s.SlowStartInitialFraction, s.OverloadFactor = heads, 1500*ms, 10*time.Second, 0.25, 3
-		s.SlowStartMinUnits = 0.7 * 3 * 0.25 * units * 1.5 // the least of all nodes bears it
+		s.Instances = heads
+		s.SlowStart = SlowStart{WarmupDuration: 10 * time.Second, InitialFraction: 0.25, OverloadWindow: 1500 * ms, OverloadFactor: 3}
+		s.SlowStart.MinUnits = 0.7 * 3 * 0.25 * units * 1.5 // the least of all nodes bears it
 		s.Plans[0].Reserve = 4 * units
 		s.ExcessWeight, s.MaxRetryAfter = 0.3, 500*ms
 	})
--- a/scheduler/guards.go
+++ b/scheduler/guards.go
@@ -10,19 +10,19 @@
 
 // Reasons, in the order in which they are looked for.
 const (
-	Allowed      Reason = iota
-	NoNode              // no node of the list may take it
-	KeyOrder            // another request of its key goes first, or the key rests
-	RetryBackoff        // the pause before another attempt is not over
-	BreakerOpen         // its node is silent or unreachable
-	WindowFull          // as many are out at its node as the window allows
-	RetryBudget         // too many attempts past the first
-	Backpressure        // its node is slow, and others' requests are worth more
-	SlowStart           // its node has just started
-	TooLate             // no answer is expected in time
-	RepeatWindow        // another attempt might run twice
-	TenantLimit         // its volume is over the limit of its plan
-	reasonsCount        // how many there are
+	ReasonAllowed       Reason = iota
+	ReasonNoNode               // no node of the list may take it
+	ReasonKeyOrder             // another request of its key goes first, or the key rests
+	ReasonRetryBackoff         // the pause before another attempt is not over
+	ReasonBreakerOpen          // its node is silent or unreachable
+	ReasonWindowFull           // as many are out at its node as the window allows
+	ReasonRetryBudget          // too many attempts past the first
+	ReasonBackpressure         // its node is slow, and others' requests are worth more
+	ReasonSlowStart            // its node has just started
+	ReasonTooLate              // no answer is expected in time
+	ReasonDeduplication        // another attempt might run twice
+	ReasonTenantLimit          // its volume is over the limit of its plan
+	reasonsCount               // how many there are
 )
 
 var reasonNames = [reasonsCount]string{"allowed", "no-node", "key-order", "retry-backoff", "breaker-open", "window-full",
@@ -51,21 +51,21 @@
 
 // nodeGuards judge a node, whatever waits there.
 var nodeGuards = []guard{
-	{BreakerOpen, func(s *Scheduler, c candidate) bool { return c.node.breaker.open && s.now < c.node.breaker.trialAt }},
-	{WindowFull, func(s *Scheduler, c candidate) bool { return c.node.nextSlot() > s.now }},
+	{ReasonBreakerOpen, func(s *Scheduler, c candidate) bool { return c.node.breaker.open && s.now < c.node.breaker.trialAt }},
+	{ReasonWindowFull, func(s *Scheduler, c candidate) bool { return c.node.nextSlot() > s.now }},
 }
 
 // profileGuards judge all requests of a profile at a node.
 var profileGuards = []guard{
-	{RetryBudget, func(s *Scheduler, c candidate) bool { return c.profile.retry && !s.mayRetry() }},
-	{Backpressure, (*Scheduler).standsBack},
-	{SlowStart, func(s *Scheduler, c candidate) bool { return !s.coldBudgetAllows(c.node, c.profile.units) }},
+	{ReasonRetryBudget, func(s *Scheduler, c candidate) bool { return c.profile.retry && !s.mayRetry() }},
+	{ReasonBackpressure, (*Scheduler).standsBack},
+	{ReasonSlowStart, func(s *Scheduler, c candidate) bool { return !s.coldBudgetAllows(c.node, c.profile.units) }},
 }
 
 // requestGuards judge one request.
 var requestGuards = []guard{
-	{RepeatWindow, func(s *Scheduler, c candidate) bool { return !s.mayRepeat(c.request, c.node) }},
-	{TenantLimit, func(s *Scheduler, c candidate) bool { return s.limitRefuses(c.profile, c.request.volume) }},
+	{ReasonDeduplication, func(s *Scheduler, c candidate) bool { return !s.mayRepeat(c.request, c.node) }},
+	{ReasonTenantLimit, func(s *Scheduler, c candidate) bool { return s.limitRefuses(c.profile, c.request.volume) }},
 }
 
 // firstRefusal asks guards in their order and returns the first refusal.
@@ -75,7 +75,7 @@
 			return guards[i].reason
 		}
 	}
-	return Allowed
+	return ReasonAllowed
 }
 
 // limitRefuses tells whether its plan's limit keeps a volume's requests of a profile: first
@@ -115,27 +115,27 @@
 	return pressure > max(worth, leastPressure) && worth < 1
 }
 
-// WaitReason tells why a request that waits is not sent now; Allowed where it is merely not its
+// WaitReason tells why a request that waits is not sent now; ReasonAllowed where it is merely not its
 // turn among the others of its node, or where it does not wait. Nothing is decided by it, and
 // nothing decided later depends on whether it was asked.
 func (s *Scheduler) WaitReason(id uint64) Reason {
 	r := s.requests[id]
 	if r == nil || r.inFlight > 0 {
-		return Allowed
+		return ReasonAllowed
 	}
 	if r.node == nil {
-		return NoNode
+		return ReasonNoNode
 	}
 	readyAt, isNext := s.readyAt(r)
 	switch {
 	case !isNext:
-		return KeyOrder
+		return ReasonKeyOrder
 	case r.notBefore > s.now:
-		return RetryBackoff
+		return ReasonRetryBackoff
 	case readyAt > s.now:
-		return KeyOrder
+		return ReasonKeyOrder
 	case !r.Placed():
-		return RepeatWindow // it was taken out for good
+		return ReasonDeduplication // it was taken out for good
 	}
 	defer s.keepBuckets(r)()
 	return s.sendRefusal(r)
@@ -147,14 +147,14 @@
 	p := r.currentProfile()
 	answered := s.now + s.expected(n, r.Units)
 	c := candidate{node: n, profile: &p, request: r, late: r.LatencyDeadline < answered}
-	if reason := s.firstRefusal(nodeGuards, c); reason != Allowed {
+	if reason := s.firstRefusal(nodeGuards, c); reason != ReasonAllowed {
 		return reason
 	}
-	if reason := s.firstRefusal(profileGuards, c); reason != Allowed {
+	if reason := s.firstRefusal(profileGuards, c); reason != ReasonAllowed {
 		return reason
 	}
 	if r.Deadline < answered && !s.lateTrialDue(n) {
-		return TooLate
+		return ReasonTooLate
 	}
 	return s.firstRefusal(requestGuards, c)
 }
--- a/scheduler/guards_test.go
+++ b/scheduler/guards_test.go
@@ -11,51 +11,51 @@
 		want  Reason
 		setUp func(r *rig) (id uint64)
 	}{
-		{Allowed, func(r *rig) uint64 { return 99 }},
-		{Allowed, func(r *rig) uint64 { r.at(0, req(1)); return 1 }}, // it is out
-		{NoNode, func(r *rig) uint64 { r.at(0, req(1, shard(7))); return 1 }},
-		{KeyOrder, func(r *rig) uint64 { r.at(0, req(1, key("k")), req(2, key("k"))); return 2 }},
-		{KeyOrder, func(r *rig) uint64 {
+		{ReasonAllowed, func(r *rig) uint64 { return 99 }},
+		{ReasonAllowed, func(r *rig) uint64 { r.at(0, req(1)); return 1 }}, // it is out
+		{ReasonNoNode, func(r *rig) uint64 { r.at(0, req(1, shard(7))); return 1 }},
+		{ReasonKeyOrder, func(r *rig) uint64 { r.at(0, req(1, key("k")), req(2, key("k"))); return 2 }},
+		{ReasonKeyOrder, func(r *rig) uint64 {
 			r.at(0, req(1, key("k")), req(2, key("k")))
 			r.end(1, Reset)
 			return 2
 		}},
-		{RetryBackoff, func(r *rig) uint64 { r.at(0, req(1)); r.end(1, QueueFull); return 1 }},
-		{BreakerOpen, func(r *rig) uint64 {
+		{ReasonRetryBackoff, func(r *rig) uint64 { r.at(0, req(1)); r.end(1, QueueFull); return 1 }},
+		{ReasonBreakerOpen, func(r *rig) uint64 {
 			n := r.h.members.nodes[0]
 			n.breaker.open, n.breaker.trialAt = true, r.now+time.Hour
 			r.at(0, req(1))
 			return 1
 		}},
-		{WindowFull, func(r *rig) uint64 {
+		{ReasonWindowFull, func(r *rig) uint64 {
 			r.h.members.nodes[0].window = 1
 			r.at(0, req(1), req(2))
 			return 2
 		}},
-		{Backpressure, func(r *rig) uint64 {
+		{ReasonBackpressure, func(r *rig) uint64 {
 			n := r.h.members.nodes[0]
 			n.observed.add(r.now, 100, 0, 100)
 			n.heardAt = r.now
 			r.at(0, req(1, class(1)))
 			return 1
 		}},
-		{RetryBudget, func(r *rig) uint64 {
+		{ReasonRetryBudget, func(r *rig) uint64 {
 			r.at(0, req(1))
 			r.end(1, Reset)
 			r.wait(50 * ms)
 			return 1
 		}},
-		{SlowStart, func(r *rig) uint64 {
+		{ReasonSlowStart, func(r *rig) uint64 {
 			r.at(0, EndpointUpdate{Endpoints: []Endpoint{{Node: "A", Started: r.now}}})
 			r.h.members.nodes[0].coldBudget.at, r.h.members.nodes[0].coldBudget.level = r.now, 0
 			r.at(0, req(1))
 			return 1
 		}},
-		{TenantLimit, func(r *rig) uint64 {
+		{ReasonTenantLimit, func(r *rig) uint64 {
 			r.at(0, req(1, units(8)), req(2, units(8)))
 			return 2
 		}},
-		{TooLate, func(r *rig) uint64 {
+		{ReasonTooLate, func(r *rig) uint64 {
 			n := r.h.members.nodes[0]
 			n.observed.add(r.now, 1e6, 1e6*10, 0)
 			n.sentAt = r.now
@@ -65,9 +65,9 @@
 	} {
 		r := start(t, site(func(s *Settings) {
 			s.ExcessWeight, s.Classes[0].Ordered, s.KeyCooldown = 0.3, true, time.Second
-			s.Budget, s.BudgetOver = true, time.Second
+			s.RetryBudget = &RetryBudget{Window: time.Second}
 			s.Plans[0].Limit, s.Plans[0].LimitBurst, s.Plans[0].Reserve, s.Classes[1].PriorityWeight = 10, 10, 100, 1
-			s.WarmupDuration, s.SlowStartInitialFraction, s.SlowStartMinUnits, s.OverloadWindow, s.OverloadFactor = 10*time.Second, 0.25, 1, time.Second, 1
+			s.SlowStart = SlowStart{WarmupDuration: 10 * time.Second, InitialFraction: 0.25, MinUnits: 1, OverloadWindow: time.Second, OverloadFactor: 1}
 		}), nodeA)
 		r.wait(2 * time.Second) // the limit's bucket fills
 		id := c.setUp(r)
@@ -76,7 +76,7 @@
 		}
 	}
 	seen := map[string]bool{}
-	for reason := Allowed; reason < reasonsCount; reason++ {
+	for reason := ReasonAllowed; reason < reasonsCount; reason++ {
 		if name := reason.String(); name == "" || name == "unknown" || seen[name] {
 			t.Errorf("reason %d is called %q", reason, name)
 		} else {
@@ -85,7 +85,7 @@
 	}
 	for _, list := range [][]guard{nodeGuards, profileGuards, requestGuards} {
 		for _, g := range list {
-			if g.reason == Allowed || g.refuses == nil {
+			if g.reason == ReasonAllowed || g.refuses == nil {
 				t.Errorf("a guard without a reason or a rule: %+v", g.reason)
 			}
 		}
--- a/scheduler/reference_test.go
+++ b/scheduler/reference_test.go
@@ -212,7 +212,7 @@
 		h.do(Reject{ID: a.ID}) // nothing known may be promised of it but that it never ran
 		return
 	}
-	if h.s.Budget {
+	if h.s.RetryBudget != nil {
 		h.taken = append(h.taken, h.now)
 	}
 	h.seq++
@@ -537,7 +537,7 @@
 }
 
 func (h *reference) isCold(n *node) bool {
-	return n.Started > 0 && h.s.WarmupDuration > 0 && h.now < n.Started+h.s.WarmupDuration
+	return n.Started > 0 && h.s.SlowStart.WarmupDuration > 0 && h.now < n.Started+h.s.SlowStart.WarmupDuration
 }
 
 func (h *reference) served(shard int, until Time, units float64) float64 {
@@ -557,11 +557,11 @@
 	if !h.isCold(n) {
 		return
 	}
-	window, units := max(h.s.OverloadWindow.Seconds(), 1e-3), cmp.Or(h.s.SlowStartMinUnits, h.s.MeanUnits)
+	window, units := max(h.s.SlowStart.OverloadWindow.Seconds(), 1e-3), cmp.Or(h.s.SlowStart.MinUnits, h.s.MeanUnits)
 	rate := max(coldKeep*units/float64(h.s.Instances)/window,
-		h.s.OverloadFactor*h.s.SlowStartInitialFraction*h.served(n.Shard, n.Started, 0)/h.sharing(n))
+		h.s.SlowStart.OverloadFactor*h.s.SlowStart.InitialFraction*h.served(n.Shard, n.Started, 0)/h.sharing(n))
 	n.cold = bucket{rate: rate, cap: rate * window * (1 - coldKeep) / coldKeep}
-	n.cold.at = max(h.now, h.boot+h.s.OverloadWindow)
+	n.cold.at = max(h.now, h.boot+h.s.SlowStart.OverloadWindow)
 	n.cold.level = n.cold.cap - h.rand.Float64()*h.s.MeanUnits
 }
 
@@ -576,8 +576,8 @@
 
 func (h *reference) coldLevel(n *node) bucket {
 	grown := 1.0
-	if from := h.s.SlowStartInitialFraction; from > 0 && from < 1 {
-		age := float64(h.now-n.Started-h.s.OverloadWindow) / float64(h.s.WarmupDuration)
+	if from := h.s.SlowStart.InitialFraction; from > 0 && from < 1 {
+		age := float64(h.now-n.Started-h.s.SlowStart.OverloadWindow) / float64(h.s.SlowStart.WarmupDuration)
 		grown += max(0, age) * (1 - from) / from
 	}
 	b := n.cold
@@ -624,15 +624,15 @@
 }
 
 func (h *reference) withinBudget() bool {
-	if !h.s.Budget {
+	if h.s.RetryBudget == nil {
 		return true
 	}
-	h.taken = slices.DeleteFunc(h.taken, func(t Time) bool { return t <= h.now-h.s.BudgetOver })
-	h.further = slices.DeleteFunc(h.further, func(t Time) bool { return t < h.now-h.s.BudgetOver })
-	if h.now <= h.boot+h.s.BudgetOver { // a life before may have spent it
+	h.taken = slices.DeleteFunc(h.taken, func(t Time) bool { return t <= h.now-h.s.RetryBudget.Window })
+	h.further = slices.DeleteFunc(h.further, func(t Time) bool { return t < h.now-h.s.RetryBudget.Window })
+	if h.now <= h.boot+h.s.RetryBudget.Window { // a life before may have spent it
 		return false
 	}
-	return float64(len(h.further)+1) <= h.s.BudgetFree+h.s.BudgetShare*float64(len(h.taken))
+	return float64(len(h.further)+1) <= h.s.RetryBudget.MinRetries+h.s.RetryBudget.Ratio*float64(len(h.taken))
 }
 
 func (h *reference) yields(r *request, n *node, late bool) bool {
@@ -749,7 +749,7 @@
 			r.vol.limit.fill(h.now)
 			r.vol.limit.level -= r.Units
 		}
-	} else if h.s.Budget {
+	} else if h.s.RetryBudget != nil {
 		h.further = append(h.further, h.now)
 	}
 	if h.isCold(n) {
@@ -844,7 +844,9 @@
 			delete(h.turns, key)
 		}
 	}
-	h.taken = slices.DeleteFunc(h.taken, func(t Time) bool { return t <= h.now-h.s.BudgetOver })
+	if h.s.RetryBudget != nil {
+		h.taken = slices.DeleteFunc(h.taken, func(t Time) bool { return t <= h.now-h.s.RetryBudget.Window })
+	}
 }
 
 type bucket struct {
--- a/scheduler/retries.go
+++ b/scheduler/retries.go
@@ -78,21 +78,21 @@
 
 // bookArrival books an arrival, which earns a part of an attempt.
 func (s *Scheduler) bookArrival() {
-	if s.settings.Budget {
+	if s.settings.RetryBudget != nil {
 		s.retryBudget.arrivals = append(s.retryBudget.arrivals, s.now)
 	}
 }
 
 // spendRetry books an attempt past the first.
 func (s *Scheduler) spendRetry() {
-	if s.settings.Budget {
+	if s.settings.RetryBudget != nil {
 		s.retryBudget.retries = append(s.retryBudget.retries, s.now)
 	}
 }
 
 // mayRetry tells whether the budget has room for an attempt past the first.
 func (s *Scheduler) mayRetry() bool {
-	if !s.settings.Budget {
+	if s.settings.RetryBudget == nil {
 		return true
 	}
 	if s.budgetUnknown() {
@@ -101,18 +101,21 @@
 	budget := &s.retryBudget
 	s.trimArrivals()
 	// An attempt just at the edge still counts, an arrival there does not.
-	budget.retries = since(budget.retries, s.now-s.settings.BudgetOver)
-	most := s.settings.BudgetFree + s.settings.BudgetShare*float64(len(budget.arrivals))
+	budget.retries = since(budget.retries, s.now-s.settings.RetryBudget.Window)
+	most := s.settings.RetryBudget.MinRetries + s.settings.RetryBudget.Ratio*float64(len(budget.arrivals))
 	return float64(len(budget.retries)+1) <= most
 }
 
 // budgetUnknown tells whether the head's life before may have spent the budget of this window.
 // Guards against a head that restarts and spends again, within one window, what it had spent.
 func (s *Scheduler) budgetUnknown() bool {
-	return s.now <= s.startedAt+s.settings.BudgetOver
+	return s.now <= s.startedAt+s.settings.RetryBudget.Window
 }
 
 // trimArrivals forgets arrivals that are out of the budget's window.
 func (s *Scheduler) trimArrivals() {
-	s.retryBudget.arrivals = since(s.retryBudget.arrivals, s.now-s.settings.BudgetOver+1)
+	if s.settings.RetryBudget == nil {
+		return
+	}
+	s.retryBudget.arrivals = since(s.retryBudget.arrivals, s.now-s.settings.RetryBudget.Window+1)
 }
--- a/scheduler/retries_test.go
+++ b/scheduler/retries_test.go
@@ -78,11 +78,11 @@
 
 func TestBudgetOfFurtherAttempts(t *testing.T) {
 	s := site(func(s *Settings) {
-		s.Budget, s.BudgetFree, s.BudgetShare, s.BudgetOver = true, 1, 0.5, 5*time.Second
+		s.RetryBudget = &RetryBudget{MinRetries: 1, Ratio: 0.5, Window: 5 * time.Second}
 		s.MaxAttempts = 0
 	})
 	r := start(t, s, nodeA)
-	r.wait(s.BudgetOver + ms) // a life before may have spent the budget until then
+	r.wait(s.RetryBudget.Window + ms) // a life before may have spent the budget until then
 	r.h.members.nodes[0].window = 8
 	long := func(a *Arrival) { a.TimeRemaining = time.Minute }
 	r.at(0, req(1, long), req(2, long))
@@ -99,15 +99,15 @@
 // may still count.
 func TestBudgetCountsAsSpentAfterARestart(t *testing.T) {
 	s := site(func(s *Settings) {
-		s.Budget, s.BudgetFree, s.BudgetShare, s.BudgetOver = true, 3, 1, 2*time.Second
+		s.RetryBudget = &RetryBudget{MinRetries: 3, Ratio: 1, Window: 2 * time.Second}
 	})
 	r := start(t, s, nodeA)
 	long := func(a *Arrival) { a.TimeRemaining = time.Minute }
 	r.at(0, req(1, long))
 	r.end(1, Reset)
-	r.wait(s.BudgetOver - 100*ms)
+	r.wait(s.RetryBudget.Window - 100*ms)
 	want(t, "attempts within a window of the start", r.tries[1], 1)
-	want(t, "why", r.h.WaitReason(1), RetryBudget)
+	want(t, "why", r.h.WaitReason(1), ReasonRetryBudget)
 	r.wait(200 * ms)
 	want(t, "attempts once it is over", r.tries[1], 2)
 }
--- a/scheduler/same_test.go
+++ b/scheduler/same_test.go
@@ -50,10 +50,10 @@
 		Plans: []Plan{{Name: "limited", Reserve: 16, Weight: 1, PriorityFactor: 0.75, Limit: 64, LimitBurst: 128},
 			{Name: "free", Reserve: 32, Weight: 2, PriorityFactor: 1}}}
 	if r.IntN(2) == 0 {
-		s.WarmupDuration, s.SlowStartInitialFraction, s.SlowStartMinUnits, s.OverloadWindow, s.OverloadFactor = 2*time.Second, 0.25, 8, time.Second, 2
+		s.SlowStart = SlowStart{WarmupDuration: 2 * time.Second, InitialFraction: 0.25, MinUnits: 8, OverloadWindow: time.Second, OverloadFactor: 2}
 	}
 	if r.IntN(2) == 0 {
-		s.Budget, s.BudgetFree, s.BudgetShare, s.BudgetOver = true, 2, 0.0625, 2*time.Second
+		s.RetryBudget = &RetryBudget{MinRetries: 2, Ratio: 0.0625, Window: 2 * time.Second}
 	}
 	return s
 }
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -43,7 +43,7 @@
 // New returns a scheduler that knows nothing yet. The seed is for what is spread by chance
 // among heads.
 func New(settings Settings, seed uint64, now Time) (*Scheduler, error) {
-	if err := settings.check(); err != nil {
+	if err := settings.validate(); err != nil {
 		return nil, err
 	}
 	s := &Scheduler{
--- a/scheduler/scheduler_test.go
+++ b/scheduler/scheduler_test.go
@@ -45,17 +45,17 @@
 		field  string // named in the error; empty: accepted
 	}{
 		{"as they are", func(*Settings) {}, ""},
-		{"no heads", func(s *Settings) { s.Instances = 0 }, "Heads"},
+		{"no heads", func(s *Settings) { s.Instances = 0 }, "Instances"},
 		{"no classes", func(s *Settings) { s.Classes = nil }, "Classes"},
 		{"no plans", func(s *Settings) { s.Plans = nil }, "Plans"},
-		{"no aim", func(s *Settings) { s.Classes[1].LatencyObjective = 0 }, "Classes[1].Aim"},
+		{"no aim", func(s *Settings) { s.Classes[1].LatencyObjective = 0 }, "Classes[1].LatencyObjective"},
 		{"negative weight", func(s *Settings) { s.Plans[0].Weight = -1 }, "Plans[0]"},
-		{"negative cold units", func(s *Settings) { s.SlowStartMinUnits = -1 }, "ColdUnits"},
-		{"budget over no time", func(s *Settings) { s.Budget = true }, "BudgetOver"},
+		{"negative cold units", func(s *Settings) { s.SlowStart.MinUnits = -1 }, "SlowStart.MinUnits"},
+		{"budget over no time", func(s *Settings) { s.RetryBudget = &RetryBudget{} }, "RetryBudget.Window"},
 		{"zero weights", func(s *Settings) { s.Plans[0].Weight = 0 }, ""},
 		{"no attempts told", func(s *Settings) { s.MaxAttempts = 0 }, ""},
 		{"no unit figures", func(s *Settings) { s.MaxUnits, s.MeanUnits = 0, 0 }, ""},
-		{"cold without units", func(s *Settings) { s.WarmupDuration, s.OverloadWindow = time.Second, time.Second }, ""},
+		{"cold without units", func(s *Settings) { s.SlowStart = SlowStart{WarmupDuration: time.Second, OverloadWindow: time.Second} }, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := site(c.change)
--- a/scheduler/slow_start.go
+++ b/scheduler/slow_start.go
@@ -22,7 +22,7 @@
 )
 
 func (s *Scheduler) isCold(n *node) bool {
-	return n.Started > 0 && s.settings.WarmupDuration > 0 && s.now < n.Started+s.settings.WarmupDuration
+	return n.Started > 0 && s.settings.SlowStart.WarmupDuration > 0 && s.now < n.Started+s.settings.SlowStart.WarmupDuration
 }
 
 // beginSlowStart sets a node's bucket for the time that it is cold. At many heads the rate is
@@ -34,13 +34,13 @@
 		return
 	}
 	settings := &s.settings
-	window := max(settings.OverloadWindow.Seconds(), minColdWindow)
-	units := cmp.Or(settings.SlowStartMinUnits, settings.MeanUnits)
+	window := max(settings.SlowStart.OverloadWindow.Seconds(), minColdWindow)
+	units := cmp.Or(settings.SlowStart.MinUnits, settings.MeanUnits)
 	evenPart := coldRatePart * units / float64(settings.Instances) / window
-	servedPart := settings.OverloadFactor * settings.SlowStartInitialFraction * s.servedOnShard(n.Shard, n.Started, 0) / s.sharedAmong(n)
+	servedPart := settings.SlowStart.OverloadFactor * settings.SlowStart.InitialFraction * s.servedOnShard(n.Shard, n.Started, 0) / s.sharedAmong(n)
 	rate := max(evenPart, servedPart)
 	n.coldBudget = tokenBucket{rate: rate, capacity: rate * window * (1 - coldRatePart) / coldRatePart}
-	n.coldBudget.at = max(s.now, s.startedAt+settings.OverloadWindow)
+	n.coldBudget.at = max(s.now, s.startedAt+settings.SlowStart.OverloadWindow)
 	n.coldBudget.level = n.coldBudget.capacity - s.random.Float64()*settings.MeanUnits
 }
 
@@ -74,8 +74,8 @@
 // as it is by now.
 func (s *Scheduler) fillColdBudget(n *node) tokenBucket {
 	grown := 1.0
-	if from := s.settings.SlowStartInitialFraction; from > 0 && from < 1 {
-		age := float64(s.now-n.Started-s.settings.OverloadWindow) / float64(s.settings.WarmupDuration)
+	if from := s.settings.SlowStart.InitialFraction; from > 0 && from < 1 {
+		age := float64(s.now-n.Started-s.settings.SlowStart.OverloadWindow) / float64(s.settings.SlowStart.WarmupDuration)
 		grown += max(0, age) * (1 - from) / from
 	}
 	bucket := n.coldBudget
--- a/scheduler/slow_start_test.go
+++ b/scheduler/slow_start_test.go
@@ -11,7 +11,8 @@
 func TestColdBudgetAccruesOverManyHeads(t *testing.T) {
 	const heads, cold = 40, 24.0
 	s := site(func(s *Settings) {
-		s.Instances, s.SlowStartMinUnits, s.OverloadWindow, s.WarmupDuration, s.SlowStartInitialFraction = heads, cold, time.Second, 10*time.Second, 0.5
+		s.Instances = heads
+		s.SlowStart = SlowStart{WarmupDuration: 10 * time.Second, InitialFraction: 0.5, MinUnits: cold, OverloadWindow: time.Second}
 		s.Plans[0].Reserve = 100
 	})
 	sent := map[int]float64{} // units by tenth of a second
@@ -50,7 +51,8 @@
 // What heads were served on the shard before is what they may send a part of.
 func TestColdBudgetFollowsWhatWasServedBefore(t *testing.T) {
 	s := site(func(s *Settings) {
-		s.Instances, s.SlowStartMinUnits, s.OverloadWindow, s.WarmupDuration, s.SlowStartInitialFraction, s.OverloadFactor = 100, 1, time.Second, 10*time.Second, 0.25, 3
+		s.Instances = 100
+		s.SlowStart = SlowStart{WarmupDuration: 10 * time.Second, InitialFraction: 0.25, MinUnits: 1, OverloadWindow: time.Second, OverloadFactor: 3}
 	})
 	r := start(t, s, nodeA, nodeB)
 	for id := uint64(1); id <= 400; id++ { // 20 units a second on A, none on B
@@ -70,7 +72,8 @@
 // Of two nodes that shared a shard, one that comes back bears half of what both bore.
 func TestColdBudgetOfANodeThatSharedItsShard(t *testing.T) {
 	s := site(func(s *Settings) {
-		s.Instances, s.SlowStartMinUnits, s.OverloadWindow, s.WarmupDuration, s.SlowStartInitialFraction, s.OverloadFactor = 100, 1, time.Second, 10*time.Second, 0.25, 3
+		s.Instances = 100
+		s.SlowStart = SlowStart{WarmupDuration: 10 * time.Second, InitialFraction: 0.25, MinUnits: 1, OverloadWindow: time.Second, OverloadFactor: 3}
 	})
 	both := []Endpoint{{Node: "A", Shard: 0}, {Node: "B", Shard: 0}}
 	r := start(t, s, both...)
@@ -86,7 +89,7 @@
 
 func TestColdWindowCountsAsSpentAfterARestart(t *testing.T) {
 	s := site(func(s *Settings) {
-		s.SlowStartMinUnits, s.OverloadWindow, s.WarmupDuration, s.SlowStartInitialFraction = 12, time.Second, 10*time.Second, 0.25
+		s.SlowStart = SlowStart{WarmupDuration: 10 * time.Second, InitialFraction: 0.25, MinUnits: 12, OverloadWindow: time.Second}
 	})
 	r := start(t, s, Endpoint{Node: "A", Shard: 0, Started: time.Minute - time.Second})
 	r.at(0, req(1, func(a *Arrival) { a.TimeRemaining = 3 * time.Second }))
@@ -100,7 +103,8 @@
 // excess while reads within reserves waited.
 func TestColdBudgetIsKeptForWhatEarnsMost(t *testing.T) {
 	s := site(func(s *Settings) {
-		s.SlowStartMinUnits, s.OverloadWindow, s.WarmupDuration, s.SlowStartInitialFraction, s.ExcessWeight = 12, time.Second, 10*time.Second, 0.25, 0.3
+		s.SlowStart = SlowStart{WarmupDuration: 10 * time.Second, InitialFraction: 0.25, MinUnits: 12, OverloadWindow: time.Second}
+		s.ExcessWeight = 0.3
 		s.Plans = append(s.Plans, Plan{Weight: 1, PriorityFactor: 1, Reserve: 50})
 	})
 	r := start(t, s)
--- a/scheduler/status.go
+++ b/scheduler/status.go
@@ -10,7 +10,7 @@
 	InFlight int // attempts without an outcome, those written off included
 	InWindow int // of these, those that take a place in the window
 	Queued   int // requests that wait for it
-	// WaitReason is why the one of them that expires first is not sent; Allowed where others go
+	// WaitReason is why the one of them that expires first is not sent; ReasonAllowed where others go
 	// before it, or none waits.
 	WaitReason      Reason
 	Window          float64
@@ -49,7 +49,7 @@
 func (s *Scheduler) refusalAt(n *node) Reason {
 	r, ok := n.queue.FirstToExpire()
 	if !ok {
-		return Allowed
+		return ReasonAllowed
 	}
 	return s.WaitReason(r.ID)
 }
