--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -16,7 +16,7 @@
 	"maddergap/internal/nodelist"
 )
 
-const loopConf = `listen 127.0.0.1:0
+const testConfig = `listen 127.0.0.1:0
 nodes nodes
 class c effect safe aim 1s deadline 5s
 plan p rate 1
@@ -29,7 +29,7 @@
 
 func newLoop(t *testing.T, listeners int, more string) (*Loop, *gateway.Gateway, []string) {
 	t.Helper()
-	c, err := config.Parse("m.conf", []byte(loopConf+more))
+	c, err := config.Parse("m.conf", []byte(testConfig+more))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -66,8 +66,8 @@
 	return c
 }
 
-// turns runs the loop for so many turns, those without an event too.
-func (l *Loop) turns(n int) {
+// runIterations runs the loop for n iterations, those without an event too.
+func (l *Loop) runIterations(n int) {
 	l.Run(func() bool {
 		l.Wake()
 		n--
@@ -75,92 +75,94 @@
 	})
 }
 
-// While the loop stands still a burst fills the queue of the others; the known
-// client that comes last is taken in the very first turn.
-func TestKnownComeFirst(t *testing.T) {
+// While the loop stands still, a burst of unknown clients fills their queue, and a known
+// client connects last. It has a queue of its own, so the first iteration accepts it.
+func TestKnownClientsAreAcceptedFirst(t *testing.T) {
 	l, h, addrs := newLoop(t, 1, "")
 	if len(l.listeners) != 2 {
-		t.Skip("this kernel sorts no connections")
+		t.Skip("this kernel takes no filter over a listen queue")
 	}
 	for i := range 600 {
 		dial(t, fmt.Sprintf("127.20.0.%d", i%200+1), addrs[0])
 	}
 	dial(t, "127.9.0.1", addrs[0])
-	l.turns(1)
+	l.runIterations(1)
 	if n := h.Counts().Admitted.Known; n != 1 {
-		t.Errorf("%d known clients after the first turn", n)
+		t.Errorf("%d known clients after the first iteration", n)
 	}
 }
 
-// A turn takes a bounded number of newcomers, and a later turn the rest; those told
-// of their refusal beyond the bound of those held are closed at once.
-func TestNewcomersOfATurn(t *testing.T) {
+// A burst of 600 clients connects at once. Each iteration accepts a bounded number of
+// them, and later ones the rest. No more rejected connections are held until they have
+// read their response than the bound allows; the others are closed at once.
+func TestAcceptsOfAnIterationAreBounded(t *testing.T) {
 	l, h, addrs := newLoop(t, 1, "")
 	for i := range 600 {
 		dial(t, fmt.Sprintf("127.20.0.%d", i%200+1), addrs[0])
 	}
-	turned := func() (n uint64) {
+	decided := func() (n uint64) {
 		c := h.Counts()
 		for _, x := range c.ConnectionsRejected {
 			n += x
 		}
 		return n + uint64(c.Clients)
 	}
-	for turn := range 3 {
-		before := turned()
-		l.turns(1)
-		if n := turned() - before; n > acceptTurn {
-			t.Errorf("turn %d took %d newcomers, at most %d are due", turn, n, acceptTurn)
+	for iteration := range 3 {
+		before := decided()
+		l.runIterations(1)
+		if n := decided() - before; n > maxAccepts {
+			t.Errorf("iteration %d accepted %d connections, want %d at most", iteration, n, maxAccepts)
 		}
 	}
-	for until := time.Now().Add(10 * time.Second); turned() < 600 && time.Now().Before(until); {
-		l.turns(1)
+	for until := time.Now().Add(10 * time.Second); decided() < 600 && time.Now().Before(until); {
+		l.runIterations(1)
 	}
-	if n := turned(); n != 600 {
-		t.Errorf("%d of 600 were taken or turned away", n)
+	if n := decided(); n != 600 {
+		t.Errorf("%d of 600 were admitted or rejected", n)
 	}
-	if n := len(l.lingering.queue); n != 4 {
-		t.Errorf("%d are held to read their refusal, want 4", n)
+	if n := len(l.rejected.waiting); n != 4 {
+		t.Errorf("%d rejected connections are held, want 4", n)
 	}
 }
 
-// Several listeners take turns: one that is flooded does not keep the other's out.
-func TestListenersTakeTurns(t *testing.T) {
+// One of two listeners is flooded. The other's connection does not wait behind the
+// flood, as each round accepts one connection of each queue.
+func TestListenersAreServedInRounds(t *testing.T) {
 	l, h, addrs := newLoop(t, 2, "")
 	for i := range 400 {
 		dial(t, fmt.Sprintf("127.20.0.%d", i%200+1), addrs[0])
 	}
 	dial(t, "127.30.0.1", addrs[1])
-	l.turns(len(l.listeners)) // each is the first of one, however short the machine makes them
-	byListener := 0
+	l.runIterations(len(l.listeners)) // each queue is the first in one of them, however little time the machine leaves
+	waiting := 0
 	for _, n := range l.listeners {
-		if !n.sorted && n.key == l.listeners[len(l.listeners)-2].key {
+		if !n.knownClients && n.addressKey == l.listeners[len(l.listeners)-2].addressKey {
 			_, _, err := unix.Accept4(n.fd, unix.SOCK_NONBLOCK)
 			if err == nil {
-				byListener++
+				waiting++
 			}
 		}
 	}
-	if byListener != 0 || h.Counts().Clients == 0 {
+	if waiting != 0 || h.Counts().Clients == 0 {
 		t.Error("the connection of the other listener still waits, behind 400 of the first")
 	}
 }
 
-// Who is turned away reads the whole refusal though it had sent its request, and
-// then the end.
-func TestRefusalIsHeard(t *testing.T) {
+// A gateway without a free slot rejects a client that has sent its request already. The
+// client reads the complete response, then the end of the connection, and no reset.
+func TestRejectedClientReadsItsResponse(t *testing.T) {
 	l, h, addrs := newLoop(t, 1, "")
 	for i := range 64 {
 		dial(t, fmt.Sprintf("127.20.0.%d", i+1), addrs[0])
 	}
 	until := time.Now().Add(20 * time.Second)
 	for h.Counts().Clients < 64 && time.Now().Before(until) {
-		l.turns(1)
+		l.runIterations(1)
 	}
 	c := dial(t, "127.21.0.1", addrs[0])
 	io.WriteString(c, "GET /v/x HTTP/1.1\r\nHost: h\r\n\r\n")
-	for len(l.lingering.queue) == 0 && time.Now().Before(until) {
-		l.turns(1)
+	for len(l.rejected.waiting) == 0 && time.Now().Before(until) {
+		l.runIterations(1)
 	}
 	c.SetReadDeadline(time.Now().Add(5 * time.Second))
 	b, err := io.ReadAll(c)
@@ -169,8 +171,8 @@
 	}
 }
 
-func TestAddrOf(t *testing.T) {
-	if a := addrOf(&unix.SockaddrInet4{Port: 80, Addr: [4]byte{127, 0, 0, 1}}); a != netip.MustParseAddrPort("127.0.0.1:80") {
+func TestAddrPort(t *testing.T) {
+	if a := addrPort(&unix.SockaddrInet4{Port: 80, Addr: [4]byte{127, 0, 0, 1}}); a != netip.MustParseAddrPort("127.0.0.1:80") {
 		t.Error(a)
 	}
 }
