--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -61,9 +61,12 @@
 	if c.Total < 1 {
 		bad("the cap of all connections is %d, want at least 1", c.Total)
 	}
-	for name, n := range map[string]int{"listener": c.Listener, "address": c.Address, "wide": c.Wide} {
-		if n < 0 || n > c.Total {
-			bad("the cap %s is %d, want 1 to %d (all connections)", name, n, c.Total)
+	for _, limit := range []struct {
+		name string
+		n    int
+	}{{"listener", c.Listener}, {"address", c.Address}, {"wide", c.Wide}} {
+		if limit.n < 0 || limit.n > c.Total {
+			bad("the cap %s is %d, want 1 to %d (all connections)", limit.name, limit.n, c.Total)
 		}
 	}
 	if c.Wide > 0 && c.Address > c.Wide {
