--- a/cmd/maddergap/main.go
+++ b/cmd/maddergap/main.go
@@ -103,15 +103,15 @@
 		return err
 	}
 	return serve(w, core, c, io, func(d *daemon.Daemon, log *slog.Logger) {
-		log.Info("serving", "listen", d.Addrs(), "nodes", c.Nodes, "pid", os.Getpid())
+		log.Info("serving", "listen", d.Addrs(), "nodes", c.NodeList, "pid", os.Getpid())
 	})
 }
 
 // serve runs a head until SIGINT or SIGTERM; SIGHUP reloads.
 func serve(w *daemon.Worker, core daemon.SchedulerFactory, c *config.Config, std *streams, ready func(*daemon.Daemon, *slog.Logger)) error {
 	out := std.err
-	if c.Log != "" {
-		f, err := os.OpenFile(c.Log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
+	if c.Telemetry.LogFile != "" {
+		f, err := os.OpenFile(c.Telemetry.LogFile, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 		if err != nil {
 			return err
 		}
--- a/cmd/maddergap/platform.go
+++ b/cmd/maddergap/platform.go
@@ -18,7 +18,7 @@
 	if err != nil {
 		return err
 	}
-	c.Gateway.Quiet = !s.Requests
+	c.Gateway.Telemetry.LogRequests = s.Requests
 	if s.Inject != "" {
 		if c.Gateway.SyscallFaults, err = syscalls.ParseFaultTable(s.Inject); err != nil {
 			return usage{err}
--- a/cmd/maddergap/workers.go
+++ b/cmd/maddergap/workers.go
@@ -62,7 +62,7 @@
 	defer signal.Stop(signals)
 	log := slog.New(slog.NewJSONHandler(io.err, nil))
 	log.Info("processes share the listeners", "processes", c.Processes, "listen", c.Listen, "pid", os.Getpid())
-	return supervisor.Run(ctx, supervisor.Options{Workers: c.Processes, StopTime: c.StopTime, Log: log, Files: files, Stopped: shut,
+	return supervisor.Run(ctx, supervisor.Options{Workers: c.Processes, StopTime: c.Timeouts.Shutdown, Log: log, Files: files, Stopped: shut,
 		Command: func(i int) *exec.Cmd {
 			cmd := exec.Command(exe, "serve", "--config", s.Config, "--worker", fmt.Sprint(i), "--queues", strings.Join(queues, ","))
 			cmd.Stdout, cmd.Stderr = io.out, io.err
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -27,7 +27,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if c.Nodes != "/etc/nodes.list" || len(c.Volumes[0].Shards) != 4 || c.Unit != 64<<10 || c.Deadlines[1] != 2*time.Second ||
+	if c.NodeList != "/etc/nodes.list" || len(c.Volumes[0].Shards) != 4 || c.UnitBytes != 64<<10 || c.Deadlines.ByClass[1] != 2*time.Second ||
 		c.Routes[0].Class != 1 || c.Scheduler.RetryBudget == nil {
 		t.Errorf("%+v", c)
 	}
--- /dev/null
+++ b/internal/config/directives.go
@@ -0,0 +1,174 @@
+package config
+
+import (
+	"net/netip"
+	"path/filepath"
+	"time"
+)
+
+// The largest values that a file may give, so that sums of them cannot overflow.
+const (
+	maxConnections = 1 << 20
+	maxInstances   = 100_000
+	maxBufferBytes = 1 << 30
+	maxHeaderBytes = 1 << 20
+	maxSeed        = 1 << 40
+)
+
+// repeatable are the directives that may stand more than once.
+var repeatable = map[string]bool{"listen": true, "class": true, "plan": true, "volume": true, "route": true, "known": true}
+
+// directives apply a line's arguments, by the directive's name.
+var directives = map[string]func(p *parser, line int, a *Args){
+	// Where clients and nodes are.
+	"listen":    (*parser).listen,
+	"nodes":     func(p *parser, _ int, a *Args) { p.c.NodeList = p.path(a) },
+	"heads":     func(p *parser, _ int, a *Args) { p.c.Scheduler.Instances = a.Int("number", 1, maxInstances) },
+	"processes": func(p *parser, _ int, a *Args) { p.c.Processes = a.Int("number", 1, 256) },
+	"seed":      func(p *parser, _ int, a *Args) { p.c.Seed = uint64(a.Int("seed", 1, maxSeed)) },
+
+	// Logs, traces and metrics.
+	"log":          func(p *parser, _ int, a *Args) { p.c.Telemetry.LogFile = p.path(a) },
+	"log-requests": func(p *parser, _ int, a *Args) { p.c.Telemetry.LogRequests = a.OneOf("value", "yes", "no") == 0 },
+	"traces":       func(p *parser, _ int, a *Args) { p.c.Telemetry.TraceFile = p.path(a) },
+	"metrics":      (*parser).metrics,
+
+	// What is scheduled, and how.
+	"class":       (*parser).class,
+	"plan":        (*parser).plan,
+	"volume":      (*parser).volume,
+	"route":       (*parser).route,
+	"cold":        (*parser).slowStart,
+	"budget":      (*parser).retryBudget,
+	"units":       (*parser).units,
+	"attempts":    func(p *parser, _ int, a *Args) { p.c.Scheduler.MaxAttempts = a.Int("number", 1, 100) },
+	"retry-after": func(p *parser, _ int, a *Args) { p.c.Scheduler.MaxRetryAfter = a.Duration("time", time.Second) },
+	"order-rest":  func(p *parser, _ int, a *Args) { p.c.Scheduler.KeyCooldown = a.Duration("time", 0) },
+	"share-worth": func(p *parser, _ int, a *Args) { p.c.Scheduler.ExcessWeight = a.Fraction("share") },
+
+	// Times.
+	"answer-margin": func(p *parser, _ int, a *Args) { p.c.Deadlines.ResponseMargin = a.Duration("time", 0) },
+	"header-time":   func(p *parser, _ int, a *Args) { p.c.Timeouts.Header = a.Duration("time", time.Millisecond) },
+	"idle-time":     func(p *parser, _ int, a *Args) { p.c.Timeouts.Idle = a.Duration("time", time.Millisecond) },
+	"stall-time":    func(p *parser, _ int, a *Args) { p.c.Timeouts.Stall = a.Duration("time", time.Millisecond) },
+	"stop-time":     func(p *parser, _ int, a *Args) { p.c.Timeouts.Shutdown = a.Duration("time", 0) },
+	"node-idle":     func(p *parser, _ int, a *Args) { p.c.Timeouts.NodeIdle = a.Duration("time", time.Millisecond) },
+	"dial-time":     func(p *parser, _ int, a *Args) { p.c.Timeouts.Dial = a.Duration("time", time.Millisecond) },
+
+	// Bounds of connections and memory.
+	"clients":          func(p *parser, _ int, a *Args) { p.c.Limits.Clients = a.Int("number", 1, maxConnections) },
+	"requests":         func(p *parser, _ int, a *Args) { p.c.Limits.RequestsPerConn = a.Int("number", 1, 1<<30) },
+	"node-connections": func(p *parser, _ int, a *Args) { p.c.Limits.ConnsPerNode = a.Int("number", 1, 10000) },
+	"buffer":           func(p *parser, _ int, a *Args) { p.c.Limits.ConnBuffer = a.BytesUpTo("size", 4096, maxBufferBytes) },
+	"buffers":          func(p *parser, _ int, a *Args) { p.c.Admission.Buffers = a.Bytes("size", 1) },
+	"listing-max":      func(p *parser, _ int, a *Args) { p.c.Limits.ListingBytes = a.BytesUpTo("size", 1024, maxBufferBytes) },
+	"sizes":            func(p *parser, _ int, a *Args) { p.c.Limits.SizeEntries = a.Int("entries", 1, 1<<24) },
+	"body":             (*parser).body,
+	"header":           (*parser).headerLimits,
+	"pace":             (*parser).minRates,
+	"known":            (*parser).knownClients,
+	"admit":            (*parser).admission,
+}
+
+// path takes a path; a relative one starts at the configuration's folder.
+func (p *parser) path(a *Args) string {
+	path := a.Word("path")
+	if path != "" && !filepath.IsAbs(path) {
+		path = filepath.Join(filepath.Dir(p.c.File), path)
+	}
+	return path
+}
+
+func (p *parser) listen(line int, a *Args) {
+	word := a.Word("address")
+	if word == "" {
+		return
+	}
+	addr, err := netip.ParseAddrPort(word)
+	if err != nil {
+		a.Errorf("%q is not an address and port, as 127.0.0.1:8080", word)
+		return
+	}
+	if p.once(line, "listen "+addr.String()) {
+		p.c.Listen = append(p.c.Listen, word)
+	}
+}
+
+func (p *parser) metrics(_ int, a *Args) {
+	word := a.Word("address")
+	if _, err := netip.ParseAddrPort(word); word != "" && err != nil {
+		a.Errorf("%q is not an address and port", word)
+	}
+	p.c.Telemetry.MetricsAddr = word
+}
+
+func (p *parser) body(_ int, a *Args) {
+	a.pairs(keywords{
+		"hold": func(k string) { p.c.Limits.BodyBuffer = a.BytesUpTo(k, 0, maxBufferBytes) },
+		"rate": func(k string) { p.c.Deadlines.UploadRate = a.Bytes(k, 1) },
+	})
+}
+
+func (p *parser) headerLimits(_ int, a *Args) {
+	limits := &p.c.HeaderLimits
+	a.pairs(keywords{
+		"bytes":  func(k string) { limits.Header = a.BytesUpTo(k, 256, maxHeaderBytes) },
+		"target": func(k string) { limits.Target = a.BytesUpTo(k, 16, maxHeaderBytes) },
+		"fields": func(k string) { limits.Fields = a.Int(k, 1, 10000) },
+	})
+}
+
+func (p *parser) minRates(_ int, a *Args) {
+	rates := &p.c.MinRates
+	a.pairs(keywords{
+		"body":   func(k string) { rates.Body = a.Bytes(k, 0) },
+		"answer": func(k string) { rates.Response = a.Bytes(k, 0) },
+		"after":  func(k string) { rates.Grace = a.Duration(k, 0) },
+	})
+}
+
+// knownClients takes the prefixes of known clients; an address alone is a prefix of its full length.
+func (p *parser) knownClients(line int, a *Args) {
+	for a.More() {
+		word := a.Word("prefix")
+		prefix, err := netip.ParsePrefix(word)
+		if addr, addrErr := netip.ParseAddr(word); err != nil && addrErr == nil {
+			prefix, err = netip.PrefixFrom(addr, addr.BitLen()), nil
+		}
+		if err != nil || prefix != prefix.Masked() {
+			a.Errorf("%q is not an address or a prefix, as 10.1.0.0/16", word)
+			return
+		}
+		p.lines["known"] = line
+		p.c.Admission.Known = append(p.c.Admission.Known, prefix)
+	}
+}
+
+func (p *parser) admission(_ int, a *Args) {
+	limits := &p.c.Admission
+	count := func(n *int, most int) func(string) {
+		return func(k string) { *n = a.Int(k, 1, most) }
+	}
+	a.pairs(keywords{
+		"address":       count(&limits.Address, maxConnections),
+		"wide":          count(&limits.Wide, maxConnections),
+		"listener":      count(&limits.Listener, maxConnections),
+		"reserve":       count(&limits.Reserve, maxConnections),
+		"known-times":   count(&limits.KnownMultiple, 1000),
+		"address-rate":  func(k string) { limits.AddressRate = a.Float(k) },
+		"address-burst": count(&limits.AddressBurst, maxConnections),
+		"wide-rate":     func(k string) { limits.WideRate = a.Float(k) },
+		"wide-burst":    count(&limits.WideBurst, maxConnections),
+		"v6":            count(&limits.V6Bits, 128),
+		"wide4":         count(&limits.Wide4, 32),
+		"wide6":         count(&limits.Wide6, 128),
+		"learn":         count(&limits.Learn, 1<<20),
+		"forget":        func(k string) { limits.Forget = a.Duration(k, time.Second) },
+		"entries":       count(&limits.Entries, 1<<24),
+		"learned":       count(&limits.Learned, 1<<20),
+		"answers":       func(k string) { limits.AnswerRate = a.Float(k) },
+		"answers-burst": count(&limits.AnswerBurst, 1<<16),
+		"left":          count(&limits.PressureIdle, maxConnections),
+		"idle":          func(k string) { limits.IdleUnderPress = a.Duration(k, 0) },
+	})
+}
--- /dev/null
+++ b/internal/config/order_test.go
@@ -0,0 +1,56 @@
+package config
+
+import (
+	"errors"
+	"slices"
+	"strings"
+	"testing"
+)
+
+// Mistakes were printed in the order of a map: the missing directives, and the caps of
+// admission that are out of range, changed places between runs, so that two runs of check on
+// one file could not be compared. They come in the order of the file, and those of the file as
+// a whole last, in a fixed order. Each case is repeated, as a map's order differs by chance.
+func TestErrorsInFileOrder(t *testing.T) {
+	for _, c := range []struct {
+		name, text string
+		want       []string
+	}{
+		{"nothing is given", "", []string{
+			"m.conf: no listen is given",
+			"m.conf: no nodes is given",
+			"m.conf: no class is given",
+			"m.conf: no plan is given",
+			"m.conf: no volume is given",
+			"m.conf: no route is given",
+		}},
+		{"caps of admission", good + "clients 10\nadmit address 30 wide 40 listener 50\n", []string{
+			"m.conf:15: the cap listener is 50, want 1 to 10 (all connections)",
+			"m.conf:15: the cap address is 30, want 1 to 10 (all connections)",
+			"m.conf:15: the cap wide is 40, want 1 to 10 (all connections)",
+		}},
+		{"checks of one line and of several", strings.NewReplacer("nodes nodes.list", "nodes nodes.list\nnodes nodes.list",
+			"plan standard shards", "plan gold shards", "multiple 2", "multiple 0.5", "route * class read", "route GET class read").Replace(good) + "\x01\n", []string{
+			`m.conf:4: nodes stands already in line 3`,
+			`m.conf:9: there is no plan "gold"`,
+			`m.conf:13: cold: multiple is 0.5: a node bears at least what it can do`,
+			`m.conf:15: holds a control character or is not UTF-8`,
+			`m.conf: the last route must take every request: route * class NAME`,
+		}},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			for range 50 {
+				_, err := Parse("m.conf", []byte(c.text))
+				if err == nil {
+					t.Fatal("no error")
+				}
+				if got := strings.Split(err.Error(), "\n"); !slices.Equal(got, c.want) {
+					t.Fatalf("got\n%s\nwant\n%s", err, strings.Join(c.want, "\n"))
+				}
+				if !errors.As(err, new(*Error)) {
+					t.Fatalf("%T holds no Error", err)
+				}
+			}
+		})
+	}
+}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -88,20 +88,20 @@
 // module's place, for comparisons and tests.
 func NewWith(w *Worker, core SchedulerFactory, c *config.Config, log *slog.Logger) (*Daemon, error) {
 	c = w.part(c)
-	data, err := os.ReadFile(c.Nodes)
+	data, err := os.ReadFile(c.NodeList)
 	if err != nil {
 		return nil, err
 	}
-	nodes, err := nodelist.Parse(c.Nodes, data)
+	nodes, err := nodelist.Parse(c.NodeList, data)
 	if err != nil {
 		return nil, err
 	}
 	// Beyond the clients admitted: those being turned away for as long as they are
 	// listened to, and room to see that a known one has come.
-	most, told := c.Clients+64, c.Admission.AnswerBurst+2*int(c.Admission.AnswerRate)
+	most, told := c.Limits.Clients+64, c.Admission.AnswerBurst+2*int(c.Admission.AnswerRate)
 	if limit, few := tooFew(most + told + keptDescriptors); few {
 		return nil, &config.Error{File: c.File, Reason: fmt.Sprintf("clients %d, with refusals and %d descriptors kept for nodes and files, needs %d descriptors; the limit is %d",
-			c.Clients, keptDescriptors, most+told+keptDescriptors, limit)}
+			c.Limits.Clients, keptDescriptors, most+told+keptDescriptors, limit)}
 	}
 	l, err := eventloop.NewWithCalls(calls(c), most, told)
 	if err != nil {
@@ -132,11 +132,11 @@
 	}
 	d.loop.OnFileChange = d.reread
 	d.head.SetNodes(d.loop.Now(), nodes)
-	if err := d.loop.WatchFile(c.Nodes); err != nil {
+	if err := d.loop.WatchFile(c.NodeList); err != nil {
 		return err
 	}
-	if c.Metrics != "" {
-		if err := d.serveMetrics(c.Metrics); err != nil {
+	if c.Telemetry.MetricsAddr != "" {
+		if err := d.serveMetrics(c.Telemetry.MetricsAddr); err != nil {
 			return err
 		}
 	}
@@ -224,14 +224,14 @@
 
 // reread follows the node list; a broken one leaves the last good one in force.
 func (d *Daemon) reread() {
-	data, err := os.ReadFile(d.c.Nodes)
+	data, err := os.ReadFile(d.c.NodeList)
 	if err == nil && bytes.Equal(data, d.list) {
 		return
 	}
 	d.list = data
 	var nodes []nodelist.Node
 	if err == nil {
-		nodes, err = nodelist.Parse(d.c.Nodes, data)
+		nodes, err = nodelist.Parse(d.c.NodeList, data)
 	}
 	if err != nil {
 		d.log.Error("the node list is not used; the last good one stays in force", "cause", err)
@@ -256,20 +256,20 @@
 		}
 	}
 	if d.stop.Load() && d.leaving == 0 {
-		d.leaving = d.loop.Now() + d.c.StopAfter
+		d.leaving = d.loop.Now() + d.c.Timeouts.Drain
 		d.stopped = time.Now()
-		if d.c.StopAfter > 0 { // clients go on coming until they know
+		if d.c.Timeouts.Drain > 0 { // clients go on coming until they know
 			d.log.Info("leaving", "under_way", d.head.Counts().Clients)
 			d.head.Drain(d.loop.Now())
-			time.AfterFunc(d.c.StopAfter+time.Millisecond, d.loop.Wake)
+			time.AfterFunc(d.c.Timeouts.Drain+time.Millisecond, d.loop.Wake)
 		}
 	}
 	if d.leaving > 0 && d.ending == 0 && d.loop.Now() >= d.leaving {
-		d.ending = d.loop.Now() + d.c.StopTime
+		d.ending = d.loop.Now() + d.c.Timeouts.Shutdown
 		d.closeListeners()
 		d.head.Shutdown(d.loop.Now())
 		d.log.Info("stopping", "under_way", d.head.Counts().Clients)
-		time.AfterFunc(d.c.StopTime, d.loop.Wake)
+		time.AfterFunc(d.c.Timeouts.Shutdown, d.loop.Wake)
 	}
 }
 
@@ -305,8 +305,8 @@
 		return errors.New("processes change with a restart only")
 	}
 	c = d.worker.part(c)
-	if fmt.Sprint(c.Listen) != fmt.Sprint(d.c.Listen) || c.Nodes != d.c.Nodes || c.Clients != d.c.Clients ||
-		c.Log != d.c.Log || c.Metrics != d.c.Metrics || c.Traces != d.c.Traces {
+	if fmt.Sprint(c.Listen) != fmt.Sprint(d.c.Listen) || c.NodeList != d.c.NodeList || c.Limits.Clients != d.c.Limits.Clients ||
+		c.Telemetry.LogFile != d.c.Telemetry.LogFile || c.Telemetry.MetricsAddr != d.c.Telemetry.MetricsAddr || c.Telemetry.TraceFile != d.c.Telemetry.TraceFile {
 		return errors.New("listen, nodes, clients, log, metrics and traces change with a restart only")
 	}
 	if err := d.head.Reload(c); err != nil {
@@ -356,7 +356,7 @@
 		"attempts", n.Attempts, "turned", sum(n.ConnectionsRejected[:]), "preempted", n.Preempted, "bad", n.Malformed, "own", n.Local,
 		"withheld", sum(n.Invariants.Withheld[:]), "invariants_broken", sum(n.Invariants.Violated[:]), "took", time.Since(d.stopped))
 	if d.cut > 0 {
-		return fmt.Errorf("%d requests were cut off after the stop time of %v", d.cut, d.c.StopTime)
+		return fmt.Errorf("%d requests were cut off after the stop time of %v", d.cut, d.c.Timeouts.Shutdown)
 	}
 	return nil
 }
@@ -410,11 +410,11 @@
 // CheckNodes reads the node list of a configuration and holds that every shard
 // of every volume has a node.
 func CheckNodes(c *config.Config) (int, error) {
-	data, err := os.ReadFile(c.Nodes)
+	data, err := os.ReadFile(c.NodeList)
 	if err != nil {
 		return 0, err
 	}
-	nodes, err := nodelist.Parse(c.Nodes, data)
+	nodes, err := nodelist.Parse(c.NodeList, data)
 	if err != nil {
 		return 0, err
 	}
@@ -426,7 +426,7 @@
 	for _, v := range c.Volumes {
 		for _, s := range v.Shards {
 			if !have[s] {
-				errs = append(errs, &config.Error{File: c.Nodes, Reason: fmt.Sprintf("no node has shard %d of volume %s", s, v.Name)})
+				errs = append(errs, &config.Error{File: c.NodeList, Reason: fmt.Sprintf("no node has shard %d of volume %s", s, v.Name)})
 			}
 		}
 	}
--- a/internal/daemon/observer.go
+++ b/internal/daemon/observer.go
@@ -40,11 +40,11 @@
 }
 
 func newObserver(c *config.Config, log *slog.Logger, start time.Time) (*observer, error) {
-	o := &observer{log: log, quiet: c.Quiet, start: start, turns: rate.NewLimiter(turnLines, turnLines), violations: rate.NewLimiter(turnLines, turnLines)}
-	if c.Traces == "" {
+	o := &observer{log: log, quiet: !c.Telemetry.LogRequests, start: start, turns: rate.NewLimiter(turnLines, turnLines), violations: rate.NewLimiter(turnLines, turnLines)}
+	if c.Telemetry.TraceFile == "" {
 		return o, nil
 	}
-	f, err := os.OpenFile(c.Traces, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
+	f, err := os.OpenFile(c.Telemetry.TraceFile, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -33,7 +33,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l, err := New(c.Clients+64, 4)
+	l, err := New(c.Limits.Clients+64, 4)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/fakenode/faults.go
+++ b/internal/fakenode/faults.go
@@ -43,9 +43,9 @@
 	var steps []Step
 	for _, l := range lines {
 		var s Step
-		a := config.ArgsOf(l)
+		a := config.NewArgs(l)
 		if l.Words[0] != "from" {
-			a.Fault("unknown directive %.40q, want from", l.Words[0])
+			a.Errorf("unknown directive %.40q, want from", l.Words[0])
 		}
 		s.From = a.Duration("from", 0)
 		a.OneOf("keyword", "to")
@@ -54,10 +54,10 @@
 			s.Factor = a.Float("factor")
 		}
 		if s.To <= s.From {
-			a.Fault("it ends at %v, not after its start %v", s.To, s.From)
+			a.Errorf("it ends at %v, not after its start %v", s.To, s.From)
 		}
 		if s.Fault == Slow && s.Factor < 1 {
-			a.Fault("slow wants a factor of 1 or more")
+			a.Errorf("slow wants a factor of 1 or more")
 		}
 		if err := a.Err(); err != nil {
 			errs = append(errs, &config.Error{File: file, Line: l.Number, Reason: err.Error()})
--- a/internal/gateway/accept.go
+++ b/internal/gateway/accept.go
@@ -41,7 +41,7 @@
 	c := h.newConn()
 	c.remote, c.admitted = remote, true
 	h.counts.Clients++
-	h.setDeadline(c, h.now+h.config.HeaderTime)
+	h.setDeadline(c, h.now+h.config.Timeouts.Header)
 	if h.stopping {
 		h.setDeadline(c, h.now+firstTime)
 	}
--- a/internal/gateway/buffered_protocol.go
+++ b/internal/gateway/buffered_protocol.go
@@ -22,7 +22,7 @@
 		return
 	}
 	ex.ask, ex.body.buffered = a, true
-	if ex.req.Length > int64(h.config.BodyHold) {
+	if ex.req.Length > int64(h.config.Limits.BodyBuffer) {
 		h.tooLong(c, ex)
 		return
 	}
--- a/internal/gateway/client.go
+++ b/internal/gateway/client.go
@@ -35,9 +35,9 @@
 			}
 			if c.reading == 0 {
 				c.reading = h.now
-				h.setDeadline(c, h.now+h.config.HeaderTime)
+				h.setDeadline(c, h.now+h.config.Timeouts.Header)
 			}
-			n := h.config.Header.Block(p, &c.scanned)
+			n := h.config.HeaderLimits.Block(p, &c.scanned)
 			if n == 0 {
 				return p
 			}
@@ -45,7 +45,7 @@
 			h.begin(c, p[:n])
 			p = p[n:]
 		case !ex.body.whole:
-			if ex.attempts.upload == nil && len(ex.body.held) >= h.config.BodyHold && ex.id != 0 ||
+			if ex.attempts.upload == nil && len(ex.body.held) >= h.config.Limits.BodyBuffer && ex.id != 0 ||
 				ex.attempts.upload != nil && len(ex.attempts.upload.conn.pending()) > h.room() {
 				h.pause(c)
 				h.setDeadline(c, never) // it waits for us
@@ -76,15 +76,17 @@
 // bodyBy and answerBy are when a client is given up that sends its body, or takes
 // its answer, too slowly.
 func (h *Gateway) bodyBy(c *conn) Time {
-	return c.body.by(h.now, h.config.StallTime, h.config.PaceAfter, h.config.BodyPace)
+	return c.body.by(h.now, h.config.Timeouts.Stall, h.config.MinRates.Grace, h.config.MinRates.Body)
 }
 
 func (h *Gateway) answerBy(c *conn) Time {
-	return c.answer.by(h.now, h.config.StallTime, h.config.PaceAfter, h.config.AnswerPace)
+	return c.answer.by(h.now, h.config.Timeouts.Stall, h.config.MinRates.Grace, h.config.MinRates.Response)
 }
 
 // room is how much of an answer or a body a connection may hold now.
-func (h *Gateway) room() int { return h.admission.BufferAllowance(h.heldBytes, h.config.Buffer) }
+func (h *Gateway) room() int {
+	return h.admission.BufferAllowance(h.heldBytes, h.config.Limits.ConnBuffer)
+}
 
 func (h *Gateway) clientEOF(c *conn) {
 	c.eof, c.left = true, h.protocol.endMeansGone()
@@ -234,7 +236,7 @@
 	case c.closing, c.discard, h.stopping, c.eof:
 		h.lingeringClose(c)
 	default:
-		h.setDeadline(c, h.now+h.config.IdleTime)
+		h.setDeadline(c, h.now+h.config.Timeouts.Idle)
 	}
 }
 
--- a/internal/gateway/conn.go
+++ b/internal/gateway/conn.go
@@ -260,7 +260,7 @@
 	if c.wrote += n; c.wrote == len(c.out) {
 		h.release(c.out)
 		c.out, c.wrote = nil, 0
-	} else if c.wrote > h.config.Buffer {
+	} else if c.wrote > h.config.Limits.ConnBuffer {
 		c.out = append(c.out[:0], c.out[c.wrote:]...)
 		c.wrote = 0
 	}
--- a/internal/gateway/crossing_test.go
+++ b/internal/gateway/crossing_test.go
@@ -334,7 +334,7 @@
 	r.want("on a new connection again", r.take(r.node(2)), "PUT /feed-a/s/x")
 
 	r = newRig(t, "")
-	r.h.config.NodeConns = 1
+	r.h.config.Limits.ConnsPerNode = 1
 	r.client(get("/feed-a/s/x"))
 	r.take(r.node(0))
 	r.say(r.node(0), ok("x"))
--- a/internal/gateway/invariants_test.go
+++ b/internal/gateway/invariants_test.go
@@ -137,7 +137,7 @@
 			r.now += time.Millisecond
 			r.h.lastConnected = r.now
 		}
-		r.pass(r.h.config.DialTime + time.Millisecond)
+		r.pass(r.h.config.Timeouts.Dial + time.Millisecond)
 		want := scheduler.Superseded
 		if others {
 			want = scheduler.ConnectFailed
--- a/internal/gateway/listing.go
+++ b/internal/gateway/listing.go
@@ -58,7 +58,7 @@
 		p.method, p.place, p.listing, p.part = ex.method, ex.place, l, i
 		p.place.Shard, p.volume = shard, ex.volume
 		p.headerBytes = append(h.buffer(), ex.headerBytes...)
-		http1.ParseRequest(p.headerBytes, &p.req, h.config.Header) // parsed well before
+		http1.ParseRequest(p.headerBytes, &p.req, h.config.HeaderLimits) // parsed well before
 		p.body.held = append(h.buffer(), ex.body.held...)
 		p.body.whole, p.body.invited, p.body.received = true, true, int64(len(p.body.held))
 		p.trace.id, p.trace.parent, p.trace.sampled = ex.trace.id, ex.trace.span, ex.trace.sampled
@@ -72,7 +72,7 @@
 // partData keeps a piece of a part's answer; false where it is too much.
 func (h *Gateway) partData(p *exchange, data []byte) bool {
 	l := p.listing
-	if l.size += len(data); l.size > h.config.ListingMax {
+	if l.size += len(data); l.size > h.config.Limits.ListingBytes {
 		l.bad, l.reason = 507, webdav.ErrTooLarge.Error()
 		return false
 	}
@@ -111,7 +111,7 @@
 		h.counts.Local++
 		h.respond(ex, 503, []byte(ex.answer.reason+"\n"), func(b []byte) []byte { return appendRetryAfter(b, l.after) })
 	default:
-		body, err := webdav.Merge(l.bodies, h.config.ListingMax)
+		body, err := webdav.Merge(l.bodies, h.config.Limits.ListingBytes)
 		switch {
 		case errors.Is(err, webdav.ErrTooLarge):
 			h.answerOwn(ex, 507, err.Error())
--- a/internal/gateway/node.go
+++ b/internal/gateway/node.go
@@ -92,11 +92,11 @@
 // it; more tells whether that can be used now.
 func (h *Gateway) nodeHeader(c *conn, p []byte) (rest []byte, more bool) {
 	at := c.at
-	n := h.config.Header.Block(p, &c.scanned)
+	n := h.config.HeaderLimits.Block(p, &c.scanned)
 	if n == 0 {
 		return p, false
 	}
-	if err := http1.ParseResponse(p[:n], &c.resp, at.ex.method, h.config.Header); err != nil {
+	if err := http1.ParseResponse(p[:n], &c.resp, at.ex.method, h.config.HeaderLimits); err != nil {
 		h.broken(c, scheduler.Failed)
 		return nil, false
 	}
@@ -153,7 +153,7 @@
 		h.events = append(h.events, scheduler.ResponseStarted{ID: at.ex.id, Attempt: at.number})
 	}
 	if !c.paused {
-		h.setDeadline(c, h.now+h.config.StallTime)
+		h.setDeadline(c, h.now+h.config.Timeouts.Stall)
 	}
 }
 
--- a/internal/gateway/pool.go
+++ b/internal/gateway/pool.go
@@ -44,13 +44,13 @@
 
 // spareFor tells whether a connection to a node may be added without closing another.
 func (h *Gateway) spareFor(n *node) bool {
-	return n.conns < h.config.NodeConns && (h.config.NodesConns == 0 || h.counts.NodeConns < h.config.NodesConns)
+	return n.conns < h.config.Limits.ConnsPerNode && (h.config.Limits.NodeConns == 0 || h.counts.NodeConns < h.config.Limits.NodeConns)
 }
 
 // roomForNode tells whether one more connection to a node may be opened, after the
 // one that was kept longest was closed for it where need be.
 func (h *Gateway) roomForNode() bool {
-	if h.config.NodesConns == 0 || h.counts.NodeConns < h.config.NodesConns {
+	if h.config.Limits.NodeConns == 0 || h.counts.NodeConns < h.config.Limits.NodeConns {
 		return true
 	}
 	oldest := h.kept.oldest()
@@ -73,7 +73,7 @@
 	c.parked = h.now
 	c.node.idle = append(c.node.idle, c)
 	h.kept.add(c)
-	h.setDeadline(c, h.now+h.config.NodeIdle)
+	h.setDeadline(c, h.now+h.config.Timeouts.NodeIdle)
 }
 
 func (h *Gateway) unpark(c *conn) {
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -13,7 +13,7 @@
 	ex.client, c.ex, ex.headerAt = c, ex, h.now
 	ex.headerBytes = append(h.buffer(), block...)
 	h.setDeadline(c, never)
-	if err := http1.ParseRequest(ex.headerBytes, &ex.req, h.config.Header); err != nil {
+	if err := http1.ParseRequest(ex.headerBytes, &ex.req, h.config.HeaderLimits); err != nil {
 		h.malformed(c, ex, err)
 		return
 	}
@@ -28,7 +28,7 @@
 	if r.Close {
 		c.closing = true
 	}
-	if c.requests++; h.config.Requests > 0 && c.requests >= h.config.Requests {
+	if c.requests++; h.config.Limits.RequestsPerConn > 0 && c.requests >= h.config.Limits.RequestsPerConn {
 		c.closing = true // the last that this connection may have
 	}
 	h.endAdmitted(c)
@@ -84,7 +84,7 @@
 		h.setDeadline(c, never)
 	}
 	if ex.listing != nil && ex.id == 0 {
-		if len(ex.body.held)+len(data) > h.config.BodyHold {
+		if len(ex.body.held)+len(data) > h.config.Limits.BodyBuffer {
 			h.answerOwn(ex, 413, "the body of a PROPFIND is longer than can be held")
 			return
 		}
@@ -101,9 +101,9 @@
 	}
 	switch {
 	case ex.id != 0 || ex.answer.final:
-	case ex.body.buffered && len(ex.body.held) > h.config.BodyHold:
+	case ex.body.buffered && len(ex.body.held) > h.config.Limits.BodyBuffer:
 		h.tooLong(c, ex)
-	case ex.body.whole || !ex.body.buffered && len(ex.body.held) >= h.config.BodyHold:
+	case ex.body.whole || !ex.body.buffered && len(ex.body.held) >= h.config.Limits.BodyBuffer:
 		h.take(ex)
 	}
 }
--- a/internal/gateway/send.go
+++ b/internal/gateway/send.go
@@ -23,7 +23,7 @@
 		h.end(at, scheduler.Superseded)
 	case !h.maySend(at):
 		h.end(at, scheduler.Superseded)
-	case kept == nil && (n.conns >= h.config.NodeConns || !h.roomForNode()):
+	case kept == nil && (n.conns >= h.config.Limits.ConnsPerNode || !h.roomForNode()):
 		h.end(at, scheduler.ConnectFailed) // nothing was sent
 	case kept != nil:
 		h.unpark(kept)
@@ -37,7 +37,7 @@
 		n.conns++
 		h.counts.NodeConns++
 		h.actions = append(h.actions, Action{Op: Dial, Conn: c.id, Addr: n.addr})
-		h.setDeadline(c, min(h.now+h.config.DialTime, ex.deadline))
+		h.setDeadline(c, min(h.now+h.config.Timeouts.Dial, ex.deadline))
 	}
 }
 
--- a/internal/gateway/webdav_protocol.go
+++ b/internal/gateway/webdav_protocol.go
@@ -42,7 +42,7 @@
 	}
 	v, j := ex.volume, &ex.job
 	ex.ask.Arrival = scheduler.Arrival{Shard: ex.place.Shard, Plan: v.Plan, Class: j.Class, Key: j.Key, Volume: v.Name, TimeRemaining: j.Timeout,
-		Units: j.Units, Instances: v.Hosts}
+		Units: j.Units, Instances: v.Instances}
 	return nil
 }
 
@@ -192,7 +192,7 @@
 			return http1.AppendField(b, "MS-Author-Via", []byte("DAV"))
 		})
 	case webdav.ListRoot, webdav.MergeListings:
-		if ex.req.Length > int64(h.config.BodyHold) {
+		if ex.req.Length > int64(h.config.Limits.BodyBuffer) {
 			h.answerOwn(ex, 413, "the body of a PROPFIND is longer than can be held")
 			return
 		}
@@ -204,7 +204,7 @@
 	case webdav.Forward:
 		ex.volume = &h.config.Volumes[ex.place.Volume]
 		ex.job = h.job(ex, ex.req.Length)
-		if ex.req.Length > int64(h.config.BodyHold) && ex.req.Expect {
+		if ex.req.Length > int64(h.config.Limits.BodyBuffer) && ex.req.Expect {
 			h.take(ex) // the body is invited when a node takes it
 			return
 		}
--- a/internal/nodelist/nodelist.go
+++ b/internal/nodelist/nodelist.go
@@ -66,16 +66,16 @@
 	if l.Words[0] != "node" {
 		return n, fmt.Errorf("unknown directive %.40q, want node", l.Words[0])
 	}
-	a := config.ArgsOf(l)
+	a := config.NewArgs(l)
 	n.Name, n.Addr = a.Word("name"), a.Word("address")
 	if _, err := netip.ParseAddrPort(n.Addr); n.Addr != "" && err != nil {
-		a.Fault("%q is not an address and port", n.Addr)
+		a.Errorf("%q is not an address and port", n.Addr)
 	}
 	seen := map[string]bool{}
 	for a.More() {
 		k := a.Word("keyword")
 		if seen[k] {
-			a.Fault("%s stands twice", k)
+			a.Errorf("%s stands twice", k)
 		}
 		seen[k] = true
 		switch k {
@@ -88,12 +88,12 @@
 		case "started":
 			n.Started = time.UnixMilli(int64(a.Float(k) * 1000))
 		default:
-			a.Fault("unknown keyword %q", k)
+			a.Errorf("unknown keyword %q", k)
 		}
 	}
 	for _, k := range []string{"shard", "state"} {
 		if !seen[k] {
-			a.Fault("%s is missing", k)
+			a.Errorf("%s is missing", k)
 		}
 	}
 	return n, a.Err()
--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -210,20 +210,52 @@
 // No cap or pace is by address: clients of every kind may share one.
 func headConf(path string, f *file, b Bounds) *config.Config {
 	l := f.Settings.Limits
-	c := &config.Config{File: path, Listen: []string{f.Listen}, Quiet: true, Scheduler: f.Settings.Settings(),
-		Unit: 1, BodyHold: mostBody, BodyRate: 1, Buffer: mostBody * 2,
-		HeaderTime: 1500 * time.Millisecond, IdleTime: idleTime, StallTime: 1200 * time.Millisecond,
-		StopTime: stopTime(f.Settings), StopAfter: stopAfter,
-		NodeIdle: settings.Micros(l.ConnIdle) / 2, NodeConns: b.MaxNodeConns, NodesConns: b.MaxNodeConns, DialTime: settings.Micros(l.ConnectTimeout),
-		Sizes: 1, Clients: b.MaxClientConns, Processes: 1, Header: http1.Limits{Header: 8 << 10, Target: 2 << 10, Fields: 64},
-		Admission: admission.Config{Total: b.MaxClientConns, V6Bits: 64, Wide4: 24, Wide6: 48, Entries: 256,
-			AnswerRate: 50, AnswerBurst: b.MaxRejectionConns, KnownMultiple: 1, Buffers: b.ClientBufferBytes, BufferLeast: heldLeast,
-			PressureIdle: b.MaxClientConns - b.IdlePressureConns, IdleUnderPress: idleUnderPress, Displace: true}}
-	if c.NodeIdle <= 0 {
-		c.NodeIdle = 10 * time.Second
-	}
-	if c.DialTime <= 0 {
-		c.DialTime = time.Second
+	c := &config.Config{
+		File:         path,
+		Listen:       []string{f.Listen},
+		Processes:    1,
+		Scheduler:    f.Settings.Settings(),
+		UnitBytes:    1,
+		Deadlines:    config.Deadlines{UploadRate: 1},
+		HeaderLimits: http1.Limits{Header: 8 << 10, Target: 2 << 10, Fields: 64},
+		Timeouts: config.Timeouts{
+			Header:   1500 * time.Millisecond,
+			Idle:     idleTime,
+			Stall:    1200 * time.Millisecond,
+			Dial:     settings.Micros(l.ConnectTimeout),
+			NodeIdle: settings.Micros(l.ConnIdle) / 2,
+			Drain:    stopAfter,
+			Shutdown: stopTime(f.Settings),
+		},
+		Limits: config.Limits{
+			Clients:      b.MaxClientConns,
+			ConnsPerNode: b.MaxNodeConns,
+			NodeConns:    b.MaxNodeConns,
+			ConnBuffer:   mostBody * 2,
+			BodyBuffer:   mostBody,
+			SizeEntries:  1,
+		},
+		Admission: admission.Config{
+			Total:          b.MaxClientConns,
+			V6Bits:         64,
+			Wide4:          24,
+			Wide6:          48,
+			Entries:        256,
+			AnswerRate:     50,
+			AnswerBurst:    b.MaxRejectionConns,
+			KnownMultiple:  1,
+			Buffers:        b.ClientBufferBytes,
+			BufferLeast:    heldLeast,
+			PressureIdle:   b.MaxClientConns - b.IdlePressureConns,
+			IdleUnderPress: idleUnderPress,
+			Displace:       true,
+		},
+	}
+	if c.Timeouts.NodeIdle <= 0 {
+		c.Timeouts.NodeIdle = 10 * time.Second
+	}
+	if c.Timeouts.Dial <= 0 {
+		c.Timeouts.Dial = time.Second
 	}
 	return c
 }
@@ -232,7 +264,7 @@
 func (c *Config) Protocol() *Protocol {
 	p := &Protocol{classes: map[string]int{}, plans: map[string]int{}, writes: c.Settings.FamilyInfo.Writes,
 		most: c.Settings.FamilyInfo.UnitsTop, shards: c.Settings.FamilyInfo.Shards, heads: c.Settings.FleetSize,
-		stall: c.Gateway.DialTime, answer: c.Bounds.MaxResponseBytes, answers: c.Bounds.MaxBufferedResponseBytes, ids: newIDs(endedKept)}
+		stall: c.Gateway.Timeouts.Dial, answer: c.Bounds.MaxResponseBytes, answers: c.Bounds.MaxBufferedResponseBytes, ids: newIDs(endedKept)}
 	for i, k := range c.Settings.Classes {
 		p.classes[k.Name] = i
 	}
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -55,10 +55,10 @@
 	for i, v := range c.Volumes {
 		t.volumes[v.Name] = i
 	}
-	if old != nil && len(old.sizes.entries) == c.Sizes {
+	if old != nil && len(old.sizes.entries) == c.Limits.SizeEntries {
 		t.sizes = old.sizes
 	} else {
-		t.sizes = newSizes(c.Sizes)
+		t.sizes = newSizes(c.Limits.SizeEntries)
 	}
 	return t
 }
@@ -223,19 +223,19 @@
 	class := &t.c.Scheduler.Classes[j.Class]
 	switch {
 	case size >= 0:
-		j.Units = max(1, math.Ceil(float64(size)/float64(t.c.Unit)))
+		j.Units = max(1, math.Ceil(float64(size)/float64(t.c.UnitBytes)))
 	default:
 		j.Units = max(1, t.c.Scheduler.MeanUnits)
 	}
-	j.Timeout = t.c.Deadlines[j.Class]
+	j.Timeout = t.c.Deadlines.ByClass[j.Class]
 	if w := wait(a.Prefer); w > 0 && w < j.Timeout {
 		j.Timeout = w
 	}
-	j.Timeout = max(j.Timeout-t.c.AnswerMargin, 0)
-	if !reads && size > int64(t.c.BodyHold) { // a long body's own time is the client's
-		j.Timeout += time.Duration(float64(size) / float64(t.c.BodyRate) * float64(time.Second))
+	j.Timeout = max(j.Timeout-t.c.Deadlines.ResponseMargin, 0)
+	if !reads && size > int64(t.c.Limits.BodyBuffer) { // a long body's own time is the client's
+		j.Timeout += time.Duration(float64(size) / float64(t.c.Deadlines.UploadRate) * float64(time.Second))
 	} else if !reads && size < 0 {
-		j.Timeout += t.c.StallTime
+		j.Timeout += t.c.Timeouts.Stall
 	}
 	if class.Ordered {
 		if j.Key = a.Key; j.Key == "" {
@@ -258,7 +258,7 @@
 			}
 		}
 		if (r.Prefix == "" || strings.HasPrefix(a.Location.Path, r.Prefix)) && (!r.Ranged || a.Range != "") &&
-			(r.SizeOver < 0 || size > r.SizeOver) {
+			(r.SizeAbove < 0 || size > r.SizeAbove) {
 			return r.Class
 		}
 	}
--- a/internal/scenario/clients.go
+++ b/internal/scenario/clients.go
@@ -104,7 +104,7 @@
 		rec.Unsent, rec.GaveUp = true, micro()
 		return rec, nil
 	}
-	limit := cs.c.Deadlines[j.Class]
+	limit := cs.c.Deadlines.ByClass[j.Class]
 	_, err = l.Write(text)
 	rec.Sent = micro()
 	rec.Deadline = rec.Sent + limit.Microseconds()
