--- a/internal/stallwatch/stallwatch.go
+++ b/internal/stallwatch/stallwatch.go
@@ -1,6 +1,6 @@
-// Package stallwatch measures how long the process that it runs in is held up. A machine that has
-// no time for a test or a rehearsal has none for the head in it either: what they allow a head
-// is as much more.
+// Package stallwatch measures stalls: times in which the machine does not run the process.
+// A test or scenario in a stalled process stalls the gateways in it too, so what it allows
+// them is extended by the stalls.
 package stallwatch
 
 import (
@@ -10,15 +10,15 @@
 )
 
 const (
-	// tickInterval is how often the watch wakes.
+	// tickInterval is how often the watch wakes up.
 	tickInterval = 2 * time.Millisecond
-	// minSpan is how long the process is held up for a span to be kept.
+	// minSpan is the shortest stall that is recorded.
 	minSpan = 5 * time.Millisecond
-	// maxSpans is how many spans are kept, the latest.
+	// maxSpans is how many stalls are kept, the latest ones.
 	maxSpans = 1 << 16
 )
 
-// Watch measures until it is stopped.
+// Watch measures stalls until Stop. It is safe for concurrent use.
 type Watch struct {
 	mu      sync.Mutex
 	longest time.Duration
@@ -28,12 +28,12 @@
 	once    sync.Once
 }
 
-// Span is a time in which the process was held up.
+// Span is one stall.
 type Span struct{ From, To time.Time }
 
 func (s Span) duration() time.Duration { return s.To.Sub(s.From) }
 
-// Start begins to measure.
+// Start returns a running watch.
 func Start() *Watch {
 	w := &Watch{stop: make(chan struct{}), stopped: make(chan struct{})}
 	go w.run()
@@ -66,34 +66,33 @@
 	w.spans = append(w.spans, s)
 }
 
-// Spans are the times in which the process was held up, in their order.
+// Spans are the latest recorded stalls, in order of time.
 func (w *Watch) Spans() []Span {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return slices.Clone(w.spans)
 }
 
-// Longest is the longest that the process was held up.
+// Longest is the longest stall, those too short to be recorded included.
 func (w *Watch) Longest() time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.longest
 }
 
-// LongestSince is the longest that the process was held up by what was noticed after a time; short times
-// count as nothing.
+// LongestSince is the longest recorded stall that ended after a time, 0 for none.
 func (w *Watch) LongestSince(t time.Time) (longest time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for _, late := range w.spans {
-		if late.To.After(t) {
-			longest = max(longest, late.duration())
+	for _, span := range w.spans {
+		if span.To.After(t) {
+			longest = max(longest, span.duration())
 		}
 	}
 	return longest
 }
 
-// Stop ends the measurement. It may be called more than once.
+// Stop ends the measurement and waits for it. It may be called more than once.
 func (w *Watch) Stop() {
 	w.once.Do(func() { close(w.stop) })
 	<-w.stopped
--- a/internal/syscalls/clocks_test.go
+++ b/internal/syscalls/clocks_test.go
@@ -11,18 +11,18 @@
 	"testing"
 )
 
-// clockReaders are the files of a running head that may read a clock. Whatever else needs the
-// time is given a reading of the monotonic clock.
+// clockReaders are the files of a running gateway that may read a clock. All other code
+// that needs the time is passed a reading of the monotonic clock.
 var clockReaders = map[string]string{
-	"internal/syscalls/syscalls.go": "both clocks, once, for the loop",
-	"internal/syscalls/faulty.go":   "the age of a table of faults, monotonic",
-	"internal/eventloop/loop.go":    "the monotonic clock of the loop",
+	"internal/syscalls/syscalls.go": "both clocks, once, for the event loop",
+	"internal/syscalls/faulty.go":   "the age of a fault table, monotonic",
+	"internal/eventloop/loop.go":    "the monotonic clock of the event loop",
 	"internal/daemon/daemon.go":     "how long a stop took, for the log",
 	"internal/supervisor/run.go":    "the supervisor's own pauses, monotonic",
 }
 
-// headPackages are those that a head runs.
-var headPackages = []string{"scheduler", "internal/admission", "internal/config", "internal/daemon", "internal/webdav", "internal/discovery",
+// gatewayPackages are the packages that a running gateway uses.
+var gatewayPackages = []string{"scheduler", "internal/admission", "internal/config", "internal/daemon", "internal/webdav", "internal/discovery",
 	"internal/invariant", "internal/gateway", "internal/http1", "internal/eventloop", "internal/membership",
 	"internal/nodelist", "internal/orderedset", "internal/platform", "internal/route", "internal/settings", "internal/syscalls", "internal/waitqueue", "internal/supervisor"}
 
@@ -35,11 +35,12 @@
 	"internal/gateway/accept.go":      "the Date field",
 }
 
-// No span comes from the wall clock: clocks are read in few named places, and wall-clock times
-// are handled where they are shown or told alone.
-func TestClocksAreReadInNamedPlaces(t *testing.T) {
+// An operator or NTP sets the wall clock while the gateway runs, and a duration that is
+// computed from it becomes negative or very long. So clocks are read in few listed files,
+// and wall-clock times are converted only where they are displayed or sent.
+func TestClocksAreReadInListedFiles(t *testing.T) {
 	root := filepath.Join("..", "..")
-	for _, pkg := range headPackages {
+	for _, pkg := range gatewayPackages {
 		err := filepath.WalkDir(filepath.Join(root, pkg), func(path string, d fs.DirEntry, err error) error {
 			if err != nil || d.IsDir() || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
 				return err
@@ -48,7 +49,7 @@
 			if err != nil {
 				return err
 			}
-			checkClocks(t, path, filepath.ToSlash(name))
+			checkFileClocks(t, path, filepath.ToSlash(name))
 			return nil
 		})
 		if err != nil {
@@ -57,7 +58,7 @@
 	}
 }
 
-func checkClocks(t *testing.T, path, name string) {
+func checkFileClocks(t *testing.T, path, name string) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/syscalls/faulty_test.go
+++ b/internal/syscalls/faulty_test.go
@@ -8,7 +8,7 @@
 	"golang.org/x/sys/unix"
 )
 
-func TestParse(t *testing.T) {
+func TestParseFaultTable(t *testing.T) {
 	table, err := ParseFaultTable("seed 7; step -1h; accept ENFILE chance 0.5 count 3 from 1s for 2s; read SHORT; ")
 	if err != nil || table.Seed != 7 || table.WallClockStep != -time.Hour || len(table.Faults) != 2 {
 		t.Fatalf("%+v, %v", table, err)
@@ -19,13 +19,13 @@
 	}
 	for _, text := range []string{"accept", "open EINTR", "accept SHORT", "read EWHAT", "read EINTR chance", "read EINTR often 2", "step soon"} {
 		if _, err := ParseFaultTable(text); err == nil {
-			t.Errorf("%q is taken", text)
+			t.Errorf("%q is accepted", text)
 		}
 	}
 }
 
-// The same seed fails the same calls, no more than the count, and what is cut short moves
-// one byte.
+// Two tables with the same seed fail the same calls, and no more than their count. A
+// short read or write transfers one byte, and the wall clock alone is stepped.
 func TestFaulty(t *testing.T) {
 	draw := func() (failed []int) {
 		table, err := ParseFaultTable("seed 3; socket ENFILE chance 0.3 count 4")
