--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -51,7 +51,7 @@
 		ex.attempts.upload = nil
 	}
 	h.events = append(h.events, scheduler.AttemptEnded{ID: ex.id, Attempt: at.number, Node: at.node, Outcome: o, Duration: h.now - at.began,
-		Answered: ex.answer.final, BodyConsumed: ex.body.spent, ReportedLoad: at.report, HasLoadReport: at.reports})
+		Responded: ex.answer.final, BodyConsumed: ex.body.spent, ReportedLoad: at.report, HasLoadReport: at.reports})
 	if h.observer != nil {
 		h.span = Span{Request: h.requestID(ex.id), Trace: ex.trace.id, ID: at.span, Parent: ex.trace.span, Sampled: ex.trace.sampled,
 			Start: at.began, End: h.now, Method: ex.method, Path: ex.place.Path, Volume: ex.ask.Arrival.Volume,
--- a/internal/scenario/badday_test.go
+++ b/internal/scenario/badday_test.go
@@ -102,7 +102,7 @@
 				switch {
 				case !mine[e.ID]:
 					return nil, false
-				case e.Answered:
+				case e.Responded:
 					return nil, true
 				case e.Outcome == scheduler.QueueFull || e.Outcome == scheduler.ConnectFailed || e.Outcome == scheduler.Superseded:
 					return []scheduler.Action{scheduler.Reject{ID: e.ID}}, true
@@ -156,7 +156,7 @@
 	return func(m *meddler) {
 		m.decide = func(m *meddler, _ scheduler.Time, e scheduler.Event) ([]scheduler.Action, bool) {
 			end, ok := e.(scheduler.AttemptEnded)
-			if !ok || !slices.Contains(classes, m.class[end.ID]) || end.Answered {
+			if !ok || !slices.Contains(classes, m.class[end.ID]) || end.Responded {
 				return nil, false
 			}
 			if (end.Outcome == scheduler.Reset || end.Outcome == scheduler.ConnectFailed) && m.tries[end.ID] < most {
--- a/internal/scenario/passthrough.go
+++ b/internal/scenario/passthrough.go
@@ -27,7 +27,7 @@
 			acts = append(acts, scheduler.Send{ID: e.ID, Node: p.nodes[e.Shard]})
 		case scheduler.AttemptEnded:
 			switch {
-			case e.Answered:
+			case e.Responded:
 			case e.Outcome == scheduler.QueueFull || e.Outcome == scheduler.ConnectFailed || e.Outcome == scheduler.Superseded:
 				acts = append(acts, scheduler.Reject{ID: e.ID})
 			default:
--- a/scheduler/bench_test.go
+++ b/scheduler/bench_test.go
@@ -8,20 +8,20 @@
 	. "maddergap/scheduler"
 )
 
-// crowd is a module before which requests wait: each turn one comes and one answer is
+// loadedScheduler is a module before which requests wait: each turn one comes and one answer is
 // told, which sends the next.
-type crowd struct {
-	handle func(Time, []Event) []Action
-	now    Time
-	id     uint64
-	out    []AttemptEnded
-	volume func(i uint64) (string, int)
-	nodes  int
-	key    func(i uint64) string
-	varied bool
+type loadedScheduler struct {
+	handle   func(Time, []Event) []Action
+	now      Time
+	id       uint64
+	inFlight []AttemptEnded
+	volume   func(i uint64) (string, int)
+	nodes    int
+	key      func(i uint64) string
+	varied   bool
 }
 
-func (c *crowd) arrival() Arrival {
+func (c *loadedScheduler) arrival() Arrival {
 	c.id++
 	v, plan := c.volume(c.id)
 	a := Arrival{ID: c.id, Shard: int(c.id) % c.nodes, Plan: plan, Class: int(c.id) % 2, Volume: v, TimeRemaining: time.Hour, Units: float64(1 + c.id%3), Instances: 1}
@@ -34,29 +34,29 @@
 	return a
 }
 
-func (c *crowd) told(acts []Action) {
+func (c *loadedScheduler) apply(acts []Action) {
 	for _, a := range acts {
 		if s, ok := a.(Send); ok {
-			c.out = append(c.out, AttemptEnded{ID: s.ID, Node: s.Node, Answered: true})
+			c.inFlight = append(c.inFlight, AttemptEnded{ID: s.ID, Node: s.Node, Responded: true})
 		}
 	}
 }
 
-func (c *crowd) turn() {
+func (c *loadedScheduler) step() {
 	c.now += time.Millisecond
 	events := []Event{c.arrival()}
-	if len(c.out) > 0 {
-		events = append(events, c.out[0])
-		c.out = append(c.out[:0], c.out[1:]...)
+	if len(c.inFlight) > 0 {
+		events = append(events, c.inFlight[0])
+		c.inFlight = append(c.inFlight[:0], c.inFlight[1:]...)
 	}
-	c.told(c.handle(c.now, events))
+	c.apply(c.handle(c.now, events))
 }
 
-func newCrowd(b *testing.B, old bool, waiting, nodes int, volume func(uint64) (string, int), key func(uint64) string) *crowd {
+func newLoadedScheduler(b *testing.B, old bool, waiting, nodes int, volume func(uint64) (string, int), key func(uint64) string) *loadedScheduler {
 	s := Settings{Instances: 1, MaxUnits: 8, MeanUnits: 2, ExcessWeight: 0.3,
 		Classes: []Class{{Name: "read", LatencyObjective: time.Hour, PriorityWeight: 2, LateWeightFactor: 0.2}, {Name: "write", LatencyObjective: time.Hour, PriorityWeight: 1, LateWeightFactor: 0.2, Ordered: key != nil}},
 		Plans:   []Plan{{Name: "free", Reserve: 50, Weight: 1, PriorityFactor: 1}, {Name: "limited", Reserve: 10, Weight: 1, PriorityFactor: 0.8, Limit: 1000, LimitBurst: 1000}}}
-	c := &crowd{now: time.Hour, nodes: nodes, volume: volume, key: key}
+	c := &loadedScheduler{now: time.Hour, nodes: nodes, volume: volume, key: key}
 	if old {
 		h, _ := newReference(s, 1, c.now)
 		c.handle = h.Handle
@@ -76,11 +76,11 @@
 	for range waiting {
 		events = append(events, c.arrival())
 	}
-	c.told(c.handle(c.now, events))
+	c.apply(c.handle(c.now, events))
 	return c
 }
 
-var crowds = []struct {
+var loads = []struct {
 	name   string
 	volume func(i uint64) (string, int)
 	key    func(i uint64) string
@@ -95,16 +95,16 @@
 // A decision costs the same however many wait.
 func BenchmarkWaiting(b *testing.B) {
 	for _, old := range []bool{false, true} {
-		for _, k := range crowds {
+		for _, k := range loads {
 			for _, waiting := range []int{10, 1000, 100_000} {
 				if old && waiting > 1000 {
 					continue
 				}
 				b.Run(fmt.Sprintf("old=%v/%s/waiting=%d", old, k.name, waiting), func(b *testing.B) {
-					c := newCrowd(b, old, waiting, 1, k.volume, k.key)
+					c := newLoadedScheduler(b, old, waiting, 1, k.volume, k.key)
 					b.ReportAllocs()
 					for b.Loop() {
-						c.turn()
+						c.step()
 					}
 				})
 			}
@@ -116,10 +116,10 @@
 func BenchmarkNodes(b *testing.B) {
 	for _, nodes := range []int{8, 100, 1000} {
 		b.Run(fmt.Sprint(nodes), func(b *testing.B) {
-			c := newCrowd(b, false, 20*nodes, nodes, crowds[2].volume, nil)
+			c := newLoadedScheduler(b, false, 20*nodes, nodes, loads[2].volume, nil)
 			b.ReportAllocs()
 			for b.Loop() {
-				c.turn()
+				c.step()
 			}
 		})
 	}
@@ -129,11 +129,11 @@
 func BenchmarkFewAndVaried(b *testing.B) {
 	for _, old := range []bool{false, true} {
 		b.Run(fmt.Sprintf("old=%v", old), func(b *testing.B) {
-			c := newCrowd(b, old, 200, 40, crowds[2].volume, nil)
+			c := newLoadedScheduler(b, old, 200, 40, loads[2].volume, nil)
 			c.varied = true
 			b.ReportAllocs()
 			for b.Loop() {
-				c.turn()
+				c.step()
 			}
 		})
 	}
--- a/scheduler/deadlines.go
+++ b/scheduler/deadlines.go
@@ -9,12 +9,12 @@
 const (
 	// expiryMargin is how long before its deadline a request is answered.
 	expiryMargin = 10 * time.Millisecond
-	// firstAttemptPart is the part of its time that a request is held for its first attempt. One
+	// firstAttemptFraction is the part of its time that a request is held for its first attempt. One
 	// that others went before hardly goes in time: its client is told while it can come back.
-	firstAttemptPart = 0.5
-	// sendsThatOvertake is how many other requests a node was sent meanwhile, if a request that
+	firstAttemptFraction = 0.5
+	// overtakingSends is how many other requests a node was sent meanwhile, if a request that
 	// waits for its first attempt is not to be held for all of its time.
-	sendsThatOvertake = 2
+	overtakingSends = 2
 )
 
 // setDeadlines sets a request's times at its arrival.
@@ -25,21 +25,21 @@
 	if r.ClientRetry && class.Deadline > r.TimeRemaining {            // its aim counts from its client's first try
 		r.LatencyDeadline = min(r.LatencyDeadline, s.now+class.LatencyObjective-(class.Deadline-r.TimeRemaining))
 	}
-	r.ExpiresAt = max(s.now+Time(firstAttemptPart*float64(r.TimeRemaining)), r.LatencyDeadline)
+	r.ExpiresAt = max(s.now+Time(firstAttemptFraction*float64(r.TimeRemaining)), r.LatencyDeadline)
 }
 
-// holdLonger is until when a request is held that no node has had for half of its time.
-func holdLonger(r *request) Time {
-	if r.node != nil && r.node.sends-r.sendsBefore < sendsThatOvertake {
+// extendExpiry is until when a request is held that no node has had for half of its time.
+func extendExpiry(r *request) Time {
+	if r.node != nil && r.node.sendCount-r.sendCountAtEnqueue < overtakingSends {
 		return r.Deadline
 	}
 	return 0
 }
 
-// expire answers what is out of time.
-func (s *Scheduler) expire(queue *requestQueue) {
-	for _, r := range queue.RemoveExpired(s.now+expiryMargin+1, holdLonger) {
-		s.finish(r)
+// rejectExpired answers what is out of time.
+func (s *Scheduler) rejectExpired(queue *requestQueue) {
+	for _, r := range queue.RemoveExpired(s.now+expiryMargin+1, extendExpiry) {
+		s.rejectOrFail(r)
 	}
 }
 
--- a/scheduler/deadlines_test.go
+++ b/scheduler/deadlines_test.go
@@ -9,8 +9,8 @@
 // bangna-main-later big-1: a timer told as a fraction of a microsecond came early,
 // no other was set, and a held request was never answered.
 func TestHeldRequestIsAnsweredThoughTimersAreCoarse(t *testing.T) {
-	r := start(t, site(), nodeA)
-	n := r.h.members.nodes[0]
+	r := newHarness(t, testSettings(), nodeA)
+	n := r.scheduler.members.nodes[0]
 	var timers []Time
 	do := func(acts []Action) {
 		for _, a := range acts {
@@ -20,17 +20,17 @@
 		}
 		slices.Sort(timers)
 	}
-	do(r.at(0, req(1, func(a *Arrival) { a.TimeRemaining = 100 * ms })))
-	do(r.end(1, OK))
-	n.window, n.paceJitter, n.sentAt = 0.1, 1, r.now
-	n.observed.latency.sum = 0.1 + 1e-7/3 // a gap that ends between microseconds
-	do(r.at(0, req(2, func(a *Arrival) { a.TimeRemaining = 3 * time.Second })))
+	do(r.handleAfter(0, newArrival(1, func(a *Arrival) { a.TimeRemaining = 100 * ms })))
+	do(r.endAttempt(1, OK))
+	n.window, n.pacingJitter, n.lastSendAt = 0.1, 1, r.now
+	n.observations.latency.sum = 0.1 + 1e-7/3 // a gap that ends between microseconds
+	do(r.handleAfter(0, newArrival(2, func(a *Arrival) { a.TimeRemaining = 3 * time.Second })))
 	for len(timers) > 0 {
 		next := timers[0]
 		timers = timers[1:]
-		acts := r.at(next-r.now, TimerFired{})
+		acts := r.handleAfter(next-r.now, TimerFired{})
 		do(acts)
-		if r.tries[2] > 0 || len(answers(acts)) > 0 {
+		if r.attempts[2] > 0 || len(finalResponses(acts)) > 0 {
 			return
 		}
 	}
@@ -41,18 +41,18 @@
 // that sends rarely keeps all of it, and so does one that a node had already.
 func TestOvertakenRequestIsRefusedAtHalfOfItsTime(t *testing.T) {
 	late := func(overtakers int) time.Duration {
-		r := start(t, site(func(s *Settings) {
+		r := newHarness(t, testSettings(func(s *Settings) {
 			s.Plans = append(s.Plans, Plan{Name: "limited", Weight: 1, PriorityFactor: 1, Limit: 0.001, LimitBurst: 10})
 		}), Endpoint{Node: "n0"})
 		came := r.now
-		r.at(0, Arrival{ID: 9, Class: 1, Plan: 1, Volume: "v", TimeRemaining: 2 * time.Second, Units: 1}) // its limit holds it
+		r.handleAfter(0, Arrival{ID: 9, Class: 1, Plan: 1, Volume: "v", TimeRemaining: 2 * time.Second, Units: 1}) // its limit holds it
 		for i := range overtakers {
 			id := uint64(20 + i)
-			r.at(0, Arrival{ID: id, Volume: "w", TimeRemaining: 5 * time.Second, Units: 1})
-			r.end(id, OK)
+			r.handleAfter(0, Arrival{ID: id, Volume: "w", TimeRemaining: 5 * time.Second, Units: 1})
+			r.endAttempt(id, OK)
 		}
 		for r.now < came+3*time.Second {
-			if answers(r.at(5*ms, TimerFired{}))[9] == "r" {
+			if finalResponses(r.handleAfter(5*ms, TimerFired{}))[9] == "r" {
 				return r.now - came
 			}
 		}
@@ -70,18 +70,18 @@
 // does not go before what can still be in time.
 func TestRepeatAimsFromItsFirstTry(t *testing.T) {
 	for _, again := range []bool{false, true} {
-		r := start(t, site(func(s *Settings) { s.Classes[0].Deadline = time.Second }), Endpoint{Node: "n0"})
+		r := newHarness(t, testSettings(func(s *Settings) { s.Classes[0].Deadline = time.Second }), Endpoint{Node: "n0"})
 		for id := uint64(1); id <= 2; id++ {
-			r.at(0, Arrival{ID: id, Volume: "x", TimeRemaining: time.Second, Units: 1})
+			r.handleAfter(0, Arrival{ID: id, Volume: "x", TimeRemaining: time.Second, Units: 1})
 		}
-		r.at(0, Arrival{ID: 3, Volume: "v", TimeRemaining: 600 * ms, Units: 1, ClientRetry: again})
-		r.at(0, Arrival{ID: 4, Volume: "w", TimeRemaining: time.Second, Units: 1})
-		r.at(20*ms, AttemptEnded{ID: 1, Outcome: OK, Answered: true})
+		r.handleAfter(0, Arrival{ID: 3, Volume: "v", TimeRemaining: 600 * ms, Units: 1, ClientRetry: again})
+		r.handleAfter(0, Arrival{ID: 4, Volume: "w", TimeRemaining: time.Second, Units: 1})
+		r.handleAfter(20*ms, AttemptEnded{ID: 1, Outcome: OK, Responded: true})
 		want := []uint64{1, 2, 3}
 		if again {
 			want[2] = 4
 		}
-		if got := r.sent(); len(got) < 3 || !slices.Equal(got[:3], want) {
+		if got := r.sentIDs(); len(got) < 3 || !slices.Equal(got[:3], want) {
 			t.Errorf("again %v: sent %v, want %v first", again, got, want)
 		}
 	}
--- a/scheduler/dispatch_test.go
+++ b/scheduler/dispatch_test.go
@@ -6,16 +6,16 @@
 )
 
 func TestWorthThenNearestAimBetweenEqualTags(t *testing.T) {
-	s := site(func(s *Settings) {
+	s := testSettings(func(s *Settings) {
 		s.Classes[1].PriorityWeight = 1
 		s.Plans[0].Reserve = 100
 	})
-	r := start(t, s, nodeA)
-	r.h.members.nodes[0].window = 1
-	r.at(0, req(1), req(2, class(1)), req(3, ofVolume("w", 0)))
-	r.at(90*ms, TimerFired{})
-	r.end(1, OK)
-	want(t, "sent", r.sent(), []uint64{1, 3})
+	r := newHarness(t, s, nodeA)
+	r.scheduler.members.nodes[0].window = 1
+	r.handleAfter(0, newArrival(1), newArrival(2, withClass(1)), newArrival(3, withVolume("w", 0)))
+	r.handleAfter(90*ms, TimerFired{})
+	r.endAttempt(1, OK)
+	assertEqual(t, "sent", r.sentIDs(), []uint64{1, 3})
 }
 
 // A node whose only attempt timed out is tried again, though what is held of it
--- a/scheduler/estimates_test.go
+++ b/scheduler/estimates_test.go
@@ -10,7 +10,7 @@
 // others stands in, old answers count less, and what has no answer counts too.
 func TestFewObservationsLeanOnAllNodes(t *testing.T) {
 	slow := func(n *node) *attempt {
-		return &attempt{request: &request{Arrival: req(1), class: &Class{LatencyObjective: 200 * ms}}, node: n}
+		return &attempt{request: &request{Arrival: newArrival(1), class: &Class{LatencyObjective: 200 * ms}}, node: n}
 	}
 	for _, c := range []struct {
 		name    string
@@ -26,21 +26,21 @@
 		{"a slow answer long ago, others quick since", OK, 300 * ms, 10 * observationHalfLife, 0.05},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			r := start(t, site(), nodeA, nodeB)
-			r.h.estimates.unitTime = 0.005 // ten milliseconds of two units are work, not waiting
-			n, other := r.h.members.nodes[0], r.h.members.nodes[1]
+			r := newHarness(t, testSettings(), nodeA, nodeB)
+			r.scheduler.estimates.unitServiceTime = 0.005 // ten milliseconds of two units are work, not waiting
+			n, other := r.scheduler.members.nodes[0], r.scheduler.members.nodes[1]
 			a := slow(n)
 			a.sentAt = r.now - c.took
-			r.h.observe(n, a, AttemptEnded{Outcome: c.outcome})
+			r.scheduler.recordOutcome(n, a, AttemptEnded{Outcome: c.outcome})
 			if c.age > 0 {
-				r.wait(c.age)
+				r.runFor(c.age)
 				b := slow(other)
 				b.sentAt = r.now - 20*ms
 				for range 10 {
-					r.h.observe(other, b, AttemptEnded{Outcome: OK})
+					r.scheduler.recordOutcome(other, b, AttemptEnded{Outcome: OK})
 				}
 			}
-			r.h.estimate(n)
+			r.scheduler.updateEstimate(n)
 			if math.Abs(n.pressure-c.want) > 0.05 {
 				t.Errorf("pressure %.2f, want about %.2f", n.pressure, c.want)
 			}
@@ -67,12 +67,12 @@
 		{"absurd", true, 1e12, 10 * ms, 1, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			r := start(t, site(), nodeA)
-			r.h.estimates.unitTime = 0.005
-			n := r.h.members.nodes[0]
-			a := &attempt{request: &request{Arrival: req(1), class: &r.h.settings.Classes[0]}, node: n, sentAt: r.now - c.took}
-			r.h.observe(n, a, AttemptEnded{Outcome: OK, HasLoadReport: c.says, ReportedLoad: c.reported})
-			r.h.estimate(n)
+			r := newHarness(t, testSettings(), nodeA)
+			r.scheduler.estimates.unitServiceTime = 0.005
+			n := r.scheduler.members.nodes[0]
+			a := &attempt{request: &request{Arrival: newArrival(1), class: &r.scheduler.settings.Classes[0]}, node: n, sentAt: r.now - c.took}
+			r.scheduler.recordOutcome(n, a, AttemptEnded{Outcome: OK, HasLoadReport: c.says, ReportedLoad: c.reported})
+			r.scheduler.updateEstimate(n)
 			if n.pressure < c.lo-0.01 || n.pressure > c.hi+0.01 {
 				t.Errorf("pressure %.3f, want %.2f to %.2f", n.pressure, c.lo, c.hi)
 			}
@@ -82,16 +82,16 @@
 
 // bangna-main-later big-1: seven hung nodes made every head stand back everywhere.
 func TestASickNodeTellsOfItselfAlone(t *testing.T) {
-	r := start(t, site(), nodeA, nodeB)
+	r := newHarness(t, testSettings(), nodeA, nodeB)
 	for id := uint64(1); id <= 6; id++ {
-		r.at(50*ms, req(id, shard(0)))
-		if r.tries[id] > 0 {
-			r.end(id, TimedOut)
+		r.handleAfter(50*ms, newArrival(id, withShard(0)))
+		if r.attempts[id] > 0 {
+			r.endAttempt(id, TimedOut)
 		}
 	}
-	r.h.estimate(r.h.members.nodes[0])
-	r.h.estimate(r.h.members.nodes[1])
-	if a, b := r.h.members.nodes[0].pressure, r.h.members.nodes[1].pressure; a < 0.9 || b > 0.1 {
+	r.scheduler.updateEstimate(r.scheduler.members.nodes[0])
+	r.scheduler.updateEstimate(r.scheduler.members.nodes[1])
+	if a, b := r.scheduler.members.nodes[0].pressure, r.scheduler.members.nodes[1].pressure; a < 0.9 || b > 0.1 {
 		t.Errorf("pressure %.2f at the sick node, %.2f at the other", a, b)
 	}
 }
--- a/scheduler/events.go
+++ b/scheduler/events.go
@@ -70,7 +70,7 @@
 	Node          string
 	Outcome       Outcome
 	Duration      time.Duration
-	Answered      bool    // the request has its final answer
+	Responded     bool    // the request has its final answer
 	BodyConsumed  bool    // it cannot be sent again: what it carried is gone
 	ReportedLoad  float64 // requests that the node said it held or had waiting
 	HasLoadReport bool    // it said so
--- a/scheduler/fair_queue.go
+++ b/scheduler/fair_queue.go
@@ -6,50 +6,50 @@
 // its own for each node.
 
 const (
-	// minSharePart is φmin of the paper (3.4), as a part of φ.
-	minSharePart = 0.5
+	// minShareFraction is φmin of the paper (3.4), as a part of φ.
+	minShareFraction = 0.5
 	// minNormalizedWeight keeps the division by φ defined.
 	minNormalizedWeight = 1e-6
 	// reserveShareFactor is how many even parts of a volume's reserve a host holds, all of it
 	// at most.
 	reserveShareFactor = 2.0
-	// headsPerVolumeHost is how many heads may stand before a node, as a multiple of the most
+	// instancesPerNodeFactor is how many heads may stand before a node, as a multiple of the most
 	// hosts of a volume.
-	headsPerVolumeHost = 2.0
+	instancesPerNodeFactor = 2.0
 )
 
 // shares are what the volumes' shares are normalized by.
 type shares struct {
-	weights float64 // of all plans
-	// headsPerNode is how many heads may stand before one node.
-	headsPerNode float64
+	totalWeight float64 // of all plans
+	// instancesPerNode is how many heads may stand before one node.
+	instancesPerNode float64
 }
 
 func newShares(settings *Settings) shares {
-	all := shares{headsPerNode: 1}
+	all := shares{instancesPerNode: 1}
 	for _, plan := range settings.Plans {
-		all.weights += plan.Weight
+		all.totalWeight += plan.Weight
 	}
 	return all
 }
 
 // volume is a stream.
 type volume struct {
-	plan    *Plan
-	weight  float64 // φ, normalized over the plans
-	hosts   float64 // through which its requests may come
-	streams map[*node]*stream
-	total   float64 // units asked of all nodes
-	reserve tokenBucket
-	limit   tokenBucket
-	usedAt  Time
+	plan           *Plan
+	weight         float64 // φ, normalized over the plans
+	instances      float64 // through which its requests may come
+	streams        map[*node]*stream
+	unitsRequested float64 // units asked of all nodes
+	reserve        tokenBucket
+	limit          tokenBucket
+	lastUsedAt     Time
 }
 
 // stream is a volume's state at one node.
 type stream struct {
-	finishTag float64 // F of its last request there
-	totalThen float64 // the volume's total when it last came to this node
-	usedAt    Time
+	finishTag          float64 // F of its last request there
+	unitsRequestedThen float64 // the volume's total when it last came to this node
+	lastUsedAt         Time
 }
 
 // volumeOf returns the state of a request's volume.
@@ -63,11 +63,11 @@
 	if hosts < 1 || hosts > heads {
 		hosts = heads
 	}
-	v.hosts = hosts
-	s.shares.headsPerNode = max(s.shares.headsPerNode, min(heads, headsPerVolumeHost*hosts))
+	v.instances = hosts
+	s.shares.instancesPerNode = max(s.shares.instancesPerNode, min(heads, instancesPerNodeFactor*hosts))
 	s.setReserve(v)
 	v.setLimit()
-	v.usedAt = s.now
+	v.lastUsedAt = s.now
 	return v
 }
 
@@ -75,8 +75,8 @@
 	plans := s.settings.Plans
 	plan := &plans[min(max(planNumber, 0), len(plans)-1)]
 	v := &volume{plan: plan, weight: 1 / float64(len(plans)), streams: map[*node]*stream{}}
-	if s.shares.weights > 0 {
-		v.weight = max(plan.Weight/s.shares.weights, minNormalizedWeight)
+	if s.shares.totalWeight > 0 {
+		v.weight = max(plan.Weight/s.shares.totalWeight, minNormalizedWeight)
 	}
 	v.reserve.at, v.limit.at = s.startedAt, s.startedAt
 	return v
@@ -85,11 +85,11 @@
 // setReserve sizes the bucket of this host's part of a volume's reserve.
 func (s *Scheduler) setReserve(v *volume) {
 	largest := s.settings.MaxUnits
-	if part := min(1, reserveShareFactor/v.hosts); v.plan.Reserve > 0 {
+	if part := min(1, reserveShareFactor/v.instances); v.plan.Reserve > 0 {
 		v.reserve.rate = part * v.plan.Reserve
 		v.reserve.capacity = max(part*(v.plan.Reserve+largest), largest)
 	}
-	if v.usedAt == 0 {
+	if v.lastUsedAt == 0 {
 		v.reserve.level = v.reserve.capacity
 	}
 }
@@ -105,17 +105,17 @@
 	v := r.volume
 	at := v.streams[n]
 	if at == nil {
-		at = &stream{totalThen: v.total}
+		at = &stream{unitsRequestedThen: v.unitsRequested}
 		v.streams[n] = at
 	}
 	delay := v.delay(at, r.Units)
-	v.total += r.Units
-	at.totalThen, at.usedAt = v.total, s.now
+	v.unitsRequested += r.Units
+	at.unitsRequestedThen, at.lastUsedAt = v.unitsRequested, s.now
 	if v.reserve.take(s.now, r.Units) {
-		r.startTag, r.excess = n.virtualTime, false
+		r.startTag, r.beyondReserve = n.virtualTime, false
 		return
 	}
-	r.excess = true
+	r.beyondReserve = true
 	r.startTag = max(n.virtualTime, at.finishTag+delay/v.weight)
 	at.finishTag = r.startTag + r.Units/v.weight
 }
@@ -126,8 +126,8 @@
 	if v.weight >= 1 {
 		return 0
 	}
-	elsewhere := v.total - at.totalThen
-	most := (1/minSharePart - 1) / (1 - v.weight) * cost
+	elsewhere := v.unitsRequested - at.unitsRequestedThen
+	most := (1/minShareFraction - 1) / (1 - v.weight) * cost
 	return min(elsewhere, most)
 }
 
--- a/scheduler/fleet_test.go
+++ b/scheduler/fleet_test.go
@@ -11,41 +11,41 @@
 
 // fleet is many heads on one virtual clock in front of nodes that answer all they get.
 type fleet struct {
-	s       Settings
-	heads   []*Scheduler
-	share   []float64 // of the arrivals, added up
-	now     Time
-	queue   happenings
-	rand    *rand.Rand
-	node    string
-	sent    []sending
-	again   float64 // part that a node turns away
-	id      uint64
-	running bool
-	tries   map[attemptID]int
-	done    int
-	asked   int
-	digest  *Digest // of all actions, nil: not asked for
+	s               Settings
+	instances       []*Scheduler
+	cumulativeShare []float64 // of the arrivals, added up
+	now             Time
+	queue           fleetEvents
+	rand            *rand.Rand
+	node            string
+	sent            []sentUnits
+	queueFullRate   float64 // part that a node turns away
+	id              uint64
+	running         bool
+	attempts        map[attemptID]int
+	served          int
+	arrived         int
+	digest          *Digest // of all actions, nil: not asked for
 }
 
-type sending struct {
+type sentUnits struct {
 	at    Time
 	units float64
 }
 
-type happening struct {
-	at   Time
-	head int
-	ev   Event // nil: an arrival, the next of all
+type fleetEvent struct {
+	at       Time
+	instance int
+	event    Event // nil: an arrival, the next of all
 }
 
-type happenings []happening
+type fleetEvents []fleetEvent
 
-func (q happenings) Len() int           { return len(q) }
-func (q happenings) Less(i, j int) bool { return q[i].at < q[j].at }
-func (q happenings) Swap(i, j int)      { q[i], q[j] = q[j], q[i] }
-func (q *happenings) Push(x any)        { *q = append(*q, x.(happening)) }
-func (q *happenings) Pop() any {
+func (q fleetEvents) Len() int           { return len(q) }
+func (q fleetEvents) Less(i, j int) bool { return q[i].at < q[j].at }
+func (q fleetEvents) Swap(i, j int)      { q[i], q[j] = q[j], q[i] }
+func (q *fleetEvents) Push(x any)        { *q = append(*q, x.(fleetEvent)) }
+func (q *fleetEvents) Pop() any {
 	last := len(*q) - 1
 	x := (*q)[last]
 	*q = (*q)[:last]
@@ -57,26 +57,26 @@
 	sum := 0.0
 	for i := range s.Instances {
 		h, _ := New(s, seed<<16+uint64(i)+1, f.now)
-		f.heads = append(f.heads, h)
+		f.instances = append(f.instances, h)
 		sum += f.rand.ExpFloat64() // some see several times the mean, some next to nothing
-		f.share = append(f.share, sum)
+		f.cumulativeShare = append(f.cumulativeShare, sum)
 	}
-	f.tries = map[attemptID]int{}
+	f.attempts = map[attemptID]int{}
 	return f
 }
 
-// list tells all heads of the one node, each within a second.
-func (f *fleet) list(node string, started Time) {
+// updateEndpoints tells all heads of the one node, each within a second.
+func (f *fleet) updateEndpoints(node string, started Time) {
 	f.node = node
-	for i := range f.heads {
-		heap.Push(&f.queue, happening{f.now + Time(f.rand.Int64N(int64(time.Second))), i, EndpointUpdate{Full: true, Endpoints: []Endpoint{{Node: node, Started: started}}}})
+	for i := range f.instances {
+		heap.Push(&f.queue, fleetEvent{f.now + Time(f.rand.Int64N(int64(time.Second))), i, EndpointUpdate{Full: true, Endpoints: []Endpoint{{Node: node, Started: started}}}})
 	}
 }
 
 // run lets so much time go by, with so many requests of mean work a second.
 func (f *fleet) run(d time.Duration, rate float64) {
 	next := func() {
-		heap.Push(&f.queue, happening{f.now + Time(f.rand.ExpFloat64()/rate*float64(time.Second)), 0, nil})
+		heap.Push(&f.queue, fleetEvent{f.now + Time(f.rand.ExpFloat64()/rate*float64(time.Second)), 0, nil})
 	}
 	end := f.now + d
 	if !f.running {
@@ -84,52 +84,52 @@
 		next()
 	}
 	for len(f.queue) > 0 {
-		e := heap.Pop(&f.queue).(happening)
+		e := heap.Pop(&f.queue).(fleetEvent)
 		if f.now = max(f.now, e.at); f.now >= end {
 			heap.Push(&f.queue, e)
 			f.now = end
 			return
 		}
-		if e.ev == nil {
-			x := f.rand.Float64() * f.share[len(f.share)-1]
-			for f.share[e.head] < x {
-				e.head++
+		if e.event == nil {
+			x := f.rand.Float64() * f.cumulativeShare[len(f.cumulativeShare)-1]
+			for f.cumulativeShare[e.instance] < x {
+				e.instance++
 			}
 			f.id++
-			f.asked++
-			e.ev = Arrival{ID: f.id, Key: "k", Volume: fmt.Sprint("v", f.id%7), TimeRemaining: 1500 * ms, Units: f.s.MeanUnits, Instances: 3}
+			f.arrived++
+			e.event = Arrival{ID: f.id, Key: "k", Volume: fmt.Sprint("v", f.id%7), TimeRemaining: 1500 * ms, Units: f.s.MeanUnits, Instances: 3}
 			next()
 		}
-		acts := f.heads[e.head].Handle(f.now, []Event{e.ev})
+		acts := f.instances[e.instance].Handle(f.now, []Event{e.event})
 		if f.digest != nil {
-			f.digest.Add(f.now, e.head, acts)
+			f.digest.Add(f.now, e.instance, acts)
 		}
 		for _, a := range acts {
 			switch a := a.(type) {
 			case Send:
 				if a.Node == f.node {
-					f.sent = append(f.sent, sending{f.now, f.s.MeanUnits})
+					f.sent = append(f.sent, sentUnits{f.now, f.s.MeanUnits})
 				}
 				id := attemptID{a.ID, 0}
-				n := f.tries[id]
-				f.tries[id]++
+				n := f.attempts[id]
+				f.attempts[id]++
 				o := OK
-				if f.rand.Float64() < f.again {
+				if f.rand.Float64() < f.queueFullRate {
 					o = QueueFull
 				} else {
-					f.done++
+					f.served++
 				}
-				heap.Push(&f.queue, happening{f.now + 20*ms, e.head, AttemptEnded{ID: a.ID, Attempt: n, Node: a.Node, Outcome: o, Duration: 20 * ms, Answered: o == OK}})
+				heap.Push(&f.queue, fleetEvent{f.now + 20*ms, e.instance, AttemptEnded{ID: a.ID, Attempt: n, Node: a.Node, Outcome: o, Duration: 20 * ms, Responded: o == OK}})
 			case SetTimer:
-				heap.Push(&f.queue, happening{f.now + a.After, e.head, TimerFired{}})
+				heap.Push(&f.queue, fleetEvent{f.now + a.After, e.instance, TimerFired{}})
 			}
 		}
 	}
 }
 
-// worst is the most that was sent within a window, as a multiple of what is allowed by
+// worstOverload is the most that was sent within a window, as a multiple of what is allowed by
 // chance alone, and of N itself, at a node that was started then.
-func (f *fleet) worst(started Time, units float64) (chance, n float64) {
+func (f *fleet) worstOverload(started Time, units float64) (chance, n float64) {
 	s := f.s
 	from, sum := 0, 0.0
 	for _, x := range f.sent {
@@ -164,7 +164,7 @@
 					var chance, most, served float64
 					const seeds = 2
 					for seed := range uint64(seeds) {
-						c, n, part := coldFleet(seed, heads, units, load, restarts)
+						c, n, part := runSlowStartFleet(seed, heads, units, load, restarts)
 						chance, most, served = max(chance, c), max(most, n), served+part/seeds
 					}
 					said := fmt.Sprintf("%d heads, %v units a second, load %v, %d tenths restarted: at most %.2f of N + 2 sqrt N + 2, %.2f of N; served %.2f",
@@ -182,9 +182,9 @@
 	}
 }
 
-// coldSite is a site with a rule on cold nodes, whose nodes do so many units a second.
-func coldSite(heads int, units float64) Settings {
-	return site(func(s *Settings) {
+// slowStartSettings is a site with a rule on cold nodes, whose nodes do so many units a second.
+func slowStartSettings(heads int, units float64) Settings {
+	return testSettings(func(s *Settings) {
 		s.Instances = heads
 		s.SlowStart = SlowStart{WarmupDuration: 10 * time.Second, InitialFraction: 0.25, OverloadWindow: 1500 * ms, OverloadFactor: 3}
 		s.SlowStart.MinUnits = 0.7 * 3 * 0.25 * units * 1.5 // the least of all nodes bears it
@@ -193,23 +193,23 @@
 	})
 }
 
-// coldFleet has a node of a shard replaced by one that is cold, and tells the most that
+// runSlowStartFleet has a node of a shard replaced by one that is cold, and tells the most that
 // came to that within a window and the part of all that was served in its first 9 s.
-func coldFleet(seed uint64, heads int, units, load float64, restarts int) (chance, n, served float64) {
-	s := coldSite(heads, units)
+func runSlowStartFleet(seed uint64, heads int, units, load float64, restarts int) (chance, n, served float64) {
+	s := slowStartSettings(heads, units)
 	f := newFleet(s, seed)
-	f.list("A", 0)
+	f.updateEndpoints("A", 0)
 	f.run(40*time.Second, min(load, 0.95)*units/s.MeanUnits) // more it could not have done
 	started := f.now - 300*ms
-	f.sent, f.done, f.asked, f.again = nil, 0, 0, 0.1
-	f.list("B", started)
+	f.sent, f.served, f.arrived, f.queueFullRate = nil, 0, 0, 0.1
+	f.updateEndpoints("B", started)
 	for i := range 9 {
 		for k := i; i < restarts && k < heads; k += 10 { // a tenth of the heads at a time
-			f.heads[k], _ = New(s, seed<<20+uint64(k*10+i), f.now)
-			heap.Push(&f.queue, happening{f.now + 100*ms, k, EndpointUpdate{Full: true, Endpoints: []Endpoint{{Node: "B", Started: started}}}})
+			f.instances[k], _ = New(s, seed<<20+uint64(k*10+i), f.now)
+			heap.Push(&f.queue, fleetEvent{f.now + 100*ms, k, EndpointUpdate{Full: true, Endpoints: []Endpoint{{Node: "B", Started: started}}}})
 		}
 		f.run(time.Second, load*units/s.MeanUnits)
 	}
-	chance, n = f.worst(started, units)
-	return chance, n, float64(f.done) / float64(f.asked)
+	chance, n = f.worstOverload(started, units)
+	return chance, n, float64(f.served) / float64(f.arrived)
 }
--- a/scheduler/golden_test.go
+++ b/scheduler/golden_test.go
@@ -99,14 +99,14 @@
 	for _, heads := range []int{4, 30, 140} {
 		for _, load := range []float64{0.6, 1.3} {
 			for seed := range uint64(3) {
-				s := coldSite(heads, 120)
+				s := slowStartSettings(heads, 120)
 				f := newFleet(s, seed)
 				f.digest = NewDigest()
-				f.list("A", 0)
+				f.updateEndpoints("A", 0)
 				f.run(10*time.Second, load*120/s.MeanUnits)
 				started := f.now - 300*ms
-				f.again = 0.1
-				f.list("B", started)
+				f.queueFullRate = 0.1
+				f.updateEndpoints("B", started)
 				f.run(5*time.Second, load*120/s.MeanUnits)
 				key := fmt.Sprintf("%d heads/%v/%d", heads, load, seed)
 				sums[key] = f.digest.Sum()
--- a/scheduler/key_order.go
+++ b/scheduler/key_order.go
@@ -8,10 +8,10 @@
 // keyOrder is the order of one key's requests.
 type keyOrder struct {
 	requests []*request
-	// restUntil is when the key rests after an attempt that may still run; its own request may
+	// cooldownUntil is when the key rests after an attempt that may still run; its own request may
 	// be sent again before.
-	restUntil Time
-	restOf    *request
+	cooldownUntil Time
+	cooldownOwner *request
 }
 
 // joinKeyOrder gives a request its turn among those of its key.
@@ -37,19 +37,19 @@
 	if len(order.requests) == 0 || order.requests[0] != r {
 		return 0, false
 	}
-	if order.restOf == r {
+	if order.cooldownOwner == r {
 		return r.notBefore, true
 	}
-	return max(r.notBefore, order.restUntil), true
+	return max(r.notBefore, order.cooldownUntil), true
 }
 
-// restKey has a key rest after an attempt that may still run.
-func (s *Scheduler) restKey(r *request, o Outcome) {
+// startKeyCooldown has a key rest after an attempt that may still run.
+func (s *Scheduler) startKeyCooldown(r *request, o Outcome) {
 	order := s.keyOrders[r.Key]
 	if order == nil || !r.class.Ordered || o.ProvesNotRun() || o == OK || o == Failed {
 		return
 	}
-	order.restUntil, order.restOf = s.now+s.settings.KeyCooldown, r
+	order.cooldownUntil, order.cooldownOwner = s.now+s.settings.KeyCooldown, r
 }
 
 // leaveKeyOrder gives the turn of a request that is over to the next of its key.
@@ -79,7 +79,7 @@
 // sweepKeyOrders forgets keys that nothing waits for.
 func (s *Scheduler) sweepKeyOrders() {
 	for key, order := range s.keyOrders {
-		if len(order.requests) == 0 && s.now >= order.restUntil {
+		if len(order.requests) == 0 && s.now >= order.cooldownUntil {
 			delete(s.keyOrders, key)
 		}
 	}
--- a/scheduler/limits.go
+++ b/scheduler/limits.go
@@ -5,12 +5,12 @@
 
 // setLimit sizes the bucket of this host's part of a volume's limit.
 func (v *volume) setLimit() {
-	v.limit.rate = v.plan.Limit / v.hosts
-	v.limit.capacity = v.plan.LimitBurst / v.hosts
+	v.limit.rate = v.plan.Limit / v.instances
+	v.limit.capacity = v.plan.LimitBurst / v.instances
 }
 
-// neverAllows tells whether a request is larger than this host's part of the burst ever holds.
-func (v *volume) neverAllows(units float64) bool {
+// limitNeverAllows tells whether a request is larger than this host's part of the burst ever holds.
+func (v *volume) limitNeverAllows(units float64) bool {
 	return v.plan.Limit > 0 && v.limit.capacity < units
 }
 
--- a/scheduler/membership.go
+++ b/scheduler/membership.go
@@ -7,15 +7,15 @@
 
 // Membership: the nodes of the list.
 
-// listRetry is the pause after a failed call for the list.
-const listRetry = time.Second
+// watchRetryDelay is the pause after a failed call for the list.
+const watchRetryDelay = time.Second
 
 // members are the nodes that the scheduler knows.
 type members struct {
-	nodes   []*node
-	byName  map[string]*node
-	byShard map[int][]*node
-	joined  int // nodes so far
+	nodes       []*node
+	byName      map[string]*node
+	byShard     map[int][]*node
+	joinedCount int // nodes so far
 }
 
 func newMembers() members { return members{byName: map[string]*node{}} }
@@ -27,33 +27,33 @@
 	virtualTime float64    // v of fair queuing: the start tag last sent
 	inFlight    []*attempt // in order of sending, less those written off
 
-	window     float64
-	shrunkAt   Time
-	sentAt     Time
-	paceJitter float64 // of the gap after that
-	sends      int     // so far
+	window         float64
+	lastDecreaseAt Time
+	lastSendAt     Time
+	pacingJitter   float64 // of the gap after that
+	sendCount      int     // so far
 
-	observed observations // its own answers
-	latency  float64      // what is held of it: seconds of an answer
-	pressure float64      // and waiting times as parts of the aims, 1 at most
-	heardAt  Time         // last answer
-	breaker  breaker
+	observations   observations // its own answers
+	latency        float64      // what is held of it: seconds of an answer
+	pressure       float64      // and waiting times as parts of the aims, 1 at most
+	lastResponseAt Time         // last answer
+	breaker        breaker
 
-	coldBudget tokenBucket // what it may be sent while it is cold
+	slowStart tokenBucket // what it may be sent while it is cold
 
-	joined  int // its number in the order in which nodes joined
-	wakeAt  Time
-	dirty   bool // stands among timers.dirty
-	waiting bool // stands among timers.waiting
+	joinOrder int // its number in the order in which nodes joined
+	wakeAt    Time
+	dirty     bool // stands among timers.dirty
+	waiting   bool // stands among timers.waiting
 }
 
-// updateMembers takes news of the node list.
-func (s *Scheduler) updateMembers(list EndpointUpdate) {
+// handleEndpointUpdate takes news of the node list.
+func (s *Scheduler) handleEndpointUpdate(list EndpointUpdate) {
 	if list.Failed {
-		s.timers.listAt = s.now + listRetry
+		s.timers.watchAt = s.now + watchRetryDelay
 		return
 	}
-	listed, regroup := s.takeEntries(list)
+	listed, regroup := s.applyEndpoints(list)
 	// Requests held for a node that no longer serves, or for none, find their next node.
 	moved := s.unassigned.RemoveExpired(never, nil)
 	anyGone := false
@@ -73,21 +73,21 @@
 		s.members.groupByShard()
 	}
 	for _, r := range moved {
-		s.queue(r)
+		s.enqueue(r)
 	}
 	if anyGone {
-		s.forgetGone()
+		s.forgetRemoved()
 	}
 }
 
-// takeEntries takes the entries of a list and tells which nodes they name, and whether the
+// applyEndpoints takes the entries of a list and tells which nodes they name, and whether the
 // nodes of any shard may have changed.
-func (s *Scheduler) takeEntries(list EndpointUpdate) (listed map[*node]bool, regroup bool) {
+func (s *Scheduler) applyEndpoints(list EndpointUpdate) (listed map[*node]bool, regroup bool) {
 	listed, regroup = map[*node]bool{}, list.Full
 	for _, entry := range list.Endpoints {
 		n := s.members.byName[entry.Node]
 		if n == nil {
-			n = s.join(entry)
+			n = s.addNode(entry)
 			regroup = true
 		} else {
 			regroup = regroup || n.Shard != entry.Shard
@@ -98,11 +98,11 @@
 	return listed, regroup
 }
 
-// join adds a node that the list has for the first time.
-func (s *Scheduler) join(entry Endpoint) *node {
+// addNode adds a node that the list has for the first time.
+func (s *Scheduler) addNode(entry Endpoint) *node {
 	m := &s.members
-	m.joined++
-	n := &node{Endpoint: entry, window: windowStart, heardAt: s.now, queue: newRequestQueue(), joined: m.joined}
+	m.joinedCount++
+	n := &node{Endpoint: entry, window: initialWindow, lastResponseAt: s.now, queue: newRequestQueue(), joinOrder: m.joinedCount}
 	m.nodes = append(m.nodes, n)
 	m.byName[n.Node] = n
 	s.beginSlowStart(n)
@@ -117,7 +117,7 @@
 	if !restarted {
 		return
 	}
-	n.window, n.observed, n.heardAt = 1, observations{}, s.now
+	n.window, n.observations, n.lastResponseAt = 1, observations{}, s.now
 	n.breaker.open = false
 	s.beginSlowStart(n)
 }
@@ -130,9 +130,9 @@
 	}
 }
 
-// forgetGone lets go of nodes that are gone for good. Guards against a head that lives long and
+// forgetRemoved lets go of nodes that are gone for good. Guards against a head that lives long and
 // holds all nodes that ever were.
-func (s *Scheduler) forgetGone() {
+func (s *Scheduler) forgetRemoved() {
 	m := &s.members
 	m.nodes = slices.DeleteFunc(m.nodes, func(n *node) bool {
 		if n.State != Removed || len(n.inFlight) > 0 {
--- a/scheduler/placement_test.go
+++ b/scheduler/placement_test.go
@@ -5,10 +5,10 @@
 )
 
 func TestNewObjectGoesToTheLeastLoaded(t *testing.T) {
-	r := start(t, site(), nodeA, nodeB)
-	r.at(0, req(1), req(2), req(3), req(4))
-	r.at(0, req(5, shard(-1)))
-	want(t, "node", r.sends[len(r.sends)-1], Send{ID: 5, Node: "B"})
+	r := newHarness(t, testSettings(), nodeA, nodeB)
+	r.handleAfter(0, newArrival(1), newArrival(2), newArrival(3), newArrival(4))
+	r.handleAfter(0, newArrival(5, withShard(-1)))
+	assertEqual(t, "node", r.sends[len(r.sends)-1], Send{ID: 5, Node: "B"})
 }
 
 // bangna-main-later: all heads sent new objects to the first of the nodes alike.
@@ -19,11 +19,11 @@
 	}
 	took := map[string]int{}
 	for seed := uint64(1); seed <= 40; seed++ {
-		h, err := New(site(), seed, 0)
+		h, err := New(testSettings(), seed, 0)
 		if err != nil {
 			t.Fatal(err)
 		}
-		for _, a := range h.Handle(0, []Event{EndpointUpdate{Full: true, Endpoints: nodes}, req(1, shard(-1))}) {
+		for _, a := range h.Handle(0, []Event{EndpointUpdate{Full: true, Endpoints: nodes}, newArrival(1, withShard(-1))}) {
 			if s, ok := a.(Send); ok {
 				took[s.Node]++
 			}
--- a/scheduler/reference_test.go
+++ b/scheduler/reference_test.go
@@ -14,33 +14,33 @@
 )
 
 const (
-	minShare     = 0.5              // φmin, as a part of φ
-	windowMax    = 8.0              // D of the design: most requests out at a node
-	windowSum    = 32.0             // the same of all heads together, one for each at least
-	windowStart  = 2.0              // D at a node of which nothing is known
-	congested    = 0.2              // an answer later than this part of its aim shrinks the window
-	relaxed      = 0.13             // one sooner than this part may widen it
-	yieldLeast   = 0.02             // what earns nothing goes too where answers take less than this
-	calmLate     = 4.0              // the same for what is late
-	calmAims     = 1.5              // pressure halves over so many shortest aims without an answer
-	shrink       = 0.7              // multiplicative decrease
-	coldKeep     = 0.67             // part of its budget that a cold node's bucket fills at; it holds the rest
-	memory       = 3 * time.Second  // what was seen of a node counts half after this
-	history      = 30 * time.Second // so does what a head was served on a shard
-	drift        = 0.02             // step of the estimate of what a unit takes
-	prior        = 4.0              // answers that all nodes together count for in what is held of one
-	sharers      = 2.0              // heads before a node, as a multiple of those of a volume
-	reserveHosts = 2.0              // a host holds so many even parts of a volume's reserve, all of it at most
-	idleFor      = 10 * time.Second // idle volumes are forgotten after this
-	lastCall     = 10 * time.Millisecond
-	polls        = 12 // looks at held requests within a shortest aim
-	patience     = 0.5
-	overtaken    = 2
-	silentAims   = 2.0         // silence of so many shortest aims opens the breaker
-	silentLats   = 4.0         // but not before so many usual answer times
-	failuresMax  = 3           // so do so many failed connections or resets in a row
-	trialMax     = time.Second // longest gap between trials of an open breaker
-	listRetry    = time.Second // after a failed call for the list
+	minShare         = 0.5              // φmin, as a part of φ
+	maxWindow        = 8.0              // D of the design: most requests out at a node
+	windowSum        = 32.0             // the same of all heads together, one for each at least
+	initialWindow    = 2.0              // D at a node of which nothing is known
+	congested        = 0.2              // an answer later than this part of its aim shrinks the window
+	relaxed          = 0.13             // one sooner than this part may widen it
+	yieldLeast       = 0.02             // what earns nothing goes too where answers take less than this
+	calmLate         = 4.0              // the same for what is late
+	pressureHalfLife = 1.5              // pressure halves over so many shortest aims without an answer
+	shrink           = 0.7              // multiplicative decrease
+	coldKeep         = 0.67             // part of its budget that a cold node's bucket fills at; it holds the rest
+	memory           = 3 * time.Second  // what was seen of a node counts half after this
+	history          = 30 * time.Second // so does what a head was served on a shard
+	drift            = 0.02             // step of the estimate of what a unit takes
+	prior            = 4.0              // answers that all nodes together count for in what is held of one
+	sharers          = 2.0              // heads before a node, as a multiple of those of a volume
+	reserveHosts     = 2.0              // a host holds so many even parts of a volume's reserve, all of it at most
+	idleFor          = 10 * time.Second // idle volumes are forgotten after this
+	lastCall         = 10 * time.Millisecond
+	polls            = 12 // looks at held requests within a shortest aim
+	patience         = 0.5
+	overtaken        = 2
+	maxSilence       = 2.0         // silence of so many shortest aims opens the breaker
+	silentLats       = 4.0         // but not before so many usual answer times
+	failuresMax      = 3           // so do so many failed connections or resets in a row
+	trialMax         = time.Second // longest gap between trials of an open breaker
+	watchRetryDelay  = time.Second // after a failed call for the list
 )
 
 type request struct {
@@ -51,7 +51,7 @@
 	due, aimAt, by  Time
 	passed          int
 	start           float64 // start tag
-	excess          bool    // the tag is beyond the volume's reserve
+	beyondReserve   bool    // the tag is beyond the volume's reserve
 	node            *node   // whose queue it waits in, nil if none
 	tries, live     int     // attempts made, attempts without an outcome
 	ran             *node   // where an attempt may have run
@@ -76,37 +76,37 @@
 }
 
 type volume struct {
-	plan    *Plan
-	phi     float64
-	hosts   float64
-	at      map[*node]*entry
-	total   float64 // units asked of all nodes
-	reserve bucket
-	limit   bucket
-	used    Time
+	plan           *Plan
+	phi            float64
+	instances      float64
+	at             map[*node]*entry
+	unitsRequested float64 // units asked of all nodes
+	reserve        bucket
+	limit          bucket
+	used           Time
 }
 
 type node struct {
 	Endpoint
-	queue    []*request
-	v        float64 // virtual time: the start tag last sent
-	window   float64
-	shrunk   Time
-	outs     []*attempt // in order of sending, less those written off
-	seen     sight      // of its own
-	lat      float64    // what is held of it: seconds of an answer
-	pressure float64    // and answer times as parts of the aims, 1 at most
-	heard    Time       // last answer
-	open     bool       // circuit breaker
-	trialAt  Time
-	trialGap time.Duration
-	failures int    // failed connections and resets since an answer
-	cold     bucket // what it may be sent while it is cold
-	wake     Time
-	sentAt   Time
-	jitter   float64 // of the gap after it
-	dirty    bool
-	sends    int
+	queue      []*request
+	v          float64 // virtual time: the start tag last sent
+	window     float64
+	shrunk     Time
+	outs       []*attempt // in order of sending, less those written off
+	seen       sight      // of its own
+	lat        float64    // what is held of it: seconds of an answer
+	pressure   float64    // and answer times as parts of the aims, 1 at most
+	heard      Time       // last answer
+	open       bool       // circuit breaker
+	trialAt    Time
+	trialGap   time.Duration
+	failures   int    // failed connections and resets since an answer
+	cold       bucket // what it may be sent while it is cold
+	wake       Time
+	lastSendAt Time
+	jitter     float64 // of the gap after it
+	dirty      bool
+	sendCount  int
 }
 
 type sight struct{ weight, lat, part faded }
@@ -256,7 +256,7 @@
 	if hosts < 1 || hosts > heads {
 		hosts = heads
 	}
-	v.hosts, h.crowd = hosts, max(h.crowd, min(heads, sharers*hosts))
+	v.instances, h.crowd = hosts, max(h.crowd, min(heads, sharers*hosts))
 	if part := min(1, reserveHosts/hosts); v.plan.Reserve > 0 {
 		v.reserve.rate = part * v.plan.Reserve
 		v.reserve.cap = max(part*(v.plan.Reserve+h.s.MaxUnits), h.s.MaxUnits)
@@ -280,7 +280,7 @@
 		h.tag(r, n)
 	}
 	r.node, n.queue = n, append(n.queue, r)
-	r.passed = n.sends
+	r.passed = n.sendCount
 	h.touch(n)
 }
 
@@ -323,24 +323,24 @@
 func (h *reference) tag(r *request, n *node) {
 	e := r.vol.at[n]
 	if e == nil {
-		e = &entry{seen: r.vol.total}
+		e = &entry{seen: r.vol.unitsRequested}
 		r.vol.at[n] = e
 	}
-	delay := r.vol.total - e.seen
+	delay := r.vol.unitsRequested - e.seen
 	if phi := r.vol.phi; phi < 1 {
 		delay = min(delay, (1/minShare-1)/(1-phi)*r.Units)
 	} else {
 		delay = 0
 	}
-	r.vol.total += r.Units
-	e.seen, e.used = r.vol.total, h.now
+	r.vol.unitsRequested += r.Units
+	e.seen, e.used = r.vol.unitsRequested, h.now
 	r.vol.reserve.fill(h.now)
 	if r.vol.reserve.level >= r.Units {
 		r.vol.reserve.level -= r.Units
-		r.start, r.excess = n.v, false
+		r.start, r.beyondReserve = n.v, false
 		return
 	}
-	r.excess = true
+	r.beyondReserve = true
 	r.start = max(n.v, e.finish+delay/r.vol.phi)
 	e.finish = r.start + r.Units/r.vol.phi
 }
@@ -409,7 +409,7 @@
 	switch {
 	case r.done:
 		h.endTurn(r)
-	case e.Answered:
+	case e.Responded:
 		h.close(r)
 	case r.live > 0:
 	case r.streaming || e.BodyConsumed || h.now+lastCall >= r.due ||
@@ -442,7 +442,7 @@
 }
 
 func (h *reference) look(n *node) {
-	n.window = min(n.window, windowMax, max(1, windowSum/h.crowd))
+	n.window = min(n.window, maxWindow, max(1, windowSum/h.crowd))
 	weight, lat, part := n.seen.add(h.now, 0, 0, 0)
 	all, allLat, allPart := h.fleet.add(h.now, 0, 0, 0)
 	k := prior / max(all, prior)
@@ -492,7 +492,7 @@
 
 func (h *reference) list(l EndpointUpdate) {
 	if l.Failed {
-		h.watchAt = h.now + listRetry
+		h.watchAt = h.now + watchRetryDelay
 		return
 	}
 	seen := map[string]bool{}
@@ -500,7 +500,7 @@
 		seen[e.Node] = true
 		i := slices.IndexFunc(h.nodes, func(n *node) bool { return n.Node == e.Node })
 		if i < 0 {
-			n := &node{Endpoint: e, window: windowStart, heard: h.now}
+			n := &node{Endpoint: e, window: initialWindow, heard: h.now}
 			h.nodes = append(h.nodes, n)
 			h.coldStart(n)
 			continue
@@ -608,7 +608,7 @@
 	if h.now < r.notBefore || !h.hasTurn(r) || !h.mayRepeat(r, n) {
 		return false
 	}
-	if h.now+h.expected(n, r) > r.due && (len(n.outs) > 0 || h.now < n.sentAt+trialMax) {
+	if h.now+h.expected(n, r) > r.due && (len(n.outs) > 0 || h.now < n.lastSendAt+trialMax) {
 		return false
 	}
 	if r.tries > 0 && !h.withinBudget() {
@@ -636,14 +636,14 @@
 }
 
 func (h *reference) yields(r *request, n *node, late bool) bool {
-	worth, calm := h.worth(r)/h.top, calmAims
+	worth, calm := h.worth(r)/h.top, pressureHalfLife
 	if late {
 		worth, calm = worth*r.class.LateWeightFactor, calmLate
 	}
-	if r.excess {
+	if r.beyondReserve {
 		worth *= h.s.ExcessWeight
 	}
-	pressure := n.pressure * math.Exp2(-float64(h.now-n.heard)/float64(h.aim)/calm/max(1, 2*r.vol.hosts-2))
+	pressure := n.pressure * math.Exp2(-float64(h.now-n.heard)/float64(h.aim)/calm/max(1, 2*r.vol.instances-2))
 	if h.isCold(n) { // what a cold node bears is for what earns most
 		b := h.coldLevel(n)
 		pressure = max(pressure, 1-b.level/max(b.cap, 1e-9))
@@ -689,14 +689,14 @@
 		}
 	}
 	best.start, first.start = first.start, best.start
-	best.excess, first.excess = first.excess, best.excess
+	best.beyondReserve, first.beyondReserve = first.beyondReserve, best.beyondReserve
 	return best
 }
 
 func (h *reference) pump(n *node) {
 	n.dirty = false
 	h.look(n)
-	patience := max(silentAims*h.aim.Seconds(), silentLats*n.lat)
+	patience := max(maxSilence*h.aim.Seconds(), silentLats*n.lat)
 	if len(n.outs) > 0 && (h.now-max(n.heard, n.outs[0].sent)).Seconds() >= patience {
 		h.openBreaker(n)
 	}
@@ -736,12 +736,12 @@
 	case n.window >= 1 || len(n.outs) > 0:
 		return math.MaxInt64
 	}
-	return n.sentAt + Time(n.jitter*n.lat/n.window*float64(time.Second))
+	return n.lastSendAt + Time(n.jitter*n.lat/n.window*float64(time.Second))
 }
 
 func (h *reference) send(n *node, r *request) {
-	n.sends++
-	n.sentAt, n.jitter = h.now, 0.5+h.rand.Float64()
+	n.sendCount++
+	n.lastSendAt, n.jitter = h.now, 0.5+h.rand.Float64()
 	n.queue = slices.DeleteFunc(n.queue, func(o *request) bool { return o == r })
 	n.v = max(n.v, r.start)
 	if r.tries == 0 {
@@ -769,7 +769,7 @@
 
 func (h *reference) expire(held []*request) []*request {
 	return slices.DeleteFunc(held, func(r *request) bool {
-		if n := r.node; !r.done && h.now+lastCall >= r.by && r.by < r.due && n != nil && n.sends-r.passed < overtaken {
+		if n := r.node; !r.done && h.now+lastCall >= r.by && r.by < r.due && n != nil && n.sendCount-r.passed < overtaken {
 			r.by = r.due
 		}
 		if !r.done && h.now+lastCall >= r.by {
--- a/scheduler/retries_test.go
+++ b/scheduler/retries_test.go
@@ -26,12 +26,12 @@
 		{"keyed, reset", 2, Reset, true, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			r := start(t, site(), nodeA)
-			r.at(0, req(1, class(c.class)))
-			acts := r.end(1, c.o)
-			want(t, "answer", answers(acts)[1], c.final)
-			r.wait(400 * ms)
-			want(t, "sent again", r.tries[1] > 1, c.again)
+			r := newHarness(t, testSettings(), nodeA)
+			r.handleAfter(0, newArrival(1, withClass(c.class)))
+			acts := r.endAttempt(1, c.o)
+			assertEqual(t, "answer", finalResponses(acts)[1], c.final)
+			r.runFor(400 * ms)
+			assertEqual(t, "sent again", r.attempts[1] > 1, c.again)
 		})
 	}
 }
@@ -51,65 +51,65 @@
 		{"window over", ScopeAll, 50 * ms, false, "r"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			s := site(func(s *Settings) {
+			s := testSettings(func(s *Settings) {
 				s.Classes[2].DeduplicationScope, s.Classes[2].DeduplicationWindow = c.group, c.window
 			})
-			r := start(t, s, nodeA)
-			r.at(0, req(1, class(2)))
-			r.at(60*ms, EndpointUpdate{Endpoints: []Endpoint{{Node: "A", Shard: 0, State: Removed}, other}})
-			acts := r.end(1, Reset)
-			acts = append(acts, r.wait(1100*ms)...)
-			want(t, "sent again", r.tries[1] > 1, c.again)
+			r := newHarness(t, s, nodeA)
+			r.handleAfter(0, newArrival(1, withClass(2)))
+			r.handleAfter(60*ms, EndpointUpdate{Endpoints: []Endpoint{{Node: "A", Shard: 0, State: Removed}, other}})
+			acts := r.endAttempt(1, Reset)
+			acts = append(acts, r.runFor(1100*ms)...)
+			assertEqual(t, "sent again", r.attempts[1] > 1, c.again)
 			if !c.again {
-				want(t, "answer", answers(acts)[1], c.final)
+				assertEqual(t, "answer", finalResponses(acts)[1], c.final)
 			}
 		})
 	}
 }
 
 func TestAttemptMaximum(t *testing.T) {
-	r := start(t, site(func(s *Settings) { s.MaxAttempts = 2 }), nodeA)
-	r.at(0, req(1))
-	r.end(1, QueueFull)
-	r.wait(200 * ms)
-	want(t, "attempts", r.tries[1], 2)
-	want(t, "answer", answers(r.end(1, QueueFull))[1], "r")
+	r := newHarness(t, testSettings(func(s *Settings) { s.MaxAttempts = 2 }), nodeA)
+	r.handleAfter(0, newArrival(1))
+	r.endAttempt(1, QueueFull)
+	r.runFor(200 * ms)
+	assertEqual(t, "attempts", r.attempts[1], 2)
+	assertEqual(t, "answer", finalResponses(r.endAttempt(1, QueueFull))[1], "r")
 }
 
 func TestBudgetOfFurtherAttempts(t *testing.T) {
-	s := site(func(s *Settings) {
+	s := testSettings(func(s *Settings) {
 		s.RetryBudget = &RetryBudget{MinRetries: 1, Ratio: 0.5, Window: 5 * time.Second}
 		s.MaxAttempts = 0
 	})
-	r := start(t, s, nodeA)
-	r.wait(s.RetryBudget.Window + ms) // a life before may have spent the budget until then
-	r.h.members.nodes[0].window = 8
+	r := newHarness(t, s, nodeA)
+	r.runFor(s.RetryBudget.Window + ms) // a life before may have spent the budget until then
+	r.scheduler.members.nodes[0].window = 8
 	long := func(a *Arrival) { a.TimeRemaining = time.Minute }
-	r.at(0, req(1, long), req(2, long))
+	r.handleAfter(0, newArrival(1, long), newArrival(2, long))
 	for range 20 { // two taken: 1 + 0.5*2 further attempts in five seconds
-		for id := range r.tries {
-			r.end(id, QueueFull)
+		for id := range r.attempts {
+			r.endAttempt(id, QueueFull)
 		}
-		r.wait(100 * ms)
+		r.runFor(100 * ms)
 	}
-	want(t, "attempts", r.tries[1]+r.tries[2], 4)
+	assertEqual(t, "attempts", r.attempts[1]+r.attempts[2], 4)
 }
 
 // A head that has just come up makes no attempt past the first for as long as what it made before
 // may still count.
 func TestBudgetCountsAsSpentAfterARestart(t *testing.T) {
-	s := site(func(s *Settings) {
+	s := testSettings(func(s *Settings) {
 		s.RetryBudget = &RetryBudget{MinRetries: 3, Ratio: 1, Window: 2 * time.Second}
 	})
-	r := start(t, s, nodeA)
+	r := newHarness(t, s, nodeA)
 	long := func(a *Arrival) { a.TimeRemaining = time.Minute }
-	r.at(0, req(1, long))
-	r.end(1, Reset)
-	r.wait(s.RetryBudget.Window - 100*ms)
-	want(t, "attempts within a window of the start", r.tries[1], 1)
-	want(t, "why", r.h.WaitReason(1), ReasonRetryBudget)
-	r.wait(200 * ms)
-	want(t, "attempts once it is over", r.tries[1], 2)
+	r.handleAfter(0, newArrival(1, long))
+	r.endAttempt(1, Reset)
+	r.runFor(s.RetryBudget.Window - 100*ms)
+	assertEqual(t, "attempts within a window of the start", r.attempts[1], 1)
+	assertEqual(t, "why", r.scheduler.WaitReason(1), ReasonRetryBudget)
+	r.runFor(200 * ms)
+	assertEqual(t, "attempts once it is over", r.attempts[1], 2)
 }
 
 // What cannot be sent again gets its final answer at once: a refusal where the
--- a/scheduler/scheduler_test.go
+++ b/scheduler/scheduler_test.go
@@ -10,30 +10,30 @@
 	for _, c := range []struct {
 		name  string
 		nodes []Endpoint
-		play  func(*rig) []Action
+		play  func(*harness) []Action
 		want  map[uint64]string
 	}{
-		{"no node at all", nil, func(r *rig) []Action { return append(r.at(0, req(1)), r.wait(time.Second)...) },
+		{"no node at all", nil, func(r *harness) []Action { return append(r.handleAfter(0, newArrival(1)), r.runFor(time.Second)...) },
 			map[uint64]string{1: "r"}},
-		{"held to the end", []Endpoint{nodeA}, func(r *rig) []Action {
-			r.h.members.nodes[0].window, r.h.members.nodes[0].sentAt = 0, r.now
-			r.h.members.nodes[0].breaker.open, r.h.members.nodes[0].breaker.trialAt = true, r.now+time.Hour
-			return append(r.at(0, req(1, class(1))), r.wait(time.Second)...)
+		{"held to the end", []Endpoint{nodeA}, func(r *harness) []Action {
+			r.scheduler.members.nodes[0].window, r.scheduler.members.nodes[0].lastSendAt = 0, r.now
+			r.scheduler.members.nodes[0].breaker.open, r.scheduler.members.nodes[0].breaker.trialAt = true, r.now+time.Hour
+			return append(r.handleAfter(0, newArrival(1, withClass(1))), r.runFor(time.Second)...)
 		}, map[uint64]string{1: "r"}},
-		{"unsafe timed out", []Endpoint{nodeA}, func(r *rig) []Action {
-			r.at(0, req(1, class(1)))
-			return r.at(time.Second, AttemptEnded{ID: 1, Outcome: TimedOut})
+		{"unsafe timed out", []Endpoint{nodeA}, func(r *harness) []Action {
+			r.handleAfter(0, newArrival(1, withClass(1)))
+			return r.handleAfter(time.Second, AttemptEnded{ID: 1, Outcome: TimedOut})
 		}, map[uint64]string{1: "f"}},
-		{"client left", []Endpoint{nodeA}, func(r *rig) []Action {
-			r.at(0, req(1))
-			r.at(0, ClientDisconnected{ID: 1})
-			return append(r.end(1, TimedOut), r.wait(time.Second)...)
+		{"client left", []Endpoint{nodeA}, func(r *harness) []Action {
+			r.handleAfter(0, newArrival(1))
+			r.handleAfter(0, ClientDisconnected{ID: 1})
+			return append(r.endAttempt(1, TimedOut), r.runFor(time.Second)...)
 		}, map[uint64]string{}},
-		{"unknown class", []Endpoint{nodeA}, func(r *rig) []Action { return r.at(0, req(1, class(9))) },
+		{"unknown class", []Endpoint{nodeA}, func(r *harness) []Action { return r.handleAfter(0, newArrival(1, withClass(9))) },
 			map[uint64]string{1: "r"}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			want(t, "answers", answers(c.play(start(t, site(), c.nodes...))), c.want)
+			assertEqual(t, "answers", finalResponses(c.play(newHarness(t, testSettings(), c.nodes...))), c.want)
 		})
 	}
 }
@@ -58,13 +58,13 @@
 		{"cold without units", func(s *Settings) { s.SlowStart = SlowStart{WarmupDuration: time.Second, OverloadWindow: time.Second} }, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			s := site(c.change)
+			s := testSettings(c.change)
 			_, err := New(s, 1, 0)
 			if c.field == "" {
-				r := start(t, s, nodeA)
-				acts := append(r.at(0, req(1)), r.end(1, OK)...)
-				want(t, "answers", len(answers(acts)), 0)
-				want(t, "sent", len(r.sends), 1)
+				r := newHarness(t, s, nodeA)
+				acts := append(r.handleAfter(0, newArrival(1)), r.endAttempt(1, OK)...)
+				assertEqual(t, "answers", len(finalResponses(acts)), 0)
+				assertEqual(t, "sent", len(r.sends), 1)
 			} else if err == nil || !strings.Contains(err.Error(), c.field) {
 				t.Errorf("error %v does not name %s", err, c.field)
 			}
@@ -73,27 +73,27 @@
 }
 
 func TestStrangeEventsAreTakenCalmly(t *testing.T) {
-	r := start(t, site(), nodeA)
-	acts := r.at(0, AttemptEnded{ID: 77}, ClientDisconnected{ID: 77}, ResponseStarted{ID: 77}, TimerFired{},
+	r := newHarness(t, testSettings(), nodeA)
+	acts := r.handleAfter(0, AttemptEnded{ID: 77}, ClientDisconnected{ID: 77}, ResponseStarted{ID: 77}, TimerFired{},
 		AttemptEnded{ID: 1, Outcome: Outcome(99)}, EndpointUpdate{Endpoints: []Endpoint{{Node: "Z", State: Removed}}})
-	want(t, "answers", len(answers(acts)), 0)
-	acts = r.at(0, req(1, class(1)), req(1, class(1)))
-	want(t, "an arrival told twice: answers", len(answers(acts)), 0)
-	want(t, "an arrival told twice: sends", len(r.sends), 1)
+	assertEqual(t, "answers", len(finalResponses(acts)), 0)
+	acts = r.handleAfter(0, newArrival(1, withClass(1)), newArrival(1, withClass(1)))
+	assertEqual(t, "an arrival told twice: answers", len(finalResponses(acts)), 0)
+	assertEqual(t, "an arrival told twice: sends", len(r.sends), 1)
 }
 
 func TestSameEventsSameActions(t *testing.T) {
 	play := func() (all []Action) {
-		r := start(t, site(func(s *Settings) { s.Plans[0].Reserve, s.Instances = 5, 3 }), nodeA, nodeB)
+		r := newHarness(t, testSettings(func(s *Settings) { s.Plans[0].Reserve, s.Instances = 5, 3 }), nodeA, nodeB)
 		for id := uint64(1); id <= 300; id++ {
 			vol := string(rune('a' + id%17))
-			all = append(all, r.at(3*ms, req(id, class(int(id%3)), shard(int(id%2)), ofVolume(vol, 0)))...)
+			all = append(all, r.handleAfter(3*ms, newArrival(id, withClass(int(id%3)), withShard(int(id%2)), withVolume(vol, 0)))...)
 			if id%2 == 0 && len(r.sends) > int(id/4) {
 				x := r.sends[id/4].ID
-				all = append(all, r.end(x, []Outcome{OK, QueueFull, Reset, TimedOut}[id%4])...)
+				all = append(all, r.endAttempt(x, []Outcome{OK, QueueFull, Reset, TimedOut}[id%4])...)
 			}
 		}
-		return append(all, r.wait(12*time.Second)...)
+		return append(all, r.runFor(12*time.Second)...)
 	}
-	want(t, "second run", play(), play())
+	assertEqual(t, "second run", play(), play())
 }
--- a/scheduler/guards.go
+++ b/scheduler/send_rules.go
@@ -22,97 +22,97 @@
 	ReasonTooLate              // no answer is expected in time
 	ReasonDeduplication        // another attempt might run twice
 	ReasonTenantLimit          // its volume is over the limit of its plan
-	reasonsCount               // how many there are
+	reasonCount                // how many there are
 )
 
-var reasonNames = [reasonsCount]string{"allowed", "no-node", "key-order", "retry-backoff", "breaker-open", "window-full",
+var reasonNames = [reasonCount]string{"allowed", "no-node", "key-order", "retry-backoff", "breaker-open", "window-full",
 	"retry-budget", "backpressure", "slow-start", "too-late", "repeat-window", "tenant-limit"}
 
 func (r Reason) String() string {
-	if r < 0 || r >= reasonsCount {
+	if r < 0 || r >= reasonCount {
 		return "unknown"
 	}
 	return reasonNames[r]
 }
 
-// guard is one rule.
-type guard struct {
-	reason  Reason
-	refuses func(*Scheduler, candidate) bool
+// sendRule is one rule.
+type sendRule struct {
+	reason Reason
+	blocks func(*Scheduler, candidate) bool
 }
 
 // candidate is what a guard judges: requests of one profile at a node, or one of them.
 type candidate struct {
-	node    *node
-	profile *profile
-	late    bool     // it can no longer meet its aim
-	request *request // nil: any of the profile
+	node            *node
+	profile         *profile
+	missesObjective bool     // it can no longer meet its aim
+	request         *request // nil: any of the profile
 }
 
-// nodeGuards judge a node, whatever waits there.
-var nodeGuards = []guard{
+// nodeRules judge a node, whatever waits there.
+var nodeRules = []sendRule{
 	{ReasonBreakerOpen, func(s *Scheduler, c candidate) bool { return c.node.breaker.open && s.now < c.node.breaker.trialAt }},
-	{ReasonWindowFull, func(s *Scheduler, c candidate) bool { return c.node.nextSlot() > s.now }},
+	{ReasonWindowFull, func(s *Scheduler, c candidate) bool { return c.node.nextSendAt() > s.now }},
 }
 
-// profileGuards judge all requests of a profile at a node.
-var profileGuards = []guard{
-	{ReasonRetryBudget, func(s *Scheduler, c candidate) bool { return c.profile.retry && !s.mayRetry() }},
-	{ReasonBackpressure, (*Scheduler).standsBack},
-	{ReasonSlowStart, func(s *Scheduler, c candidate) bool { return !s.coldBudgetAllows(c.node, c.profile.units) }},
+// profileRules judge all requests of a profile at a node.
+var profileRules = []sendRule{
+	{ReasonRetryBudget, func(s *Scheduler, c candidate) bool { return c.profile.retry && !s.retryBudgetAllows() }},
+	{ReasonBackpressure, (*Scheduler).shedsForPriority},
+	{ReasonSlowStart, func(s *Scheduler, c candidate) bool { return !s.slowStartAllows(c.node, c.profile.units) }},
 }
 
-// requestGuards judge one request.
-var requestGuards = []guard{
-	{ReasonDeduplication, func(s *Scheduler, c candidate) bool { return !s.mayRepeat(c.request, c.node) }},
-	{ReasonTenantLimit, func(s *Scheduler, c candidate) bool { return s.limitRefuses(c.profile, c.request.volume) }},
+// requestRules judge one request.
+var requestRules = []sendRule{
+	{ReasonDeduplication, func(s *Scheduler, c candidate) bool { return !s.mayRunOn(c.request, c.node) }},
+	{ReasonTenantLimit, func(s *Scheduler, c candidate) bool { return s.limitBlocks(c.profile, c.request.volume) }},
 }
 
-// firstRefusal asks guards in their order and returns the first refusal.
-func (s *Scheduler) firstRefusal(guards []guard, c candidate) Reason {
+// blockedBy asks guards in their order and returns the first refusal.
+func (s *Scheduler) blockedBy(guards []sendRule, c candidate) Reason {
 	for i := range guards {
-		if guards[i].refuses(s, c) {
+		if guards[i].blocks(s, c) {
 			return guards[i].reason
 		}
 	}
 	return ReasonAllowed
 }
 
-// limitRefuses tells whether its plan's limit keeps a volume's requests of a profile: first
+// limitBlocks tells whether its plan's limit keeps a volume's requests of a profile: first
 // attempts alone draw on it.
-func (s *Scheduler) limitRefuses(p *profile, v *volume) bool {
+func (s *Scheduler) limitBlocks(p *profile, v *volume) bool {
 	return !p.retry && s.overLimit(v, p.units)
 }
 
 const (
-	// leastPressure is the pressure up to which even what earns nothing goes.
-	leastPressure = 0.02
-	// calmAims is the number of shortest aims without an answer over which pressure halves,
-	// calmAimsLate the same for what is late.
-	calmAims     = 1.5
-	calmAimsLate = 4.0
+	// minPressure is the pressure up to which even what earns nothing goes.
+	minPressure = 0.02
+	// pressureHalfLife is the number of shortest aims without an answer over which pressure halves,
+	// pressureHalfLifeLate the same for what is late.
+	pressureHalfLife     = 1.5
+	pressureHalfLifeLate = 4.0
 )
 
-// standsBack tells whether requests stand back for those of other heads at the node, which
+// shedsForPriority tells whether requests stand back for those of other heads at the node, which
 // cannot be seen but in how slowly the node answers: what earns least a unit soonest (late,
 // beyond the reserve, of a class or plan of little worth). Departure from "no slot idled": a
 // slot is left open then.
-func (s *Scheduler) standsBack(c candidate) bool {
+func (s *Scheduler) shedsForPriority(c candidate) bool {
 	p, n := c.profile, c.node
-	worth, calm := p.worth()/s.maxWorth, calmAims
-	if c.late {
-		worth, calm = worth*p.class.LateWeightFactor, calmAimsLate
+	worth, calm := p.priorityWeight()/s.maxPriorityWeight, pressureHalfLife
+	if c.missesObjective {
+		worth, calm = worth*p.class.LateWeightFactor, pressureHalfLifeLate
 	}
-	if p.excess {
+	if p.beyondReserve {
 		worth *= s.settings.ExcessWeight
 	}
 	// All heads of a volume together try a crowded node at the pace of one.
-	silentAims := float64(s.now-n.heardAt) / float64(s.shortestAim)
-	pressure := n.pressure * math.Exp2(-silentAims/calm/max(1, 2*p.hosts-2))
-	if s.isCold(n) { // what a cold node bears is for what earns most
-		pressure = max(pressure, s.coldBudgetUsed(n))
+	silentAims := float64(s.now-n.lastResponseAt) / float64(s.shortestObjective)
+	pressure := n.pressure * math.Exp2(-silentAims/calm/max(1, 2*p.instances-2))
+	if s.isWarmingUp(n) { // what a cold node bears is for what earns most
+		pressure = max(pressure, s.slowStartUsed(n))
 	}
-	return pressure > max(worth, leastPressure) && worth < 1
+	return pressure > max(worth, minPressure) && worth < 1
 }
 
 // WaitReason tells why a request that waits is not sent now; ReasonAllowed where it is merely not its
@@ -137,32 +137,32 @@
 	case !r.Placed():
 		return ReasonDeduplication // it was taken out for good
 	}
-	defer s.keepBuckets(r)()
-	return s.sendRefusal(r)
+	defer s.saveBuckets(r)()
+	return s.sendBlockedBy(r)
 }
 
-// sendRefusal asks all guards about a request that is ready.
-func (s *Scheduler) sendRefusal(r *request) Reason {
+// sendBlockedBy asks all guards about a request that is ready.
+func (s *Scheduler) sendBlockedBy(r *request) Reason {
 	n := r.node
 	p := r.currentProfile()
-	answered := s.now + s.expected(n, r.Units)
-	c := candidate{node: n, profile: &p, request: r, late: r.LatencyDeadline < answered}
-	if reason := s.firstRefusal(nodeGuards, c); reason != ReasonAllowed {
+	answered := s.now + s.expectedLatency(n, r.Units)
+	c := candidate{node: n, profile: &p, request: r, missesObjective: r.LatencyDeadline < answered}
+	if reason := s.blockedBy(nodeRules, c); reason != ReasonAllowed {
 		return reason
 	}
-	if reason := s.firstRefusal(profileGuards, c); reason != ReasonAllowed {
+	if reason := s.blockedBy(profileRules, c); reason != ReasonAllowed {
 		return reason
 	}
-	if r.Deadline < answered && !s.lateTrialDue(n) {
+	if r.Deadline < answered && !s.idleTrialDue(n) {
 		return ReasonTooLate
 	}
-	return s.firstRefusal(requestGuards, c)
+	return s.blockedBy(requestRules, c)
 }
 
-// keepBuckets returns a function that sets back what guards fill. Guards against decisions that
+// saveBuckets returns a function that sets back what guards fill. Guards against decisions that
 // depend on who looked on: a bucket that is filled in two steps is rounded twice.
-func (s *Scheduler) keepBuckets(r *request) (restore func()) {
+func (s *Scheduler) saveBuckets(r *request) (restore func()) {
 	n, v := r.node, r.volume
-	cold, limit, budget := n.coldBudget, v.limit, s.retryBudget
-	return func() { n.coldBudget, v.limit, s.retryBudget = cold, limit, budget }
+	cold, limit, budget := n.slowStart, v.limit, s.retryUsage
+	return func() { n.slowStart, v.limit, s.retryUsage = cold, limit, budget }
 }
--- a/scheduler/status.go
+++ b/scheduler/status.go
@@ -34,19 +34,19 @@
 			InFlight:        out[n],
 			InWindow:        len(n.inFlight),
 			Queued:          n.queue.Len(),
-			WaitReason:      s.refusalAt(n),
+			WaitReason:      s.waitReasonAt(n),
 			Window:          n.window,
 			ExpectedLatency: time.Duration(n.latency * float64(time.Second)),
 			Pressure:        n.pressure,
 			BreakerOpen:     n.breaker.open,
-			WarmingUp:       s.isCold(n),
+			WarmingUp:       s.isWarmingUp(n),
 		})
 	}
 	return all
 }
 
-// refusalAt is why the request that expires first at a node is not sent.
-func (s *Scheduler) refusalAt(n *node) Reason {
+// waitReasonAt is why the request that expires first at a node is not sent.
+func (s *Scheduler) waitReasonAt(n *node) Reason {
 	r, ok := n.queue.FirstToExpire()
 	if !ok {
 		return ReasonAllowed
--- a/scheduler/timers.go
+++ b/scheduler/timers.go
@@ -12,27 +12,27 @@
 
 const (
 	never = Time(math.MaxInt64)
-	// idleVolume is after what time an idle volume is forgotten.
-	idleVolume = 10 * time.Second
-	// looksPerAim is how often held requests are looked at within a shortest aim.
-	looksPerAim = 12
-	// silenceLooksPerAim is the same for a node that owes an answer.
-	silenceLooksPerAim = 4
-	// timerStep is the unit of timers: one that came a fraction early would be taken for another.
-	timerStep = time.Millisecond
+	// volumeIdleTimeout is after what time an idle volume is forgotten.
+	volumeIdleTimeout = 10 * time.Second
+	// queueChecksPerObjective is how often held requests are looked at within a shortest aim.
+	queueChecksPerObjective = 12
+	// silenceChecksPerObjective is the same for a node that owes an answer.
+	silenceChecksPerObjective = 4
+	// timerResolution is the unit of timers: one that came a fraction early would be taken for another.
+	timerResolution = time.Millisecond
 )
 
 type timers struct {
 	dirty      []*node // something happened to them in this moment
-	dirtySpare []*node // those of the last, for use again
+	dirtyReuse []*node // those of the last, for use again
 	waiting    []*node // those that have a time to be looked at, in any order
-	nextWake   Time    // first of their times, or before it
-	listAt     Time    // when to ask for the list, before 0: not
-	armedAt    Time    // when the timer asked for last goes off
+	nextWakeAt Time    // first of their times, or before it
+	watchAt    Time    // when to ask for the list, before 0: not
+	timerAt    Time    // when the timer asked for last goes off
 	sweptAt    Time
 }
 
-func newTimers(now Time) timers { return timers{listAt: -1, armedAt: now, sweptAt: now} }
+func newTimers(now Time) timers { return timers{watchAt: -1, timerAt: now, sweptAt: now} }
 
 // markDirty has a node looked at when the events of the moment are taken.
 func (s *Scheduler) markDirty(n *node) {
@@ -44,34 +44,34 @@
 
 // dispatch lets every node that something happened to send, and sets the timer.
 func (s *Scheduler) dispatch() {
-	wake := s.watchList()
-	if s.now >= s.timers.nextWake { // else only nodes that something happened to
-		s.timers.nextWake = never
+	wake := s.watchEndpoints()
+	if s.now >= s.timers.nextWakeAt { // else only nodes that something happened to
+		s.timers.nextWakeAt = never
 		s.wakeNodes()
 	}
 	s.dispatchDirty()
-	wake = min(wake, s.timers.nextWake)
+	wake = min(wake, s.timers.nextWakeAt)
 	if len(s.timers.dirty) > 0 { // by what came of it, as a key's next turn
 		wake = s.now
 	}
-	s.expire(s.unassigned)
+	s.rejectExpired(s.unassigned)
 	wake = min(wake, nextExpiry(s.unassigned))
-	if s.now >= s.timers.sweptAt+idleVolume/2 {
+	if s.now >= s.timers.sweptAt+volumeIdleTimeout/2 {
 		s.sweep()
 	}
-	s.arm(wake)
+	s.setTimer(wake)
 }
 
-// watchList asks for the node list when it is time, and returns when that is.
-func (s *Scheduler) watchList() (wake Time) {
-	switch at := s.timers.listAt; {
+// watchEndpoints asks for the node list when it is time, and returns when that is.
+func (s *Scheduler) watchEndpoints() (wake Time) {
+	switch at := s.timers.watchAt; {
 	case at < 0:
 		return never
 	case s.now < at:
 		return at
 	}
-	s.do(WatchEndpoints{})
-	s.timers.listAt = -1
+	s.emit(WatchEndpoints{})
+	s.timers.watchAt = -1
 	return never
 }
 
@@ -79,10 +79,10 @@
 func (s *Scheduler) dispatchDirty() {
 	t := &s.timers
 	dirty := t.dirty
-	t.dirty, t.dirtySpare = t.dirtySpare[:0], dirty
+	t.dirty, t.dirtyReuse = t.dirtyReuse[:0], dirty
 	for _, n := range dirty {
 		s.dispatchNode(n)
-		t.nextWake = min(t.nextWake, n.wakeAt)
+		t.nextWakeAt = min(t.nextWakeAt, n.wakeAt)
 		if n.wakeAt < never && !n.waiting {
 			n.waiting = true
 			t.waiting = append(t.waiting, n)
@@ -94,10 +94,10 @@
 func (s *Scheduler) setWakeTime(n *node) {
 	n.wakeAt = never
 	if len(n.inFlight) > 0 {
-		n.wakeAt = s.now + s.shortestAim/silenceLooksPerAim
+		n.wakeAt = s.now + s.shortestObjective/silenceChecksPerObjective
 	}
 	if n.queue.Len() > 0 { // held for a slot, or by what time alone changes
-		slot := max(n.nextSlot(), s.now+s.shortestAim/looksPerAim)
+		slot := max(n.nextSendAt(), s.now+s.shortestObjective/queueChecksPerObjective)
 		n.wakeAt = min(n.wakeAt, nextExpiry(n.queue), slot)
 	}
 }
@@ -115,27 +115,27 @@
 			n.waiting = false
 		case n.wakeAt < never:
 			kept = append(kept, n)
-			t.nextWake = min(t.nextWake, n.wakeAt)
+			t.nextWakeAt = min(t.nextWakeAt, n.wakeAt)
 		default:
 			n.waiting = false
 		}
 	}
 	clear(t.waiting[len(kept):])
 	t.waiting = kept
-	slices.SortFunc(due, func(a, b *node) int { return cmp.Compare(a.joined, b.joined) })
+	slices.SortFunc(due, func(a, b *node) int { return cmp.Compare(a.joinOrder, b.joinOrder) })
 	for _, n := range due {
 		s.markDirty(n)
 	}
 }
 
-// arm asks for a timer, if the one that was asked for goes off later or has gone off.
-func (s *Scheduler) arm(wake Time) {
-	if wake == never || (s.timers.armedAt > s.now && wake >= s.timers.armedAt) {
+// setTimer asks for a timer, if the one that was asked for goes off later or has gone off.
+func (s *Scheduler) setTimer(wake Time) {
+	if wake == never || (s.timers.timerAt > s.now && wake >= s.timers.timerAt) {
 		return
 	}
-	in := max(wake-s.now+timerStep-1, timerStep).Truncate(timerStep)
-	s.timers.armedAt = s.now + in
-	s.do(SetTimer{After: in})
+	in := max(wake-s.now+timerResolution-1, timerResolution).Truncate(timerResolution)
+	s.timers.timerAt = s.now + in
+	s.emit(SetTimer{After: in})
 }
 
 // sweep forgets idle volumes and keys. A volume whose limit's bucket is not full yet is kept:
@@ -148,17 +148,17 @@
 	for name, v := range s.volumes {
 		s.sweepStreams(v)
 		v.limit.fill(s.now)
-		if s.now-v.usedAt > idleVolume && len(v.streams) == 0 && v.limit.level >= v.limit.capacity {
+		if s.now-v.lastUsedAt > volumeIdleTimeout && len(v.streams) == 0 && v.limit.level >= v.limit.capacity {
 			delete(s.volumes, name)
 		}
 	}
 	s.sweepKeyOrders()
-	s.trimArrivals()
+	s.trimRetryUsage()
 }
 
 func (s *Scheduler) sweepStreams(v *volume) {
 	for n, at := range v.streams {
-		if s.now-at.usedAt > idleVolume {
+		if s.now-at.lastUsedAt > volumeIdleTimeout {
 			delete(v.streams, n)
 		}
 	}
