--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -118,7 +118,7 @@
 		held, says := e.Telemetry["concurrent"]
 		waiting, saysWaiting := e.Telemetry["depth"]
 		return scheduler.AttemptEnded{ID: e.Job, Attempt: e.N, Node: e.Shelf, Outcome: o, Duration: settings.Micros(e.Took),
-			Responded:     e.Terminal,
+			Responded:    e.Terminal,
 			ReportedLoad: max(held, waiting), HasLoadReport: says || saysWaiting}
 	case "begun":
 		return scheduler.ResponseStarted{ID: e.Job, Attempt: e.N}
