--- a/internal/gateway/accept.go
+++ b/internal/gateway/accept.go
@@ -22,11 +22,11 @@
 // Accept tells a new client connection of a listener. One that is not admitted
 // gets no slot, no timer and no event more: turning it away is cheap.
 func (h *Gateway) Accept(now Time, remote netip.AddrPort, listener int) AcceptResult {
-	h.tick(now)
-	id := h.nextID()
-	v := h.admission.Admit(h.now, uint64(id), listener, remote.Addr())
+	h.clock.advance(now)
+	id := h.conns.nextID()
+	v := h.admission.Admit(h.clock.now, uint64(id), listener, remote.Addr())
 	if v.Preempt {
-		if idle := h.conn(ConnID(v.PreemptID)); idle != nil {
+		if idle := h.conns.find(ConnID(v.PreemptID)); idle != nil {
 			idle.admitted = false
 			h.preempt(idle)
 		}
@@ -40,13 +40,13 @@
 	}
 	c := h.newConn()
 	c.remote, c.admitted = remote, true
-	h.counts.Clients++
-	h.setDeadline(c, h.now+h.config.Timeouts.Header)
-	if h.stopping {
-		h.setDeadline(c, h.now+firstTime)
+	h.clientConns++
+	h.setDeadline(c, h.clock.now+h.config.Timeouts.Header)
+	if h.phase == stopping {
+		h.setDeadline(c, h.clock.now+firstTime)
 	}
-	for id, ok := h.admission.NextToPreempt(h.now); ok; id, ok = h.admission.NextToPreempt(h.now) {
-		h.preempt(h.conn(ConnID(id)))
+	for id, ok := h.admission.NextToPreempt(h.clock.now); ok; id, ok = h.admission.NextToPreempt(h.clock.now) {
+		h.preempt(h.conns.find(ConnID(id)))
 	}
 	return AcceptResult{ID: c.id, Admitted: true}
 }
@@ -54,7 +54,7 @@
 // SetAcceptDelay tells that a new connection, and the request on it, may have waited so long to be
 // accepted: its client's time runs since then.
 func (h *Gateway) SetAcceptDelay(id ConnID, d time.Duration) {
-	if c := h.conn(id); c != nil {
+	if c := h.conns.find(id); c != nil {
 		c.waited = d
 	}
 }
@@ -63,7 +63,7 @@
 func (h *Gateway) preempt(c *conn) {
 	h.counts.Preempted++
 	if c.ex != nil {
-		h.do(Close, c)
+		h.actions.add(Close, c.id)
 		h.clientGone(c, true)
 		return
 	}
@@ -81,10 +81,10 @@
 // turnAnswer is the whole answer to a connection that is turned away (RFC 9110
 // 15.6.4). It is made anew for each reason once a second, for its date.
 func (h *Gateway) turnAnswer(why admission.Reason) []byte {
-	t := &h.turnTexts[why]
-	if s := h.origin.Add(h.now).Unix(); t.text == nil || t.of != s {
+	t := &h.rejections[why]
+	if s := h.clock.dateSecond(); t.text == nil || t.of != s {
 		text := notAdmitted(why) + "\n"
-		b := h.appendDate(http1.AppendStatus(t.text[:0], 503))
+		b := h.clock.appendDate(http1.AppendStatus(t.text[:0], 503))
 		b = http1.AppendField(b, "Content-Type", []byte("text/plain; charset=utf-8"))
 		b = appendRetryAfter(http1.AppendInt(b, "Content-Length", int64(len(text))), time.Second)
 		t.text, t.of = append(append(b, "Connection: close\r\n\r\n"...), text...), s
@@ -92,9 +92,10 @@
 	return t.text
 }
 
-type turnText struct {
+// rejectionResponses caches the rejection response of each reason.
+type rejectionResponses [admission.ReasonCount]struct {
 	text []byte
-	of   int64 // second
+	of   int64 // wall-clock second of its Date field
 }
 
 func notAdmitted(why admission.Reason) string {
@@ -106,6 +107,6 @@
 func (h *Gateway) endAdmitted(c *conn) {
 	if c.owed {
 		c.owed = false
-		h.admission.EndRequest(h.now, uint64(c.id), c.good)
+		h.admission.EndRequest(h.clock.now, uint64(c.id), c.good)
 	}
 }
--- a/internal/gateway/admission_test.go
+++ b/internal/gateway/admission_test.go
@@ -143,7 +143,7 @@
 		for range 300 {
 			r.write(c)
 			r.run()
-			if !r.paused[r.node(i)] && r.h.conn(r.node(i)).at != nil {
+			if !r.paused[r.node(i)] && r.h.conns.find(r.node(i)).at != nil {
 				r.say(r.node(i), strings.Repeat("y", 1000))
 			}
 		}
@@ -157,7 +157,7 @@
 	again := r.come("1.1.1.4:1")
 	r.say(again, get("/feed-a/s/x"))
 	for i := range 2 {
-		if n := r.h.conn(r.node(i)); n != nil && n.at != nil {
+		if n := r.h.conns.find(r.node(i)); n != nil && n.at != nil {
 			r.say(r.node(i), ok("well"))
 		}
 	}
@@ -168,7 +168,7 @@
 func TestTurnedAwayCostsNothing(t *testing.T) {
 	r := newRig(t, "clients 1\nadmit answers 1 answers-burst 2\n")
 	r.come("1.1.1.1:1")
-	slots, timers := len(r.h.slots), len(r.h.timers)
+	slots, timers := len(r.h.conns.slots), len(r.h.timers.heap)
 	told := 0
 	for range 1000 {
 		w := r.h.Accept(r.now, netip.MustParseAddrPort("1.1.1.2:1"), 0)
@@ -180,8 +180,8 @@
 			r.want("the answer", string(w.Answer), "HTTP/1.1 503 ", "Retry-After: 1\r\n", "Connection: close\r\n\r\ntoo many connections (total)")
 		}
 	}
-	if told != 2 || len(r.h.slots) != slots || len(r.h.timers) != timers {
-		t.Errorf("%d told, %d slots, %d timers", told, len(r.h.slots), len(r.h.timers))
+	if told != 2 || len(r.h.conns.slots) != slots || len(r.h.timers.heap) != timers {
+		t.Errorf("%d told, %d slots, %d timers", told, len(r.h.conns.slots), len(r.h.timers.heap))
 	}
 }
 
--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -2,7 +2,6 @@
 
 import (
 	"bytes"
-	"fmt"
 	"strconv"
 	"time"
 
@@ -29,7 +28,7 @@
 
 // endHeader ends a client's answer header, saying whether it is the last.
 func (h *Gateway) endHeader(b []byte, cl *conn, ex *exchange) []byte {
-	cl.closing = cl.closing || h.leaving || !ex.body.whole
+	cl.closing = cl.closing || h.phase >= draining || !ex.body.whole
 	if cl.closing {
 		b = append(b, "Connection: close\r\n"...)
 	} else if ex.req.Minor == 0 {
@@ -122,13 +121,13 @@
 		return
 	}
 	if c.out == nil {
-		c.out = h.buffer()
+		c.out = h.buffers.get()
 	}
 	b := http1.AppendStatus(c.out, status)
 	if ex.id != 0 {
-		b = append(h.appendRequestID(append(b, "X-Request-Id: "...), ex.id), "\r\n"...)
+		b = append(h.ids.appendRequestID(append(b, "X-Request-Id: "...), ex.id), "\r\n"...)
 	}
-	b = h.appendDate(b)
+	b = h.clock.appendDate(b)
 	kind := "text/plain; charset=utf-8"
 	if status == 207 {
 		kind = "application/xml; charset=utf-8"
@@ -148,16 +147,6 @@
 	h.answered(ex)
 }
 
-// appendDate writes the Date field (RFC 9110 6.6.1), made once a second.
-func (h *Gateway) appendDate(b []byte) []byte {
-	at := h.origin.Add(h.now)
-	if s := at.Unix(); s != h.dateOf || h.date == nil {
-		h.dateOf = s
-		h.date = at.UTC().AppendFormat(append(h.date[:0], "Date: "...), "Mon, 02 Jan 2006 15:04:05 GMT\r\n")
-	}
-	return append(b, h.date...)
-}
-
 // originForm turns an absolute target into a path.
 func originForm(target []byte) []byte {
 	if target[0] == '/' {
@@ -189,17 +178,3 @@
 	}
 	return 0, false
 }
-
-func (h *Gateway) requestID(id uint64) string {
-	if id == 0 {
-		return ""
-	}
-	return fmt.Sprintf("%08x-%x", h.idPrefix, id)
-}
-
-func (h *Gateway) appendRequestID(b []byte, id uint64) []byte {
-	for shift := 28; shift >= 0; shift -= 4 {
-		b = append(b, "0123456789abcdef"[h.idPrefix>>shift&15])
-	}
-	return strconv.AppendUint(append(b, '-'), id, 16)
-}
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -43,18 +43,18 @@
 	at.ended = true
 	ex := at.ex
 	h.mayRun(at, o)
-	h.answerBytes -= int64(len(at.body))
-	h.release(at.body)
+	h.buffers.responseBytes -= int64(len(at.body))
+	h.buffers.put(at.body)
 	at.body = nil
 	ex.attempts.inFlight--
 	if ex.attempts.upload == at {
 		ex.attempts.upload = nil
 	}
-	h.events = append(h.events, scheduler.AttemptEnded{ID: ex.id, Attempt: at.number, Node: at.node, Outcome: o, Duration: h.now - at.began,
+	h.events = append(h.events, scheduler.AttemptEnded{ID: ex.id, Attempt: at.number, Node: at.node, Outcome: o, Duration: h.clock.now - at.began,
 		Responded: ex.answer.final, BodyConsumed: ex.body.spent, ReportedLoad: at.report, HasLoadReport: at.reports})
 	if h.observer != nil {
-		h.span = Span{Request: h.requestID(ex.id), Trace: ex.trace.id, ID: at.span, Parent: ex.trace.span, Sampled: ex.trace.sampled,
-			Start: at.began, End: h.now, Method: ex.method, Path: ex.place.Path, Volume: ex.ask.Arrival.Volume,
+		h.span = Span{Request: h.ids.requestID(ex.id), Trace: ex.trace.id, ID: at.span, Parent: ex.trace.span, Sampled: ex.trace.sampled,
+			Start: at.began, End: h.clock.now, Method: ex.method, Path: ex.place.Path, Volume: ex.ask.Arrival.Volume,
 			Class: h.config.Scheduler.Classes[ex.ask.Arrival.Class].Name, Status: at.status, Attempt: at.number, Node: at.node, AttemptOutcome: o}
 		h.observer.Attempt(&h.span)
 	}
--- a/internal/gateway/buffered_protocol.go
+++ b/internal/gateway/buffered_protocol.go
@@ -35,7 +35,7 @@
 func (w buffered) arrival(h *Gateway, ex *exchange) *http1.Error { return w.p.BeginRequest(&ex.ask) }
 
 func (w buffered) appendRequest(h *Gateway, b []byte, at *attempt) []byte {
-	at.timeout = at.ex.timeLeft(h.now)
+	at.timeout = at.ex.timeLeft(h.clock.now)
 	return w.p.AppendRequest(b, &at.ex.req, at.timeout)
 }
 
@@ -48,15 +48,15 @@
 	if one, _ := w.p.MaxResponseBytes(); r.Length > one {
 		return false
 	}
-	at.buffered, at.stall, at.body = true, w.p.ResponseStallTimeout(), h.buffer()
+	at.buffered, at.stall, at.body = true, w.p.ResponseStallTimeout(), h.buffers.get()
 	return true
 }
 
 func (w buffered) answerData(h *Gateway, at *attempt, data []byte) bool {
 	one, all := w.p.MaxResponseBytes()
-	h.answerBytes += int64(len(data)) // given back when the attempt ends
+	h.buffers.responseBytes += int64(len(data)) // given back when the attempt ends
 	at.body = append(at.body, data...)
-	return int64(len(at.body)) <= one && h.answerBytes <= all
+	return int64(len(at.body)) <= one && h.buffers.responseBytes <= all
 }
 
 func (w buffered) answerDone(h *Gateway, at *attempt) {
@@ -69,7 +69,7 @@
 	h.counts.Served++
 	if cl := ex.client; cl != nil {
 		if cl.out == nil {
-			cl.out = h.buffer()
+			cl.out = h.buffers.get()
 		}
 		b := http1.AppendInt(http1.AppendStatus(cl.out, ex.answer.status), "Content-Length", int64(len(at.body)))
 		cl.out = append(h.endHeader(b, cl, ex), at.body...)
--- a/internal/gateway/buffers.go
+++ b/internal/gateway/buffers.go
@@ -1,23 +1,35 @@
 package gateway
 
-// buffer returns an empty buffer; done with it, release takes it back.
-func (h *Gateway) buffer() []byte {
-	if n := len(h.bufferPool); n > 0 {
-		b := h.bufferPool[n-1]
-		h.bufferPool = h.bufferPool[:n-1]
+// Released buffers and requests are kept for reuse up to these bounds, so that the
+// memory of a surge is given back to the garbage collector.
+const (
+	maxPooled          = 256      // buffers, and requests
+	maxPooledBuffer    = 64 << 10 // bytes; a larger buffer is not kept
+	initialBufferBytes = 2 << 10
+)
+
+// bufferPool has the buffers for reuse, and the account of the bytes in use that
+// are limited over all connections.
+type bufferPool struct {
+	free [][]byte
+
+	clientBytes   int64 // held for all client connections; see clientBytesHeld
+	responseBytes int64 // of responses that are buffered until they are complete
+}
+
+// get returns an empty buffer; put takes it back.
+func (p *bufferPool) get() []byte {
+	if n := len(p.free); n > 0 {
+		b := p.free[n-1]
+		p.free = p.free[:n-1]
 		return b
 	}
-	return make([]byte, 0, 2048)
+	return make([]byte, 0, initialBufferBytes)
 }
 
-// Buffers kept for use again: few and small, lest a surge's memory stay for good.
-const (
-	keepBufs = 256
-	keepSize = 64 << 10
-)
-
-func (h *Gateway) release(b []byte) {
-	if cap(b) > 0 && cap(b) <= keepSize && len(h.bufferPool) < keepBufs {
-		h.bufferPool = append(h.bufferPool, b[:0])
+// put takes back a buffer that is no longer in use. A nil buffer is ignored.
+func (p *bufferPool) put(b []byte) {
+	if cap(b) > 0 && cap(b) <= maxPooledBuffer && len(p.free) < maxPooled {
+		p.free = append(p.free, b[:0])
 	}
 }
--- a/internal/gateway/client.go
+++ b/internal/gateway/client.go
@@ -8,9 +8,9 @@
 
 // giveUp answers a client whose request's header does not come, and ends with it.
 func (h *Gateway) giveUp(c *conn, reason string) {
-	ex := h.newExchange()
+	ex := h.requests.create()
 	ex.client, c.ex, ex.body.whole, ex.answer.reason = c, ex, true, reason
-	ex.req.Minor, ex.headerAt = 1, h.now
+	ex.req.Minor, ex.headerAt = 1, h.clock.now
 	c.closing = true
 	h.respond(ex, 408, []byte(reason+"\n"), nil)
 }
@@ -34,8 +34,8 @@
 				continue
 			}
 			if c.reading == 0 {
-				c.reading = h.now
-				h.setDeadline(c, h.now+h.config.Timeouts.Header)
+				c.reading = h.clock.now
+				h.setDeadline(c, h.clock.now+h.config.Timeouts.Header)
 			}
 			n := h.config.HeaderLimits.Block(p, &c.scanned)
 			if n == 0 {
@@ -76,16 +76,16 @@
 // bodyBy and answerBy are when a client is given up that sends its body, or takes
 // its answer, too slowly.
 func (h *Gateway) bodyBy(c *conn) Time {
-	return c.body.by(h.now, h.config.Timeouts.Stall, h.config.MinRates.Grace, h.config.MinRates.Body)
+	return c.body.by(h.clock.now, h.config.Timeouts.Stall, h.config.MinRates.Grace, h.config.MinRates.Body)
 }
 
 func (h *Gateway) answerBy(c *conn) Time {
-	return c.answer.by(h.now, h.config.Timeouts.Stall, h.config.MinRates.Grace, h.config.MinRates.Response)
+	return c.answer.by(h.clock.now, h.config.Timeouts.Stall, h.config.MinRates.Grace, h.config.MinRates.Response)
 }
 
 // room is how much of an answer or a body a connection may hold now.
 func (h *Gateway) room() int {
-	return h.admission.BufferAllowance(h.heldBytes, h.config.Limits.ConnBuffer)
+	return h.admission.BufferAllowance(h.buffers.clientBytes, h.config.Limits.ConnBuffer)
 }
 
 func (h *Gateway) clientEOF(c *conn) {
@@ -94,7 +94,7 @@
 	case c.discard || c.ex == nil && len(c.pending()) == 0 && !c.ready:
 		h.drop(c, Close)
 	case c.ex != nil && (!c.ex.body.whole || h.protocol.endMeansGone()): // in the middle of a body, or gone with the last byte
-		h.do(Close, c)
+		h.actions.add(Close, c.id)
 		h.clientGone(c, true)
 	} // else a half-close: what was asked is still owed
 }
@@ -117,7 +117,7 @@
 // clientDrop resets a client whose answer cannot be brought to its end.
 func (h *Gateway) clientDrop(c *conn) {
 	if !c.gone {
-		h.do(Abort, c)
+		h.actions.add(Abort, c.id)
 		h.clientGone(c, true)
 	}
 }
@@ -140,7 +140,7 @@
 	if ex.id == 0 {
 		return
 	}
-	ex.answer.final, ex.clientLeftAt = true, h.now
+	ex.answer.final, ex.clientLeftAt = true, h.clock.now
 	h.counts.Disconnected++
 	h.events = append(h.events, scheduler.ClientDisconnected{ID: ex.id})
 	h.reportEnd(ex, ClientDisconnected)
@@ -233,10 +233,10 @@
 func (h *Gateway) clientIdle(c *conn) {
 	switch {
 	case c.ready: // nextRequest looks first
-	case c.closing, c.discard, h.stopping, c.eof:
+	case c.closing, c.discard, h.phase == stopping, c.eof:
 		h.lingeringClose(c)
 	default:
-		h.setDeadline(c, h.now+h.config.Timeouts.Idle)
+		h.setDeadline(c, h.clock.now+h.config.Timeouts.Idle)
 	}
 }
 
@@ -249,9 +249,9 @@
 		h.drop(c, Close)
 	case !c.shut:
 		c.discard, c.shut = true, true
-		h.do(CloseWrite, c)
+		h.actions.add(CloseWrite, c.id)
 		h.resume(c)
-		h.setDeadline(c, h.now+linger)
+		h.setDeadline(c, h.clock.now+linger)
 	}
 }
 
@@ -261,7 +261,7 @@
 	if c.gone || c.ex != nil {
 		return
 	}
-	if c.closing || h.stopping || c.eof && h.protocol.endMeansGone() { // the last answer was given, or no more is read
+	if c.closing || h.phase == stopping || c.eof && h.protocol.endMeansGone() { // the last answer was given, or no more is read
 		c.in = c.in[:0]
 	}
 	if !c.discard {
--- a/internal/gateway/conn.go
+++ b/internal/gateway/conn.go
@@ -1,7 +1,6 @@
 package gateway
 
 import (
-	"container/heap"
 	"container/list"
 	"net/netip"
 	"time"
@@ -21,9 +20,7 @@
 	paused   bool
 	flushing bool // a Flush was asked for
 	gone     bool
-	deadline Time // when expired is called
-	armed    Time // its place in the heap, not later than the deadline
-	index    int  // in the heap, -1: none
+	timer    connTimer
 	ready    bool // stands among Gateway.readyClients
 
 	clientSide
@@ -100,7 +97,7 @@
 			n += c.ex.listing.size
 		}
 	}
-	h.heldBytes += int64(n - c.weight)
+	h.buffers.clientBytes += int64(n - c.weight)
 	c.weight = n
 }
 
@@ -108,41 +105,31 @@
 
 func (c *conn) pending() []byte { return c.out[c.wrote:] }
 
-// nextID is the id that newConn will give.
-func (h *Gateway) nextID() ConnID {
-	if n := len(h.freeSlots); n > 0 {
-		slot := h.freeSlots[n-1]
-		return ConnID(h.generations[slot])<<32 | ConnID(slot)
-	}
-	return ConnID(len(h.slots))
+func (h *Gateway) newConn() *conn {
+	c := &conn{timer: stoppedTimer()}
+	c.id = h.conns.add(c)
+	return c
 }
 
-func (h *Gateway) newConn() *conn {
-	var slot uint32
-	if n := len(h.freeSlots); n > 0 {
-		slot = h.freeSlots[n-1]
-		h.freeSlots = h.freeSlots[:n-1]
-	} else {
-		slot = uint32(len(h.slots))
-		h.slots, h.generations = append(h.slots, nil), append(h.generations, 0)
+// setDeadline sets when the timer of a connection expires; never stops it.
+func (h *Gateway) setDeadline(c *conn, deadline Time) {
+	if !c.gone {
+		h.timers.set(c, deadline)
 	}
-	c := &conn{id: ConnID(h.generations[slot])<<32 | ConnID(slot), deadline: never, armed: never, index: -1}
-	h.slots[slot] = c
-	return c
 }
 
-// conn finds a connection; events of one that is closed find none.
-func (h *Gateway) conn(id ConnID) *conn {
-	if s := id.Slot(); s < len(h.slots) && h.slots[s] != nil && h.slots[s].id == id {
-		return h.slots[s]
+func (h *Gateway) expired(c *conn) {
+	if c.node != nil {
+		h.nodeExpired(c)
+	} else {
+		h.clientExpired(c)
 	}
-	return nil
 }
 
 // drop ends a connection by Close or Abort.
 func (h *Gateway) drop(c *conn, op Op) {
 	if !c.gone {
-		h.do(op, c)
+		h.actions.add(op, c.id)
 		h.forget(c, true)
 	}
 }
@@ -155,37 +142,24 @@
 		return
 	}
 	if c.owes() {
-		h.guard.RecordUnansweredClose(h.now, c.ex.id)
+		h.invariants.RecordUnansweredClose(h.clock.now, c.ex.id)
 	}
 	c.gone = true
-	s := c.id.Slot()
-	h.slots[s] = nil
-	h.generations[s]++
-	if open {
-		h.closingSlots = append(h.closingSlots, uint32(s))
-	} else {
-		h.freeSlots = append(h.freeSlots, uint32(s))
-	}
-	if c.index >= 0 {
-		heap.Remove(&h.timers, c.index)
-	}
-	h.release(c.in)
-	h.release(c.out)
+	h.conns.remove(c.id, !open)
+	h.timers.remove(c)
+	h.buffers.put(c.in)
+	h.buffers.put(c.out)
 	c.in, c.out, c.wrote = nil, nil, 0
-	h.heldBytes -= int64(c.weight)
+	h.buffers.clientBytes -= int64(c.weight)
 	c.weight = 0
 	switch {
 	case c.feed:
 	case c.node != nil:
-		c.node.conns--
-		if n := c.node; n.conns == 0 && !n.listed && h.nodes[n.name] == n {
-			delete(h.nodes, n.name)
-		}
-		h.counts.NodeConns--
+		h.nodes.connClosed(c.node)
 	default:
-		h.counts.Clients--
+		h.clientConns--
 		if c.admitted {
-			h.admission.Closed(h.now, uint64(c.id))
+			h.admission.Closed(h.clock.now, uint64(c.id))
 		}
 	}
 }
@@ -197,27 +171,27 @@
 	}
 	if !c.flushing && !c.gone && len(c.pending()) > 0 {
 		if c.client() && c.answer.from == 0 {
-			c.answer = pace{from: h.now}
+			c.answer = pace{from: h.clock.now}
 		}
-		if c.client() && c.deadline == never {
+		if c.client() && c.timer.deadline == never {
 			h.setDeadline(c, h.answerBy(c)) // to take it
 		}
 		c.flushing = true
-		h.do(Flush, c)
+		h.actions.add(Flush, c.id)
 	}
 }
 
 func (h *Gateway) pause(c *conn) {
 	if !c.paused && !c.gone {
 		c.paused = true
-		h.do(Pause, c)
+		h.actions.add(Pause, c.id)
 	}
 }
 
 func (h *Gateway) resume(c *conn) {
 	if c.paused && !c.gone {
 		c.paused = false
-		h.do(Resume, c)
+		h.actions.add(Resume, c.id)
 	}
 }
 
@@ -226,20 +200,20 @@
 	switch {
 	case c.gone:
 	case len(rest) == 0:
-		h.release(c.in)
+		h.buffers.put(c.in)
 		c.in = nil
 	case len(c.in) > 0: // rest is its end
 		c.in = c.in[:copy(c.in, rest)]
 	default:
-		c.in = append(h.buffer(), rest...)
+		c.in = append(h.buffers.get(), rest...)
 	}
 }
 
 // Out returns what is to be written to a connection. It is the one place where bytes are
 // handed out, and where the guard is asked before the first of an attempt.
 func (h *Gateway) Out(now Time, id ConnID) []byte {
-	h.tick(now)
-	c := h.conn(id)
+	h.clock.advance(now)
+	c := h.conns.find(id)
 	if c == nil {
 		return nil
 	}
@@ -252,13 +226,13 @@
 
 // Wrote tells that n bytes of Out were written.
 func (h *Gateway) Wrote(now Time, id ConnID, n int) {
-	h.tick(now)
-	c := h.conn(id)
+	h.clock.advance(now)
+	c := h.conns.find(id)
 	if c == nil || n <= 0 {
 		return
 	}
 	if c.wrote += n; c.wrote == len(c.out) {
-		h.release(c.out)
+		h.buffers.put(c.out)
 		c.out, c.wrote = nil, 0
 	} else if c.wrote > h.config.Limits.ConnBuffer {
 		c.out = append(c.out[:0], c.out[c.wrote:]...)
@@ -277,13 +251,13 @@
 
 // Data tells bytes read from a connection. They are not kept after the call.
 func (h *Gateway) Data(now Time, id ConnID, p []byte) {
-	h.tick(now)
-	c := h.conn(id)
+	h.clock.advance(now)
+	c := h.conns.find(id)
 	if c == nil || len(p) == 0 {
 		return
 	}
 	if c.feed {
-		h.feeding.feed.Data(h.now, c.feedConn, p)
+		h.membership.source.Data(h.clock.now, c.feedConn, p)
 		return
 	}
 	c.unread = false
@@ -305,8 +279,8 @@
 // is made again later: that is not the other side's doing. A connection asked for with Dial is
 // begun later then.
 func (h *Gateway) Stalled(now Time, id ConnID) {
-	h.tick(now)
-	c := h.conn(id)
+	h.clock.advance(now)
+	c := h.conns.find(id)
 	if c == nil {
 		return
 	}
@@ -331,8 +305,8 @@
 
 // EOF tells that the other side sends no more.
 func (h *Gateway) EOF(now Time, id ConnID) {
-	h.tick(now)
-	c := h.conn(id)
+	h.clock.advance(now)
+	c := h.conns.find(id)
 	switch {
 	case c == nil:
 	case c.feed:
@@ -347,8 +321,8 @@
 // Closed tells that a connection is lost or could not be made; the driver has
 // let go of it.
 func (h *Gateway) Closed(now Time, id ConnID) {
-	h.tick(now)
-	c := h.conn(id)
+	h.clock.advance(now)
+	c := h.conns.find(id)
 	switch {
 	case c == nil:
 	case c.feed:
--- a/internal/gateway/crossing_random_test.go
+++ b/internal/gateway/crossing_random_test.go
@@ -115,7 +115,7 @@
 					s.conn = x.h.Accept(x.now, netip.MustParseAddrPort("127.0.0.1:1000"), 0).ID
 					if len(x.conns) > 0 && rapid.Bool().Draw(rt, "kept") {
 						c := pick(x.conns)
-						if o := x.last[c]; o.answers == 1 && !o.gone && x.h.conn(c) != nil && !x.shut[c] {
+						if o := x.last[c]; o.answers == 1 && !o.gone && x.h.conns.find(c) != nil && !x.shut[c] {
 							s.conn = c
 						}
 					}
@@ -132,17 +132,17 @@
 					left = append(left, x.last[c])
 				case what < 7 && len(x.dials) > 0: // a connection to a node comes up, or does not
 					if d := pick(x.dials); rapid.IntRange(0, 3).Draw(rt, "refused") > 0 {
-						if c := x.h.conn(d); c != nil && !c.connected {
+						if c := x.h.conns.find(d); c != nil && !c.connected {
 							x.before[d] = !x.told
 						}
 						x.h.Connected(x.now, d)
-					} else if c := x.h.conn(d); c != nil && !c.connected {
+					} else if c := x.h.conns.find(d); c != nil && !c.connected {
 						x.h.Closed(x.now, d)
 					}
 				case what < 9 && len(x.dials) > 0: // a node answers what it carries, well or not
 					d := pick(x.dials)
 					s := x.wire[d]
-					if s == nil || x.h.conn(d) == nil {
+					if s == nil || x.h.conns.find(d) == nil {
 						continue
 					}
 					answer := ok("for " + s.id + ".")
@@ -172,7 +172,7 @@
 			}
 			x.drain = map[ConnID]bool{}
 			for _, d := range x.dials {
-				if c := x.h.conn(d); c != nil {
+				if c := x.h.conns.find(d); c != nil {
 					x.drain[d] = c.node.name == "n0"
 				}
 			}
@@ -188,8 +188,8 @@
 		}
 		x.pass(5 * time.Second)
 		x.judge()
-		if len(x.h.requests) != 0 {
-			rt.Fatalf("%d requests are held for good", len(x.h.requests))
+		if len(x.h.requests.byID) != 0 {
+			rt.Fatalf("%d requests are held for good", len(x.h.requests.byID))
 		}
 		for _, s := range x.order {
 			if s.answers == 0 && !s.gone {
--- a/internal/gateway/crossing_test.go
+++ b/internal/gateway/crossing_test.go
@@ -118,7 +118,7 @@
 		if r.paused[c] {
 			t.Errorf("it is not read on after %d more", n)
 		}
-		if in := len(r.h.conn(c).in); in > pipelineMax {
+		if in := len(r.h.conns.find(c).in); in > pipelineMax {
 			t.Errorf("%d bytes are held", in)
 		}
 		r.h.EOF(r.now, c)
@@ -211,8 +211,8 @@
 		r.late = true
 		r.client(ask("a"))
 		n := r.node(0)
-		ex := r.h.conn(n).at.ex
-		r.h.conn(n).at.beginBy = r.now + 100*time.Millisecond
+		ex := r.h.conns.find(n).at.ex
+		r.h.conns.find(n).at.beginBy = r.now + 100*time.Millisecond
 		r.now += 100*time.Millisecond + late
 		r.h.Connected(r.now, n)
 		if r.run(); ex.attempts.inFlight == 0 && late < 0 || r.take(n) != "" && late > 0 {
--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -83,34 +83,15 @@
 	sampled bool
 }
 
-func (h *Gateway) newExchange() *exchange {
-	last := len(h.exchangePool) - 1
-	if last < 0 {
-		return &exchange{}
-	}
-	ex := h.exchangePool[last]
-	h.exchangePool = h.exchangePool[:last]
-	ex.recycled = false
-	return ex
-}
-
-// recycle keeps an exchange that nothing speaks of any more for use again.
+// recycle takes back an exchange that is no longer in use, if it is. It may be
+// called more often than once.
 func (h *Gateway) recycle(ex *exchange) {
 	if ex.recycled || ex.inUse() {
 		return
 	}
-	if ex.id != 0 {
-		delete(h.requests, ex.id)
-	}
-	ex.recycled = true // it may be told twice, and must be kept once
-	h.release(ex.headerBytes)
-	h.release(ex.body.held)
-	if len(h.exchangePool) < keepBufs {
-		fields := ex.req.Fields[:0]
-		*ex = exchange{recycled: true}
-		ex.req.Fields = fields
-		h.exchangePool = append(h.exchangePool, ex)
-	}
+	h.buffers.put(ex.headerBytes)
+	h.buffers.put(ex.body.held)
+	h.requests.recycle(ex)
 }
 
 // inUse tells whether a client, an attempt or the module still speaks of it.
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -11,17 +11,14 @@
 package gateway
 
 import (
-	"container/heap"
 	"fmt"
 	"math"
-	"math/rand/v2"
 	"reflect"
 	"time"
 
 	"maddergap/internal/admission"
 	"maddergap/internal/config"
 	"maddergap/internal/invariant"
-	"maddergap/internal/membership"
 	"maddergap/internal/route"
 	"maddergap/scheduler"
 )
@@ -29,33 +26,6 @@
 // Time is a clock reading, as the module's.
 type Time = scheduler.Time
 
-// ConnID names a connection: a slot, and how often the slot was used before.
-type ConnID uint64
-
-// Slot is a small number, unique among the connections that are open.
-func (id ConnID) Slot() int { return int(uint32(id)) }
-
-// Op is what a driver is to do.
-type Op uint8
-
-// Operations.
-const (
-	Dial       Op = iota // connect to Addr; then Connected or Closed
-	Flush                // write what Out gives and tell Wrote
-	Pause                // read no more of it
-	Resume               // read it again
-	CloseWrite           // end the sending side
-	Close                // close it; nothing more is told of it
-	Abort                // the same with a reset
-)
-
-// Action is asked of the driver; actions are carried out in order.
-type Action struct {
-	Op   Op
-	Conn ConnID
-	Addr string // of Dial
-}
-
 // Scheduler decides: the module, or in its place what a comparison or a test wants.
 type Scheduler interface {
 	Handle(now Time, events []scheduler.Event) []scheduler.Action
@@ -63,57 +33,35 @@
 
 // Gateway is one head. It is not safe for concurrent use.
 type Gateway struct {
-	config    *config.Config
-	routes    *route.Table
-	admission *admission.Admission
-	core      Scheduler
-	protocol  protocol
-	observer  Observer
-	guard     invariant.Checker
-	feeding   feeding
-
-	now      Time
-	origin   time.Time // the wall-clock time of zero
-	rand     *rand.Rand
-	idPrefix uint32 // of request ids
-	date     []byte // the Date field of the second dateOf
-	dateOf   int64
-
-	events       []scheduler.Event // to be told to the core
-	actions      []Action          // for the driver
-	spareActions []Action
-	wakeAt       Time // when the core wants to be woken
-	lag          lag
-
-	slots       []*conn
-	generations []uint32
-	freeSlots   []uint32
-	// Slots of connections that a Close or Abort was asked for since the last
-	// Advance, and of those that it gave out, which the driver has carried out by the next.
-	closingSlots, closedSlots []uint32
-	timers                    timers
-	readyClients              []*conn // whose next request may be looked at
-
-	memberTable *membership.Table
-	listInForce bool // a node list is
-	nodes       map[string]*node
-	kept        idleList
-	// lastConnected is when a connection to a node came up last.
-	lastConnected Time
-
-	requests map[uint64]*exchange
-	lastID   uint64
-	counts   Counts
-	span     Span
-
-	exchangePool []*exchange
-	bufferPool   [][]byte
-	heldBytes    int64 // of all client connections
-	answerBytes  int64 // of answers that are held until they are whole
-	turnTexts    [admission.ReasonCount]turnText
-
-	stopping bool
-	leaving  bool // clients are told that their connection ends
+	config     *config.Config
+	routes     *route.Table
+	admission  *admission.Admission
+	scheduler  Scheduler
+	protocol   protocol
+	observer   Observer // nil: there is none
+	invariants invariant.Checker
+	membership membershipClient
+
+	clock   clock
+	ids     idGenerator
+	stall   lag
+	actions actionQueue
+	phase   shutdownPhase
+
+	events []scheduler.Event // for the next call of the scheduler
+	wakeAt Time              // when the scheduler's timer fires
+
+	conns        connTable
+	timers       timerQueue
+	readyClients []*conn // whose next request may be looked at
+	clientConns  int     // open connections of clients
+	nodes        nodeTable
+	requests     requestTable
+	buffers      bufferPool
+
+	counts     Counts
+	span       Span // scratch for the observer
+	rejections rejectionResponses
 }
 
 const never = Time(math.MaxInt64)
@@ -134,25 +82,21 @@
 	if err != nil { // never: the configuration is checked
 		panic(err)
 	}
-	r := rand.New(rand.NewPCG(seed, 0x6d616464))
 	h := &Gateway{
-		config:      c,
-		routes:      route.NewTable(c, nil),
-		admission:   admission,
-		core:        core,
-		protocol:    webdavProtocol{},
-		observer:    obs,
-		origin:      origin,
-		rand:        r,
-		idPrefix:    r.Uint32(),
-		now:         now,
-		memberTable: membership.New(origin),
-		nodes:       map[string]*node{},
-		requests:    map[uint64]*exchange{},
-		wakeAt:      never,
+		config:    c,
+		routes:    route.NewTable(c, nil),
+		admission: admission,
+		scheduler: core,
+		protocol:  webdavProtocol{},
+		observer:  obs,
+		clock:     clock{now: now, origin: origin},
+		ids:       newIDGenerator(seed),
+		wakeAt:    never,
+		nodes:     newNodeTable(origin),
+		requests:  newRequestTable(),
 	}
 	if obs != nil {
-		h.guard.OnViolation = h.violated
+		h.invariants.OnViolation = h.violated
 	}
 	return h
 }
@@ -171,26 +115,16 @@
 	return nil
 }
 
-func (h *Gateway) tick(now Time) { h.now = max(h.now, now) }
-
 // Advance runs timers and the module over what was told, and returns what to
 // do and when to come back at the latest. The actions are good until the next call.
 func (h *Gateway) Advance(now Time) ([]Action, Time) {
-	h.tick(now)
-	h.lag.called(h.now)
-	h.freeSlots, h.closedSlots = append(h.freeSlots, h.closedSlots...), h.closedSlots[:0]
-	for len(h.timers) > 0 && h.timers[0].armed <= h.now {
-		c := h.timers[0]
-		if c.deadline > h.now { // it was moved since
-			c.armed = c.deadline
-			heap.Fix(&h.timers, 0)
-			continue
-		}
-		heap.Pop(&h.timers)
-		c.deadline = never
+	h.clock.advance(now)
+	h.stall.called(h.clock.now)
+	h.conns.beginAdvance()
+	for c := h.timers.popExpired(h.clock.now); c != nil; c = h.timers.popExpired(h.clock.now) {
 		h.expired(c)
 	}
-	if h.now >= h.wakeAt {
+	if h.clock.now >= h.wakeAt {
 		h.wakeAt = never
 		h.events = append(h.events, scheduler.TimerFired{})
 	}
@@ -205,36 +139,29 @@
 		if h.events = nil; len(events) == 0 {
 			break
 		}
-		for _, a := range h.core.Handle(h.now, events) {
+		for _, a := range h.scheduler.Handle(h.clock.now, events) {
 			h.carryOut(a)
 		}
 		if h.events == nil {
 			h.events = events[:0]
 		}
 	}
-	acts := h.actions
-	h.actions, h.spareActions = h.spareActions[:0], acts
-	h.closingSlots, h.closedSlots = h.closedSlots[:0], h.closingSlots
-	next := min(h.wakeAt, feedNext)
-	if len(h.timers) > 0 {
-		next = min(next, h.timers[0].armed)
-	}
-	h.lag.asked = next
-	return acts, next
+	h.conns.endAdvance()
+	next := min(h.wakeAt, feedNext, h.timers.next())
+	h.stall.asked = next
+	return h.actions.take(), next
 }
 
 // carryOut does what the module decided.
 func (h *Gateway) carryOut(a scheduler.Action) {
 	switch a := a.(type) {
 	case scheduler.Send:
-		h.send(h.requests[a.ID], a.Node, a.StartBefore)
+		h.send(h.requests.byID[a.ID], a.Node, a.StartBefore)
 	case scheduler.Reject:
-		h.refuse(h.requests[a.ID], a.RetryAfter)
+		h.refuse(h.requests.byID[a.ID], a.RetryAfter)
 	case scheduler.Fail:
-		h.fail(h.requests[a.ID])
+		h.fail(h.requests.byID[a.ID])
 	case scheduler.SetTimer:
-		h.wakeAt = h.now + a.After // in place of the one before, as the module counts on
+		h.wakeAt = h.clock.now + a.After // in place of the one before, as the module counts on
 	}
 }
-
-func (h *Gateway) do(op Op, c *conn) { h.actions = append(h.actions, Action{Op: op, Conn: c.id}) }
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -139,8 +139,8 @@
 	if _, gone := r.ended[n]; gone {
 		t.Fatal("the attempt was broken off, though the node has it whole")
 	}
-	if len(r.h.requests) != 1 {
-		t.Fatalf("%d requests with an attempt out, want 1", len(r.h.requests))
+	if len(r.h.requests.byID) != 1 {
+		t.Fatalf("%d requests with an attempt out, want 1", len(r.h.requests.byID))
 	}
 	r.pass(50 * time.Millisecond)
 	r.say(n, ok("x"))
@@ -476,7 +476,7 @@
 		r.pass(60 * time.Millisecond)
 	}
 	r.pass(2 * time.Second)
-	if n := r.h.nodes["n0"].conns; n > 4 {
+	if n := r.h.nodes.byName["n0"].conns; n > 4 {
 		t.Errorf("%d connections to a node, want 4 at most", n)
 	}
 	if f := r.finals(); f[Rejected] != 40 {
@@ -648,7 +648,7 @@
 func TestTimerIsReplaced(t *testing.T) {
 	r := newRig(t, "")
 	core := &timed{ask: []time.Duration{10 * time.Millisecond, 20 * time.Millisecond}}
-	r.h.core = core
+	r.h.scheduler = core
 	began := r.now
 	r.client(get("/feed-a/s/x"))
 	r.client(get("/feed-a/s/y"))
@@ -669,7 +669,7 @@
 		r.pass(time.Duration(i) * time.Second)
 	}
 	seen := map[*exchange]bool{}
-	for _, ex := range r.h.exchangePool {
+	for _, ex := range r.h.requests.free {
 		if seen[ex] {
 			t.Fatal("an exchange is kept twice")
 		}
@@ -744,8 +744,8 @@
 		r.h.Closed(r.now, c)
 		r.pass(time.Millisecond)
 	}
-	if len(r.h.nodes) > 3 || len(r.h.slots) > 16 || len(r.h.requests) > 0 || r.h.Counts().NodeConns > 2 {
-		t.Errorf("%d nodes, %d slots, %d requests, %d connections are held", len(r.h.nodes), len(r.h.slots), len(r.h.requests), r.h.Counts().NodeConns)
+	if len(r.h.nodes.byName) > 3 || len(r.h.conns.slots) > 16 || len(r.h.requests.byID) > 0 || r.h.Counts().NodeConns > 2 {
+		t.Errorf("%d nodes, %d slots, %d requests, %d connections are held", len(r.h.nodes.byName), len(r.h.conns.slots), len(r.h.requests.byID), r.h.Counts().NodeConns)
 	}
 }
 
--- a/internal/gateway/pool.go
+++ b/internal/gateway/idle_conns.go
@@ -24,7 +24,7 @@
 		return nil
 	}
 	for _, c := range slices.Backward(n.idle) {
-		if h.now-c.parked >= restTime {
+		if h.clock.now-c.parked >= restTime {
 			n.keepsOpen = true
 			return c
 		}
@@ -37,23 +37,23 @@
 
 // closedByNode notes that a node ended a connection: behind an answer, if it had not rested.
 func (h *Gateway) closedByNode(c *conn) {
-	if c.parked > 0 && h.now-c.parked < restTime {
+	if c.parked > 0 && h.clock.now-c.parked < restTime {
 		c.node.keepsOpen = false
 	}
 }
 
 // spareFor tells whether a connection to a node may be added without closing another.
 func (h *Gateway) spareFor(n *node) bool {
-	return n.conns < h.config.Limits.ConnsPerNode && (h.config.Limits.NodeConns == 0 || h.counts.NodeConns < h.config.Limits.NodeConns)
+	return n.conns < h.config.Limits.ConnsPerNode && (h.config.Limits.NodeConns == 0 || h.nodes.conns < h.config.Limits.NodeConns)
 }
 
 // roomForNode tells whether one more connection to a node may be opened, after the
 // one that was kept longest was closed for it where need be.
 func (h *Gateway) roomForNode() bool {
-	if h.config.Limits.NodeConns == 0 || h.counts.NodeConns < h.config.Limits.NodeConns {
+	if h.config.Limits.NodeConns == 0 || h.nodes.conns < h.config.Limits.NodeConns {
 		return true
 	}
-	oldest := h.kept.oldest()
+	oldest := h.nodes.idle.oldest()
 	if oldest == nil {
 		return false
 	}
@@ -70,14 +70,14 @@
 		return
 	}
 	h.resume(c)
-	c.parked = h.now
+	c.parked = h.clock.now
 	c.node.idle = append(c.node.idle, c)
-	h.kept.add(c)
-	h.setDeadline(c, h.now+h.config.Timeouts.NodeIdle)
+	h.nodes.idle.add(c)
+	h.setDeadline(c, h.clock.now+h.config.Timeouts.NodeIdle)
 }
 
 func (h *Gateway) unpark(c *conn) {
-	h.kept.remove(c)
+	h.nodes.idle.remove(c)
 	idle := c.node.idle
 	for i, o := range idle {
 		if o == c {
--- a/internal/gateway/invariants.go
+++ b/internal/gateway/invariants.go
@@ -8,9 +8,9 @@
 // guarded describes an attempt to the guard.
 func (h *Gateway) guarded(at *attempt) invariant.Attempt {
 	ex := at.ex
-	a := invariant.Attempt{Request: ex.id, Node: at.node, Number: at.number, MembershipKnown: h.listInForce, ClientDisconnectedAt: ex.clientLeftAt, Deadline: ex.deadline,
+	a := invariant.Attempt{Request: ex.id, Node: at.node, Number: at.number, MembershipKnown: h.nodes.known, ClientDisconnectedAt: ex.clientLeftAt, Deadline: ex.deadline,
 		Timeout: at.timeout, Prior: h.earlier(at)}
-	n := h.nodes[at.node]
+	n := h.nodes.byName[at.node]
 	if n == nil {
 		return a
 	}
@@ -34,7 +34,7 @@
 		return e
 	}
 	e.RetryBefore = ex.attempts.mayHaveRun.began + class.DeduplicationWindow
-	n := h.nodes[at.node]
+	n := h.nodes.byName[at.node]
 	switch class.DeduplicationScope {
 	case scheduler.ScopeZone:
 		e.SameDeduplicationScope = n != nil && n.zone == ex.attempts.mayHaveRun.zone
@@ -48,7 +48,7 @@
 
 // violated reports what the guard found, with the client's name for the request.
 func (h *Gateway) violated(v invariant.Violation) {
-	if ex := h.requests[v.Request]; ex != nil {
+	if ex := h.requests.byID[v.Request]; ex != nil {
 		v.RequestID = h.nameOf(ex)
 	}
 	h.observer.InvariantViolated(v)
@@ -59,13 +59,13 @@
 	if ex.ask.ID != "" {
 		return ex.ask.ID
 	}
-	return h.requestID(ex.id)
+	return h.ids.requestID(ex.id)
 }
 
 // maySend asks whether an attempt may begin, as the module decides on it.
 func (h *Gateway) maySend(at *attempt) bool {
 	a := h.guarded(at)
-	return h.guard.CheckBeforeWrite(h.now, &a) == invariant.None
+	return h.invariants.CheckBeforeWrite(h.clock.now, &a) == invariant.None
 }
 
 // mayBegin asks whether the attempt of a connection may begin, as its first byte is about to
@@ -73,11 +73,11 @@
 func (h *Gateway) mayBegin(c *conn) bool {
 	at := c.at
 	a := h.guarded(at)
-	if at.timeout > 0 && h.now < at.ex.deadline && invariant.TimeoutOutdated(h.now, at.ex.deadline, at.timeout) {
+	if at.timeout > 0 && h.clock.now < at.ex.deadline && invariant.TimeoutOutdated(h.clock.now, at.ex.deadline, at.timeout) {
 		h.encode(c)
 		a.Timeout = at.timeout
 	}
-	if h.guard.CheckBeforeWrite(h.now, &a) == invariant.None {
+	if h.invariants.CheckBeforeWrite(h.clock.now, &a) == invariant.None {
 		return true
 	}
 	h.withhold(c)
@@ -89,7 +89,7 @@
 func (h *Gateway) withhold(c *conn) {
 	at := c.at
 	c.at = nil
-	h.release(c.out)
+	h.buffers.put(c.out)
 	c.out, c.wrote = nil, 0
 	h.end(at, scheduler.Superseded)
 	h.park(c)
@@ -98,7 +98,7 @@
 // began tells the guard that the first byte of an attempt was written.
 func (h *Gateway) began(at *attempt) {
 	a := h.guarded(at)
-	h.guard.CheckAfterWrite(h.now, &a)
+	h.invariants.CheckAfterWrite(h.clock.now, &a)
 }
 
 // mayRun notes that an attempt may have run, by how it ended.
@@ -108,7 +108,7 @@
 		return
 	}
 	ex.attempts.mayHaveRun = attemptRun{known: true, began: at.began}
-	if n := h.nodes[at.node]; n != nil {
+	if n := h.nodes.byName[at.node]; n != nil {
 		ex.attempts.mayHaveRun.zone, ex.attempts.mayHaveRun.shard = n.zone, n.shard
 	}
 }
--- a/internal/gateway/invariants_test.go
+++ b/internal/gateway/invariants_test.go
@@ -24,7 +24,7 @@
 func carelessRig(t *testing.T) (*rig, *careless, ConnID) {
 	r := newRig(t, "")
 	c := &careless{}
-	r.h.core = c
+	r.h.scheduler = c
 	client := r.client("PUT /feed-a/x HTTP/1.1\r\nHost: h\r\nContent-Length: 4\r\n\r\nbody")
 	r.run()
 	return r, c, client
@@ -46,7 +46,7 @@
 		want    invariant.Rule
 	}{
 		{"a node that drains", func(r *rig, c *careless, _ ConnID) {
-			r.h.members(membership.Update{Nodes: []nodelist.Node{{Name: "n0", Addr: "node:0", State: scheduler.Draining}}})
+			r.h.updateMembership(membership.Update{Nodes: []nodelist.Node{{Name: "n0", Addr: "node:0", State: scheduler.Draining}}})
 			c.actions = []scheduler.Action{send}
 		}, invariant.NodeServing},
 		{"a node that drains while its connection comes up", func(r *rig, c *careless, _ ConnID) {
@@ -54,7 +54,7 @@
 			c.actions = []scheduler.Action{send}
 			r.h.events = append(r.h.events, scheduler.TimerFired{})
 			r.run()
-			r.h.members(membership.Update{Nodes: []nodelist.Node{{Name: "n0", Addr: "node:0", State: scheduler.Draining}}})
+			r.h.updateMembership(membership.Update{Nodes: []nodelist.Node{{Name: "n0", Addr: "node:0", State: scheduler.Draining}}})
 			r.run()
 			r.h.Connected(r.now, r.dials[0])
 		}, invariant.NodeServing},
@@ -106,12 +106,12 @@
 	r.run()
 	r.h.Connected(r.now, r.dials[0])
 	out := r.h.Out(r.now, r.dials[0]) // the head is held up between this and the write
-	r.h.members(membership.Update{Nodes: []nodelist.Node{{Name: "n0", Addr: "node:0", State: scheduler.Draining}}})
+	r.h.updateMembership(membership.Update{Nodes: []nodelist.Node{{Name: "n0", Addr: "node:0", State: scheduler.Draining}}})
 	r.now += 200 * time.Millisecond
 	r.h.Wrote(r.now, r.dials[0], len(out))
-	r.h.drop(r.h.conn(client), Close)
-	r.h.reportEnd(r.h.requests[1], Rejected)
-	r.h.reportEnd(r.h.requests[1], Rejected)
+	r.h.drop(r.h.conns.find(client), Close)
+	r.h.reportEnd(r.h.requests.byID[1], Rejected)
+	r.h.reportEnd(r.h.requests.byID[1], Rejected)
 	broken := r.h.Counts().Invariants.Violated
 	for _, rule := range []invariant.Rule{invariant.NodeServing, invariant.ResponseBeforeClose, invariant.SingleResponse} {
 		if broken[rule] != 1 {
@@ -135,7 +135,7 @@
 		r.h.Stalled(r.now, r.dials[0])
 		if others {
 			r.now += time.Millisecond
-			r.h.lastConnected = r.now
+			r.h.nodes.lastConnected = r.now
 		}
 		r.pass(r.h.config.Timeouts.Dial + time.Millisecond)
 		want := scheduler.Superseded
--- a/internal/gateway/listing.go
+++ b/internal/gateway/listing.go
@@ -45,7 +45,7 @@
 		h.respond(ex, 207, webdav.ListVolumes(find, names, depth), nil)
 		return
 	}
-	h.admission.RequestAccepted(h.now, uint64(ex.client.id))
+	h.admission.RequestAccepted(h.clock.now, uint64(ex.client.id))
 	ex.volume = &h.config.Volumes[ex.place.Volume]
 	shards := ex.volume.Shards
 	if depth == "0" {
@@ -54,15 +54,15 @@
 	l.bodies = make([][]byte, len(shards))
 	l.waiting = len(shards)
 	for i, shard := range shards {
-		p := h.newExchange()
+		p := h.requests.create()
 		p.method, p.place, p.listing, p.part = ex.method, ex.place, l, i
 		p.place.Shard, p.volume = shard, ex.volume
-		p.headerBytes = append(h.buffer(), ex.headerBytes...)
+		p.headerBytes = append(h.buffers.get(), ex.headerBytes...)
 		http1.ParseRequest(p.headerBytes, &p.req, h.config.HeaderLimits) // parsed well before
-		p.body.held = append(h.buffer(), ex.body.held...)
+		p.body.held = append(h.buffers.get(), ex.body.held...)
 		p.body.whole, p.body.invited, p.body.received = true, true, int64(len(p.body.held))
 		p.trace.id, p.trace.parent, p.trace.sampled = ex.trace.id, ex.trace.span, ex.trace.sampled
-		h.randomID(p.trace.span[:])
+		h.ids.fill(p.trace.span[:])
 		p.job = h.routes.Classify(route.RequestHeader{Method: p.method, Location: p.place, Length: p.body.received, Prefer: string(p.req.Get("prefer"))})
 		l.parts = append(l.parts, p)
 		h.take(p)
--- a/internal/gateway/members_bench_test.go
+++ b/internal/gateway/members_bench_test.go
@@ -31,7 +31,7 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			return &Gateway{core: core, memberTable: membership.New(time.Time{}), nodes: map[string]*node{}, wakeAt: never}
+			return &Gateway{scheduler: core, nodes: newNodeTable(time.Time{}), wakeAt: never}
 		}
 		b.Run(fmt.Sprint("first/", size), func(b *testing.B) {
 			for range b.N {
@@ -57,7 +57,7 @@
 			for i := range b.N {
 				change := []nodelist.Node{one[0]}
 				change[0].State = scheduler.NodeState(i % 2)
-				h.members(membership.Update{Nodes: change})
+				h.updateMembership(membership.Update{Nodes: change})
 				h.Advance(time.Second)
 			}
 		})
--- a/internal/gateway/membership_source.go
+++ b/internal/gateway/membership_source.go
@@ -22,28 +22,28 @@
 	Close bool
 }
 
-// feeding is a feed and the connections it has.
-type feeding struct {
-	feed  MembershipSource // nil: the node list is told
-	conns map[int]*conn
+// membershipClient is a feed and the connections it has.
+type membershipClient struct {
+	source MembershipSource // nil: the node list is told
+	conns  map[int]*conn
 }
 
 // SetMembershipSource has the node list come from a feed.
 func (h *Gateway) SetMembershipSource(f MembershipSource) {
-	h.feeding = feeding{feed: f, conns: map[int]*conn{}}
+	h.membership = membershipClient{source: f, conns: map[int]*conn{}}
 }
 
 // advanceFeed lets the feed go on, and returns when it is to be asked again.
 func (h *Gateway) advanceFeed() Time {
-	f := &h.feeding
-	if f.feed == nil {
+	f := &h.membership
+	if f.source == nil {
 		return never
 	}
 	for {
-		if news, ok := f.feed.TakeUpdate(); ok {
-			h.members(news)
+		if news, ok := f.source.TakeUpdate(); ok {
+			h.updateMembership(news)
 		}
-		op, next := f.feed.Step(h.now)
+		op, next := f.source.Step(h.clock.now)
 		c := f.conns[op.Conn]
 		switch {
 		case op.Dial != "":
@@ -66,13 +66,13 @@
 func (h *Gateway) dialFeed(op SourceOp) {
 	c := h.newConn()
 	c.feed, c.feedConn = true, op.Conn
-	h.feeding.conns[op.Conn] = c
-	h.actions = append(h.actions, Action{Op: Dial, Conn: c.id, Addr: op.Dial})
+	h.membership.conns[op.Conn] = c
+	h.actions.dial(c.id, op.Dial)
 }
 
 func (h *Gateway) writeFeed(c *conn, p []byte) {
 	if c.out == nil {
-		c.out = h.buffer()
+		c.out = h.buffers.get()
 	}
 	c.out = append(c.out, p...)
 	h.flush(c)
@@ -84,8 +84,8 @@
 	} else {
 		h.forget(c, false)
 	}
-	if h.feeding.conns[c.feedConn] == c {
-		delete(h.feeding.conns, c.feedConn)
-		h.feeding.feed.Closed(h.now, c.feedConn)
+	if h.membership.conns[c.feedConn] == c {
+		delete(h.membership.conns, c.feedConn)
+		h.membership.source.Closed(h.clock.now, c.feedConn)
 	}
 }
--- a/internal/gateway/node.go
+++ b/internal/gateway/node.go
@@ -11,22 +11,22 @@
 
 // Connected tells that a connection asked for with Dial stands.
 func (h *Gateway) Connected(now Time, id ConnID) {
-	h.tick(now)
-	c := h.conn(id)
+	h.clock.advance(now)
+	c := h.conns.find(id)
 	if c == nil || c.connected {
 		return
 	}
 	c.connected = true
 	if c.feed {
-		h.feeding.feed.Connected(h.now, c.feedConn)
+		h.membership.source.Connected(h.clock.now, c.feedConn)
 		return
 	}
-	h.lastConnected = h.now
+	h.nodes.lastConnected = h.clock.now
 	if c.at == nil {
 		h.park(c)
 		return
 	}
-	if by := c.at.beginBy; by > 0 && h.now >= by { // a connection that came up late
+	if by := c.at.beginBy; by > 0 && h.clock.now >= by { // a connection that came up late
 		h.withhold(c)
 		return
 	}
@@ -142,7 +142,7 @@
 func (h *Gateway) answerMoves(c *conn) {
 	at := c.at
 	if at.buffered {
-		h.setDeadline(c, min(at.ex.deadline, h.now+at.stall))
+		h.setDeadline(c, min(at.ex.deadline, h.clock.now+at.stall))
 		return
 	}
 	if at.ex.answer.from != at {
@@ -153,7 +153,7 @@
 		h.events = append(h.events, scheduler.ResponseStarted{ID: at.ex.id, Attempt: at.number})
 	}
 	if !c.paused {
-		h.setDeadline(c, h.now+h.config.Timeouts.Stall)
+		h.setDeadline(c, h.clock.now+h.config.Timeouts.Stall)
 	}
 }
 
@@ -219,7 +219,7 @@
 // failure, unless the head's own machine held it up. Where others came up meanwhile it is of
 // that node all the same, as where there is no route to it.
 func (h *Gateway) unconnected(c *conn, at *attempt) scheduler.Outcome {
-	if c.postponed && h.lastConnected <= at.began {
+	if c.postponed && h.nodes.lastConnected <= at.began {
 		return scheduler.Superseded
 	}
 	return scheduler.ConnectFailed
@@ -239,7 +239,7 @@
 		c.at = nil
 		h.drop(c, Abort)
 		h.end(at, scheduler.Superseded)
-	case at.ex.answer.from == at, at.buffered && h.now < at.ex.deadline: // the answer stopped in its middle
+	case at.ex.answer.from == at, at.buffered && h.clock.now < at.ex.deadline: // the answer stopped in its middle
 		h.broken(c, h.protocol.malformed())
 	default: // the client's time is up; a later answer is nobody's
 		at.ex.attempts.timedOut = true
--- /dev/null
+++ b/internal/gateway/node_table.go
@@ -0,0 +1,124 @@
+package gateway
+
+import (
+	"time"
+
+	"maddergap/internal/membership"
+	"maddergap/internal/nodelist"
+	"maddergap/scheduler"
+)
+
+// node is a storage node: where it is reached, and the connections to it. It stays
+// after it has left the endpoint list until its last connection is closed.
+type node struct {
+	name, addr  string
+	zone, shard int
+	started     Time // identifies the incarnation of the node; a restart changes it
+	listed      bool // it is in the endpoint list
+	state       scheduler.NodeState
+	changed     Time // when the gateway was notified of this state or address
+
+	conns int     // open connections, those being dialed included
+	idle  []*conn // connections without a request, the last used last
+	// keepsOpen: an idle connection was still open after reuseDelay, and the node
+	// has closed none sooner since.
+	keepsOpen bool
+}
+
+// nodeTable has the storage nodes, the connections to which are counted over all nodes.
+type nodeTable struct {
+	membership    *membership.Table
+	known         bool // an endpoint list was received
+	byName        map[string]*node
+	idle          idleList // idle connections of all nodes
+	conns         int      // open connections to all nodes
+	lastConnected Time     // when a connection to a node was established last
+}
+
+func newNodeTable(origin time.Time) nodeTable {
+	return nodeTable{membership: membership.New(origin), byName: map[string]*node{}}
+}
+
+// connOpened counts a connection to a node that is being dialed.
+func (t *nodeTable) connOpened(n *node) {
+	n.conns++
+	t.conns++
+}
+
+// connClosed counts the end of a connection to a node, and forgets a node that is no
+// longer listed with its last connection.
+func (t *nodeTable) connClosed(n *node) {
+	n.conns--
+	t.conns--
+	if t.byName[n.name] == n {
+		t.removeUnused(n)
+	}
+}
+
+func (t *nodeTable) removeUnused(n *node) {
+	if !n.listed && n.conns == 0 {
+		delete(t.byName, n.name)
+	}
+}
+
+// apply updates a node from a change of the endpoint list.
+func (t *nodeTable) apply(now Time, c *membership.Change) *node {
+	n := t.byName[c.Endpoint.Node]
+	if n == nil {
+		n = &node{name: c.Endpoint.Node}
+		t.byName[n.name] = n
+	}
+	if n.state != c.Endpoint.State || c.AddressChanged {
+		n.changed = now
+	}
+	n.state, n.started, n.addr = c.Endpoint.State, c.Endpoint.Started, c.Addr
+	n.zone, n.shard = c.Endpoint.Zone, c.Endpoint.Shard
+	n.listed = n.state != scheduler.Removed
+	if c.AddressChanged {
+		n.keepsOpen = false
+	}
+	return n
+}
+
+// SetNodes replaces the endpoint list.
+func (h *Gateway) SetNodes(now Time, list []nodelist.Node) {
+	h.clock.advance(now)
+	h.updateMembership(membership.Update{Nodes: list, Full: true})
+}
+
+// updateMembership applies a watch event of the endpoint list, and notifies the
+// scheduler of what has changed.
+func (h *Gateway) updateMembership(update membership.Update) {
+	h.nodes.known = true
+	changes := h.nodes.membership.Apply(h.clock.now, update)
+	if len(changes) == 0 {
+		return
+	}
+	endpoints := make([]scheduler.Endpoint, 0, len(changes))
+	for i := range changes {
+		h.updateNode(&changes[i])
+		endpoints = append(endpoints, changes[i].Endpoint)
+	}
+	if h.observer != nil {
+		h.observer.MembersChanged(changes)
+	}
+	h.events = append(h.events, scheduler.EndpointUpdate{Endpoints: endpoints})
+}
+
+// updateNode applies a change of one node. Its idle connections are closed if they
+// lead to a previous address or incarnation, or to a node that was removed.
+func (h *Gateway) updateNode(c *membership.Change) {
+	n := h.nodes.apply(h.clock.now, c)
+	if c.AddressChanged || !n.listed {
+		h.closeIdleConns(n)
+	}
+	h.nodes.removeUnused(n)
+}
+
+func (h *Gateway) closeIdleConns(n *node) {
+	for _, c := range n.idle {
+		h.nodes.idle.remove(c)
+		h.drop(c, Close)
+	}
+	n.idle = nil
+}
--- a/internal/gateway/observer.go
+++ b/internal/gateway/observer.go
@@ -71,7 +71,8 @@
 // Counts returns the sums.
 func (h *Gateway) Counts() Counts {
 	c := h.counts
-	c.Admitted, c.BufferedBytes, c.Stall = h.admission.Counts(), h.heldBytes, h.lag.now(h.now)
-	c.Invariants = h.guard.Counts()
+	c.Clients, c.NodeConns = h.clientConns, h.nodes.conns
+	c.Admitted, c.BufferedBytes, c.Stall = h.admission.Counts(), h.buffers.clientBytes, h.stall.now(h.clock.now)
+	c.Invariants = h.invariants.Counts()
 	return c
 }
--- a/internal/gateway/random_test.go
+++ b/internal/gateway/random_test.go
@@ -88,7 +88,7 @@
 				r.pass(time.Duration(rapid.IntRange(1, 700).Draw(rt, "ms")) * time.Millisecond)
 			}
 			holders := map[*exchange]uint64{}
-			for id, ex := range r.h.requests {
+			for id, ex := range r.h.requests.byID {
 				if other := holders[ex]; other != 0 || ex.id != id {
 					rt.Fatalf("one object serves requests %d and %d", other, id)
 				}
@@ -99,9 +99,9 @@
 			}
 		}
 		r.pass(30 * time.Second)
-		if n := len(r.h.requests); n != 0 {
-			for id, ex := range r.h.requests {
-				rt.Logf("%d: %s live %d sends %d final %v due %v; now %v wake %v next %v timers %d", id, ex.method, ex.attempts.inFlight, ex.attempts.count, ex.answer.final, ex.deadline, r.now, r.h.wakeAt, r.next, len(r.h.timers))
+		if n := len(r.h.requests.byID); n != 0 {
+			for id, ex := range r.h.requests.byID {
+				rt.Logf("%d: %s live %d sends %d final %v due %v; now %v wake %v next %v timers %d", id, ex.method, ex.attempts.inFlight, ex.attempts.count, ex.answer.final, ex.deadline, r.now, r.h.wakeAt, r.next, len(r.h.timers.heap))
 			}
 			rt.Log(r.log.String())
 			rt.Fatalf("%d requests are held for good", n)
@@ -143,12 +143,12 @@
 				}
 			}
 		}
-		if conn := r.h.conn(c); conn != nil && len(conn.in) > len(p) {
+		if conn := r.h.conns.find(c); conn != nil && len(conn.in) > len(p) {
 			t.Fatalf("%d bytes are kept of %d", len(conn.in), len(p))
 		}
 		r.pass(30 * time.Second)
-		if len(r.h.requests) != 0 {
-			t.Fatalf("%d requests are held for good", len(r.h.requests))
+		if len(r.h.requests.byID) != 0 {
+			t.Fatalf("%d requests are held for good", len(r.h.requests.byID))
 		}
 	})
 }
@@ -166,8 +166,8 @@
 		r.say(n, string(p[:cut]))
 		r.say(n, string(p[cut:]))
 		r.pass(30 * time.Second)
-		if len(r.h.requests) != 0 {
-			t.Fatalf("%d requests are held for good", len(r.h.requests))
+		if len(r.h.requests.byID) != 0 {
+			t.Fatalf("%d requests are held for good", len(r.h.requests.byID))
 		}
 		if got := r.take(c); got == "" && r.ended[c] != Abort {
 			t.Fatal("no answer, and no end of the connection that could stand for one")
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -9,9 +9,9 @@
 
 // begin takes a request's header.
 func (h *Gateway) begin(c *conn, block []byte) {
-	ex := h.newExchange()
-	ex.client, c.ex, ex.headerAt = c, ex, h.now
-	ex.headerBytes = append(h.buffer(), block...)
+	ex := h.requests.create()
+	ex.client, c.ex, ex.headerAt = c, ex, h.clock.now
+	ex.headerBytes = append(h.buffers.get(), block...)
 	h.setDeadline(c, never)
 	if err := http1.ParseRequest(ex.headerBytes, &ex.req, h.config.HeaderLimits); err != nil {
 		h.malformed(c, ex, err)
@@ -22,7 +22,7 @@
 	ex.body.decoder.Reset(&r.Message)
 	ex.body.whole = ex.body.decoder.Done()
 	ex.body.invited = !r.Expect
-	if h.leaving {
+	if h.phase >= draining {
 		c.closing = true
 	}
 	if r.Close {
@@ -32,7 +32,7 @@
 		c.closing = true // the last that this connection may have
 	}
 	h.endAdmitted(c)
-	if ok, why := h.admission.BeginRequest(h.now, uint64(c.id), h.heldBytes, ex.body.whole); !ok {
+	if ok, why := h.admission.BeginRequest(h.clock.now, uint64(c.id), h.buffers.clientBytes, ex.body.whole); !ok {
 		c.closing = true
 		h.turned(c.remote, why, true)
 		h.answerOwn(ex, 503, notAdmitted(why))
@@ -71,7 +71,7 @@
 
 // bodyOn begins to wait for a client's body, or goes on after it waited for us.
 func (h *Gateway) bodyOn(c *conn) {
-	c.body = pace{from: h.now}
+	c.body = pace{from: h.clock.now}
 	h.setDeadline(c, h.bodyBy(c))
 }
 
@@ -120,18 +120,17 @@
 		h.answerOwn(ex, fault.Status, fault.Reason)
 		return
 	}
-	h.lastID++
-	ex.id, ex.takenAt = h.lastID, h.now
+	h.requests.assignID(ex)
+	ex.takenAt = h.clock.now
 	a := &ex.ask.Arrival
 	a.ID, a.TimeRemaining = ex.id, h.clientTimeLeft(a.TimeRemaining)
 	if c := ex.client; c != nil && c.requests == 1 {
 		a.TimeRemaining = max(a.TimeRemaining-c.waited, 0)
 	}
-	ex.deadline = h.now + a.TimeRemaining
-	h.requests[ex.id] = ex
+	ex.deadline = h.clock.now + a.TimeRemaining
 	h.counts.Received++
 	if ex.client != nil {
-		h.admission.RequestAccepted(h.now, uint64(ex.client.id))
+		h.admission.RequestAccepted(h.clock.now, uint64(ex.client.id))
 	}
 	h.events = append(h.events, *a)
 }
--- a/internal/gateway/rig_test.go
+++ b/internal/gateway/rig_test.go
@@ -205,7 +205,7 @@
 	if got := r.finals(); !maps.Equal(got, want) {
 		r.t.Errorf("final answers %v, want %v", got, want)
 	}
-	if n := len(r.h.requests); n != 0 {
+	if n := len(r.h.requests.byID); n != 0 {
 		r.t.Errorf("%d requests are still held", n)
 	}
 }
--- a/internal/gateway/send.go
+++ b/internal/gateway/send.go
@@ -10,13 +10,13 @@
 	if ex == nil { // never: the module sends only what it has no final answer for
 		return
 	}
-	at := &attempt{ex: ex, number: ex.attempts.count, node: name, began: h.now, beginBy: by}
-	h.randomID(at.span[:])
+	at := &attempt{ex: ex, number: ex.attempts.count, node: name, began: h.clock.now, beginBy: by}
+	h.ids.fill(at.span[:])
 	ex.attempts.latest = at
 	ex.attempts.count++
 	ex.attempts.inFlight++
 	h.counts.Attempts++
-	n := h.nodes[name]
+	n := h.nodes.byName[name]
 	kept := h.keptFor(ex, n)
 	switch {
 	case ex.answer.final: // it got its answer in this very turn
@@ -34,10 +34,9 @@
 		c := h.newConn()
 		c.node, c.at, at.conn = n, at, c
 		c.addr, c.started = n.addr, n.started
-		n.conns++
-		h.counts.NodeConns++
-		h.actions = append(h.actions, Action{Op: Dial, Conn: c.id, Addr: n.addr})
-		h.setDeadline(c, min(h.now+h.config.Timeouts.Dial, ex.deadline))
+		h.nodes.connOpened(n)
+		h.actions.dial(c.id, n.addr)
+		h.setDeadline(c, min(h.clock.now+h.config.Timeouts.Dial, ex.deadline))
 	}
 }
 
@@ -64,7 +63,7 @@
 	ex, r := at.ex, &at.ex.req
 	c.out, c.wrote = c.out[:0], 0
 	if c.out == nil {
-		c.out = h.buffer()
+		c.out = h.buffers.get()
 	}
 	b := h.protocol.appendRequest(h, c.out, at)
 	switch {
@@ -96,7 +95,7 @@
 func (h *Gateway) uploadData(at *attempt, data []byte) {
 	c, ex := at.conn, at.ex
 	if c.out == nil {
-		c.out = h.buffer()
+		c.out = h.buffers.get()
 	}
 	if len(data) > 0 {
 		appendBody(c, data)
--- a/internal/gateway/stall.go
+++ b/internal/gateway/stall.go
@@ -33,5 +33,5 @@
 // left is what is left of a client's time: less what reading its request took and
 // what bringing it the answer will take, half of the time at most.
 func (h *Gateway) clientTimeLeft(t time.Duration) time.Duration {
-	return max(t-2*h.lag.now(h.now), t/2)
+	return max(t-2*h.stall.now(h.clock.now), t/2)
 }
--- a/internal/gateway/status.go
+++ b/internal/gateway/status.go
@@ -22,7 +22,7 @@
 // A node of the sockets that the scheduler has forgotten is told with its name alone.
 func (h *Gateway) Status() []NodeStatus {
 	on := map[string]Sockets{}
-	for _, c := range h.slots {
+	for _, c := range h.conns.slots {
 		if c == nil || c.node == nil {
 			continue
 		}
@@ -35,7 +35,7 @@
 		on[c.node.name] = s
 	}
 	var all []NodeStatus
-	if v, ok := h.core.(statusTeller); ok {
+	if v, ok := h.scheduler.(statusTeller); ok {
 		for _, n := range v.Status() {
 			all = append(all, NodeStatus{n, on[n.Node]})
 			delete(on, n.Node)
--- a/internal/gateway/trace.go
+++ b/internal/gateway/trace.go
@@ -1,7 +1,6 @@
 package gateway
 
 import (
-	"encoding/binary"
 	"encoding/hex"
 
 	"go.opentelemetry.io/otel/trace"
@@ -9,7 +8,7 @@
 
 // traceOf takes the trace of W3C Trace Context's traceparent, or begins one.
 func (h *Gateway) traceOf(ex *exchange) {
-	h.randomID(ex.trace.span[:])
+	h.ids.fill(ex.trace.span[:])
 	v := ex.req.Get("traceparent") // 00-32 hex-16 hex-2 hex
 	if len(v) >= 55 && v[2] == '-' && v[35] == '-' && v[52] == '-' && (len(v) == 55 || v[0] != '0' || v[1] != '0') &&
 		!(v[0] == 'f' && v[1] == 'f') {
@@ -22,15 +21,11 @@
 			return
 		}
 	}
-	h.randomID(ex.trace.id[:8])
-	h.randomID(ex.trace.id[8:])
+	h.ids.fill(ex.trace.id[:8])
+	h.ids.fill(ex.trace.id[8:])
 	ex.trace.sampled = true
 }
 
-func (h *Gateway) randomID(b []byte) {
-	binary.LittleEndian.PutUint64(b, h.rand.Uint64()|1) // never all zero
-}
-
 func appendTrace(b []byte, id [16]byte, span [8]byte, sampled bool) []byte {
 	b = hex.AppendEncode(append(b, "00-"...), id[:])
 	b = hex.AppendEncode(append(b, '-'), span[:])
@@ -43,15 +38,15 @@
 // reportEnd counts and reports a request's end.
 func (h *Gateway) reportEnd(ex *exchange, o Outcome) {
 	if ex.answer.reported && ex.id != 0 {
-		h.guard.RecordDuplicateResponse(h.now, ex.id)
+		h.invariants.RecordDuplicateResponse(h.clock.now, ex.id)
 	}
 	ex.answer.reported = true
 	h.protocol.finished(ex, o)
 	if h.observer == nil {
 		return
 	}
-	s := Span{Request: h.requestID(ex.id), Trace: ex.trace.id, ID: ex.trace.span, Parent: ex.trace.parent, Sampled: ex.trace.sampled,
-		Start: ex.headerAt, End: h.now, Method: ex.method, Path: ex.place.Path, Status: ex.answer.status, Outcome: o,
+	s := Span{Request: h.ids.requestID(ex.id), Trace: ex.trace.id, ID: ex.trace.span, Parent: ex.trace.parent, Sampled: ex.trace.sampled,
+		Start: ex.headerAt, End: h.clock.now, Method: ex.method, Path: ex.place.Path, Status: ex.answer.status, Outcome: o,
 		Attempts: ex.attempts.count, Reason: ex.answer.reason}
 	if ex.client != nil {
 		s.Client = ex.client.remote.String()
--- a/internal/gateway/webdav_protocol.go
+++ b/internal/gateway/webdav_protocol.go
@@ -55,7 +55,7 @@
 		b = http1.AppendField(b, "Host", []byte(at.conn.node.addr))
 	}
 	b = append(b, "Via: 1.1 maddergap\r\nX-Request-Id: "...)
-	b = append(h.appendRequestID(b, ex.id), "\r\n"...)
+	b = append(h.ids.appendRequestID(b, ex.id), "\r\n"...)
 	b = http1.AppendInt(b, "Maddergap-Attempt", int64(at.number))
 	return append(appendTrace(append(b, "traceparent: "...), ex.trace.id, at.span, ex.trace.sampled), "\r\n"...)
 }
@@ -90,11 +90,11 @@
 	}
 	cl := ex.client
 	if cl.out == nil {
-		cl.out = h.buffer()
+		cl.out = h.buffers.get()
 	}
 	b := http1.AppendStatus(cl.out, r.Status)
 	b = http1.AppendPassed(b, &r.Message, "x-request-id")
-	b = append(h.appendRequestID(append(b, "X-Request-Id: "...), ex.id), "\r\n"...)
+	b = append(h.ids.appendRequestID(append(b, "X-Request-Id: "...), ex.id), "\r\n"...)
 	switch {
 	case ex.method == "HEAD" || r.Status == 304:
 		if l := r.Get("content-length"); l != nil {
@@ -124,7 +124,7 @@
 	default:
 		cl := ex.client
 		if cl.out == nil {
-			cl.out = h.buffer()
+			cl.out = h.buffers.get()
 		}
 		if ex.answer.chunked {
 			cl.out = http1.AppendChunk(cl.out, data)
--- a/internal/syscalls/clocks_test.go
+++ b/internal/syscalls/clocks_test.go
@@ -31,8 +31,7 @@
 	"internal/discovery/list.go":      "since_ms of the node list",
 	"internal/nodelist/nodelist.go":   "started of the node list",
 	"internal/admission/admission.go": "monotonic readings in the form that the rate limiter takes",
-	"internal/gateway/answer.go":      "the Date field",
-	"internal/gateway/accept.go":      "the Date field",
+	"internal/gateway/clock.go":       "the Date field",
 }
 
 // An operator or NTP sets the wall clock while the gateway runs, and a duration that is
