--- a/internal/discovery/bench_test.go
+++ b/internal/discovery/bench_test.go
@@ -5,23 +5,23 @@
 	"testing"
 )
 
-// BenchmarkWholeList is what reading a whole list costs.
-func BenchmarkWholeList(b *testing.B) {
+// BenchmarkFullList measures the decoding of a full list.
+func BenchmarkFullList(b *testing.B) {
 	for _, size := range []int{200, 800, 3200} {
-		var entries []string
+		var endpoints []string
 		for i := range size {
-			entries = append(entries, entry(fmt.Sprintf("s-%08x", i), "up"))
+			endpoints = append(endpoints, endpointJSON(fmt.Sprintf("s-%08x", i), "up"))
 		}
-		text := response(list(41, true, entries...))
+		text := httpResponse(listJSON(41, true, endpoints...))
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
 			b.SetBytes(int64(len(text)))
 			for range b.N {
 				c := New("10.0.0.1:1", []string{"z0", "z1"}, false, 1)
-				op, _ := c.Step(start)
-				c.Connected(start, op.Conn)
-				c.Step(start)
-				c.Data(start, op.Conn, []byte(text))
-				if news, ok := c.TakeUpdate(); !ok || len(news.Nodes) != size {
+				op, _ := c.Step(startTime)
+				c.Connected(startTime, op.Conn)
+				c.Step(startTime)
+				c.Data(startTime, op.Conn, []byte(text))
+				if update, ok := c.TakeUpdate(); !ok || len(update.Nodes) != size {
 					b.Fatal(c.Status().LastError)
 				}
 			}
--- a/internal/discovery/call.go
+++ b/internal/discovery/call.go
@@ -1,125 +1,154 @@
 package discovery
 
 import (
-	"fmt"
 	"strconv"
 
 	"maddergap/internal/http1"
-	"maddergap/internal/nodelist"
 )
 
+// callState is the life cycle of a call. It passes through the states in their order; after a
+// complete response a new call begins as ready on the same connection.
 type callState uint8
 
 const (
-	dialing callState = iota
-	connected
-	waiting   // for the answer's first byte
-	receiving // its answer
+	dialing          callState = iota // its connection is coming up
+	ready                             // its connection is open; the request is not written yet
+	awaitingResponse                  // the request is written; no byte of the response came
+	receiving                         // a part of the response came
 )
 
-// call is one request for the list, and the connection that it is made on.
+func (s callState) String() string {
+	return [...]string{"dialing", "ready", "awaiting response", "receiving"}[s]
+}
+
+// call is one request for the list and the connection that carries it.
 type call struct {
-	conn     int // of the client's own numbering
-	state    callState
-	began    Time
+	conn  int // the client's own number of the connection
+	state callState
+	kind  requestKind // valid once the request is written
+	// startedAt is when the dial began, or on a reused connection when the request was written;
+	// 0 until then.
+	startedAt Time
+	// deadline ends the call in every state but ready.
 	deadline Time
-	// notBefore is when a connection that stands may carry the call.
-	notBefore Time
-	first     Time  // when the answer began
-	progress  Time  // when bytes of it came last
-	base      int64 // the version that changes were asked from
-	whole     bool  // the whole list was asked for
-
-	in      []byte
-	scanned int
-	interim int // 1xx answers that came
-	header  http1.Response
-	inBody  bool
-	body    http1.Body
-	size    int
-	list    listReader
+	// notBefore is the earliest time for writing the request on a reused connection.
+	notBefore   Time
+	firstByteAt Time // of the response; valid when receiving
+	lastByteAt  Time // of the response so far; valid when receiving
+	response    responseDecoder
 }
 
-// request writes the call.
-func (k *call) request(addr string, hold Time) []byte {
-	b := append([]byte(nil), "GET /api/targets"...)
-	if !k.whole {
-		b = strconv.AppendInt(append(b, "?from="...), k.base, 10)
-		b = strconv.AppendInt(append(b, "&hold_ms="...), hold.Milliseconds(), 10)
-	}
-	return append(append(append(b, " HTTP/1.1\r\nHost: "...), addr...), "\r\n\r\n"...)
+// reuse turns a completed call into the next one on its connection.
+func (k *call) reuse(notBefore Time) {
+	*k = call{conn: k.conn, state: ready, notBefore: notBefore, response: responseDecoder{unread: k.response.unread[:0]}}
 }
 
-// again makes the connection ready for another call.
-func (k *call) again(notBefore Time) {
-	*k = call{conn: k.conn, state: connected, notBefore: notBefore, in: k.in[:0]}
+// sent reports whether the request was written.
+func (k *call) sent() bool { return k.state >= awaitingResponse }
+
+// requestKind is what a call asks the server for.
+type requestKind uint8
+
+const (
+	fullListRequest requestKind = iota // the full list, at once
+	changesRequest                     // the changes since a version, at once
+	watchRequest                       // the changes since a version; held until there are any
+)
+
+func (k requestKind) String() string {
+	return [...]string{"full list", "changes", "watch"}[k]
 }
 
-// refusedError is an answer that turns the call away.
-type refusedError struct{ status int }
+// appendRequest appends the message of a request to b: version is the one in force, hold the
+// time for which the server may hold a watch. Both are left out where the kind has no use for
+// them.
+func appendRequest(b []byte, kind requestKind, addr string, version int64, hold Time) []byte {
+	b = append(b, "GET /api/targets"...)
+	if kind != fullListRequest {
+		b = append(b, "?from="...)
+		b = strconv.AppendInt(b, version, 10)
+		b = append(b, "&hold_ms="...)
+		b = strconv.AppendInt(b, hold.Milliseconds(), 10)
+	}
+	b = append(b, " HTTP/1.1\r\nHost: "...)
+	b = append(b, addr...)
+	return append(b, "\r\n\r\n"...)
+}
 
-func (e *refusedError) Error() string { return fmt.Sprintf("the call is refused with %d", e.status) }
+// responseDecoder decodes the response to a call as its bytes come.
+type responseDecoder struct {
+	unread   []byte // bytes that are not decoded yet
+	scanned  int    // how many of them were searched for the end of the header
+	interim  int    // interim (1xx) responses so far
+	header   http1.Response
+	inBody   bool // the header of the final response is complete
+	body     http1.Body
+	bodySize int // bytes of the body so far
+	list     listDecoder
+}
 
-// data takes bytes of the connection and tells whether the answer is whole.
-func (k *call) data(p []byte) (done bool, err error) {
-	k.in = append(k.in, p...)
-	for !k.inBody {
-		n := http1.DefaultLimits.Block(k.in, &k.scanned)
+// write takes the next bytes and reports whether the response is complete.
+func (d *responseDecoder) write(p []byte) (complete bool, err error) {
+	d.unread = append(d.unread, p...)
+	for !d.inBody {
+		n := http1.DefaultLimits.Block(d.unread, &d.scanned)
 		if n == 0 {
 			return false, nil
 		}
-		if err := k.head(k.in[:n]); err != nil {
-			return false, err
-		}
-		k.in = append(k.in[:0], k.in[n:]...)
-	}
-	rest := k.in
-	for len(rest) > 0 && !k.body.Done() {
-		var data []byte
-		if data, rest, err = k.body.Next(rest); err != nil {
-			return false, err
-		}
-		if k.size += len(data); k.size > maxList {
-			return false, fmt.Errorf("a list of more than %d bytes", maxList)
-		}
-		if err := k.list.read(data); err != nil {
+		if err := d.decodeHeader(d.unread[:n]); err != nil {
 			return false, err
 		}
+		d.unread = append(d.unread[:0], d.unread[n:]...)
 	}
-	k.in = append(k.in[:0], rest...)
-	return k.body.Done(), nil
+	return d.decodeBody()
 }
 
-// head takes the header block of an answer, or of a 1xx ahead of it.
-func (k *call) head(block []byte) error {
-	if err := http1.ParseResponse(block, &k.header, "GET", http1.DefaultLimits); err != nil {
+// decodeHeader takes the header block of the response, or of an interim response before it.
+func (d *responseDecoder) decodeHeader(block []byte) error {
+	if err := http1.ParseResponse(block, &d.header, "GET", http1.DefaultLimits); err != nil {
 		return err
 	}
-	status := k.header.Status
-	if status >= 100 && status < 200 && status != 101 { // more is to come
-		if k.interim++; k.interim > http1.InterimMax {
-			return fmt.Errorf("1xx answers without end")
+	status := d.header.Status
+	if status >= 100 && status < 200 && status != 101 {
+		d.interim++
+		if d.interim > http1.InterimMax {
+			return ErrTooManyInterim
 		}
 		return nil
 	}
-	k.interim = 0
-	switch {
-	case status == 503:
-		return &refusedError{status}
-	case status != 200 || k.header.Length > maxList:
-		return fmt.Errorf("answered %d with %d bytes", status, k.header.Length)
+	d.interim = 0
+	if status != 200 {
+		return &StatusError{Status: status}
 	}
-	k.inBody, k.size = true, 0
-	k.body.Reset(&k.header.Message)
+	if d.header.Length > maxListBytes {
+		return tooLarge("a body of %d bytes, more than %d", d.header.Length, maxListBytes)
+	}
+	d.inBody = true
+	d.bodySize = 0
+	d.body.Reset(&d.header.Message)
 	return nil
 }
 
-// ends tells whether the connection cannot carry another call.
-func (k *call) ends() bool { return k.header.Close || len(k.in) > 0 }
-
-// answer is what a call brought.
-type answer struct {
-	index    int64
-	snapshot bool
-	nodes    []nodelist.Node
+func (d *responseDecoder) decodeBody() (complete bool, err error) {
+	rest := d.unread
+	for len(rest) > 0 && !d.body.Done() {
+		var data []byte
+		data, rest, err = d.body.Next(rest)
+		if err != nil {
+			return false, err
+		}
+		d.bodySize += len(data)
+		if d.bodySize > maxListBytes {
+			return false, tooLarge("a body of more than %d bytes", maxListBytes)
+		}
+		if err := d.list.write(data); err != nil {
+			return false, err
+		}
+	}
+	d.unread = append(d.unread[:0], rest...)
+	return d.body.Done(), nil
 }
+
+// connReusable reports whether the connection can carry another call after a complete response:
+// the server keeps it open, and sent nothing behind the response.
+func (d *responseDecoder) connReusable() bool { return !d.header.Close && len(d.unread) == 0 }
--- /dev/null
+++ b/internal/discovery/events.go
@@ -0,0 +1,108 @@
+package discovery
+
+import (
+	"fmt"
+	"slices"
+)
+
+// findCall returns the call on a connection, nil: there is none, and its event is late.
+func (c *Client) findCall(conn int) *call {
+	for _, k := range c.calls {
+		if k.conn == conn {
+			return k
+		}
+	}
+	return nil
+}
+
+// Connected is called when a connection is open.
+func (c *Client) Connected(now Time, conn int) {
+	if k := c.findCall(conn); k != nil && k.state == dialing {
+		k.state = ready
+	}
+}
+
+// Closed is called when a connection was refused, or closed by the other end.
+func (c *Client) Closed(now Time, conn int) {
+	if k := c.findCall(conn); k != nil {
+		c.end(k)
+		c.callFailed(now, k, ErrConnectionLost)
+	}
+}
+
+// Data is called with bytes that came on a connection. p is not kept.
+func (c *Client) Data(now Time, conn int, p []byte) {
+	k := c.findCall(conn)
+	if k == nil || len(p) == 0 {
+		return
+	}
+	if !k.sent() {
+		c.abort(now, k, ErrUnsolicitedData)
+		return
+	}
+	if k.state == awaitingResponse {
+		k.state = receiving
+		k.firstByteAt = now
+	}
+	k.lastByteAt = now
+	complete, err := k.response.write(p)
+	switch {
+	case err != nil:
+		c.abort(now, k, err)
+	case complete:
+		c.completed(now, k)
+	}
+}
+
+// expireCalls ends the calls whose deadline has passed.
+func (c *Client) expireCalls(now Time) {
+	for _, k := range slices.Clone(c.calls) {
+		if k.state != ready && now >= k.deadline {
+			c.status.CallsAbandoned++
+			c.abort(now, k, ErrNoResponse)
+		}
+	}
+}
+
+// abort ends a call that failed while its connection is open.
+func (c *Client) abort(now Time, k *call, cause error) {
+	c.endAndClose(k)
+	c.callFailed(now, k, cause)
+}
+
+// callFailed records why a call that has ended brought no list, and plans what follows.
+func (c *Client) callFailed(now Time, k *call, cause error) {
+	c.list.callFailed(k.sent(), cause)
+	c.status.LastError = fmt.Errorf("discovery at %s: %w", c.addr, cause)
+	c.schedule.callFailed(now, k.startedAt)
+}
+
+// completed takes the list of a complete response. All other calls end with it, since none of
+// them could bring a newer one sooner, and its connection carries the next call.
+func (c *Client) completed(now Time, k *call) {
+	list, err := k.response.list.finish()
+	if err == nil {
+		err = c.list.apply(k.kind, list, c.status.LastResponseAt)
+	}
+	if err != nil {
+		c.abort(now, k, err)
+		return
+	}
+	c.status.ListsReceived++
+	c.status.Version = list.index
+	c.status.LastResponseAt = now
+	c.status.LastError = nil
+	c.schedule.callSucceeded()
+	for _, other := range slices.Clone(c.calls) {
+		if other != k {
+			c.status.CallsAbandoned++
+			c.endAndClose(other)
+		}
+	}
+	if !k.response.connReusable() {
+		c.endAndClose(k)
+		c.schedule.restart(now)
+		return
+	}
+	k.reuse(k.startedAt + callSpacing)
+}
--- /dev/null
+++ b/internal/discovery/fuzz_test.go
@@ -0,0 +1,36 @@
+package discovery
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+	"time"
+)
+
+// FuzzData checks that the pieces in which a response comes change nothing, and that whatever
+// comes the client makes another call.
+func FuzzData(f *testing.F) {
+	f.Add([]byte("HTTP/1.1 200 OK\r\nContent-Length: 43\r\n\r\n"+listJSON(41, true)), 3)
+	f.Add([]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\n{}\r\n0\r\n\r\n"), 1)
+	f.Fuzz(func(t *testing.T, b []byte, n int) {
+		n = max(1, n%64)
+		var updates []string
+		for _, n := range []int{n, len(b) + 1} {
+			h := newAgentHarness(t)
+			for conn, rest := h.lastConn, b; len(rest) > 0 && h.open[conn]; {
+				size := min(n, len(rest))
+				h.deliver(conn, string(rest[:size]))
+				rest = rest[size:]
+			}
+			update, ok := h.client.TakeUpdate()
+			updates = append(updates, fmt.Sprint(update, ok))
+			h.advance(10 * time.Second)
+			if !strings.HasPrefix(h.lastRequest, "GET /api/targets") && len(h.dials) < 2 {
+				t.Fatalf("%q: no further call", b)
+			}
+		}
+		if len(b) < 64 && updates[0] != updates[1] && !strings.Contains(string(b), "200") {
+			t.Fatalf("%q: %v", b, updates)
+		}
+	})
+}
