--- a/internal/orderedset/orderedset_test.go
+++ b/internal/orderedset/orderedset_test.go
@@ -11,8 +11,8 @@
 
 type item struct{ key, tie, a, b int64 }
 
-// Any history leaves it as a sorted slice would be.
-func TestSet(t *testing.T) {
+// The set is used at random and compared with a sorted slice after each step.
+func TestRandomHistories(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		byA := func(x, y item) bool { return cmp.Or(cmp.Compare(x.a, y.a), cmp.Compare(x.tie, y.tie)) < 0 }
 		byB := func(x, y item) bool { return cmp.Or(cmp.Compare(y.b, x.b), cmp.Compare(x.tie, y.tie)) < 0 }
@@ -23,7 +23,7 @@
 			if len(want) > 0 && rapid.IntRange(0, 2).Draw(t, "remove") == 0 {
 				i := rapid.IntRange(0, len(want)-1).Draw(t, "which")
 				if !s.Remove(want[i].key, want[i].tie) || s.Remove(want[i].key, want[i].tie) {
-					t.Fatal("removed not once")
+					t.Fatal("an item was not removed exactly once")
 				}
 				want = slices.Delete(want, i, i+1)
 			} else {
--- a/internal/waitqueue/queue.go
+++ b/internal/waitqueue/queue.go
@@ -1,10 +1,10 @@
-// Package waitqueue keeps the requests that wait for one server so that the next one to send
-// is found by a look at a few subqueues, not at every request. It holds no rule: what may be
-// sent, and what is sent first, is its user's to say. It is pure and deterministic.
+// Package waitqueue keeps the requests that wait for one server, in a form in which the next one
+// to send is found by a look at a few subqueues, not at every request. It holds no policy: what
+// may be sent, and what is sent first, its user decides. It does no I/O and is deterministic.
 //
-// A request is held from Add to Remove. Meanwhile it is ready (MakeReady), deferred until a
-// time (Defer), or neither. Ready requests of one profile, that is, those which its user's
-// conditions treat alike but for their times and order, stand in one subqueue.
+// A request is queued from Add to Remove or RemoveExpired. Meanwhile it is Ready, Deferred or
+// Suspended. Ready requests with the same profile (everything that the user's rules depend on,
+// other than times and order) stand in one subqueue.
 package waitqueue
 
 import (
@@ -15,89 +15,77 @@
 	"maddergap/internal/orderedset"
 )
 
-const (
-	// keptEmpty is how many shared subqueues are kept though nothing waits in them.
-	keptEmpty = 16
-	// keptEmptyOfOwner is the same of one owner's.
-	keptEmptyOfOwner = keptEmpty / 4
-	// keptForReuse is how many subqueues that were taken out are kept for use again.
-	keptForReuse = 4 * keptEmpty
-)
-
-// OwnerQueue is what one owner has ready in a queue. An isolated one is in no shared subqueue.
-type OwnerQueue[R any, K, V comparable] struct {
-	Owner     V
-	Subqueues []*Subqueue[R, K]
-	count     int
-	isolated  bool
-}
-
-// Queue is where requests wait.
+// Queue is where requests wait for one server. Every queued request is in queued; a Deferred one
+// is also in deferred; a Ready one is in one subqueue of its owner and, unless the owner is
+// isolated, in the shared subqueue of its profile.
 type Queue[R Waiter[R, K, V], K, V comparable] struct {
-	Shared   []*Subqueue[R, K]      // of all owners that are not isolated
-	Isolated []*OwnerQueue[R, K, V] // of those that are
+	// Shared holds the ready requests of all owners that are not isolated, by profile.
+	Shared []*Subqueue[R, K]
+	// Isolated holds the owners whose ready requests are in no shared subqueue.
+	Isolated []*OwnerQueue[R, K, V]
+
+	orders   []func(a, b R) bool
+	queued   *orderedset.Set[R] // by ExpiresAt
+	deferred *orderedset.Set[R] // by deferredUntil
+	toRemove []R                // by the next RemoveExpired
 
-	orders    []func(a, b R) bool
-	held      *orderedset.Set[R] // by ExpiresAt
-	deferred  *orderedset.Set[R] // by the time until when
-	finished  []R                // to be removed by RemoveExpired
-	byProfile map[K]*Subqueue[R, K]
-	owners    map[V]*OwnerQueue[R, K, V]
-	pruneAt   int
-	reusable  []*Subqueue[R, K]
+	sharedByProfile map[K]*Subqueue[R, K]
+	owners          map[V]*OwnerQueue[R, K, V]
+	pruneThreshold  int // length of Shared at which empty subqueues are removed
+	reusable        []*Subqueue[R, K]
 }
 
-// New returns an empty queue. orders are strict orders of requests, in which a request's
-// place must not change while it is ready.
+// New returns an empty queue. The orders are strict orders of requests, numbered from 0 for the
+// Best methods of subqueues; a request's place in them must not change while it is ready.
 func New[R Waiter[R, K, V], K, V comparable](orders ...func(a, b R) bool) *Queue[R, K, V] {
 	return &Queue[R, K, V]{
-		orders:    orders,
-		held:      orderedset.New[R](),
-		deferred:  orderedset.New[R](),
-		byProfile: map[K]*Subqueue[R, K]{},
-		owners:    map[V]*OwnerQueue[R, K, V]{},
-		pruneAt:   keptEmpty,
+		orders:          orders,
+		queued:          orderedset.New[R](),
+		deferred:        orderedset.New[R](),
+		sharedByProfile: map[K]*Subqueue[R, K]{},
+		owners:          map[V]*OwnerQueue[R, K, V]{},
+		pruneThreshold:  maxEmptyShared,
 	}
 }
 
-// Len is how many requests it holds, with those that RemoveLater was called for.
-func (q *Queue[R, K, V]) Len() int { return q.held.Len() }
+// Len returns how many requests are queued, including those passed to RemoveLater.
+func (q *Queue[R, K, V]) Len() int { return q.queued.Len() }
 
-// Add takes a request in; position orders those that RemoveExpired returns.
+// Add queues a request, Suspended. RemoveExpired returns requests in the order of position.
 func (q *Queue[R, K, V]) Add(request R, position int) {
 	item := request.QueueItem()
-	item.held, item.position = true, position
-	q.held.Add(int64(item.ExpiresAt), int64(item.Sequence), request)
+	item.state, item.position = Suspended, position
+	q.queued.Add(int64(item.ExpiresAt), int64(item.Sequence), request)
 }
 
-// Remove lets go of a request.
+// Remove takes a request out of the queue.
 func (q *Queue[R, K, V]) Remove(request R) {
-	q.Unplace(request)
+	q.Suspend(request)
 	item := request.QueueItem()
-	item.held = false
-	q.held.Remove(int64(item.ExpiresAt), int64(item.Sequence))
+	item.state = Absent
+	q.queued.Remove(int64(item.ExpiresAt), int64(item.Sequence))
 }
 
-// RemoveLater has the next RemoveExpired let go of a request without returning it.
+// RemoveLater suspends a request that the next RemoveExpired takes out without returning it.
 func (q *Queue[R, K, V]) RemoveLater(request R) {
-	q.Unplace(request)
-	q.finished = append(q.finished, request)
+	q.Suspend(request)
+	q.toRemove = append(q.toRemove, request)
 }
 
-// RemoveExpired lets go of the requests that are held until before t and returns them in the
-// order of their positions. extend, if it is not nil, may name a time from t on until when a
-// request is held instead.
+// RemoveExpired takes out the requests that expire before t and returns them in the order of
+// their positions. extend, if not nil, may return a later expiry for a request, which then stays;
+// a result before t is ignored.
 func (q *Queue[R, K, V]) RemoveExpired(t Time, extend func(R) Time) (expired []R) {
-	for _, request := range q.finished {
+	for _, request := range q.toRemove {
 		q.Remove(request)
 	}
-	q.finished = q.finished[:0]
+	q.toRemove = q.toRemove[:0]
 	for {
-		request, ok := q.held.First()
+		request, ok := q.queued.First()
 		if !ok || request.QueueItem().ExpiresAt >= t {
 			break
 		}
-		if extend != nil && q.extend(request, t, extend(request)) {
+		if extend != nil && q.extendExpiry(request, t, extend(request)) {
 			continue
 		}
 		q.Remove(request)
@@ -107,167 +95,87 @@
 	return expired
 }
 
-// extend has a request held until a time, if that is not before t.
-func (q *Queue[R, K, V]) extend(request R, t, until Time) bool {
-	if until < t {
+// extendExpiry moves a request's expiry, unless the new one is before t.
+func (q *Queue[R, K, V]) extendExpiry(request R, t, expiresAt Time) bool {
+	if expiresAt < t {
 		return false
 	}
 	item := request.QueueItem()
-	q.held.Remove(int64(item.ExpiresAt), int64(item.Sequence))
-	item.ExpiresAt = until
-	q.held.Add(int64(item.ExpiresAt), int64(item.Sequence), request)
+	q.queued.Remove(int64(item.ExpiresAt), int64(item.Sequence))
+	item.ExpiresAt = expiresAt
+	q.queued.Add(int64(item.ExpiresAt), int64(item.Sequence), request)
 	return true
 }
 
-// NextExpiry is when the first request expires, the end of time where nothing is held.
+// NextExpiry returns when the first request expires, the largest time where the queue is empty.
 func (q *Queue[R, K, V]) NextExpiry() Time {
-	if request, ok := q.held.First(); ok {
+	if request, ok := q.queued.First(); ok {
 		return request.QueueItem().ExpiresAt
 	}
 	return math.MaxInt64
 }
 
-// FirstToExpire is the request that expires first.
-func (q *Queue[R, K, V]) FirstToExpire() (request R, ok bool) { return q.held.First() }
+// FirstToExpire returns the request that expires first, if any.
+func (q *Queue[R, K, V]) FirstToExpire() (request R, ok bool) { return q.queued.First() }
 
-// Defer keeps a held request out of the subqueues until a time, which is not 0.
+// Defer defers a suspended request until a time, which must be more than 0.
 func (q *Queue[R, K, V]) Defer(request R, until Time) {
 	item := request.QueueItem()
-	item.deferredUntil = until
+	item.state, item.deferredUntil = Deferred, until
 	q.deferred.Add(int64(until), int64(item.Sequence), request)
 }
 
-// PopDeferred returns a request whose time has come; it is no longer deferred.
+// PopDeferred suspends and returns the first request that is deferred until now or earlier, if
+// any.
 func (q *Queue[R, K, V]) PopDeferred(now Time) (request R, ok bool) {
 	request, ok = q.deferred.First()
 	if !ok || request.QueueItem().deferredUntil > now {
 		return request, false
 	}
-	q.Unplace(request)
+	q.Suspend(request)
 	return request, true
 }
 
-// MakeReady lets a held request stand in the subqueues of its profile.
+// MakeReady puts a suspended request into the subqueues of its profile.
 func (q *Queue[R, K, V]) MakeReady(request R, owner V, profile K) {
 	item := request.QueueItem()
 	own := q.ownerQueue(owner)
-	own.count++
-	item.owner, item.own = owner, q.subqueueOf(own, profile)
-	item.own.add(request, item.times(), q.orders)
+	own.readyCount++
+	item.state, item.owner, item.ownSubqueue = Ready, owner, q.ownSubqueue(own, profile)
+	item.ownSubqueue.add(request, item.times(), q.orders)
 	if own.isolated {
 		return
 	}
-	item.shared = q.sharedSubqueue(profile)
-	item.shared.add(request, item.times(), q.orders)
-}
-
-func (q *Queue[R, K, V]) ownerQueue(owner V) *OwnerQueue[R, K, V] {
-	own := q.owners[owner]
-	if own == nil {
-		own = &OwnerQueue[R, K, V]{Owner: owner}
-		q.owners[owner] = own
-	}
-	return own
-}
-
-func (q *Queue[R, K, V]) subqueueOf(own *OwnerQueue[R, K, V], profile K) *Subqueue[R, K] {
-	for _, sub := range own.Subqueues {
-		if sub.Profile == profile {
-			return sub
-		}
-	}
-	if len(own.Subqueues) >= keptEmptyOfOwner {
-		own.Subqueues = q.prune(own.Subqueues, nil)
-	}
-	sub := q.newSubqueue(profile)
-	own.Subqueues = append(own.Subqueues, sub)
-	return sub
-}
-
-func (q *Queue[R, K, V]) sharedSubqueue(profile K) *Subqueue[R, K] {
-	if sub := q.byProfile[profile]; sub != nil {
-		return sub
-	}
-	if len(q.Shared) >= q.pruneAt { // twice as many as last time
-		q.Shared = q.prune(q.Shared, q.byProfile)
-		q.pruneAt = max(keptEmpty, 2*len(q.Shared))
-	}
-	sub := q.newSubqueue(profile)
-	q.byProfile[profile], q.Shared = sub, append(q.Shared, sub)
-	return sub
-}
-
-// newSubqueue returns an empty subqueue, one that was used before if there is any.
-func (q *Queue[R, K, V]) newSubqueue(profile K) *Subqueue[R, K] {
-	last := len(q.reusable) - 1
-	if last < 0 {
-		return &Subqueue[R, K]{Profile: profile}
-	}
-	sub := q.reusable[last]
-	q.reusable = q.reusable[:last]
-	sub.Profile = profile
-	return sub
+	item.sharedSubqueue = q.sharedSubqueue(profile)
+	item.sharedSubqueue.add(request, item.times(), q.orders)
 }
 
-// prune takes the empty subqueues out of a list, and out of a map that has them too.
-func (q *Queue[R, K, V]) prune(list []*Subqueue[R, K], index map[K]*Subqueue[R, K]) []*Subqueue[R, K] {
-	return slices.DeleteFunc(list, func(sub *Subqueue[R, K]) bool {
-		if !sub.Empty() {
-			return false
-		}
-		delete(index, sub.Profile)
-		if len(q.reusable) < keptForReuse {
-			q.reusable = append(q.reusable, sub)
-		}
-		return true
-	})
-}
-
-// Unplace makes a request neither ready nor deferred; it is still held.
-func (q *Queue[R, K, V]) Unplace(request R) {
+// Suspend takes a request out of the subqueues or ends its deferral; it stays queued. A request
+// that is neither Ready nor Deferred is left as it is.
+func (q *Queue[R, K, V]) Suspend(request R) {
 	item := request.QueueItem()
-	if item.deferredUntil > 0 {
+	switch item.state {
+	case Deferred:
 		q.deferred.Remove(int64(item.deferredUntil), int64(item.Sequence))
-		item.deferredUntil = 0
-	}
-	if item.own == nil {
-		return
+		item.state, item.deferredUntil = Suspended, 0
+	case Ready:
+		q.leaveSubqueues(item)
+		item.state = Suspended
 	}
-	item.own.remove(item.times())
-	if item.shared != nil {
-		item.shared.remove(item.times())
+}
+
+// leaveSubqueues takes a ready request out of its subqueues. An owner without ready requests is
+// no longer isolated.
+func (q *Queue[R, K, V]) leaveSubqueues(item *Item[R, K, V]) {
+	item.ownSubqueue.remove(item.times())
+	if item.sharedSubqueue != nil {
+		item.sharedSubqueue.remove(item.times())
 	}
-	item.own, item.shared = nil, nil
+	item.ownSubqueue, item.sharedSubqueue = nil, nil
 	own := q.owners[item.owner]
-	own.count--
-	if own.count == 0 && own.isolated {
+	own.readyCount--
+	if own.readyCount == 0 && own.isolated {
 		own.isolated = false
 		q.Isolated = slices.DeleteFunc(q.Isolated, func(other *OwnerQueue[R, K, V]) bool { return other == own })
 	}
 }
-
-// SubqueuesOf returns the subqueues of an owner that has a request ready.
-func (q *Queue[R, K, V]) SubqueuesOf(owner V) []*Subqueue[R, K] { return q.owners[owner].Subqueues }
-
-// Isolate takes an owner's requests out of the shared subqueues, until it has none left. Each
-// request is moved so once at most.
-func (q *Queue[R, K, V]) Isolate(owner V) {
-	own := q.owners[owner]
-	own.isolated, q.Isolated = true, append(q.Isolated, own)
-	for _, sub := range own.Subqueues {
-		sub.each(func(request R) {
-			item := request.QueueItem()
-			item.shared.remove(item.times())
-			item.shared = nil
-		})
-	}
-}
-
-// Sweep forgets owners that have nothing ready.
-func (q *Queue[R, K, V]) Sweep() {
-	for owner, own := range q.owners {
-		if own.count == 0 {
-			delete(q.owners, owner)
-		}
-	}
-}
--- a/internal/waitqueue/subqueue.go
+++ b/internal/waitqueue/subqueue.go
@@ -3,36 +3,42 @@
 import "maddergap/internal/orderedset"
 
 // Subqueue holds ready requests of one profile, of one owner or of all owners that share it.
-// A single request, the usual case under light load, is kept without sets.
+//
+// A single request, the usual case under light load, is kept without sets: while inSets is false,
+// count is 0 or 1 and single is the request; while it is true, both sets hold all requests.
 type Subqueue[R any, K comparable] struct {
-	Profile    K
-	count      int
-	single     R
-	singleAt   itemTimes
-	inSets     bool // the sets hold all requests
-	byAim      *orderedset.Set[R]
-	byDeadline *orderedset.Set[R]
+	Profile           K
+	count             int
+	single            R
+	singleTimes       itemTimes
+	inSets            bool
+	byLatencyDeadline *orderedset.Set[R]
+	byDeadline        *orderedset.Set[R]
 }
 
-type itemTimes struct{ aim, deadline, sequence int64 }
+// itemTimes are the keys of a request in the sets: nanoseconds, and the sequence to tell equal
+// times apart.
+type itemTimes struct{ latencyDeadline, deadline, sequence int64 }
 
-// Empty tells whether it has no request.
+// Empty reports whether it holds no request.
 func (sub *Subqueue[R, K]) Empty() bool { return sub.count == 0 }
 
-// BestByLatencyDeadline returns the first by an order of the requests whose aim is not before t.
+// BestByLatencyDeadline returns the first, by the order of that number, of the requests whose
+// latency deadline is not before t.
 func (sub *Subqueue[R, K]) BestByLatencyDeadline(order int, t Time) (R, bool) {
 	if sub.inSets {
-		return sub.byAim.Best(order, int64(t))
+		return sub.byLatencyDeadline.Best(order, int64(t))
 	}
-	return sub.singleIf(sub.singleAt.aim >= int64(t))
+	return sub.singleIf(sub.singleTimes.latencyDeadline >= int64(t))
 }
 
-// BestByDeadline returns the first by an order of the requests whose deadline is not before t.
+// BestByDeadline returns the first, by the order of that number, of the requests whose deadline
+// is not before t.
 func (sub *Subqueue[R, K]) BestByDeadline(order int, t Time) (R, bool) {
 	if sub.inSets {
 		return sub.byDeadline.Best(order, int64(t))
 	}
-	return sub.singleIf(sub.singleAt.deadline >= int64(t))
+	return sub.singleIf(sub.singleTimes.deadline >= int64(t))
 }
 
 func (sub *Subqueue[R, K]) singleIf(inTime bool) (request R, ok bool) {
@@ -42,32 +48,32 @@
 	return sub.single, true
 }
 
-func (sub *Subqueue[R, K]) add(request R, at itemTimes, orders []func(a, b R) bool) {
+func (sub *Subqueue[R, K]) add(request R, times itemTimes, orders []func(a, b R) bool) {
 	sub.count++
 	if sub.count == 1 {
-		sub.single, sub.singleAt = request, at
+		sub.single, sub.singleTimes = request, times
 		return
 	}
 	if !sub.inSets {
-		if sub.byAim == nil {
-			sub.byAim, sub.byDeadline = orderedset.New(orders...), orderedset.New(orders...)
+		if sub.byLatencyDeadline == nil {
+			sub.byLatencyDeadline, sub.byDeadline = orderedset.New(orders...), orderedset.New(orders...)
 		}
 		sub.inSets = true
-		sub.insert(sub.single, sub.singleAt)
+		sub.insert(sub.single, sub.singleTimes)
 	}
-	sub.insert(request, at)
+	sub.insert(request, times)
 }
 
-func (sub *Subqueue[R, K]) insert(request R, at itemTimes) {
-	sub.byAim.Add(at.aim, at.sequence, request)
-	sub.byDeadline.Add(at.deadline, at.sequence, request)
+func (sub *Subqueue[R, K]) insert(request R, times itemTimes) {
+	sub.byLatencyDeadline.Add(times.latencyDeadline, times.sequence, request)
+	sub.byDeadline.Add(times.deadline, times.sequence, request)
 }
 
-func (sub *Subqueue[R, K]) remove(at itemTimes) {
+func (sub *Subqueue[R, K]) remove(times itemTimes) {
 	sub.count--
 	if sub.inSets {
-		sub.byAim.Remove(at.aim, at.sequence)
-		sub.byDeadline.Remove(at.deadline, at.sequence)
+		sub.byLatencyDeadline.Remove(times.latencyDeadline, times.sequence)
+		sub.byDeadline.Remove(times.deadline, times.sequence)
 	}
 	if sub.count == 0 {
 		var none R
@@ -77,7 +83,7 @@
 
 func (sub *Subqueue[R, K]) each(visit func(R)) {
 	if sub.inSets {
-		sub.byAim.All(func(request R) bool { visit(request); return true })
+		sub.byLatencyDeadline.All(func(request R) bool { visit(request); return true })
 	} else if sub.count > 0 {
 		visit(sub.single)
 	}
--- a/internal/waitqueue/waitqueue_test.go
+++ b/internal/waitqueue/waitqueue_test.go
@@ -15,167 +15,242 @@
 	tag     int
 }
 
+type subqueue = Subqueue[*request, int]
+
 func byTag(a, b *request) bool { return a.tag < b.tag || a.tag == b.tag && a.Sequence < b.Sequence }
 
-func byAim(a, b *request) bool {
+func byLatencyDeadline(a, b *request) bool {
 	return a.LatencyDeadline < b.LatencyDeadline || a.LatencyDeadline == b.LatencyDeadline && a.Sequence < b.Sequence
 }
 
-// In any history every subqueue tells what a look at all its requests would tell, each
-// ready request stands in one subqueue of its owner and, unless that is isolated, in one
-// shared; those let go come in their order; and nothing is lost.
-func TestAnyHistory(t *testing.T) {
+// The queue is used at random and compared, after each step, with plain lists of what is queued,
+// ready and deferred: every subqueue finds what a look at all its requests finds, each ready
+// request stands in one subqueue of its owner and, unless that is isolated, in one that is shared,
+// expired requests come in order, and none is lost.
+func TestRandomHistories(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		p := New[*request, int, string](byTag, byAim)
-		var held, ready, deferred []*request
-		isolated := map[string]bool{}
-		now := Time(1)
-		without := func(list []*request, r *request) []*request {
-			return slices.DeleteFunc(slices.Clone(list), func(o *request) bool { return o == r })
-		}
-		unready := func(r *request) {
-			ready, deferred = without(ready, r), without(deferred, r)
-			if !slices.ContainsFunc(ready, func(o *request) bool { return o.owner == r.owner }) {
-				delete(isolated, r.owner)
-			}
-		}
-		pick := func(list []*request) *request {
-			if len(list) == 0 {
-				return nil
-			}
-			return list[rapid.IntRange(0, len(list)-1).Draw(t, "which")]
-		}
-		for seq := range rapid.IntRange(1, 120).Draw(t, "steps") {
-			now += Time(rapid.IntRange(0, 3).Draw(t, "passes"))
-			switch what := rapid.IntRange(0, 9).Draw(t, "what"); what {
-			default: // a new one
-				r := &request{owner: rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "owner"), profile: rapid.IntRange(0, 2).Draw(t, "profile"), tag: rapid.IntRange(0, 5).Draw(t, "tag")}
-				r.Sequence = seq
-				r.LatencyDeadline = now + Time(rapid.IntRange(0, 8).Draw(t, "aim"))
-				r.Deadline = r.LatencyDeadline + Time(rapid.IntRange(0, 8).Draw(t, "due"))
-				r.ExpiresAt = r.LatencyDeadline + Time(rapid.IntRange(0, 8).Draw(t, "by"))
-				p.Add(r, seq)
-				held = append(held, r)
-				if what == 0 {
-					p.Defer(r, now+5)
-					deferred = append(deferred, r)
-				} else {
-					p.MakeReady(r, r.owner, r.profile)
-					ready = append(ready, r)
-				}
+		m := &model{T: t, queue: New[*request, int, string](byTag, byLatencyDeadline), isolated: map[string]bool{}, now: 1}
+		for sequence := range rapid.IntRange(1, 120).Draw(t, "steps") {
+			m.now += Time(rapid.IntRange(0, 3).Draw(t, "passes"))
+			switch operation := rapid.IntRange(0, 9).Draw(t, "operation"); operation {
+			default:
+				m.add(sequence, operation == 0)
 			case 5:
-				if r := pick(held); r != nil {
-					p.Remove(r)
-					held = without(held, r)
-					unready(r)
-				}
+				m.remove()
 			case 6:
-				if r := pick(ready); r != nil {
-					p.Unplace(r)
-					unready(r)
-				}
+				m.suspend()
 			case 7:
-				if r := pick(ready); r != nil && !isolated[r.owner] {
-					p.Isolate(r.owner)
-					isolated[r.owner] = true
-				}
+				m.isolate()
 			case 8:
-				for r, ok := p.PopDeferred(now); ok; r, ok = p.PopDeferred(now) {
-					if !slices.Contains(deferred, r) {
-						t.Fatal("returned one that was not deferred")
-					}
-					unready(r)
-					p.MakeReady(r, r.owner, r.profile)
-					ready = append(ready, r)
-				}
-				p.Sweep()
+				m.popDeferred()
 			case 9:
-				stays := rapid.IntRange(0, 2).Draw(t, "stays")
-				out := p.RemoveExpired(now, func(r *request) Time {
-					if r.profile == stays && r.ExpiresAt < r.Deadline {
-						return r.Deadline
-					}
-					return 0
-				})
-				for i, r := range out {
-					if r.ExpiresAt >= now || r.profile == stays && r.ExpiresAt < r.Deadline && r.Deadline >= now || i > 0 && out[i-1].Sequence > r.Sequence {
-						t.Fatal("let go too early, or out of order")
-					}
-					held = without(held, r)
-					unready(r)
-				}
-				for _, r := range held {
-					if r.ExpiresAt < now {
-						t.Fatal("kept too long")
-					}
-				}
-			}
-			if p.Len() != len(held) || len(held) > 0 && p.NextExpiry() != slices.MinFunc(held, func(a, b *request) int { return int(a.ExpiresAt - b.ExpiresAt) }).ExpiresAt {
-				t.Fatalf("%d held, first expiry %v; want %d", p.Len(), p.NextExpiry(), len(held))
-			}
-			check := func(what string, l *Subqueue[*request, int], belongs func(r *request) bool) {
-				for order, better := range []func(a, b *request) bool{byTag, byAim} {
-					for _, from := range []Time{0, now, now + 4} {
-						var inTime, alive *request
-						for _, r := range ready {
-							if r.profile != l.Profile || !belongs(r) {
-								continue
-							}
-							if r.LatencyDeadline >= from && (inTime == nil || better(r, inTime)) {
-								inTime = r
-							}
-							if r.Deadline >= from && (alive == nil || better(r, alive)) {
-								alive = r
-							}
-						}
-						if r, _ := l.BestByLatencyDeadline(order, from); r != inTime {
-							t.Fatalf("%s subqueue %d, order %d: in time is %v, want %v", what, l.Profile, order, r, inTime)
-						}
-						if r, _ := l.BestByDeadline(order, from); r != alive {
-							t.Fatalf("%s subqueue %d, order %d: alive is %v, want %v", what, l.Profile, order, r, alive)
-						}
-					}
-				}
-			}
-			byProfile := map[int]int{}
-			for _, l := range p.Shared {
-				byProfile[l.Profile]++
-				check("shared", l, func(r *request) bool { return !isolated[r.owner] })
+				m.removeExpired()
 			}
-			for _, r := range ready {
-				if byProfile[r.profile] != 1 && !isolated[r.owner] {
-					t.Fatalf("profile %d has %d shared subqueues", r.profile, byProfile[r.profile])
+			m.checkQueued()
+			m.checkSubqueues()
+		}
+	})
+}
+
+// model drives a queue and keeps what must be in it.
+type model struct {
+	*rapid.T
+	queue                   *Queue[*request, int, string]
+	queued, ready, deferred []*request
+	isolated                map[string]bool
+	now                     Time
+}
+
+func without(list []*request, r *request) []*request {
+	return slices.DeleteFunc(slices.Clone(list), func(other *request) bool { return other == r })
+}
+
+// drawOne returns one of the list, nil if it is empty.
+func (m *model) drawOne(list []*request) *request {
+	if len(list) == 0 {
+		return nil
+	}
+	return list[rapid.IntRange(0, len(list)-1).Draw(m.T, "which")]
+}
+
+func (m *model) add(sequence int, deferIt bool) {
+	r := &request{
+		owner:   rapid.SampledFrom([]string{"a", "b", "c"}).Draw(m.T, "owner"),
+		profile: rapid.IntRange(0, 2).Draw(m.T, "profile"),
+		tag:     rapid.IntRange(0, 5).Draw(m.T, "tag"),
+	}
+	r.Sequence = sequence
+	r.LatencyDeadline = m.now + Time(rapid.IntRange(0, 8).Draw(m.T, "latency deadline"))
+	r.Deadline = r.LatencyDeadline + Time(rapid.IntRange(0, 8).Draw(m.T, "deadline"))
+	r.ExpiresAt = r.LatencyDeadline + Time(rapid.IntRange(0, 8).Draw(m.T, "expiry"))
+	m.queue.Add(r, sequence)
+	m.queued = append(m.queued, r)
+	if deferIt {
+		m.queue.Defer(r, m.now+5)
+		m.deferred = append(m.deferred, r)
+		return
+	}
+	m.makeReady(r)
+}
+
+func (m *model) makeReady(r *request) {
+	m.queue.MakeReady(r, r.owner, r.profile)
+	m.ready = append(m.ready, r)
+}
+
+// suspended notes that a request is no longer ready or deferred.
+func (m *model) suspended(r *request) {
+	m.ready, m.deferred = without(m.ready, r), without(m.deferred, r)
+	if !slices.ContainsFunc(m.ready, func(other *request) bool { return other.owner == r.owner }) {
+		delete(m.isolated, r.owner)
+	}
+}
+
+func (m *model) removed(r *request) {
+	m.queued = without(m.queued, r)
+	m.suspended(r)
+}
+
+func (m *model) remove() {
+	if r := m.drawOne(m.queued); r != nil {
+		m.queue.Remove(r)
+		m.removed(r)
+	}
+}
+
+func (m *model) suspend() {
+	if r := m.drawOne(m.ready); r != nil {
+		m.queue.Suspend(r)
+		m.suspended(r)
+	}
+}
+
+func (m *model) isolate() {
+	if r := m.drawOne(m.ready); r != nil && !m.isolated[r.owner] {
+		m.queue.Isolate(r.owner)
+		m.isolated[r.owner] = true
+	}
+}
+
+func (m *model) popDeferred() {
+	for r, ok := m.queue.PopDeferred(m.now); ok; r, ok = m.queue.PopDeferred(m.now) {
+		if !slices.Contains(m.deferred, r) {
+			m.Fatal("returned one that was not deferred")
+		}
+		m.suspended(r)
+		m.makeReady(r)
+	}
+	m.queue.Sweep()
+}
+
+// removeExpired extends the expiry of one profile's requests to their deadline.
+func (m *model) removeExpired() {
+	extended := rapid.IntRange(0, 2).Draw(m.T, "extended profile")
+	expired := m.queue.RemoveExpired(m.now, func(r *request) Time {
+		if r.profile == extended && r.ExpiresAt < r.Deadline {
+			return r.Deadline
+		}
+		return 0
+	})
+	for i, r := range expired {
+		isExtended := r.profile == extended && r.ExpiresAt < r.Deadline && r.Deadline >= m.now
+		if r.ExpiresAt >= m.now || isExtended || i > 0 && expired[i-1].Sequence > r.Sequence {
+			m.Fatal("removed too early, or out of order")
+		}
+		m.removed(r)
+	}
+	for _, r := range m.queued {
+		if r.ExpiresAt < m.now {
+			m.Fatal("kept too long")
+		}
+	}
+}
+
+func (m *model) checkQueued() {
+	if m.queue.Len() != len(m.queued) {
+		m.Fatalf("%d queued, want %d", m.queue.Len(), len(m.queued))
+	}
+	if len(m.queued) == 0 {
+		return
+	}
+	first := slices.MinFunc(m.queued, func(a, b *request) int { return int(a.ExpiresAt - b.ExpiresAt) })
+	if m.queue.NextExpiry() != first.ExpiresAt {
+		m.Fatalf("next expiry %v, want %v", m.queue.NextExpiry(), first.ExpiresAt)
+	}
+}
+
+func (m *model) checkSubqueues() {
+	sharedOfProfile := map[int]int{}
+	for _, sub := range m.queue.Shared {
+		sharedOfProfile[sub.Profile]++
+		m.checkSubqueue("shared", sub, func(r *request) bool { return !m.isolated[r.owner] })
+	}
+	for _, r := range m.ready {
+		if sharedOfProfile[r.profile] != 1 && !m.isolated[r.owner] {
+			m.Fatalf("profile %d has %d shared subqueues", r.profile, sharedOfProfile[r.profile])
+		}
+		for _, sub := range m.queue.SubqueuesOf(r.owner) {
+			m.checkSubqueue("own", sub, func(other *request) bool { return other.owner == r.owner })
+		}
+		if *r.Profile() != r.profile || r.QueueState() != Ready {
+			m.Fatal("a ready request does not know where it stands")
+		}
+	}
+	for _, r := range m.deferred {
+		if r.QueueState() != Deferred {
+			m.Fatalf("a deferred request is %v", r.QueueState())
+		}
+	}
+	if len(m.queue.Isolated) != len(m.isolated) {
+		m.Fatalf("%d owners isolated, want %v", len(m.queue.Isolated), m.isolated)
+	}
+}
+
+// checkSubqueue compares the best of a subqueue with the best of all that belong to it.
+func (m *model) checkSubqueue(name string, sub *subqueue, belongs func(r *request) bool) {
+	for order, better := range []func(a, b *request) bool{byTag, byLatencyDeadline} {
+		for _, from := range []Time{0, m.now, m.now + 4} {
+			var meetsObjective, meetsDeadline *request
+			for _, r := range m.ready {
+				if r.profile != sub.Profile || !belongs(r) {
+					continue
 				}
-				for _, l := range p.SubqueuesOf(r.owner) {
-					check("own", l, func(o *request) bool { return o.owner == r.owner })
+				if r.LatencyDeadline >= from && (meetsObjective == nil || better(r, meetsObjective)) {
+					meetsObjective = r
 				}
-				if *r.Profile() != r.profile || !r.Placed() || !r.Queued() {
-					t.Fatal("a ready request does not know where it stands")
+				if r.Deadline >= from && (meetsDeadline == nil || better(r, meetsDeadline)) {
+					meetsDeadline = r
 				}
 			}
-			if len(p.Isolated) != len(isolated) {
-				t.Fatalf("%d owners isolated, want %v", len(p.Isolated), isolated)
+			if r, _ := sub.BestByLatencyDeadline(order, from); r != meetsObjective {
+				m.Fatalf("%s subqueue %d, order %d: best by latency deadline is %v, want %v", name, sub.Profile, order, r, meetsObjective)
+			}
+			if r, _ := sub.BestByDeadline(order, from); r != meetsDeadline {
+				m.Fatalf("%s subqueue %d, order %d: best by deadline is %v, want %v", name, sub.Profile, order, r, meetsDeadline)
 			}
 		}
-	})
+	}
 }
 
-// Profiles and owners that come and go leave no subqueues behind without bound.
-func TestBounds(t *testing.T) {
-	p := New[*request, int, string](byTag, byAim)
+// Every request may have a profile of its own. Empty subqueues and owners without requests must
+// not pile up meanwhile.
+func TestEmptySubqueuesAndOwnersAreForgotten(t *testing.T) {
+	q := New[*request, int, string](byTag, byLatencyDeadline)
 	for i := range 10_000 {
 		r := &request{owner: "v", profile: i}
 		r.Sequence, r.LatencyDeadline, r.Deadline = i, Time(i), Time(i)+time.Second
 		r.ExpiresAt = r.Deadline
-		p.Add(r, i)
-		p.MakeReady(r, r.owner, r.profile)
-		p.Remove(r)
+		q.Add(r, i)
+		q.MakeReady(r, r.owner, r.profile)
+		q.Remove(r)
 	}
-	if len(p.Shared) > keptEmpty || len(p.SubqueuesOf("v")) > keptEmpty || len(p.reusable) > keptForReuse || len(p.byProfile) > keptEmpty {
-		t.Errorf("%d shared subqueues, %d of one owner, %d kept for use, %d by profile", len(p.Shared), len(p.SubqueuesOf("v")), len(p.reusable), len(p.byProfile))
+	if len(q.Shared) > maxEmptyShared || len(q.SubqueuesOf("v")) > maxEmptyShared ||
+		len(q.reusable) > maxReusable || len(q.sharedByProfile) > maxEmptyShared {
+		t.Errorf("%d shared subqueues, %d of one owner, %d reusable, %d by profile",
+			len(q.Shared), len(q.SubqueuesOf("v")), len(q.reusable), len(q.sharedByProfile))
 	}
-	p.Sweep()
-	if len(p.owners) != 0 {
-		t.Errorf("%d owners that have nothing", len(p.owners))
+	q.Sweep()
+	if len(q.owners) != 0 {
+		t.Errorf("%d owners that have nothing", len(q.owners))
 	}
 }
--- a/scheduler/dispatch.go
+++ b/scheduler/dispatch.go
@@ -108,8 +108,8 @@
 
 // swapTags has one request go with the start tag of another.
 func (s *Scheduler) swapTags(n *node, best, first *request) {
-	n.queue.Unplace(best)
-	n.queue.Unplace(first)
+	n.queue.Suspend(best)
+	n.queue.Suspend(first)
 	best.startTag, first.startTag = first.startTag, best.startTag
 	best.beyondReserve, first.beyondReserve = first.beyondReserve, best.beyondReserve
 	s.makeReady(first)
@@ -136,7 +136,7 @@
 		if !ok || s.mayRunOn(r, n) {
 			return r
 		}
-		n.queue.Unplace(r) // its nodes' window is over: never again
+		n.queue.Suspend(r) // its nodes' window is over: never again
 	}
 }
 
--- a/scheduler/key_order.go
+++ b/scheduler/key_order.go
@@ -1,6 +1,10 @@
 package scheduler
 
-import "slices"
+import (
+	"slices"
+
+	"maddergap/internal/waitqueue"
+)
 
 // Order of keyed writes: requests of a class that is in order run one at a time for each key,
 // in the order of their arrival.
@@ -71,7 +75,7 @@
 	}
 	next := order.requests[0]
 	s.markDirty(next.node)
-	if next.Queued() && next.node != nil && !next.Placed() {
+	if next.QueueState() == waitqueue.Suspended && next.node != nil {
 		s.makeReady(next)
 	}
 }
--- a/scheduler/requests.go
+++ b/scheduler/requests.go
@@ -234,7 +234,7 @@
 	delete(s.requests, r.ID)
 	s.markDirty(r.node)
 	switch {
-	case !r.Queued():
+	case r.QueueState() == waitqueue.Absent:
 	case r.node != nil:
 		r.node.queue.RemoveLater(r)
 	default:
--- a/scheduler/send_rules.go
+++ b/scheduler/send_rules.go
@@ -1,6 +1,10 @@
 package scheduler
 
-import "math"
+import (
+	"math"
+
+	"maddergap/internal/waitqueue"
+)
 
 // Guards: the rules that can refuse a send, each by itself. Dispatch asks them in the order of
 // the lists here, the cheapest first, and a request waits while one of them refuses.
@@ -134,7 +138,7 @@
 		return ReasonRetryBackoff
 	case readyAt > s.now:
 		return ReasonKeyOrder
-	case !r.Placed():
+	case r.QueueState() == waitqueue.Suspended:
 		return ReasonDeduplication // it was taken out for good
 	}
 	defer s.saveBuckets(r)()
