--- a/internal/admission/sorter_test.go
+++ b/internal/admission/filter_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// header is the network header of a packet, as far as the sorter reads it.
-func header(a netip.Addr) []byte {
+// networkHeader is the network header of a packet, as far as the filter reads it.
+func networkHeader(a netip.Addr) []byte {
 	b := make([]byte, 40)
 	if a.Is4() {
 		b[0] = 4<<4 | 5
@@ -21,8 +21,8 @@
 	return b
 }
 
-// The sorter says of any address what the list of prefixes says.
-func TestSorter(t *testing.T) {
+// The kernel's filter and the list of prefixes agree about any address.
+func TestKnownClientFilter(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var c Config
 		addr := rapid.Custom(func(t *rapid.T) netip.Addr {
@@ -34,12 +34,12 @@
 		for range rapid.IntRange(1, 60).Draw(t, "prefixes") {
 			a := addr.Draw(t, "of")
 			p, _ := a.Prefix(rapid.IntRange(0, a.BitLen()).Draw(t, "bits"))
-			c.Known = append(c.Known, p)
+			c.KnownClients.Prefixes = append(c.KnownClients.Prefixes, p)
 		}
 		raw := c.KnownClientFilter(0)
 		ins, ok := bpf.Disassemble(raw)
 		if !ok {
-			t.Fatal("it cannot be read back")
+			t.Fatal("the program cannot be disassembled")
 		}
 		vm, err := bpf.NewVM(ins)
 		if err != nil {
@@ -48,21 +48,21 @@
 		for range 20 {
 			a := addr.Draw(t, "from")
 			want := 0
-			for _, p := range c.Known {
+			for _, p := range c.KnownClients.Prefixes {
 				if p.Contains(a) {
 					want = 1
 				}
 			}
-			if got, err := vm.Run(header(a)); err != nil || got != want {
-				t.Fatalf("%v of %v: %d %v, want %d", a, c.Known, got, err, want)
+			if got, err := vm.Run(networkHeader(a)); err != nil || got != want {
+				t.Fatalf("%v of %v: %d %v, want %d", a, c.KnownClients.Prefixes, got, err, want)
 			}
 		}
 	})
 	many := Config{}
 	for i := range 2000 {
-		many.Known = append(many.Known, netip.PrefixFrom(netip.AddrFrom4([4]byte{10, byte(i >> 8), byte(i), 0}), 32))
+		many.KnownClients.Prefixes = append(many.KnownClients.Prefixes, netip.PrefixFrom(netip.AddrFrom4([4]byte{10, byte(i >> 8), byte(i), 0}), 32))
 	}
 	if many.KnownClientFilter(0) != nil || (&Config{}).KnownClientFilter(0) != nil {
-		t.Error("a program of too many prefixes, or of none")
+		t.Error("want no program for too many prefixes, and for none")
 	}
 }
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -51,10 +51,10 @@
 // mistake is reported at the last line that sets them.
 func (p *parser) checkAdmission() {
 	a := &p.c.Admission
-	a.Total = p.c.Limits.Clients
-	a.BufferLeast = minConnBuffer
-	if a.Buffers == 0 {
-		a.Buffers = max(defaultClientBuffers, defaultBuffersPerClient*minConnBuffer*int64(a.Total))
+	a.MaxConns = p.c.Limits.Clients
+	a.Buffers.MinConnBytes = minConnBuffer
+	if a.Buffers.TotalBytes == 0 {
+		a.Buffers.TotalBytes = max(defaultClientBuffers, defaultBuffersPerClient*minConnBuffer*int64(a.MaxConns))
 	}
 	err := a.Check()
 	if err == nil {
--- a/internal/config/directives.go
+++ b/internal/config/directives.go
@@ -60,7 +60,7 @@
 	"requests":         func(p *parser, _ int, a *Args) { p.c.Limits.RequestsPerConn = a.Int("number", 1, 1<<30) },
 	"node-connections": func(p *parser, _ int, a *Args) { p.c.Limits.ConnsPerNode = a.Int("number", 1, 10000) },
 	"buffer":           func(p *parser, _ int, a *Args) { p.c.Limits.ConnBuffer = a.BytesUpTo("size", 4096, maxBufferBytes) },
-	"buffers":          func(p *parser, _ int, a *Args) { p.c.Admission.Buffers = a.Bytes("size", 1) },
+	"buffers":          func(p *parser, _ int, a *Args) { p.c.Admission.Buffers.TotalBytes = a.Bytes("size", 1) },
 	"listing-max":      func(p *parser, _ int, a *Args) { p.c.Limits.ListingBytes = a.BytesUpTo("size", 1024, maxBufferBytes) },
 	"sizes":            func(p *parser, _ int, a *Args) { p.c.Limits.SizeEntries = a.Int("entries", 1, 1<<24) },
 	"body":             (*parser).body,
@@ -140,7 +140,8 @@
 			return
 		}
 		p.lines["known"] = line
-		p.c.Admission.Known = append(p.c.Admission.Known, prefix)
+		known := &p.c.Admission.KnownClients
+		known.Prefixes = append(known.Prefixes, prefix)
 	}
 }
 
@@ -150,25 +151,25 @@
 		return func(k string) { *n = a.Int(k, 1, most) }
 	}
 	a.pairs(keywords{
-		"address":       count(&limits.Address, maxConnections),
-		"wide":          count(&limits.Wide, maxConnections),
-		"listener":      count(&limits.Listener, maxConnections),
+		"address":       count(&limits.Caps.Address, maxConnections),
+		"wide":          count(&limits.Caps.Prefix, maxConnections),
+		"listener":      count(&limits.Caps.Listener, maxConnections),
 		"reserve":       count(&limits.Reserve, maxConnections),
-		"known-times":   count(&limits.KnownMultiple, 1000),
-		"address-rate":  func(k string) { limits.AddressRate = a.Float(k) },
-		"address-burst": count(&limits.AddressBurst, maxConnections),
-		"wide-rate":     func(k string) { limits.WideRate = a.Float(k) },
-		"wide-burst":    count(&limits.WideBurst, maxConnections),
-		"v6":            count(&limits.V6Bits, 128),
-		"wide4":         count(&limits.Wide4, 32),
-		"wide6":         count(&limits.Wide6, 128),
-		"learn":         count(&limits.Learn, 1<<20),
-		"forget":        func(k string) { limits.Forget = a.Duration(k, time.Second) },
-		"entries":       count(&limits.Entries, 1<<24),
-		"learned":       count(&limits.Learned, 1<<20),
-		"answers":       func(k string) { limits.AnswerRate = a.Float(k) },
-		"answers-burst": count(&limits.AnswerBurst, 1<<16),
-		"left":          count(&limits.PressureIdle, maxConnections),
-		"idle":          func(k string) { limits.IdleUnderPress = a.Duration(k, 0) },
+		"known-times":   count(&limits.KnownClients.CapMultiple, 1000),
+		"address-rate":  func(k string) { limits.Rates.Address.PerSecond = a.Float(k) },
+		"address-burst": count(&limits.Rates.Address.Burst, maxConnections),
+		"wide-rate":     func(k string) { limits.Rates.Prefix.PerSecond = a.Float(k) },
+		"wide-burst":    count(&limits.Rates.Prefix.Burst, maxConnections),
+		"v6":            count(&limits.PrefixBits.AddressIPv6, 128),
+		"wide4":         count(&limits.PrefixBits.IPv4, 32),
+		"wide6":         count(&limits.PrefixBits.IPv6, 128),
+		"learn":         count(&limits.KnownClients.LearnSeconds, 1<<20),
+		"forget":        func(k string) { limits.KnownClients.HalfLife = a.Duration(k, time.Second) },
+		"entries":       count(&limits.TableEntries, 1<<24),
+		"learned":       count(&limits.KnownClients.MaxLearned, 1<<20),
+		"answers":       func(k string) { limits.Rejections.PerSecond = a.Float(k) },
+		"answers-burst": count(&limits.Rejections.Burst, 1<<16),
+		"left":          count(&limits.Preemption.MinFreeConns, maxConnections),
+		"idle":          func(k string) { limits.Preemption.MaxIdle = a.Duration(k, 0) },
 	})
 }
--- a/internal/config/worker.go
+++ b/internal/config/worker.go
@@ -3,6 +3,8 @@
 import (
 	"fmt"
 	"net/netip"
+
+	"maddergap/internal/admission"
 )
 
 // ForWorker returns the configuration of worker i of the Processes that share the
@@ -32,15 +34,16 @@
 // divideAdmission reduces the admission caps and rates to one process's part.
 func (c *Config) divideAdmission() {
 	a := &c.Admission
-	for _, limit := range []*int{&a.Listener, &a.Address, &a.Wide, &a.Reserve, &a.AddressBurst, &a.WideBurst, &a.AnswerBurst, &a.PressureIdle} {
+	for _, limit := range []*int{&a.Caps.Listener, &a.Caps.Address, &a.Caps.Prefix, &a.Reserve, &a.Preemption.MinFreeConns} {
 		*limit = divideCap(*limit, c.Processes)
 	}
-	a.Total = c.Limits.Clients
-	a.Reserve = min(a.Reserve, a.Total-1)
-	for _, rate := range []*float64{&a.AddressRate, &a.WideRate, &a.AnswerRate} {
-		*rate /= float64(c.Processes)
+	for _, rate := range []*admission.RateLimit{&a.Rates.Address, &a.Rates.Prefix, &a.Rejections} {
+		rate.PerSecond /= float64(c.Processes)
+		rate.Burst = divideCap(rate.Burst, c.Processes)
 	}
-	a.Buffers = max(a.Buffers/int64(c.Processes), int64(a.Total)*int64(a.BufferLeast))
+	a.MaxConns = c.Limits.Clients
+	a.Reserve = min(a.Reserve, a.MaxConns-1)
+	a.Buffers.TotalBytes = max(a.Buffers.TotalBytes/int64(c.Processes), int64(a.MaxConns)*int64(a.Buffers.MinConnBytes))
 }
 
 // forWorker gives worker i a metrics port and a trace file of its own.
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -98,7 +98,7 @@
 	}
 	// Beyond the clients admitted: those being turned away for as long as they are
 	// listened to, and room to see that a known one has come.
-	most, told := c.Limits.Clients+64, c.Admission.AnswerBurst+2*int(c.Admission.AnswerRate)
+	most, told := c.Limits.Clients+64, c.Admission.Rejections.Burst+2*int(c.Admission.Rejections.PerSecond)
 	if limit, few := tooFew(most + told + keptDescriptors); few {
 		return nil, &config.Error{File: c.File, Reason: fmt.Sprintf("clients %d, with refusals and %d descriptors kept for nodes and files, needs %d descriptors; the limit is %d",
 			c.Limits.Clients, keptDescriptors, most+told+keptDescriptors, limit)}
--- a/internal/daemon/metrics.go
+++ b/internal/daemon/metrics.go
@@ -99,7 +99,7 @@
 	count(attemptsDesc, c.Attempts)
 	count(badDesc, c.Malformed)
 	count(preemptedDesc, c.Preempted)
-	for r := admission.None + 1; r < admission.ReasonCount; r++ {
+	for r := admission.ReasonNone + 1; r < admission.ReasonCount; r++ {
 		count(turnedDesc, c.ConnectionsRejected[r], r.String())
 	}
 	for r := invariant.None + 1; r < invariant.RuleCount; r++ {
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -107,7 +107,7 @@
 	if !reflect.DeepEqual(c.Scheduler, h.config.Scheduler) {
 		return fmt.Errorf("classes, plans, heads, cold, budget, units and attempts change with a restart only")
 	}
-	if err := h.admission.Change(c.Admission); err != nil {
+	if err := h.admission.Reconfigure(c.Admission); err != nil {
 		return err
 	}
 	h.routes = route.NewTable(c, h.routes)
