--- a/internal/daemon/platform.go
+++ b/internal/daemon/platform.go
@@ -162,8 +162,8 @@
 		if i == comparedMost {
 			break
 		}
-		d.log.Info("node", "node", v.Node, "state", int(v.State), "out", v.InFlight, "counted", v.InWindow, "on_sockets", v.Sockets.Active, "unsent", v.Unsent,
+		d.log.Info("node", "node", v.Node, "state", int(v.State), "out", v.InFlight, "counted", v.InWindow, "on_sockets", v.NodeConnections.Active, "unsent", v.Unsent,
 			"idle", v.Idle, "held", v.Queued, "refusal", v.WaitReason.String(), "window", math.Round(v.Window*100)/100, "answer", v.ExpectedLatency, "pressure", math.Round(v.Pressure*100)/100,
-			"breaker", v.NodeStatus.BreakerOpen, "cold", v.WarmingUp, "differs", v.InFlight != v.Sockets.Active)
+			"breaker", v.NodeStatus.BreakerOpen, "cold", v.WarmingUp, "differs", v.InFlight != v.NodeConnections.Active)
 	}
 }
--- a/internal/gateway/admission_test.go
+++ b/internal/gateway/admission_test.go
@@ -7,28 +7,28 @@
 	"time"
 )
 
-// come is a new client connection from an address.
-func (r *rig) come(addr string) ConnID {
-	w := r.h.Accept(r.now, netip.MustParseAddrPort(addr), 0)
+// acceptFrom is a new client connection from an address.
+func (h *harness) acceptFrom(addr string) ConnID {
+	w := h.gateway.Accept(h.now, netip.MustParseAddrPort(addr), 0)
 	if !w.Admitted {
-		r.t.Fatalf("%s is not admitted: %q", addr, w.Answer)
+		h.t.Fatalf("%s is not admitted: %q", addr, w.Answer)
 	}
-	r.run()
+	h.runActions()
 	return w.ID
 }
 
 // A body that moves a byte now and then, never standing still for long, is given up.
 func TestBodyPace(t *testing.T) {
-	r := newRig(t, "pace body 100 after 5s\n")
-	c := r.client("PUT /feed-a/s/x HTTP/1.1\r\nHost: h\r\nContent-Length: 1000\r\n\r\n")
-	for i := 0; r.take(c) == "" && i < 20; i++ {
-		r.pass(time.Second)
-		r.say(c, "x")
-		if got := r.take(c); got != "" {
+	h := newHarness(t, "pace body 100 after 5s\n")
+	c := h.connectClient("PUT /feed-a/s/x HTTP/1.1\r\nHost: h\r\nContent-Length: 1000\r\n\r\n")
+	for i := 0; h.takeWritten(c) == "" && i < 20; i++ {
+		h.advanceTime(time.Second)
+		h.receive(c, "x")
+		if got := h.takeWritten(c); got != "" {
 			if i < 4 || i > 6 {
 				t.Errorf("given up after %d s, want 5", i)
 			}
-			r.want("the answer", got, "408 ")
+			h.wantContains("the answer", got, "408 ")
 			return
 		}
 	}
@@ -37,151 +37,151 @@
 
 // One that keeps the pace is not, however long it takes.
 func TestBodyKeepsPace(t *testing.T) {
-	r := newRig(t, "pace body 100 after 2s\n")
-	c := r.client("PUT /feed-a/s/x HTTP/1.1\r\nHost: h\r\nContent-Length: 3000\r\n\r\n")
+	h := newHarness(t, "pace body 100 after 2s\n")
+	c := h.connectClient("PUT /feed-a/s/x HTTP/1.1\r\nHost: h\r\nContent-Length: 3000\r\n\r\n")
 	for range 20 {
-		r.pass(time.Second)
-		r.say(c, strings.Repeat("x", 150))
+		h.advanceTime(time.Second)
+		h.receive(c, strings.Repeat("x", 150))
 	}
-	if r.ended[c] != 0 || r.take(c) != "" {
+	if h.closedBy[c] != 0 || h.takeWritten(c) != "" {
 		t.Error("given up though it moves")
 	}
 }
 
 // A reader that takes a few bytes now and then is dropped; its node is not held.
 func TestAnswerPace(t *testing.T) {
-	r := newRig(t, "pace answer 1k after 5s\n")
-	c := r.client(get("/feed-a/s/x"))
-	r.stuck[c] = true
-	r.say(r.node(0), "HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n"+strings.Repeat("y", 60000))
-	r.say(r.node(0), "y") // more than is held: the node waits
+	h := newHarness(t, "pace answer 1k after 5s\n")
+	c := h.connectClient(getRequest("/feed-a/s/x"))
+	h.blocked[c] = true
+	h.receive(h.nodeConn(0), "HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n"+strings.Repeat("y", 60000))
+	h.receive(h.nodeConn(0), "y") // more than is held: the node waits
 	for range 20 {
-		r.pass(time.Second)
-		if _, gone := r.ended[c]; gone {
-			if at := r.now - 24*time.Hour; at < 4*time.Second || at > 7*time.Second {
-				t.Errorf("dropped after %v, want about 5 s", at)
+		h.advanceTime(time.Second)
+		if _, gone := h.closedBy[c]; gone {
+			if elapsed := h.now - 24*time.Hour; elapsed < 4*time.Second || elapsed > 7*time.Second {
+				t.Errorf("dropped after %v, want about 5 s", elapsed)
 			}
 			return
 		}
-		r.h.Wrote(r.now, c, 100)
-		r.run()
+		h.gateway.Wrote(h.now, c, 100)
+		h.runActions()
 	}
 	t.Error("it is served for ever")
 }
 
 // A connection has so many requests, and its last answer says that it ends.
 func TestRequestsOfAConnection(t *testing.T) {
-	r := newRig(t, "requests 2\n")
-	c := r.client(get("/feed-a/s/x"))
-	r.say(r.node(0), ok("one"))
-	if got := r.take(c); strings.Contains(got, "Connection: close") {
+	h := newHarness(t, "requests 2\n")
+	c := h.connectClient(getRequest("/feed-a/s/x"))
+	h.receive(h.nodeConn(0), okResponse("one"))
+	if got := h.takeWritten(c); strings.Contains(got, "Connection: close") {
 		t.Errorf("%q", got)
 	}
-	r.say(c, get("/feed-a/s/x"))
-	r.say(r.node(0), ok("two"))
-	r.want("the last answer", r.take(c), "two", "Connection: close")
-	r.parted(c)
+	h.receive(c, getRequest("/feed-a/s/x"))
+	h.receive(h.nodeConn(0), okResponse("two"))
+	h.wantContains("the last answer", h.takeWritten(c), "two", "Connection: close")
+	h.wantLingeringClose(c)
 }
 
 // For a known client a request that has not come whole gives way; one that is taken,
 // and an answer that is still to be written, do not.
 func TestWhoGivesWay(t *testing.T) {
-	r := newRig(t, "clients 3\nadmit reserve 1\nknown 10.0.0.0/8\n")
-	slow := r.come("1.1.1.1:1")
-	r.say(slow, "PUT /feed-a/s/x HTTP/1.1\r\nHost: h\r\nContent-Length: 100\r\n\r\nabc")
-	taken := r.come("1.1.1.2:1")
-	r.say(taken, get("/feed-a/s/x"))
-	third := r.come("10.0.0.1:1")
-	r.say(third, get("/feed-a/s/x"))
-	r.come("10.0.0.2:1")
-	if _, gone := r.ended[slow]; !gone {
+	h := newHarness(t, "clients 3\nadmit reserve 1\nknown 10.0.0.0/8\n")
+	slow := h.acceptFrom("1.1.1.1:1")
+	h.receive(slow, "PUT /feed-a/s/x HTTP/1.1\r\nHost: h\r\nContent-Length: 100\r\n\r\nabc")
+	taken := h.acceptFrom("1.1.1.2:1")
+	h.receive(taken, getRequest("/feed-a/s/x"))
+	third := h.acceptFrom("10.0.0.1:1")
+	h.receive(third, getRequest("/feed-a/s/x"))
+	h.acceptFrom("10.0.0.2:1")
+	if _, gone := h.closedBy[slow]; !gone {
 		t.Fatal("the request that was not taken did not give way")
 	}
-	r.stuck[taken] = true
-	r.say(r.node(0), ok("answer"))
-	if w := r.h.Accept(r.now, netip.MustParseAddrPort("10.0.0.3:1"), 0); w.Admitted {
+	h.blocked[taken] = true
+	h.receive(h.nodeConn(0), okResponse("answer"))
+	if w := h.gateway.Accept(h.now, netip.MustParseAddrPort("10.0.0.3:1"), 0); w.Admitted {
 		t.Error("an answer that is still to be written gave way")
 	}
-	r.stuck[taken] = false
-	r.write(taken)
-	r.run()
-	r.want("the answer", r.take(taken), "answer")
-	r.come("10.0.0.4:1") // now it is idle
-	if r.ended[taken] != Close {
-		t.Errorf("the idle connection did not give way: %v", r.ended)
+	h.blocked[taken] = false
+	h.flush(taken)
+	h.runActions()
+	h.wantContains("the answer", h.takeWritten(taken), "answer")
+	h.acceptFrom("10.0.0.4:1") // now it is idle
+	if h.closedBy[taken] != Close {
+		t.Errorf("the idle connection did not give way: %v", h.closedBy)
 	}
 }
 
 // Past the bound of all buffers no request of an unknown client begins, each
 // connection holds its least alone, and all is as before when they have drained.
 func TestBuffersInAll(t *testing.T) {
-	r := newRig(t, "clients 4\nadmit reserve 1\nbuffers 40k\nknown 10.0.0.0/8\n")
+	h := newHarness(t, "clients 4\nadmit reserve 1\nbuffers 40k\nknown 10.0.0.0/8\n")
 	var readers []ConnID
 	for i := range 2 {
-		c := r.come("1.1.1.1:1")
+		c := h.acceptFrom("1.1.1.1:1")
 		readers = append(readers, c)
-		r.stuck[c] = true
-		r.say(c, get("/feed-a/s/x"))
-		r.say(r.node(i), "HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n")
+		h.blocked[c] = true
+		h.receive(c, getRequest("/feed-a/s/x"))
+		h.receive(h.nodeConn(i), "HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n")
 		for range 30 {
-			if !r.paused[r.node(i)] {
-				r.say(r.node(i), strings.Repeat("y", 1000))
+			if !h.paused[h.nodeConn(i)] {
+				h.receive(h.nodeConn(i), strings.Repeat("y", 1000))
 			}
 		}
 	}
-	if n := r.h.Counts().BufferedBytes; n < 30<<10 || n > 50<<10 {
+	if n := h.gateway.Counts().BufferedBytes; n < 30<<10 || n > 50<<10 {
 		t.Errorf("%d bytes held, the bound is 40k and some", n)
 	}
-	if !r.paused[r.node(1)] {
+	if !h.paused[h.nodeConn(1)] {
 		t.Error("the second node is read on past the bound")
 	}
-	other := r.come("1.1.1.3:1")
-	r.say(other, get("/feed-a/s/x"))
-	r.want("the answer past the bound", r.take(other), "503 ", "buffers", "no harm")
+	other := h.acceptFrom("1.1.1.3:1")
+	h.receive(other, getRequest("/feed-a/s/x"))
+	h.wantContains("the answer past the bound", h.takeWritten(other), "503 ", "buffers", "no harm")
 	for i, c := range readers {
-		r.stuck[c] = false
+		h.blocked[c] = false
 		for range 300 {
-			r.write(c)
-			r.run()
-			if !r.paused[r.node(i)] && r.h.conns.find(r.node(i)).at != nil {
-				r.say(r.node(i), strings.Repeat("y", 1000))
+			h.flush(c)
+			h.runActions()
+			if !h.paused[h.nodeConn(i)] && h.gateway.conns.find(h.nodeConn(i)).attempt != nil {
+				h.receive(h.nodeConn(i), strings.Repeat("y", 1000))
 			}
 		}
-		if got := strings.Count(r.take(c), "y"); got != 100000 {
+		if got := strings.Count(h.takeWritten(c), "y"); got != 100000 {
 			t.Errorf("reader %d got %d bytes", i, got)
 		}
 	}
-	if n := r.h.Counts().BufferedBytes; n != 0 {
+	if n := h.gateway.Counts().BufferedBytes; n != 0 {
 		t.Errorf("%d bytes are still booked", n)
 	}
-	again := r.come("1.1.1.4:1")
-	r.say(again, get("/feed-a/s/x"))
+	again := h.acceptFrom("1.1.1.4:1")
+	h.receive(again, getRequest("/feed-a/s/x"))
 	for i := range 2 {
-		if n := r.h.conns.find(r.node(i)); n != nil && n.at != nil {
-			r.say(r.node(i), ok("well"))
+		if n := h.gateway.conns.find(h.nodeConn(i)); n != nil && n.attempt != nil {
+			h.receive(h.nodeConn(i), okResponse("well"))
 		}
 	}
-	r.want("the answer after it", r.take(again), "200 OK", "well")
+	h.wantContains("the answer after it", h.takeWritten(again), "200 OK", "well")
 }
 
 // What is turned away costs no slot and no timer, and is told so within the budget.
 func TestTurnedAwayCostsNothing(t *testing.T) {
-	r := newRig(t, "clients 1\nadmit answers 1 answers-burst 2\n")
-	r.come("1.1.1.1:1")
-	slots, timers := len(r.h.conns.slots), len(r.h.timers.heap)
+	h := newHarness(t, "clients 1\nadmit answers 1 answers-burst 2\n")
+	h.acceptFrom("1.1.1.1:1")
+	slots, timers := len(h.gateway.conns.slots), len(h.gateway.timers.heap)
 	told := 0
 	for range 1000 {
-		w := r.h.Accept(r.now, netip.MustParseAddrPort("1.1.1.2:1"), 0)
+		w := h.gateway.Accept(h.now, netip.MustParseAddrPort("1.1.1.2:1"), 0)
 		if w.Admitted {
 			t.Fatal("past its cap")
 		}
 		if len(w.Answer) > 0 {
 			told++
-			r.want("the answer", string(w.Answer), "HTTP/1.1 503 ", "Retry-After: 1\r\n", "Connection: close\r\n\r\ntoo many connections (total)")
+			h.wantContains("the answer", string(w.Answer), "HTTP/1.1 503 ", "Retry-After: 1\r\n", "Connection: close\r\n\r\ntoo many connections (total)")
 		}
 	}
-	if told != 2 || len(r.h.conns.slots) != slots || len(r.h.timers.heap) != timers {
-		t.Errorf("%d told, %d slots, %d timers", told, len(r.h.conns.slots), len(r.h.timers.heap))
+	if told != 2 || len(h.gateway.conns.slots) != slots || len(h.gateway.timers.heap) != timers {
+		t.Errorf("%d told, %d slots, %d timers", told, len(h.gateway.conns.slots), len(h.gateway.timers.heap))
 	}
 }
 
@@ -190,22 +190,22 @@
 // lag is forgotten.
 func TestLag(t *testing.T) {
 	last := func(lateBy, after time.Duration) time.Duration {
-		r := newRig(t, "")
-		r.refuse = true // no node is reached: the answer is the head's own, at the end
-		first := r.client(get("/feed-a/s/x"))
+		h := newHarness(t, "")
+		h.refuseDials = true // no node is reached: the answer is the head's own, at the end
+		first := h.connectClient(getRequest("/feed-a/s/x"))
 		if lateBy > 0 {
-			r.now = r.next + lateBy
-			r.run()
+			h.now = h.next + lateBy
+			h.runActions()
 		}
-		r.pass(after)
-		r.h.Closed(r.now, first)
-		r.run()
-		c, began := r.client(get("/feed-a/s/y")), r.now
+		h.advanceTime(after)
+		h.gateway.Closed(h.now, first)
+		h.runActions()
+		c, began := h.connectClient(getRequest("/feed-a/s/y")), h.now
 		for range 10000 {
-			if r.take(c) != "" {
-				return r.now - began
+			if h.takeWritten(c) != "" {
+				return h.now - began
 			}
-			r.pass(time.Millisecond)
+			h.advanceTime(time.Millisecond)
 		}
 		t.Fatal("no answer")
 		return 0
--- a/internal/gateway/bench_test.go
+++ b/internal/gateway/bench_test.go
@@ -11,7 +11,7 @@
 
 // One kept-alive GET from a client through to a node and back, module included.
 func BenchmarkRequest(b *testing.B) {
-	c, err := config.Parse("m.conf", []byte(rigConf))
+	c, err := config.Parse("m.conf", []byte(harnessConfig))
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -40,7 +40,7 @@
 			}
 		}
 	}
-	ask, answer := []byte(get("/feed-a/s/x")), []byte("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
+	ask, answer := []byte(getRequest("/feed-a/s/x")), []byte("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 	b.ReportAllocs()
 	for b.Loop() {
 		now += 100 * time.Microsecond
--- a/internal/gateway/buffered_protocol.go
+++ b/internal/gateway/buffered_protocol.go
@@ -9,91 +9,93 @@
 
 // SetProtocol has clients and nodes spoken to in another protocol than WebDAV. It is
 // called before anything is told.
-func (h *Gateway) SetProtocol(p Protocol) { h.protocol = buffered{p} }
+func (g *Gateway) SetProtocol(p Protocol) { g.protocol = bufferedProtocol{p} }
 
-// buffered carries a Protocol whose messages are held whole.
-type buffered struct{ p Protocol }
+// bufferedProtocol carries a Protocol whose messages are held whole.
+type bufferedProtocol struct{ p Protocol }
 
-func (w buffered) begin(h *Gateway, c *conn, ex *exchange) {
-	a := w.p.ParseRequest(&ex.req)
+func (w bufferedProtocol) beginRequest(g *Gateway, c *conn, req *request) {
+	a := w.p.ParseRequest(&req.header)
 	if a.Status != 0 {
 		c.closing = c.closing || a.Close
-		h.answerOwn(ex, a.Status, a.Reason)
+		g.respondLocally(req, a.Status, a.Reason)
 		return
 	}
-	ex.ask, ex.body.buffered = a, true
-	if ex.req.Length > int64(h.config.Limits.BodyBuffer) {
-		h.tooLong(c, ex)
+	req.info, req.body.bufferFully = a, true
+	if req.header.Length > int64(g.config.Limits.BodyBuffer) {
+		g.rejectLongBody(c, req)
 		return
 	}
-	h.invite(c, ex)
-	if ex.body.whole {
-		h.take(ex)
+	g.sendContinue(c, req)
+	if req.body.complete {
+		g.submit(req)
 	}
 }
 
-func (w buffered) arrival(h *Gateway, ex *exchange) *http1.Error { return w.p.BeginRequest(&ex.ask) }
+func (w bufferedProtocol) prepareArrival(g *Gateway, req *request) *http1.Error {
+	return w.p.BeginRequest(&req.info)
+}
 
-func (w buffered) appendRequest(h *Gateway, b []byte, at *attempt) []byte {
-	at.timeout = at.ex.timeLeft(h.clock.now)
-	return w.p.AppendRequest(b, &at.ex.req, at.timeout)
+func (w bufferedProtocol) appendRequest(g *Gateway, b []byte, attempt *nodeAttempt) []byte {
+	attempt.announcedTimeout = attempt.req.timeRemaining(g.clock.now)
+	return w.p.AppendRequest(b, &attempt.req.header, attempt.announcedTimeout)
 }
 
-func (w buffered) verdict(r *http1.Response) ResponseInfo { return w.p.ParseResponse(r) }
+func (w bufferedProtocol) parseResponse(r *http1.Response) ResponseInfo { return w.p.ParseResponse(r) }
 
-// answerHead begins to hold an answer. One without a length of its own is whole when its
+// beginResponse begins to hold an answer. One without a length of its own is whole when its
 // node ends the connection in order; a reset, or silence, is no end.
-func (w buffered) answerHead(h *Gateway, at *attempt) bool {
-	r := &at.conn.resp
+func (w bufferedProtocol) beginResponse(g *Gateway, attempt *nodeAttempt) bool {
+	r := &attempt.conn.response
 	if one, _ := w.p.MaxResponseBytes(); r.Length > one {
 		return false
 	}
-	at.buffered, at.stall, at.body = true, w.p.ResponseStallTimeout(), h.buffers.get()
+	attempt.bufferResponse, attempt.stallTimeout, attempt.responseBody = true, w.p.ResponseStallTimeout(), g.buffers.get()
 	return true
 }
 
-func (w buffered) answerData(h *Gateway, at *attempt, data []byte) bool {
+func (w bufferedProtocol) responseData(g *Gateway, attempt *nodeAttempt, data []byte) bool {
 	one, all := w.p.MaxResponseBytes()
-	h.buffers.responseBytes += int64(len(data)) // given back when the attempt ends
-	at.body = append(at.body, data...)
-	return int64(len(at.body)) <= one && h.buffers.responseBytes <= all
+	g.buffers.responseBytes += int64(len(data)) // given back when the attempt ends
+	attempt.responseBody = append(attempt.responseBody, data...)
+	return int64(len(attempt.responseBody)) <= one && g.buffers.responseBytes <= all
 }
 
-func (w buffered) answerDone(h *Gateway, at *attempt) {
-	ex := at.ex
-	if ex.answer.final { // its client has left: the node did its part
-		h.end(at, scheduler.OK)
+func (w bufferedProtocol) endResponse(g *Gateway, attempt *nodeAttempt) {
+	req := attempt.req
+	if req.response.final { // its client has left: the node did its part
+		g.endAttempt(attempt, scheduler.OK)
 		return
 	}
-	ex.answer.final, ex.answer.from, ex.answer.status = true, at, at.conn.resp.Status
-	h.counts.Served++
-	if cl := ex.client; cl != nil {
+	req.response.final, req.response.source, req.response.status = true, attempt, attempt.conn.response.Status
+	g.counts.Served++
+	if cl := req.client; cl != nil {
 		if cl.out == nil {
-			cl.out = h.buffers.get()
+			cl.out = g.buffers.get()
 		}
-		b := http1.AppendInt(http1.AppendStatus(cl.out, ex.answer.status), "Content-Length", int64(len(at.body)))
-		cl.out = append(h.endHeader(b, cl, ex), at.body...)
+		b := http1.AppendInt(http1.AppendStatus(cl.out, req.response.status), "Content-Length", int64(len(attempt.responseBody)))
+		cl.out = append(g.appendHeaderEnd(b, cl, req), attempt.responseBody...)
 	}
-	h.end(at, scheduler.OK)
-	h.reportEnd(ex, Served)
-	h.answered(ex)
+	g.endAttempt(attempt, scheduler.OK)
+	g.reportRequestEnd(req, Served)
+	g.responseQueued(req)
 }
 
 // truncated: what did not come whole was not run.
-func (w buffered) truncated() scheduler.Outcome { return scheduler.ConnectFailed }
+func (w bufferedProtocol) truncatedRequestOutcome() scheduler.Outcome { return scheduler.ConnectFailed }
 
-func (w buffered) allowsEarlyAnswer() bool { return false }
+func (w bufferedProtocol) allowsEarlyResponse() bool { return false }
 
-func (w buffered) malformed() scheduler.Outcome { return scheduler.Failed }
+func (w bufferedProtocol) malformedResponseOutcome() scheduler.Outcome { return scheduler.Failed }
 
-func (w buffered) retryAfter(b []byte, after time.Duration) []byte {
+func (w bufferedProtocol) appendRetryAfter(b []byte, after time.Duration) []byte {
 	return w.p.AppendRetryAfter(b, after)
 }
 
-func (w buffered) endMeansGone() bool { return true }
+func (w bufferedProtocol) eofMeansDisconnect() bool { return true }
 
-func (w buffered) finished(ex *exchange, o Outcome) {
-	if ex.id != 0 {
-		w.p.EndRequest(ex.ask.ID, o)
+func (w bufferedProtocol) requestEnded(req *request, o Outcome) {
+	if req.id != 0 {
+		w.p.EndRequest(req.info.ID, o)
 	}
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -44,7 +44,7 @@
 
 	clock   clock
 	ids     idGenerator
-	stall   lag
+	stall   stallEstimate
 	actions actionQueue
 	phase   shutdownPhase
 
@@ -82,7 +82,7 @@
 	if err != nil { // never: the configuration is checked
 		panic(err)
 	}
-	h := &Gateway{
+	g := &Gateway{
 		config:    c,
 		routes:    route.NewTable(c, nil),
 		admission: admission,
@@ -96,72 +96,72 @@
 		requests:  newRequestTable(),
 	}
 	if obs != nil {
-		h.invariants.OnViolation = h.violated
+		g.invariants.OnViolation = g.reportViolation
 	}
-	return h
+	return g
 }
 
 // Reload takes a new configuration. What the module was told at start cannot
 // change while it runs; then nothing is applied.
-func (h *Gateway) Reload(c *config.Config) error {
-	if !reflect.DeepEqual(c.Scheduler, h.config.Scheduler) {
+func (g *Gateway) Reload(c *config.Config) error {
+	if !reflect.DeepEqual(c.Scheduler, g.config.Scheduler) {
 		return fmt.Errorf("classes, plans, heads, cold, budget, units and attempts change with a restart only")
 	}
-	if err := h.admission.Reconfigure(c.Admission); err != nil {
+	if err := g.admission.Reconfigure(c.Admission); err != nil {
 		return err
 	}
-	h.routes = route.NewTable(c, h.routes)
-	h.config = c
+	g.routes = route.NewTable(c, g.routes)
+	g.config = c
 	return nil
 }
 
 // Advance runs timers and the module over what was told, and returns what to
 // do and when to come back at the latest. The actions are good until the next call.
-func (h *Gateway) Advance(now Time) ([]Action, Time) {
-	h.clock.advance(now)
-	h.stall.called(h.clock.now)
-	h.conns.beginAdvance()
-	for c := h.timers.popExpired(h.clock.now); c != nil; c = h.timers.popExpired(h.clock.now) {
-		h.expired(c)
+func (g *Gateway) Advance(now Time) ([]Action, Time) {
+	g.clock.advance(now)
+	g.stall.observe(g.clock.now)
+	g.conns.beginAdvance()
+	for c := g.timers.popExpired(g.clock.now); c != nil; c = g.timers.popExpired(g.clock.now) {
+		g.expired(c)
 	}
-	if h.clock.now >= h.wakeAt {
-		h.wakeAt = never
-		h.events = append(h.events, scheduler.TimerFired{})
+	if g.clock.now >= g.wakeAt {
+		g.wakeAt = never
+		g.events = append(g.events, scheduler.TimerFired{})
 	}
-	feedNext := h.advanceFeed()
-	for len(h.events) > 0 || len(h.readyClients) > 0 {
-		for len(h.readyClients) > 0 {
-			c := h.readyClients[len(h.readyClients)-1]
-			h.readyClients = h.readyClients[:len(h.readyClients)-1]
-			h.nextRequest(c)
+	feedNext := g.advanceMembershipSource()
+	for len(g.events) > 0 || len(g.readyClients) > 0 {
+		for len(g.readyClients) > 0 {
+			c := g.readyClients[len(g.readyClients)-1]
+			g.readyClients = g.readyClients[:len(g.readyClients)-1]
+			g.startNextRequest(c)
 		}
-		events := h.events
-		if h.events = nil; len(events) == 0 {
+		events := g.events
+		if g.events = nil; len(events) == 0 {
 			break
 		}
-		for _, a := range h.scheduler.Handle(h.clock.now, events) {
-			h.carryOut(a)
+		for _, a := range g.scheduler.Handle(g.clock.now, events) {
+			g.applyDecision(a)
 		}
-		if h.events == nil {
-			h.events = events[:0]
+		if g.events == nil {
+			g.events = events[:0]
 		}
 	}
-	h.conns.endAdvance()
-	next := min(h.wakeAt, feedNext, h.timers.next())
-	h.stall.asked = next
-	return h.actions.take(), next
+	g.conns.endAdvance()
+	next := min(g.wakeAt, feedNext, g.timers.next())
+	g.stall.nextAdvance = next
+	return g.actions.take(), next
 }
 
-// carryOut does what the module decided.
-func (h *Gateway) carryOut(a scheduler.Action) {
+// applyDecision does what the module decided.
+func (g *Gateway) applyDecision(a scheduler.Action) {
 	switch a := a.(type) {
 	case scheduler.Send:
-		h.send(h.requests.byID[a.ID], a.Node, a.StartBefore)
+		g.startAttempt(g.requests.byID[a.ID], a.Node, a.StartBefore)
 	case scheduler.Reject:
-		h.refuse(h.requests.byID[a.ID], a.RetryAfter)
+		g.reject(g.requests.byID[a.ID], a.RetryAfter)
 	case scheduler.Fail:
-		h.fail(h.requests.byID[a.ID])
+		g.fail(g.requests.byID[a.ID])
 	case scheduler.SetTimer:
-		h.wakeAt = h.clock.now + a.After // in place of the one before, as the module counts on
+		g.wakeAt = g.clock.now + a.After // in place of the one before, as the module counts on
 	}
 }
--- a/internal/gateway/listing.go
+++ b/internal/gateway/listing.go
@@ -14,113 +14,113 @@
 // volume's root, for which every shard is asked. Each part is a request of its
 // own to the module, with its own final answer.
 type listing struct {
-	volumes bool
-	parent  *exchange // nil when its client left
-	parts   []*exchange
-	bodies  [][]byte
-	size    int
-	waiting int
-	refused int
-	bad     int // status of a part that is neither a listing nor refused
-	reason  string
-	after   time.Duration
+	ofVolumes   bool
+	parent      *request // nil when its client left
+	parts       []*request
+	bodies      [][]byte
+	bytes       int
+	pending     int
+	rejected    int
+	errorStatus int // status of a part that is neither a listing nor refused
+	reason      string
+	retryAfter  time.Duration
 }
 
-// list starts it when the request's body is whole.
-func (h *Gateway) list(ex *exchange) {
-	l, depth := ex.listing, string(ex.req.Get("depth"))
-	l.parent = ex
-	if l.volumes {
-		find, err := webdav.ParsePropfind(ex.body.held)
+// beginListing starts it when the request's body is whole.
+func (g *Gateway) beginListing(req *request) {
+	l, depth := req.listing, string(req.header.Get("depth"))
+	l.parent = req
+	if l.ofVolumes {
+		find, err := webdav.ParsePropfind(req.body.data)
 		if err != nil {
-			h.answerOwn(ex, 400, err.Error())
+			g.respondLocally(req, 400, err.Error())
 			return
 		}
 		var names []string
-		for _, v := range h.config.Volumes {
+		for _, v := range g.config.Volumes {
 			names = append(names, v.Name)
 		}
-		ex.answer.reason = "list of volumes"
-		h.counts.Local++
-		h.respond(ex, 207, webdav.ListVolumes(find, names, depth), nil)
+		req.response.reason = "list of volumes"
+		g.counts.Local++
+		g.writeLocalResponse(req, 207, webdav.ListVolumes(find, names, depth), nil)
 		return
 	}
-	h.admission.RequestAccepted(h.clock.now, uint64(ex.client.id))
-	ex.volume = &h.config.Volumes[ex.place.Volume]
-	shards := ex.volume.Shards
+	g.admission.RequestAccepted(g.clock.now, uint64(req.client.id))
+	req.volume = &g.config.Volumes[req.location.Volume]
+	shards := req.volume.Shards
 	if depth == "0" {
 		shards = shards[:1] // each has the volume's root
 	}
 	l.bodies = make([][]byte, len(shards))
-	l.waiting = len(shards)
+	l.pending = len(shards)
 	for i, shard := range shards {
-		p := h.requests.create()
-		p.method, p.place, p.listing, p.part = ex.method, ex.place, l, i
-		p.place.Shard, p.volume = shard, ex.volume
-		p.headerBytes = append(h.buffers.get(), ex.headerBytes...)
-		http1.ParseRequest(p.headerBytes, &p.req, h.config.HeaderLimits) // parsed well before
-		p.body.held = append(h.buffers.get(), ex.body.held...)
-		p.body.whole, p.body.invited, p.body.received = true, true, int64(len(p.body.held))
-		p.trace.id, p.trace.parent, p.trace.sampled = ex.trace.id, ex.trace.span, ex.trace.sampled
-		h.ids.fill(p.trace.span[:])
-		p.job = h.routes.Classify(route.RequestHeader{Method: p.method, Location: p.place, Length: p.body.received, Prefer: string(p.req.Get("prefer"))})
+		p := g.requests.create()
+		p.method, p.location, p.listing, p.listingPart = req.method, req.location, l, i
+		p.location.Shard, p.volume = shard, req.volume
+		p.rawHeader = append(g.buffers.get(), req.rawHeader...)
+		http1.ParseRequest(p.rawHeader, &p.header, g.config.HeaderLimits) // parsed well before
+		p.body.data = append(g.buffers.get(), req.body.data...)
+		p.body.complete, p.body.continueHandled, p.body.received = true, true, int64(len(p.body.data))
+		p.trace.id, p.trace.parent, p.trace.sampled = req.trace.id, req.trace.span, req.trace.sampled
+		g.ids.fill(p.trace.span[:])
+		p.classification = g.routes.Classify(route.RequestHeader{Method: p.method, Location: p.location, Length: p.body.received, Prefer: string(p.header.Get("prefer"))})
 		l.parts = append(l.parts, p)
-		h.take(p)
+		g.submit(p)
 	}
 }
 
-// partData keeps a piece of a part's answer; false where it is too much.
-func (h *Gateway) partData(p *exchange, data []byte) bool {
+// receivePartData keeps a piece of a part's answer; false where it is too much.
+func (g *Gateway) receivePartData(p *request, data []byte) bool {
 	l := p.listing
-	if l.size += len(data); l.size > h.config.Limits.ListingBytes {
-		l.bad, l.reason = 507, webdav.ErrTooLarge.Error()
+	if l.bytes += len(data); l.bytes > g.config.Limits.ListingBytes {
+		l.errorStatus, l.reason = 507, webdav.ErrTooLarge.Error()
 		return false
 	}
-	l.bodies[p.part] = append(l.bodies[p.part], data...)
+	l.bodies[p.listingPart] = append(l.bodies[p.listingPart], data...)
 	if l.parent != nil && l.parent.client != nil {
-		h.weigh(l.parent.client)
+		g.accountClientBytes(l.parent.client)
 	}
 	return true
 }
 
-// partDone counts a part's final answer; the last one makes the listing.
-func (h *Gateway) partDone(p *exchange) {
+// endPart counts a part's final answer; the last one makes the listing.
+func (g *Gateway) endPart(p *request) {
 	l := p.listing
-	if p.part < len(l.parts) {
-		l.parts[p.part] = nil
+	if p.listingPart < len(l.parts) {
+		l.parts[p.listingPart] = nil
 	}
 	switch {
-	case p.answer.status == 207:
-	case p.answer.status == 503 && p.answer.from == nil:
-		l.refused++
-	case l.bad == 0:
-		l.bad, l.reason = p.answer.status, "a storage node gave "+http1.Text(p.answer.status)+" for its part of the listing"
-		if p.answer.from == nil {
-			l.reason = "a part of the listing failed: " + p.answer.reason
+	case p.response.status == 207:
+	case p.response.status == 503 && p.response.source == nil:
+		l.rejected++
+	case l.errorStatus == 0:
+		l.errorStatus, l.reason = p.response.status, "a storage node gave "+http1.Text(p.response.status)+" for its part of the listing"
+		if p.response.source == nil {
+			l.reason = "a part of the listing failed: " + p.response.reason
 		}
 	}
-	if l.waiting--; l.waiting > 0 || l.parent == nil {
+	if l.pending--; l.pending > 0 || l.parent == nil {
 		return
 	}
-	ex := l.parent
+	req := l.parent
 	switch {
-	case l.bad != 0:
-		h.answerOwn(ex, l.bad, l.reason)
-	case l.refused > 0:
-		ex.answer.reason = "a part of the listing was refused; trying again does no harm"
-		h.counts.Local++
-		h.respond(ex, 503, []byte(ex.answer.reason+"\n"), func(b []byte) []byte { return appendRetryAfter(b, l.after) })
+	case l.errorStatus != 0:
+		g.respondLocally(req, l.errorStatus, l.reason)
+	case l.rejected > 0:
+		req.response.reason = "a part of the listing was refused; trying again does no harm"
+		g.counts.Local++
+		g.writeLocalResponse(req, 503, []byte(req.response.reason+"\n"), func(b []byte) []byte { return appendRetryAfter(b, l.retryAfter) })
 	default:
-		body, err := webdav.Merge(l.bodies, h.config.Limits.ListingBytes)
+		body, err := webdav.Merge(l.bodies, g.config.Limits.ListingBytes)
 		switch {
 		case errors.Is(err, webdav.ErrTooLarge):
-			h.answerOwn(ex, 507, err.Error())
+			g.respondLocally(req, 507, err.Error())
 		case err != nil:
-			h.answerOwn(ex, 502, err.Error())
+			g.respondLocally(req, 502, err.Error())
 		default:
-			ex.answer.reason = "merged listing"
-			h.counts.Local++
-			h.respond(ex, 207, bytes.TrimSpace(body), nil)
+			req.response.reason = "merged listing"
+			g.counts.Local++
+			g.writeLocalResponse(req, 207, bytes.TrimSpace(body), nil)
 		}
 	}
 }
--- a/internal/gateway/membership_source.go
+++ b/internal/gateway/membership_source.go
@@ -29,33 +29,33 @@
 }
 
 // SetMembershipSource has the node list come from a feed.
-func (h *Gateway) SetMembershipSource(f MembershipSource) {
-	h.membership = membershipClient{source: f, conns: map[int]*conn{}}
+func (g *Gateway) SetMembershipSource(f MembershipSource) {
+	g.membership = membershipClient{source: f, conns: map[int]*conn{}}
 }
 
-// advanceFeed lets the feed go on, and returns when it is to be asked again.
-func (h *Gateway) advanceFeed() Time {
-	f := &h.membership
+// advanceMembershipSource lets the feed go on, and returns when it is to be asked again.
+func (g *Gateway) advanceMembershipSource() Time {
+	f := &g.membership
 	if f.source == nil {
 		return never
 	}
 	for {
 		if news, ok := f.source.TakeUpdate(); ok {
-			h.updateMembership(news)
+			g.updateMembership(news)
 		}
-		op, next := f.source.Step(h.clock.now)
+		op, next := f.source.Step(g.clock.now)
 		c := f.conns[op.Conn]
 		switch {
 		case op.Dial != "":
-			h.dialFeed(op)
+			g.dialMembershipSource(op)
 		case op.Close:
 			delete(f.conns, op.Conn)
 			if c != nil {
-				h.drop(c, Close)
+				g.drop(c, Close)
 			}
 		case len(op.Write) > 0:
 			if c != nil {
-				h.writeFeed(c, op.Write)
+				g.writeToMembershipSource(c, op.Write)
 			}
 		default:
 			return next
@@ -63,29 +63,29 @@
 	}
 }
 
-func (h *Gateway) dialFeed(op SourceOp) {
-	c := h.newConn()
+func (g *Gateway) dialMembershipSource(op SourceOp) {
+	c := g.newConn()
 	c.feed, c.feedConn = true, op.Conn
-	h.membership.conns[op.Conn] = c
-	h.actions.dial(c.id, op.Dial)
+	g.membership.conns[op.Conn] = c
+	g.actions.dial(c.id, op.Dial)
 }
 
-func (h *Gateway) writeFeed(c *conn, p []byte) {
+func (g *Gateway) writeToMembershipSource(c *conn, p []byte) {
 	if c.out == nil {
-		c.out = h.buffers.get()
+		c.out = g.buffers.get()
 	}
 	c.out = append(c.out, p...)
-	h.flush(c)
+	g.flush(c)
 }
 
-func (h *Gateway) feedClosed(c *conn, open bool) {
+func (g *Gateway) discoveryConnClosed(c *conn, open bool) {
 	if open {
-		h.drop(c, Close)
+		g.drop(c, Close)
 	} else {
-		h.forget(c, false)
+		g.forget(c, false)
 	}
-	if h.membership.conns[c.feedConn] == c {
-		delete(h.membership.conns, c.feedConn)
-		h.membership.source.Closed(h.clock.now, c.feedConn)
+	if g.membership.conns[c.feedConn] == c {
+		delete(g.membership.conns, c.feedConn)
+		g.membership.source.Closed(g.clock.now, c.feedConn)
 	}
 }
--- a/internal/gateway/node.go
+++ b/internal/gateway/node.go
@@ -5,244 +5,244 @@
 	"maddergap/scheduler"
 )
 
-// discardMost is how much of an answer that nobody is given is read to keep its
+// maxDiscardedBytes is how much of an answer that nobody is given is read to keep its
 // connection.
-const discardMost = 64 << 10
+const maxDiscardedBytes = 64 << 10
 
 // Connected tells that a connection asked for with Dial stands.
-func (h *Gateway) Connected(now Time, id ConnID) {
-	h.clock.advance(now)
-	c := h.conns.find(id)
+func (g *Gateway) Connected(now Time, id ConnID) {
+	g.clock.advance(now)
+	c := g.conns.find(id)
 	if c == nil || c.connected {
 		return
 	}
 	c.connected = true
 	if c.feed {
-		h.membership.source.Connected(h.clock.now, c.feedConn)
+		g.membership.source.Connected(g.clock.now, c.feedConn)
 		return
 	}
-	h.nodes.lastConnected = h.clock.now
-	if c.at == nil {
-		h.park(c)
+	g.nodes.lastConnected = g.clock.now
+	if c.attempt == nil {
+		g.park(c)
 		return
 	}
-	if by := c.at.beginBy; by > 0 && h.clock.now >= by { // a connection that came up late
-		h.withhold(c)
+	if by := c.attempt.startBefore; by > 0 && g.clock.now >= by { // a connection that came up late
+		g.withholdAttempt(c)
 		return
 	}
-	h.setDeadline(c, c.at.ex.deadline)
-	h.writeRequest(c)
+	g.setDeadline(c, c.attempt.req.deadline)
+	g.writeRequest(c)
 }
 
-// readOn resumes a connection and uses what it told before it was paused.
-func (h *Gateway) readOn(c *conn) {
+// resumeReading resumes a connection and uses what it told before it was paused.
+func (g *Gateway) resumeReading(c *conn) {
 	if !c.paused {
 		return
 	}
-	h.resume(c)
-	if p := c.in; len(p) == 0 {
+	g.resume(c)
+	if p := c.unread; len(p) == 0 {
 	} else if c.node != nil {
-		h.keep(c, h.nodeData(c, p))
+		g.storeUnread(c, g.nodeData(c, p))
 	} else {
-		h.keep(c, h.clientData(c, p))
+		g.storeUnread(c, g.clientData(c, p))
 	}
 }
 
-func (h *Gateway) nodeWrote(c *conn) {
-	at := c.at
-	if at == nil {
+func (g *Gateway) nodeWrote(c *conn) {
+	attempt := c.attempt
+	if attempt == nil {
 		return
 	}
-	h.resumed(at)
-	if !at.written {
-		at.written = true
-		h.began(at)
+	g.attemptResumed(attempt)
+	if !attempt.firstByteWritten {
+		attempt.firstByteWritten = true
+		g.checkFirstByteWritten(attempt)
 	}
-	if cl := at.ex.client; at.ex.attempts.upload == at && cl != nil && cl.paused && len(c.pending()) <= h.room()/2 {
-		h.bodyOn(cl)
-		h.readOn(cl)
+	if cl := attempt.req.client; attempt.req.attempts.uploading == attempt && cl != nil && cl.paused && len(c.pending()) <= g.bufferAllowance()/2 {
+		g.restartUploadTimer(cl)
+		g.resumeReading(cl)
 	}
 }
 
 // nodeData uses bytes of a node and returns those it cannot use yet.
-func (h *Gateway) nodeData(c *conn, p []byte) []byte {
-	h.resumed(c.at)
-	for more := true; more && len(p) > 0 && !c.gone; {
+func (g *Gateway) nodeData(c *conn, p []byte) []byte {
+	g.attemptResumed(c.attempt)
+	for more := true; more && len(p) > 0 && !c.closed; {
 		switch {
-		case c.at == nil: // nothing was asked
-			h.unpark(c)
-			h.drop(c, Close)
+		case c.attempt == nil: // nothing was asked
+			g.unpark(c)
+			g.drop(c, Close)
 			return nil
 		case !c.inBody:
-			p, more = h.nodeHeader(c, p)
+			p, more = g.nodeHeader(c, p)
 		default:
-			p, more = h.nodeBody(c, p)
+			p, more = g.nodeBody(c, p)
 		}
-		if c.inBody && c.content.Done() && !c.gone {
-			h.answerDone(c)
+		if c.inBody && c.responseBody.Done() && !c.closed {
+			g.responseComplete(c)
 		}
 	}
-	if c.at != nil && !c.gone {
-		h.answerMoves(c)
+	if c.attempt != nil && !c.closed {
+		g.responseProgressed(c)
 	}
 	return p
 }
 
 // nodeHeader takes the header of a node's answer, if it is whole, and returns what is behind
 // it; more tells whether that can be used now.
-func (h *Gateway) nodeHeader(c *conn, p []byte) (rest []byte, more bool) {
-	at := c.at
-	n := h.config.HeaderLimits.Block(p, &c.scanned)
+func (g *Gateway) nodeHeader(c *conn, p []byte) (rest []byte, more bool) {
+	attempt := c.attempt
+	n := g.config.HeaderLimits.Block(p, &c.headerScanned)
 	if n == 0 {
 		return p, false
 	}
-	if err := http1.ParseResponse(p[:n], &c.resp, at.ex.method, h.config.HeaderLimits); err != nil {
-		h.broken(c, scheduler.Failed)
+	if err := http1.ParseResponse(p[:n], &c.response, attempt.req.method, g.config.HeaderLimits); err != nil {
+		g.abortNodeConn(c, scheduler.Failed)
 		return nil, false
 	}
-	if !h.protocol.allowsEarlyAnswer() && !at.out() { // of an earlier request: this one has not come whole
-		h.broken(c, h.protocol.truncated())
+	if !g.protocol.allowsEarlyResponse() && !attempt.requestWritten() { // of an earlier request: this one has not come whole
+		g.abortNodeConn(c, g.protocol.truncatedRequestOutcome())
 		return nil, false
 	}
 	p = p[n:]
-	if c.resp.Status < 200 {
-		if c.interim++; c.interim > http1.InterimMax {
-			h.broken(c, scheduler.Failed)
+	if c.response.Status < 200 {
+		if c.interimResponses++; c.interimResponses > http1.InterimMax {
+			g.abortNodeConn(c, scheduler.Failed)
 			return nil, false
 		}
 		return p, true
 	}
 	c.inBody = true
-	c.content.Reset(&c.resp.Message)
-	if !h.answerHead(at) {
-		h.broken(c, h.protocol.malformed())
+	c.responseBody.Reset(&c.response.Message)
+	if !g.receiveResponseHeader(attempt) {
+		g.abortNodeConn(c, g.protocol.malformedResponseOutcome())
 		return nil, false
 	}
 	return p, true
 }
 
 // nodeBody takes a piece of the body of a node's answer.
-func (h *Gateway) nodeBody(c *conn, p []byte) (rest []byte, more bool) {
-	at := c.at
-	if cl := at.ex.client; at.ex.answer.from == at && cl != nil && len(cl.pending()) > h.room() {
-		h.pause(c)
-		h.setDeadline(c, never) // it waits for the client
+func (g *Gateway) nodeBody(c *conn, p []byte) (rest []byte, more bool) {
+	attempt := c.attempt
+	if cl := attempt.req.client; attempt.req.response.source == attempt && cl != nil && len(cl.pending()) > g.bufferAllowance() {
+		g.pause(c)
+		g.setDeadline(c, never) // it waits for the client
 		return p, false
 	}
-	data, rest, err := c.content.Next(p)
+	data, rest, err := c.responseBody.Next(p)
 	if err != nil {
-		h.broken(c, h.protocol.malformed())
+		g.abortNodeConn(c, g.protocol.malformedResponseOutcome())
 		return nil, false
 	}
-	h.answerData(at, data)
+	g.receiveResponseData(attempt, data)
 	return rest, true
 }
 
-// answerMoves sets how long an answer that has begun may stand still.
-func (h *Gateway) answerMoves(c *conn) {
-	at := c.at
-	if at.buffered {
-		h.setDeadline(c, min(at.ex.deadline, h.clock.now+at.stall))
+// responseProgressed sets how long an answer that has begun may stand still.
+func (g *Gateway) responseProgressed(c *conn) {
+	attempt := c.attempt
+	if attempt.bufferResponse {
+		g.setDeadline(c, min(attempt.req.deadline, g.clock.now+attempt.stallTimeout))
 		return
 	}
-	if at.ex.answer.from != at {
+	if attempt.req.response.source != attempt {
 		return
 	}
-	if !at.begun {
-		at.begun = true
-		h.events = append(h.events, scheduler.ResponseStarted{ID: at.ex.id, Attempt: at.number})
+	if !attempt.responseStarted {
+		attempt.responseStarted = true
+		g.events = append(g.events, scheduler.ResponseStarted{ID: attempt.req.id, Attempt: attempt.number})
 	}
 	if !c.paused {
-		h.setDeadline(c, h.clock.now+h.config.Timeouts.Stall)
+		g.setDeadline(c, g.clock.now+g.config.Timeouts.Stall)
 	}
 }
 
-// answerDone ends an attempt whose answer was read whole.
-func (h *Gateway) answerDone(c *conn) {
-	at := c.at
-	c.at, c.inBody = nil, false
-	keep := !c.resp.Close && at.out()
-	ex := at.ex
-	if ex.attempts.upload == at {
-		ex.attempts.upload = nil
-	}
-	if at.buffered || ex.answer.from == at {
-		h.protocol.answerDone(h, at)
+// responseComplete ends an attempt whose answer was read whole.
+func (g *Gateway) responseComplete(c *conn) {
+	attempt := c.attempt
+	c.attempt, c.inBody = nil, false
+	keep := !c.response.Close && attempt.requestWritten()
+	req := attempt.req
+	if req.attempts.uploading == attempt {
+		req.attempts.uploading = nil
+	}
+	if attempt.bufferResponse || req.response.source == attempt {
+		g.protocol.endResponse(g, attempt)
 	} else {
-		h.end(at, at.verdict)
+		g.endAttempt(attempt, attempt.outcome)
 	}
 	if keep {
-		h.park(c)
+		g.park(c)
 	} else {
-		h.drop(c, Close)
+		g.drop(c, Close)
 	}
 }
 
-func (h *Gateway) nodeClosed(c *conn, eof bool) {
-	h.closedByNode(c)
-	at := c.at
-	if at == nil {
-		h.unpark(c)
+func (g *Gateway) nodeClosed(c *conn, eof bool) {
+	g.noteClosedByNode(c)
+	attempt := c.attempt
+	if attempt == nil {
+		g.unpark(c)
 		if eof {
-			h.drop(c, Close)
+			g.drop(c, Close)
 		} else {
-			h.forget(c, false)
+			g.forget(c, false)
 		}
 		return
 	}
-	if eof && c.inBody && c.content.End() {
-		h.answerDone(c)
+	if eof && c.inBody && c.responseBody.End() {
+		g.responseComplete(c)
 		return
 	}
-	c.at = nil
-	out := at.out()
+	c.attempt = nil
+	out := attempt.requestWritten()
 	if eof {
-		h.drop(c, Close)
+		g.drop(c, Close)
 	} else {
-		h.forget(c, false)
+		g.forget(c, false)
 	}
 	switch {
-	case c.inBody && at.verdict != scheduler.OK:
-		h.end(at, at.verdict)
+	case c.inBody && attempt.outcome != scheduler.OK:
+		g.endAttempt(attempt, attempt.outcome)
 	case !c.connected:
-		h.end(at, h.unconnected(c, at))
-	case !at.written: // a kept connection that closed just then: proven not to have run
-		h.end(at, scheduler.Superseded)
+		g.endAttempt(attempt, g.dialFailureOutcome(c, attempt))
+	case !attempt.firstByteWritten: // a kept connection that closed just then: proven not to have run
+		g.endAttempt(attempt, scheduler.Superseded)
 	case !out:
-		h.end(at, h.protocol.truncated())
+		g.endAttempt(attempt, g.protocol.truncatedRequestOutcome())
 	default:
-		h.end(at, scheduler.Reset)
+		g.endAttempt(attempt, scheduler.Reset)
 	}
 }
 
-// unconnected is the outcome of an attempt whose connection did not come up: the node's
+// dialFailureOutcome is the outcome of an attempt whose connection did not come up: the node's
 // failure, unless the head's own machine held it up. Where others came up meanwhile it is of
 // that node all the same, as where there is no route to it.
-func (h *Gateway) unconnected(c *conn, at *attempt) scheduler.Outcome {
-	if c.postponed && h.nodes.lastConnected <= at.began {
+func (g *Gateway) dialFailureOutcome(c *conn, attempt *nodeAttempt) scheduler.Outcome {
+	if c.dialStalled && g.nodes.lastConnected <= attempt.startedAt {
 		return scheduler.Superseded
 	}
 	return scheduler.ConnectFailed
 }
 
-func (h *Gateway) nodeExpired(c *conn) {
-	at := c.at
+func (g *Gateway) nodeExpired(c *conn) {
+	attempt := c.attempt
 	switch {
-	case at == nil:
-		h.unpark(c)
-		h.drop(c, Close)
+	case attempt == nil:
+		g.unpark(c)
+		g.drop(c, Close)
 	case !c.connected:
-		c.at = nil
-		h.drop(c, Abort)
-		h.end(at, h.unconnected(c, at))
-	case !at.written: // the head's own machine held it up: it never ran
-		c.at = nil
-		h.drop(c, Abort)
-		h.end(at, scheduler.Superseded)
-	case at.ex.answer.from == at, at.buffered && h.clock.now < at.ex.deadline: // the answer stopped in its middle
-		h.broken(c, h.protocol.malformed())
+		c.attempt = nil
+		g.drop(c, Abort)
+		g.endAttempt(attempt, g.dialFailureOutcome(c, attempt))
+	case !attempt.firstByteWritten: // the head's own machine held it up: it never ran
+		c.attempt = nil
+		g.drop(c, Abort)
+		g.endAttempt(attempt, scheduler.Superseded)
+	case attempt.req.response.source == attempt, attempt.bufferResponse && g.clock.now < attempt.req.deadline: // the answer stopped in its middle
+		g.abortNodeConn(c, g.protocol.malformedResponseOutcome())
 	default: // the client's time is up; a later answer is nobody's
-		at.ex.attempts.timedOut = true
-		h.broken(c, scheduler.TimedOut)
+		attempt.req.attempts.timedOut = true
+		g.abortNodeConn(c, scheduler.TimedOut)
 	}
 }
--- a/internal/gateway/node_table.go
+++ b/internal/gateway/node_table.go
@@ -11,18 +11,18 @@
 // node is a storage node: where it is reached, and the connections to it. It stays
 // after it has left the endpoint list until its last connection is closed.
 type node struct {
-	name, addr  string
-	zone, shard int
-	started     Time // identifies the incarnation of the node; a restart changes it
-	listed      bool // it is in the endpoint list
-	state       scheduler.NodeState
-	changed     Time // when the gateway was notified of this state or address
+	name, addr     string
+	zone, shard    int
+	started        Time // identifies the incarnation of the node; a restart changes it
+	listed         bool // it is in the endpoint list
+	state          scheduler.NodeState
+	stateChangedAt Time // when the gateway was notified of this state or address
 
 	conns int     // open connections, those being dialed included
 	idle  []*conn // connections without a request, the last used last
-	// keepsOpen: an idle connection was still open after reuseDelay, and the node
+	// keepsConnsOpen: an idle connection was still open after reuseDelay, and the node
 	// has closed none sooner since.
-	keepsOpen bool
+	keepsConnsOpen bool
 }
 
 // nodeTable has the storage nodes, the connections to which are counted over all nodes.
@@ -69,56 +69,56 @@
 		t.byName[n.name] = n
 	}
 	if n.state != c.Endpoint.State || c.AddressChanged {
-		n.changed = now
+		n.stateChangedAt = now
 	}
 	n.state, n.started, n.addr = c.Endpoint.State, c.Endpoint.Started, c.Addr
 	n.zone, n.shard = c.Endpoint.Zone, c.Endpoint.Shard
 	n.listed = n.state != scheduler.Removed
 	if c.AddressChanged {
-		n.keepsOpen = false
+		n.keepsConnsOpen = false
 	}
 	return n
 }
 
 // SetNodes replaces the endpoint list.
-func (h *Gateway) SetNodes(now Time, list []nodelist.Node) {
-	h.clock.advance(now)
-	h.updateMembership(membership.Update{Nodes: list, Full: true})
+func (g *Gateway) SetNodes(now Time, list []nodelist.Node) {
+	g.clock.advance(now)
+	g.updateMembership(membership.Update{Nodes: list, Full: true})
 }
 
 // updateMembership applies a watch event of the endpoint list, and notifies the
 // scheduler of what has changed.
-func (h *Gateway) updateMembership(update membership.Update) {
-	h.nodes.known = true
-	changes := h.nodes.membership.Apply(h.clock.now, update)
+func (g *Gateway) updateMembership(update membership.Update) {
+	g.nodes.known = true
+	changes := g.nodes.membership.Apply(g.clock.now, update)
 	if len(changes) == 0 {
 		return
 	}
 	endpoints := make([]scheduler.Endpoint, 0, len(changes))
 	for i := range changes {
-		h.updateNode(&changes[i])
+		g.updateNode(&changes[i])
 		endpoints = append(endpoints, changes[i].Endpoint)
 	}
-	if h.observer != nil {
-		h.observer.MembersChanged(changes)
+	if g.observer != nil {
+		g.observer.MembersChanged(changes)
 	}
-	h.events = append(h.events, scheduler.EndpointUpdate{Endpoints: endpoints})
+	g.events = append(g.events, scheduler.EndpointUpdate{Endpoints: endpoints})
 }
 
 // updateNode applies a change of one node. Its idle connections are closed if they
 // lead to a previous address or incarnation, or to a node that was removed.
-func (h *Gateway) updateNode(c *membership.Change) {
-	n := h.nodes.apply(h.clock.now, c)
+func (g *Gateway) updateNode(c *membership.Change) {
+	n := g.nodes.apply(g.clock.now, c)
 	if c.AddressChanged || !n.listed {
-		h.closeIdleConns(n)
+		g.closeIdleConns(n)
 	}
-	h.nodes.removeUnused(n)
+	g.nodes.removeUnused(n)
 }
 
-func (h *Gateway) closeIdleConns(n *node) {
+func (g *Gateway) closeIdleConns(n *node) {
 	for _, c := range n.idle {
-		h.nodes.idle.remove(c)
-		h.drop(c, Close)
+		g.nodes.idle.remove(c)
+		g.drop(c, Close)
 	}
 	n.idle = nil
 }
--- a/internal/gateway/observer.go
+++ b/internal/gateway/observer.go
@@ -69,10 +69,10 @@
 }
 
 // Counts returns the sums.
-func (h *Gateway) Counts() Counts {
-	c := h.counts
-	c.Clients, c.NodeConns = h.clientConns, h.nodes.conns
-	c.Admitted, c.BufferedBytes, c.Stall = h.admission.Counts(), h.buffers.clientBytes, h.stall.now(h.clock.now)
-	c.Invariants = h.invariants.Counts()
+func (g *Gateway) Counts() Counts {
+	c := g.counts
+	c.Clients, c.NodeConns = g.clientConns, g.nodes.conns
+	c.Admitted, c.BufferedBytes, c.Stall = g.admission.Counts(), g.buffers.clientBytes, g.stall.current(g.clock.now)
+	c.Invariants = g.invariants.Counts()
 	return c
 }
--- a/internal/gateway/protocol.go
+++ b/internal/gateway/protocol.go
@@ -11,30 +11,30 @@
 // request, writing an attempt, reading and passing on its answer. Connections,
 // bounds, timers and the module's part are the same for all.
 type protocol interface {
-	// begin says what becomes of a request whose header was read and that was admitted.
-	begin(h *Gateway, c *conn, ex *exchange)
-	// arrival fills in what the module is told of a request; a fault is answered instead.
-	arrival(h *Gateway, ex *exchange) *http1.Error
+	// beginRequest says what becomes of a request whose header was read and that was admitted.
+	beginRequest(g *Gateway, c *conn, req *request)
+	// prepareArrival fills in what the module is told of a request; a fault is answered instead.
+	prepareArrival(g *Gateway, req *request) *http1.Error
 	// appendRequest writes an attempt's start line and fields, without its length.
-	appendRequest(h *Gateway, b []byte, at *attempt) []byte
-	// verdict reads the header of a node's answer.
-	verdict(r *http1.Response) ResponseInfo
-	// answerHead and answerData take the answer that is to go to the client, and
-	// answerDone brings it to its end. A false ends the attempt as broken.
-	answerHead(h *Gateway, at *attempt) bool
-	answerData(h *Gateway, at *attempt, data []byte) bool
-	answerDone(h *Gateway, at *attempt)
-	// truncated is the outcome of an attempt whose connection broke when it had gone out in part.
-	truncated() scheduler.Outcome
-	// allowsEarlyAnswer tells whether a node may answer before the request has come whole.
-	allowsEarlyAnswer() bool
-	// malformed is the outcome of one whose answer's body cannot be read.
-	malformed() scheduler.Outcome
-	retryAfter(b []byte, after time.Duration) []byte
-	// endMeansGone tells whether a client that sends no more has left.
-	endMeansGone() bool
-	// finished tells of a final answer, or of a client that left.
-	finished(ex *exchange, o Outcome)
+	appendRequest(g *Gateway, b []byte, attempt *nodeAttempt) []byte
+	// parseResponse reads the header of a node's answer.
+	parseResponse(r *http1.Response) ResponseInfo
+	// beginResponse and responseData take the answer that is to go to the client, and
+	// endResponse brings it to its end. A false ends the attempt as broken.
+	beginResponse(g *Gateway, attempt *nodeAttempt) bool
+	responseData(g *Gateway, attempt *nodeAttempt, data []byte) bool
+	endResponse(g *Gateway, attempt *nodeAttempt)
+	// truncatedRequestOutcome is the outcome of an attempt whose connection broke when it had gone out in part.
+	truncatedRequestOutcome() scheduler.Outcome
+	// allowsEarlyResponse tells whether a node may answer before the request has come whole.
+	allowsEarlyResponse() bool
+	// malformedResponseOutcome is the outcome of one whose answer's body cannot be read.
+	malformedResponseOutcome() scheduler.Outcome
+	appendRetryAfter(b []byte, after time.Duration) []byte
+	// eofMeansDisconnect tells whether a client that sends no more has left.
+	eofMeansDisconnect() bool
+	// requestEnded tells of a final answer, or of a client that left.
+	requestEnded(req *request, o Outcome)
 }
 
 // ResponseInfo is what an answer's header says of its attempt.
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -7,42 +7,42 @@
 	"maddergap/internal/route"
 )
 
-// begin takes a request's header.
-func (h *Gateway) begin(c *conn, block []byte) {
-	ex := h.requests.create()
-	ex.client, c.ex, ex.headerAt = c, ex, h.clock.now
-	ex.headerBytes = append(h.buffers.get(), block...)
-	h.setDeadline(c, never)
-	if err := http1.ParseRequest(ex.headerBytes, &ex.req, h.config.HeaderLimits); err != nil {
-		h.malformed(c, ex, err)
+// beginRequest takes a request's header.
+func (g *Gateway) beginRequest(c *conn, block []byte) {
+	req := g.requests.create()
+	req.client, c.req, req.headerReceivedAt = c, req, g.clock.now
+	req.rawHeader = append(g.buffers.get(), block...)
+	g.setDeadline(c, never)
+	if err := http1.ParseRequest(req.rawHeader, &req.header, g.config.HeaderLimits); err != nil {
+		g.rejectMalformedHeader(c, req, err)
 		return
 	}
-	r := &ex.req
-	ex.method = method(r.Method)
-	ex.body.decoder.Reset(&r.Message)
-	ex.body.whole = ex.body.decoder.Done()
-	ex.body.invited = !r.Expect
-	if h.phase >= draining {
+	r := &req.header
+	req.method = internMethod(r.Method)
+	req.body.decoder.Reset(&r.Message)
+	req.body.complete = req.body.decoder.Done()
+	req.body.continueHandled = !r.Expect
+	if g.phase >= draining {
 		c.closing = true
 	}
 	if r.Close {
 		c.closing = true
 	}
-	if c.requests++; h.config.Limits.RequestsPerConn > 0 && c.requests >= h.config.Limits.RequestsPerConn {
+	if c.requestCount++; g.config.Limits.RequestsPerConn > 0 && c.requestCount >= g.config.Limits.RequestsPerConn {
 		c.closing = true // the last that this connection may have
 	}
-	h.endAdmitted(c)
-	if ok, why := h.admission.BeginRequest(h.clock.now, uint64(c.id), h.buffers.clientBytes, ex.body.whole); !ok {
+	g.endAdmittedRequest(c)
+	if ok, why := g.admission.BeginRequest(g.clock.now, uint64(c.id), g.buffers.clientBytes, req.body.complete); !ok {
 		c.closing = true
-		h.turned(c.remote, why, true)
-		h.answerOwn(ex, 503, notAdmitted(why))
+		g.recordRejection(c.remote, why, true)
+		g.respondLocally(req, 503, rejectionText(why))
 		return
 	}
-	h.protocol.begin(h, c, ex)
+	g.protocol.beginRequest(g, c, req)
 }
 
-// method returns a known method without allocating.
-func method(b []byte) string {
+// internMethod returns a known method without allocating.
+func internMethod(b []byte) string {
 	for _, m := range [...]string{"GET", "HEAD", "PUT", "PROPFIND", "OPTIONS", "DELETE", "MKCOL", "COPY", "MOVE", "PROPPATCH", "LOCK", "UNLOCK"} {
 		if string(b) == m {
 			return m
@@ -51,117 +51,117 @@
 	return string(b)
 }
 
-// job classifies a request whose body has the length, -1 where it is not told.
-func (h *Gateway) job(ex *exchange, length int64) route.Classification {
-	return h.routes.Classify(route.RequestHeader{Method: ex.method, Location: ex.place, Length: length, Range: string(ex.req.Get("range")),
-		Prefer: string(ex.req.Get("prefer")), Key: string(ex.req.Get("idempotency-key"))})
+// classify classifies a request whose body has the length, -1 where it is not told.
+func (g *Gateway) classify(req *request, length int64) route.Classification {
+	return g.routes.Classify(route.RequestHeader{Method: req.method, Location: req.location, Length: length, Range: string(req.header.Get("range")),
+		Prefer: string(req.header.Get("prefer")), Key: string(req.header.Get("idempotency-key"))})
 }
 
-// invite lets a client that waits for it send its body (RFC 9110 10.1.1).
-func (h *Gateway) invite(c *conn, ex *exchange) {
-	if !ex.body.invited && !ex.body.whole {
+// sendContinue lets a client that waits for it send its body (RFC 9110 10.1.1).
+func (g *Gateway) sendContinue(c *conn, req *request) {
+	if !req.body.continueHandled && !req.body.complete {
 		c.out = append(c.out, "HTTP/1.1 100 Continue\r\n\r\n"...)
-		h.flush(c)
+		g.flush(c)
 	}
-	ex.body.invited = true
-	if !ex.body.whole {
-		h.bodyOn(c)
+	req.body.continueHandled = true
+	if !req.body.complete {
+		g.restartUploadTimer(c)
 	}
 }
 
-// bodyOn begins to wait for a client's body, or goes on after it waited for us.
-func (h *Gateway) bodyOn(c *conn) {
-	c.body = pace{from: h.clock.now}
-	h.setDeadline(c, h.bodyBy(c))
+// restartUploadTimer begins to wait for a client's body, or goes on after it waited for us.
+func (g *Gateway) restartUploadTimer(c *conn) {
+	c.upload = progress{since: g.clock.now}
+	g.setDeadline(c, g.uploadDeadline(c))
 }
 
-// bodyData takes a piece of a request's body.
-func (h *Gateway) bodyData(c *conn, ex *exchange, data []byte) {
-	ex.body.received += int64(len(data))
-	ex.body.whole = ex.body.decoder.Done()
-	ex.body.invited = true
-	if ex.body.whole {
-		h.setDeadline(c, never)
-	}
-	if ex.listing != nil && ex.id == 0 {
-		if len(ex.body.held)+len(data) > h.config.Limits.BodyBuffer {
-			h.answerOwn(ex, 413, "the body of a PROPFIND is longer than can be held")
+// receiveBody takes a piece of a request's body.
+func (g *Gateway) receiveBody(c *conn, req *request, data []byte) {
+	req.body.received += int64(len(data))
+	req.body.complete = req.body.decoder.Done()
+	req.body.continueHandled = true
+	if req.body.complete {
+		g.setDeadline(c, never)
+	}
+	if req.listing != nil && req.id == 0 {
+		if len(req.body.data)+len(data) > g.config.Limits.BodyBuffer {
+			g.respondLocally(req, 413, "the body of a PROPFIND is longer than can be held")
 			return
 		}
-		if ex.body.held = append(ex.body.held, data...); ex.body.whole {
-			h.list(ex)
+		if req.body.data = append(req.body.data, data...); req.body.complete {
+			g.beginListing(req)
 		}
 		return
 	}
-	if ex.attempts.upload == nil {
-		ex.body.held = append(ex.body.held, data...)
+	if req.attempts.uploading == nil {
+		req.body.data = append(req.body.data, data...)
 	} else {
-		ex.body.spent = true
-		h.uploadData(ex.attempts.upload, data)
+		req.body.consumed = true
+		g.forwardBody(req.attempts.uploading, data)
 	}
 	switch {
-	case ex.id != 0 || ex.answer.final:
-	case ex.body.buffered && len(ex.body.held) > h.config.Limits.BodyBuffer:
-		h.tooLong(c, ex)
-	case ex.body.whole || !ex.body.buffered && len(ex.body.held) >= h.config.Limits.BodyBuffer:
-		h.take(ex)
+	case req.id != 0 || req.response.final:
+	case req.body.bufferFully && len(req.body.data) > g.config.Limits.BodyBuffer:
+		g.rejectLongBody(c, req)
+	case req.body.complete || !req.body.bufferFully && len(req.body.data) >= g.config.Limits.BodyBuffer:
+		g.submit(req)
 	}
 }
 
-// tooLong answers a body that is held whole and too long for it.
-func (h *Gateway) tooLong(c *conn, ex *exchange) {
+// rejectLongBody answers a body that is held whole and too long for it.
+func (g *Gateway) rejectLongBody(c *conn, req *request) {
 	c.closing = true
-	h.answerOwn(ex, 413, "the body is longer than any may be")
+	g.respondLocally(req, 413, "the body is longer than any may be")
 }
 
-// take gives a request to the module: from here on it is owed one final answer.
-func (h *Gateway) take(ex *exchange) {
-	if fault := h.protocol.arrival(h, ex); fault != nil {
-		h.answerOwn(ex, fault.Status, fault.Reason)
+// submit gives a request to the module: from here on it is owed one final answer.
+func (g *Gateway) submit(req *request) {
+	if fault := g.protocol.prepareArrival(g, req); fault != nil {
+		g.respondLocally(req, fault.Status, fault.Reason)
 		return
 	}
-	h.requests.assignID(ex)
-	ex.takenAt = h.clock.now
-	a := &ex.ask.Arrival
-	a.ID, a.TimeRemaining = ex.id, h.clientTimeLeft(a.TimeRemaining)
-	if c := ex.client; c != nil && c.requests == 1 {
-		a.TimeRemaining = max(a.TimeRemaining-c.waited, 0)
+	g.requests.assignID(req)
+	req.submittedAt = g.clock.now
+	a := &req.info.Arrival
+	a.ID, a.TimeRemaining = req.id, g.clientTimeLeft(a.TimeRemaining)
+	if c := req.client; c != nil && c.requestCount == 1 {
+		a.TimeRemaining = max(a.TimeRemaining-c.acceptDelay, 0)
 	}
-	ex.deadline = h.clock.now + a.TimeRemaining
-	h.counts.Received++
-	if ex.client != nil {
-		h.admission.RequestAccepted(h.clock.now, uint64(ex.client.id))
+	req.deadline = g.clock.now + a.TimeRemaining
+	g.counts.Received++
+	if req.client != nil {
+		g.admission.RequestAccepted(g.clock.now, uint64(req.client.id))
 	}
-	h.events = append(h.events, *a)
+	g.events = append(g.events, *a)
 }
 
-// badBody ends a request whose body is malformed: nothing of it may run.
-func (h *Gateway) badBody(c *conn, ex *exchange, err error) {
-	h.counts.Malformed++
-	if ex.id != 0 && !ex.answer.final {
-		h.leave(ex)
+// rejectMalformedBody ends a request whose body is malformed: nothing of it may run.
+func (g *Gateway) rejectMalformedBody(c *conn, req *request, err error) {
+	g.counts.Malformed++
+	if req.id != 0 && !req.response.final {
+		g.abandonRequest(req)
 	}
-	c.closing, ex.body.whole = true, true
+	c.closing, req.body.complete = true, true
 	var e *http1.Error
-	if errors.As(err, &e) && ex.answer.from == nil {
-		ex.answer.reason = e.Reason
-		h.respond(ex, e.Status, []byte(e.Reason+"\n"), nil)
+	if errors.As(err, &e) && req.response.source == nil {
+		req.response.reason = e.Reason
+		g.writeLocalResponse(req, e.Status, []byte(e.Reason+"\n"), nil)
 		return
 	}
-	h.clientDrop(c)
+	g.clientDrop(c)
 }
 
-// malformed answers a header that does not parse; what follows it cannot be read.
-func (h *Gateway) malformed(c *conn, ex *exchange, err error) {
-	h.counts.Malformed++
+// rejectMalformedHeader answers a header that does not parse; what follows it cannot be read.
+func (g *Gateway) rejectMalformedHeader(c *conn, req *request, err error) {
+	g.counts.Malformed++
 	c.closing = true
-	ex.body.whole = true
-	ex.method, ex.req.Minor = "", 1
+	req.body.complete = true
+	req.method, req.header.Minor = "", 1
 	status, reason := 400, err.Error()
 	if e := (*http1.Error)(nil); errors.As(err, &e) {
 		status, reason = e.Status, e.Reason
 	}
-	ex.answer.reason = reason
+	req.response.reason = reason
 	c.discard = true
-	h.respond(ex, status, []byte(reason+"\n"), nil)
+	g.writeLocalResponse(req, status, []byte(reason+"\n"), nil)
 }
--- a/internal/gateway/request_table.go
+++ b/internal/gateway/request_table.go
@@ -8,44 +8,44 @@
 // requestTable has the requests that were submitted to the scheduler and are still
 // in use, and those that are done with for reuse. The ids are consecutive from 1.
 type requestTable struct {
-	byID   map[uint64]*exchange
+	byID   map[uint64]*request
 	lastID uint64
-	free   []*exchange
+	free   []*request
 }
 
-func newRequestTable() requestTable { return requestTable{byID: map[uint64]*exchange{}} }
+func newRequestTable() requestTable { return requestTable{byID: map[uint64]*request{}} }
 
 // create returns a new request, which has no id yet.
-func (t *requestTable) create() *exchange {
+func (t *requestTable) create() *request {
 	last := len(t.free) - 1
 	if last < 0 {
-		return &exchange{}
+		return &request{}
 	}
-	ex := t.free[last]
+	req := t.free[last]
 	t.free = t.free[:last]
-	ex.recycled = false
-	return ex
+	req.recycled = false
+	return req
 }
 
 // assignID gives a request its id and makes it known under it.
-func (t *requestTable) assignID(ex *exchange) {
+func (t *requestTable) assignID(req *request) {
 	t.lastID++
-	ex.id = t.lastID
-	t.byID[ex.id] = ex
+	req.id = t.lastID
+	t.byID[req.id] = req
 }
 
 // recycle takes back a request that is no longer in use. It must not be called twice
 // for one request, as it would serve two clients at once then.
-func (t *requestTable) recycle(ex *exchange) {
-	if ex.id != 0 {
-		delete(t.byID, ex.id)
+func (t *requestTable) recycle(req *request) {
+	if req.id != 0 {
+		delete(t.byID, req.id)
 	}
-	ex.recycled = true
+	req.recycled = true
 	if len(t.free) < maxPooled {
-		fields := ex.req.Fields[:0]
-		*ex = exchange{recycled: true}
-		ex.req.Fields = fields
-		t.free = append(t.free, ex)
+		fields := req.header.Fields[:0]
+		*req = request{recycled: true}
+		req.header.Fields = fields
+		t.free = append(t.free, req)
 	}
 }
 
--- a/internal/gateway/shutdown.go
+++ b/internal/gateway/shutdown.go
@@ -20,59 +20,59 @@
 
 // Drain tells clients with their next answer that their connection ends; requests go on
 // being taken. Guards against a stop that loses what is on its way to the head.
-func (h *Gateway) Drain(now Time) {
-	h.clock.advance(now)
-	h.phase = max(h.phase, draining)
+func (g *Gateway) Drain(now Time) {
+	g.clock.advance(now)
+	g.phase = max(g.phase, draining)
 }
 
 // Shutdown begins the end: requests taken get their answers, connections without
 // one are closed, and no new request is read.
-func (h *Gateway) Shutdown(now Time) {
-	h.clock.advance(now)
-	h.phase = stopping
-	for _, c := range h.conns.slots {
+func (g *Gateway) Shutdown(now Time) {
+	g.clock.advance(now)
+	g.phase = stopping
+	for _, c := range g.conns.slots {
 		switch {
-		case c == nil || !c.client() || c.ex != nil || len(c.pending()) > 0 || c.reading > 0:
-		case c.requests == 0 || c.unread: // a request may be on its way, or come and not be read
-			h.setDeadline(c, min(c.timer.deadline, h.clock.now+firstTime))
+		case c == nil || !c.client() || c.req != nil || len(c.pending()) > 0 || c.headerStartedAt > 0:
+		case c.requestCount == 0 || c.mayHaveUnreadRequest: // a request may be on its way, or come and not be read
+			g.setDeadline(c, min(c.timer.deadline, g.clock.now+firstRequestGrace))
 		default:
-			h.lingeringClose(c)
+			g.lingeringClose(c)
 		}
 	}
 }
 
-// firstTime is how long a connection that was accepted at the very end has for its request.
-const firstTime = 200 * time.Millisecond
+// firstRequestGrace is how long a connection that was accepted at the very end has for its request.
+const firstRequestGrace = 200 * time.Millisecond
 
 // AbortRemaining gives every request that has no final answer one: refused where no attempt was made,
 // failed else.
-func (h *Gateway) AbortRemaining(now Time) {
-	h.clock.advance(now)
-	for _, id := range h.requests.sortedIDs() {
-		ex := h.requests.byID[id]
-		if ex.answer.final {
+func (g *Gateway) AbortRemaining(now Time) {
+	g.clock.advance(now)
+	for _, id := range g.requests.sortedIDs() {
+		req := g.requests.byID[id]
+		if req.response.final {
 			continue
 		}
-		h.events = append(h.events, scheduler.ClientDisconnected{ID: ex.id})
-		if ex.attempts.latest != nil {
-			h.cancel(ex.attempts.latest)
+		g.events = append(g.events, scheduler.ClientDisconnected{ID: req.id})
+		if req.attempts.latest != nil {
+			g.cancelAttempt(req.attempts.latest)
 		}
-		if ex.attempts.count == 0 {
-			h.refuse(ex, 0)
+		if req.attempts.count == 0 {
+			g.reject(req, 0)
 		} else {
-			h.fail(ex)
+			g.fail(req)
 		}
 	}
 }
 
 // Idle tells whether nothing is under way: no request, and no answer unsent.
-func (h *Gateway) Idle() bool { return len(h.requests.byID) == 0 && h.clientConns == 0 }
+func (g *Gateway) Idle() bool { return len(g.requests.byID) == 0 && g.clientConns == 0 }
 
 // EachPendingRequest tells the ids and ages of requests that have no final answer.
-func (h *Gateway) EachPendingRequest(tell func(id, method, path string, age time.Duration)) {
-	for _, ex := range h.requests.byID {
-		if !ex.answer.final {
-			tell(h.ids.requestID(ex.id), ex.method, ex.place.Path, h.clock.now-ex.takenAt)
+func (g *Gateway) EachPendingRequest(tell func(id, method, path string, age time.Duration)) {
+	for _, req := range g.requests.byID {
+		if !req.response.final {
+			tell(g.ids.requestID(req.id), req.method, req.location.Path, g.clock.now-req.submittedAt)
 		}
 	}
 }
--- a/internal/gateway/status.go
+++ b/internal/gateway/status.go
@@ -2,8 +2,8 @@
 
 import "maddergap/scheduler"
 
-// Sockets is what crosses the sockets to a node now.
-type Sockets struct {
+// NodeConnections is what crosses the sockets to a node now.
+type NodeConnections struct {
 	Active int // attempts on connections, dialling ones included
 	Unsent int // of these, not yet written whole
 	Idle   int // connections kept
@@ -12,30 +12,30 @@
 // NodeStatus is one node: what the scheduler holds of it, and what is on its sockets.
 type NodeStatus struct {
 	scheduler.NodeStatus
-	Sockets
+	NodeConnections
 }
 
-// statusTeller is a core that tells what it holds.
-type statusTeller interface{ Status() []scheduler.NodeStatus }
+// statusReporter is a core that tells what it holds.
+type statusReporter interface{ Status() []scheduler.NodeStatus }
 
 // Status compares what the scheduler holds of load and health with the sockets, node by node.
 // A node of the sockets that the scheduler has forgotten is told with its name alone.
-func (h *Gateway) Status() []NodeStatus {
-	on := map[string]Sockets{}
-	for _, c := range h.conns.slots {
+func (g *Gateway) Status() []NodeStatus {
+	on := map[string]NodeConnections{}
+	for _, c := range g.conns.slots {
 		if c == nil || c.node == nil {
 			continue
 		}
 		s := on[c.node.name]
-		if c.at == nil {
+		if c.attempt == nil {
 			s.Idle++
-		} else if s.Active++; !c.connected || !c.at.out() {
+		} else if s.Active++; !c.connected || !c.attempt.requestWritten() {
 			s.Unsent++
 		}
 		on[c.node.name] = s
 	}
 	var all []NodeStatus
-	if v, ok := h.scheduler.(statusTeller); ok {
+	if v, ok := g.scheduler.(statusReporter); ok {
 		for _, n := range v.Status() {
 			all = append(all, NodeStatus{n, on[n.Node]})
 			delete(on, n.Node)
--- a/internal/gateway/trace.go
+++ b/internal/gateway/trace.go
@@ -6,10 +6,10 @@
 	"go.opentelemetry.io/otel/trace"
 )
 
-// traceOf takes the trace of W3C Trace Context's traceparent, or begins one.
-func (h *Gateway) traceOf(ex *exchange) {
-	h.ids.fill(ex.trace.span[:])
-	v := ex.req.Get("traceparent") // 00-32 hex-16 hex-2 hex
+// startTrace takes the trace of W3C Trace Context's traceparent, or begins one.
+func (g *Gateway) startTrace(req *request) {
+	g.ids.fill(req.trace.span[:])
+	v := req.header.Get("traceparent") // 00-32 hex-16 hex-2 hex
 	if len(v) >= 55 && v[2] == '-' && v[35] == '-' && v[52] == '-' && (len(v) == 55 || v[0] != '0' || v[1] != '0') &&
 		!(v[0] == 'f' && v[1] == 'f') {
 		id, err1 := trace.TraceIDFromHex(string(v[3:35]))
@@ -17,16 +17,16 @@
 		var flags [1]byte
 		_, err3 := hex.Decode(flags[:], v[53:55])
 		if err1 == nil && err2 == nil && err3 == nil {
-			ex.trace.id, ex.trace.parent, ex.trace.sampled = id, parent, flags[0]&1 != 0
+			req.trace.id, req.trace.parent, req.trace.sampled = id, parent, flags[0]&1 != 0
 			return
 		}
 	}
-	h.ids.fill(ex.trace.id[:8])
-	h.ids.fill(ex.trace.id[8:])
-	ex.trace.sampled = true
+	g.ids.fill(req.trace.id[:8])
+	g.ids.fill(req.trace.id[8:])
+	req.trace.sampled = true
 }
 
-func appendTrace(b []byte, id [16]byte, span [8]byte, sampled bool) []byte {
+func appendTraceparent(b []byte, id [16]byte, span [8]byte, sampled bool) []byte {
 	b = hex.AppendEncode(append(b, "00-"...), id[:])
 	b = hex.AppendEncode(append(b, '-'), span[:])
 	if sampled {
@@ -35,26 +35,26 @@
 	return append(b, "-00"...)
 }
 
-// reportEnd counts and reports a request's end.
-func (h *Gateway) reportEnd(ex *exchange, o Outcome) {
-	if ex.answer.reported && ex.id != 0 {
-		h.invariants.RecordDuplicateResponse(h.clock.now, ex.id)
+// reportRequestEnd counts and reports a request's end.
+func (g *Gateway) reportRequestEnd(req *request, o Outcome) {
+	if req.response.reported && req.id != 0 {
+		g.invariants.RecordDuplicateResponse(g.clock.now, req.id)
 	}
-	ex.answer.reported = true
-	h.protocol.finished(ex, o)
-	if h.observer == nil {
+	req.response.reported = true
+	g.protocol.requestEnded(req, o)
+	if g.observer == nil {
 		return
 	}
-	s := Span{Request: h.ids.requestID(ex.id), Trace: ex.trace.id, ID: ex.trace.span, Parent: ex.trace.parent, Sampled: ex.trace.sampled,
-		Start: ex.headerAt, End: h.clock.now, Method: ex.method, Path: ex.place.Path, Status: ex.answer.status, Outcome: o,
-		Attempts: ex.attempts.count, Reason: ex.answer.reason}
-	if ex.client != nil {
-		s.Client = ex.client.remote.String()
+	s := Span{Request: g.ids.requestID(req.id), Trace: req.trace.id, ID: req.trace.span, Parent: req.trace.parent, Sampled: req.trace.sampled,
+		Start: req.headerReceivedAt, End: g.clock.now, Method: req.method, Path: req.location.Path, Status: req.response.status, Outcome: o,
+		Attempts: req.attempts.count, Reason: req.response.reason}
+	if req.client != nil {
+		s.Client = req.client.remote.String()
 	}
-	if ex.id != 0 {
-		s.Start = ex.takenAt
-		s.Volume, s.Class = ex.ask.Arrival.Volume, h.config.Scheduler.Classes[ex.ask.Arrival.Class].Name
+	if req.id != 0 {
+		s.Start = req.submittedAt
+		s.Volume, s.Class = req.info.Arrival.Volume, g.config.Scheduler.Classes[req.info.Arrival.Class].Name
 	}
-	h.span = s
-	h.observer.Request(&h.span)
+	g.span = s
+	g.observer.Request(&g.span)
 }
