--- a/internal/invariant/invariant_test.go
+++ b/internal/invariant/invariant_test.go
@@ -9,79 +9,97 @@
 
 const now = 24 * time.Hour
 
-func good() Attempt {
+// permittedAttempt violates no rule.
+func permittedAttempt() Attempt {
 	return Attempt{Request: 7, Node: "n", MembershipKnown: true, Serving: true, StateChangedAt: now - time.Hour, Deadline: now + time.Second, Timeout: time.Second}
 }
 
-// Each rule, broken on purpose: at once it is withheld; once written it counts as broken past
-// what a held-up head may take, and not before.
-func TestRules(t *testing.T) {
-	keyed := PriorAttempts{Effect: scheduler.Idempotent, MayHaveRun: true, SameDeduplicationScope: true, RetryBefore: now + time.Second}
-	tests := []struct {
-		name   string
-		change func(a *Attempt)
-		want   Rule
-		// broken: it is found so after the fact too
-		broken bool
-	}{
-		{"nothing against it", func(a *Attempt) {}, None, false},
-		{"no list", func(a *Attempt) { a.MembershipKnown = false }, MembershipKnown, true},
-		{"drains, just notified", func(a *Attempt) { a.Serving, a.StateChangedAt = false, now-100*time.Millisecond }, NodeServing, false},
-		{"drains", func(a *Attempt) { a.Serving, a.StateChangedAt = false, now-200*time.Millisecond }, NodeServing, true},
-		{"client gone just now", func(a *Attempt) { a.ClientDisconnectedAt = now - 50*time.Millisecond }, ClientConnected, false},
-		{"client gone", func(a *Attempt) { a.ClientDisconnectedAt = now - 120*time.Millisecond }, ClientConnected, true},
-		{"past its time", func(a *Attempt) { a.Deadline, a.Timeout = now, 0 }, WithinDeadline, false},
-		{"long past its time", func(a *Attempt) { a.Deadline, a.Timeout = now-200*time.Millisecond, 0 }, WithinDeadline, true},
-		{"was encoded just now", func(a *Attempt) { a.Timeout += 15 * time.Millisecond }, None, false},
-		{"tells a little more than is left", func(a *Attempt) { a.Timeout += 100 * time.Millisecond }, WithinDeadline, false},
-		{"tells more than is left", func(a *Attempt) { a.Timeout += 200 * time.Millisecond }, WithinDeadline, true},
-		{"safe repeat", func(a *Attempt) { a.Prior = PriorAttempts{Effect: scheduler.Safe, MayHaveRun: true, InFlight: 1} }, None, false},
-		{"unsafe, none ran", func(a *Attempt) { a.Prior = PriorAttempts{Effect: scheduler.NonIdempotent} }, None, false},
-		{"unsafe, may have run", func(a *Attempt) { a.Prior = PriorAttempts{Effect: scheduler.NonIdempotent, MayHaveRun: true} }, SafeRetry, true},
-		{"unsafe, still out", func(a *Attempt) { a.Prior = PriorAttempts{Effect: scheduler.NonIdempotent, InFlight: 1} }, SafeRetry, true},
-		{"keyed within its window", func(a *Attempt) { a.Prior = keyed }, None, false},
-		{"keyed elsewhere", func(a *Attempt) { a.Prior = keyed; a.Prior.SameDeduplicationScope = false }, SafeRetry, true},
-		{"keyed just past its window", func(a *Attempt) { a.Prior = keyed; a.Prior.RetryBefore = now - 50*time.Millisecond }, SafeRetry, false},
-		{"keyed past its window", func(a *Attempt) { a.Prior = keyed; a.Prior.RetryBefore = now - 200*time.Millisecond }, SafeRetry, true},
+// ruleTest is an attempt that violates a rule, or just does not.
+type ruleTest struct {
+	name   string
+	change func(a *Attempt) // of a permitted attempt
+	want   Rule             // before the write
+	// violated: want is violated after the write as well, past the tolerance for a late write.
+	violated bool
+}
+
+func ruleTests() []ruleTest {
+	idempotent := PriorAttempts{Effect: scheduler.Idempotent, MayHaveRun: true, SameDeduplicationScope: true, RetryBefore: now + time.Second}
+	return []ruleTest{
+		{"permitted", func(a *Attempt) {}, None, false},
+		{"no node list", func(a *Attempt) { a.MembershipKnown = false }, MembershipKnown, true},
+		{"draining for a moment", func(a *Attempt) { a.Serving, a.StateChangedAt = false, now-100*time.Millisecond }, NodeServing, false},
+		{"draining", func(a *Attempt) { a.Serving, a.StateChangedAt = false, now-200*time.Millisecond }, NodeServing, true},
+		{"client disconnected a moment ago", func(a *Attempt) { a.ClientDisconnectedAt = now - 50*time.Millisecond }, ClientConnected, false},
+		{"client disconnected", func(a *Attempt) { a.ClientDisconnectedAt = now - 120*time.Millisecond }, ClientConnected, true},
+		{"at the deadline", func(a *Attempt) { a.Deadline, a.Timeout = now, 0 }, WithinDeadline, false},
+		{"long past the deadline", func(a *Attempt) { a.Deadline, a.Timeout = now-200*time.Millisecond, 0 }, WithinDeadline, true},
+		{"encoded a moment ago", func(a *Attempt) { a.Timeout += 15 * time.Millisecond }, None, false},
+		{"timeout a little beyond the deadline", func(a *Attempt) { a.Timeout += 100 * time.Millisecond }, WithinDeadline, false},
+		{"timeout beyond the deadline", func(a *Attempt) { a.Timeout += 200 * time.Millisecond }, WithinDeadline, true},
+		{"safe retry", func(a *Attempt) { a.Prior = PriorAttempts{Effect: scheduler.Safe, MayHaveRun: true, InFlight: 1} }, None, false},
+		{"non-idempotent, none ran", func(a *Attempt) { a.Prior = PriorAttempts{Effect: scheduler.NonIdempotent} }, None, false},
+		{"non-idempotent, one may have run", func(a *Attempt) { a.Prior = PriorAttempts{Effect: scheduler.NonIdempotent, MayHaveRun: true} }, SafeRetry, true},
+		{"non-idempotent, one in flight", func(a *Attempt) { a.Prior = PriorAttempts{Effect: scheduler.NonIdempotent, InFlight: 1} }, SafeRetry, true},
+		{"idempotent within its window", func(a *Attempt) { a.Prior = idempotent }, None, false},
+		{"idempotent in another scope", func(a *Attempt) { a.Prior = idempotent; a.Prior.SameDeduplicationScope = false }, SafeRetry, true},
+		{"idempotent just past its window", func(a *Attempt) { a.Prior = idempotent; a.Prior.RetryBefore = now - 50*time.Millisecond }, SafeRetry, false},
+		{"idempotent past its window", func(a *Attempt) { a.Prior = idempotent; a.Prior.RetryBefore = now - 200*time.Millisecond }, SafeRetry, true},
 	}
-	for _, c := range tests {
-		t.Run(c.name, func(t *testing.T) {
+}
+
+// Each rule is violated on purpose. Before the write the attempt is withheld at once. After the
+// write it counts as a violation only past what a process that was held up may take.
+func TestRules(t *testing.T) {
+	for _, test := range ruleTests() {
+		t.Run(test.name, func(t *testing.T) {
 			var reports []Violation
-			g := Checker{OnViolation: func(v Violation) { reports = append(reports, v) }}
-			a := good()
-			c.change(&a)
-			if got := g.CheckBeforeWrite(now, &a); got != c.want {
-				t.Errorf("may begin: %v, want %v", got, c.want)
+			checker := Checker{OnViolation: func(v Violation) { reports = append(reports, v) }}
+			attempt := permittedAttempt()
+			test.change(&attempt)
+			if got := checker.CheckBeforeWrite(now, &attempt); got != test.want {
+				t.Errorf("before the write: %v, want %v", got, test.want)
 			}
-			found := None
-			if c.broken {
-				found = c.want
+			wantAfter := None
+			if test.violated {
+				wantAfter = test.want
 			}
-			if got := g.CheckAfterWrite(now, &a); got != found {
-				t.Errorf("began: %v, want %v", got, found)
+			if got := checker.CheckAfterWrite(now, &attempt); got != wantAfter {
+				t.Errorf("after the write: %v, want %v", got, wantAfter)
 			}
-			want := Counts{}
-			if c.want != None {
-				want.Withheld[c.want] = 1
+			wantCounts := Counts{}
+			if test.want != None {
+				wantCounts.Withheld[test.want] = 1
 			}
-			if c.broken {
-				want.Violated[c.want] = 1
+			if test.violated {
+				wantCounts.Violated[test.want] = 1
 			}
-			if got := g.Counts(); got != want {
-				t.Errorf("counted %+v, want %+v", got, want)
+			if got := checker.Counts(); got != wantCounts {
+				t.Errorf("counted %+v, want %+v", got, wantCounts)
 			}
-			if n := len(reports); c.want != None && (n == 0 || reports[0].Request != 7 || reports[0].Node != "n") || c.broken && n != 2 {
+			if n := len(reports); test.want != None && (n == 0 || reports[0].Request != 7 || reports[0].Node != "n") || test.violated && n != 2 {
 				t.Errorf("reported %v", reports)
 			}
 		})
 	}
 }
 
-func TestAnswersAndCloses(t *testing.T) {
-	var g Checker
-	g.RecordDuplicateResponse(now, 7)
-	g.RecordUnansweredClose(now, 7)
-	if got := g.Counts().Violated; got[SingleResponse] != 1 || got[ResponseBeforeClose] != 1 {
+func TestDuplicateResponseAndUnansweredClose(t *testing.T) {
+	var checker Checker
+	checker.RecordDuplicateResponse(now, 7)
+	checker.RecordUnansweredClose(now, 7)
+	if got := checker.Counts().Violated; got[SingleResponse] != 1 || got[ResponseBeforeClose] != 1 {
 		t.Errorf("%v", got)
 	}
 }
+
+// The labels are part of the metrics: dashboards and alerts select by them.
+func TestRuleLabels(t *testing.T) {
+	want := map[Rule]string{None: "none", MembershipKnown: "start", NodeServing: "drain", ClientConnected: "cancelled",
+		WithinDeadline: "deadline", SafeRetry: "repeat", SingleResponse: "answer", ResponseBeforeClose: "close"}
+	for rule := range RuleCount {
+		if rule.String() != want[rule] || want[rule] == "" {
+			t.Errorf("rule %d is %q, want %q", rule, rule, want[rule])
+		}
+	}
+}
