--- a/internal/nodelist/nodelist.go
+++ b/internal/nodelist/nodelist.go
@@ -1,9 +1,9 @@
-// Package nodelist reads the list of storage nodes: a file of the line-based
-// form, replaced as a whole by whoever owns it,
+// Package nodelist reads and writes the list of storage nodes in its file form, a node a line,
 //
 //	node NAME ADDRESS zone N shard N state serving|draining|gone [started UNIX-SECONDS]
 //
-// A list with a mistake is not used at all; the last good one stays in force.
+// The file's owner replaces it as a whole. A list with a mistake is not used at all: a node that
+// was left out for its mistake would look as if it had been removed.
 package nodelist
 
 import (
@@ -19,107 +19,124 @@
 	"maddergap/scheduler"
 )
 
-// MaxNodes bounds a list.
-const MaxNodes = 10000
+const (
+	// MaxNodes bounds the nodes of a list.
+	MaxNodes = 10000
+	// maxNumber bounds the number of a zone or shard.
+	maxNumber = 100000
+)
 
-// Node is a line of the list.
+// Node is a storage node on the list.
 type Node struct {
-	Name, Addr  string
+	Name, Addr  string // Addr is host:port
 	Zone, Shard int
 	State       scheduler.NodeState
-	Started     time.Time // zero: long ago
+	Started     time.Time // of its process, by the wall clock; zero: long ago
 }
 
-var states = []string{"serving", "draining", "gone"}
+// stateWords are the words of the file, by scheduler.NodeState.
+var stateWords = []string{
+	scheduler.Serving:  "serving",
+	scheduler.Draining: "draining",
+	scheduler.Removed:  "gone",
+}
 
-// Parse reads a list. The error joins one config.Error for each fault.
+// Parse reads a list; file is its name, for errors. The error joins a *config.Error for each
+// mistake, in the file's order.
 func Parse(file string, data []byte) ([]Node, error) {
 	lines, err := config.Lines(file, data)
 	errs := []error{err}
 	var nodes []Node
-	seen := map[string]int{}
-	for _, l := range lines {
-		n, err := parse(l)
-		if first := seen[n.Name]; err == nil && first > 0 {
-			err = fmt.Errorf("node %s stands already in line %d", n.Name, first)
-		}
-		if err == nil && len(nodes) >= MaxNodes {
+	lineOf := map[string]int{} // by name
+	for _, line := range lines {
+		node, err := parseLine(line)
+		first, listed := lineOf[node.Name]
+		switch {
+		case err != nil:
+		case listed:
+			err = fmt.Errorf("node %s is already in line %d", node.Name, first)
+		case len(nodes) >= MaxNodes:
 			err = fmt.Errorf("more than %d nodes", MaxNodes)
 		}
 		if err != nil {
-			errs = append(errs, &config.Error{File: file, Line: l.Number, Reason: err.Error()})
+			errs = append(errs, &config.Error{File: file, Line: line.Number, Reason: err.Error()})
 			continue
 		}
-		seen[n.Name] = l.Number
-		nodes = append(nodes, n)
+		lineOf[node.Name] = line.Number
+		nodes = append(nodes, node)
 	}
 	if err := errors.Join(errs...); err != nil {
 		return nil, err
 	}
-	if len(nodes) == 0 { // a list cut to nothing is a broken one: guards against emptying the fleet
-		return nil, &config.Error{File: file, Reason: "names no node"}
+	if len(nodes) == 0 {
+		// Guards against a file that was truncated: by it every node would be removed, and all
+		// requests would fail.
+		return nil, &config.Error{File: file, Reason: "lists no node"}
 	}
 	return nodes, nil
 }
 
-func parse(l config.Line) (n Node, err error) {
-	if l.Words[0] != "node" {
-		return n, fmt.Errorf("unknown directive %.40q, want node", l.Words[0])
+func parseLine(line config.Line) (node Node, err error) {
+	if line.Words[0] != "node" {
+		return node, fmt.Errorf("unknown directive %.40q, want node", line.Words[0])
 	}
-	a := config.NewArgs(l)
-	n.Name, n.Addr = a.Word("name"), a.Word("address")
-	if _, err := netip.ParseAddrPort(n.Addr); n.Addr != "" && err != nil {
-		a.Errorf("%q is not an address and port", n.Addr)
+	args := config.NewArgs(line)
+	node.Name = args.Word("name")
+	node.Addr = args.Word("address")
+	if _, err := netip.ParseAddrPort(node.Addr); node.Addr != "" && err != nil {
+		args.Errorf("%q is not an address and port", node.Addr)
 	}
 	seen := map[string]bool{}
-	for a.More() {
-		k := a.Word("keyword")
-		if seen[k] {
-			a.Errorf("%s stands twice", k)
+	for args.More() {
+		keyword := args.Word("keyword")
+		if seen[keyword] {
+			args.Errorf("%s is given twice", keyword)
 		}
-		seen[k] = true
-		switch k {
+		seen[keyword] = true
+		switch keyword {
 		case "zone":
-			n.Zone = a.Int(k, 0, 100000)
+			node.Zone = args.Int(keyword, 0, maxNumber)
 		case "shard":
-			n.Shard = a.Int(k, 0, 100000)
+			node.Shard = args.Int(keyword, 0, maxNumber)
 		case "state":
-			n.State = scheduler.NodeState(a.OneOf(k, states...))
+			node.State = scheduler.NodeState(args.OneOf(keyword, stateWords...))
 		case "started":
-			n.Started = time.UnixMilli(int64(a.Float(k) * 1000))
+			node.Started = time.UnixMilli(int64(args.Float(keyword) * 1000))
 		default:
-			a.Errorf("unknown keyword %q", k)
+			args.Errorf("unknown keyword %q", keyword)
 		}
 	}
-	for _, k := range []string{"shard", "state"} {
-		if !seen[k] {
-			a.Errorf("%s is missing", k)
+	for _, keyword := range []string{"shard", "state"} {
+		if !seen[keyword] {
+			args.Errorf("%s is missing", keyword)
 		}
 	}
-	return n, a.Err()
+	return node, args.Err()
 }
 
-// Format writes a list as Parse reads it.
+// Format returns a list in the form that Parse reads. Start times are rounded to milliseconds.
 func Format(nodes []Node) []byte {
 	var b strings.Builder
-	for _, n := range nodes {
-		fmt.Fprintf(&b, "node %s %s zone %d shard %d state %s", n.Name, n.Addr, n.Zone, n.Shard, states[n.State])
-		if !n.Started.IsZero() {
-			fmt.Fprintf(&b, " started %.3f", float64(n.Started.UnixMilli())/1000)
+	for _, node := range nodes {
+		fmt.Fprintf(&b, "node %s %s zone %d shard %d state %s", node.Name, node.Addr, node.Zone, node.Shard, stateWords[node.State])
+		if !node.Started.IsZero() {
+			fmt.Fprintf(&b, " started %.3f", float64(node.Started.UnixMilli())/1000)
 		}
 		b.WriteByte('\n')
 	}
 	return []byte(b.String())
 }
 
-// Replace writes a list in place of another, so that a reader sees one or the other.
+// Replace writes a list in place of a file, by a rename: a reader sees the old list or the new
+// one, never a part. The errors are those of package os.
 func Replace(file string, nodes []Node) error {
 	tmp, err := os.CreateTemp(filepath.Dir(file), ".nodes-*")
 	if err != nil {
 		return err
 	}
 	_, err = tmp.Write(Format(nodes))
-	if err = errors.Join(err, tmp.Close()); err == nil {
+	err = errors.Join(err, tmp.Close())
+	if err == nil {
 		err = os.Rename(tmp.Name(), file)
 	}
 	if err != nil {
--- a/internal/nodelist/nodelist_test.go
+++ b/internal/nodelist/nodelist_test.go
@@ -9,7 +9,7 @@
 	"maddergap/scheduler"
 )
 
-func TestRoundTrip(t *testing.T) {
+func TestFormatThenParse(t *testing.T) {
 	want := []Node{{Name: "n1", Addr: "127.0.0.1:1", Zone: 1, Shard: 2, State: scheduler.Draining},
 		{Name: "n2", Addr: "127.0.0.1:2", Shard: 3, Started: time.UnixMilli(1700000000123)}}
 	got, err := Parse("l", Format(want))
@@ -18,17 +18,18 @@
 	}
 }
 
-func TestMistakes(t *testing.T) {
+// Each mistake is named with its line, and the list is not used.
+func TestParseMistakes(t *testing.T) {
 	const line = "node n1 127.0.0.1:1 zone 0 shard 0 state serving\n"
 	for text, want := range map[string]string{
-		"":                               "l: names no node",
-		line + line:                      "l:2: node n1 stands already in line 1",
+		"":                               "l: lists no node",
+		line + line:                      "l:2: node n1 is already in line 1",
 		"nod n1 127.0.0.1:1":             "l:1: unknown directive",
 		"node n1 here shard 0":           "l:1: \"here\" is not an address",
 		"node n1 127.0.0.1:1 zone 0":     "l:1: shard is missing",
 		line[:len(line)-5]:               "l:1: state is \"ser\"",
 		line + "node n2 127.0.0.1:1 sha": "l:2: unknown keyword \"sha\"",
-		"node n1 127.0.0.1:1 shard 0 shard 1 state gone":        "l:1: shard stands twice",
+		"node n1 127.0.0.1:1 shard 0 shard 1 state gone":        "l:1: shard is given twice",
 		"node n1 127.0.0.1:1 shard -1 state gone":               "l:1: shard is \"-1\"",
 		"node n1 127.0.0.1:1 shard 1 state gone started soon":   "l:1: started is \"soon\"",
 		"node n1 127.0.0.1:1 shard 1 state gone started 1 more": "l:1: unknown keyword \"more\"",
@@ -39,6 +40,7 @@
 	}
 }
 
+// FuzzParse checks that whatever is read is read alike once it was written.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte("node n1 127.0.0.1:1 zone 0 shard 0 state serving started 1.5\n"))
 	f.Fuzz(func(t *testing.T, p []byte) {
@@ -46,7 +48,7 @@
 		if err != nil {
 			return
 		}
-		if again, err := Parse("l", Format(nodes)); err != nil || len(again) != len(nodes) {
+		if reread, err := Parse("l", Format(nodes)); err != nil || len(reread) != len(nodes) {
 			t.Fatalf("%q: %v", Format(nodes), err)
 		}
 	})
