--- a/internal/invariant/rules.go
+++ b/internal/invariant/rules.go
@@ -27,35 +27,35 @@
 const (
 	// None stands for no violation.
 	None Rule = iota
-	// MembershipKnown: no attempt begins before a node list is in force. Guards against a
-	// gateway that sends by addresses from nowhere, which shows as requests at wrong nodes
-	// after a start. Nothing is allowed.
+	// MembershipKnown requires that no attempt begins before a node list is in force. Guards
+	// against a gateway that sends by addresses from nowhere, which shows as requests at wrong
+	// nodes after a start. Nothing is allowed.
 	MembershipKnown
-	// NodeServing: no attempt begins at a node that is draining, removed or at another address
-	// than its connection leads to. Guards against a connection that came up, or a buffer that
-	// was written, after the change: it shows as requests lost when the node stops. A process
-	// that is held up between its clock reading and the write is allowed for.
+	// NodeServing requires that no attempt begins at a node that is draining, removed or at
+	// another address than its connection leads to. Guards against a connection that came up, or a
+	// buffer that was written, after the change: it shows as requests lost when the node stops. A
+	// process that is held up between its clock reading and the write is allowed for.
 	NodeServing
-	// ClientConnected: no attempt begins for a client that has disconnected. Guards against
-	// work for nobody, which shows as load on nodes that grows while clients give up. Allowed
-	// for disconnectGrace after it was seen.
+	// ClientConnected requires that no attempt begins for a client that has disconnected. Guards
+	// against work for nobody, which shows as load on nodes that grows while clients give up.
+	// Allowed for disconnectGrace after it was seen.
 	ClientConnected
-	// WithinDeadline: no attempt begins after the client's deadline, or tells its node a timeout
-	// beyond it. Guards against work whose response nobody waits for, which shows as nodes that
-	// are busy with requests that have ended. A late write is allowed for, and an attempt
-	// encoded a moment ago.
+	// WithinDeadline requires that no attempt begins after the client's deadline, or tells its
+	// node a timeout beyond it. Guards against work whose response nobody waits for, which shows
+	// as nodes that are busy with requests that have ended. A late write is allowed for, and an
+	// attempt encoded a moment ago.
 	WithinDeadline
-	// SafeRetry: no attempt begins that could take effect a second time, where the class does
-	// not permit that. Guards against a retry beside or after an attempt that may have run,
-	// which shows as a write applied twice. What is allowed is in PriorAttempts.
+	// SafeRetry requires that no attempt begins that could take effect a second time, where the
+	// class does not permit that. Guards against a retry beside or after an attempt that may have
+	// run, which shows as a write applied twice. What is allowed is in PriorAttempts.
 	SafeRetry
-	// SingleResponse: a request has one final response. Guards against two attempts that both
-	// answer, which shows as a client that takes the second response for that of its next
-	// request. Nothing is allowed.
+	// SingleResponse requires that a request has one final response. Guards against two attempts
+	// that both answer, which shows as a client that takes the second response for that of its
+	// next request. Nothing is allowed.
 	SingleResponse
-	// ResponseBeforeClose: the gateway closes no connection while a request on it is owed a
-	// response. Guards against requests lost in a shutdown or by an idle timeout, which show as
-	// resets at clients. Nothing is allowed.
+	// ResponseBeforeClose requires that the gateway closes no connection while a request on it is
+	// owed a response. Guards against requests lost in a shutdown or by an idle timeout, which
+	// show as resets at clients. Nothing is allowed.
 	ResponseBeforeClose
 	// RuleCount is the number of rules, None among them.
 	RuleCount
@@ -82,8 +82,8 @@
 	maxWriteDelay = 150 * time.Millisecond
 	// disconnectGrace is how long after the client disconnected an attempt may be written.
 	disconnectGrace = 100 * time.Millisecond
-	// maxEncodingAge is how long ago an attempt may have been encoded, with the timeout that
-	// was right at that moment.
+	// maxEncodingAge is how long ago an attempt may have been encoded, with the timeout that was
+	// right at that moment.
 	maxEncodingAge = 20 * time.Millisecond
 )
 
