--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -93,14 +93,14 @@
 // Admit decides about a new connection. The id of an accepted one is in use until Closed.
 func (a *Admission) Admit(now Time, id uint64, listener int, addr netip.Addr) Decision {
 	a.advance(now)
-	newcomer := a.clientOf(addr)
-	d := Decision{Known: newcomer.known}
-	d.Reason = a.exceededLimit(newcomer, listener)
+	origin := a.clientOf(addr)
+	d := Decision{Known: origin.known}
+	d.Reason = a.exceededLimit(origin, listener)
 	if d.Reason == ConnLimit || d.Reason == AddressLimit {
-		if victim := a.selectVictim(d.Reason, newcomer); victim != nil {
+		if victim := a.selectVictim(d.Reason, origin); victim != nil {
 			d.Preempt, d.PreemptID = true, victim.id
 			a.remove(victim)
-			d.Reason = a.exceededLimit(newcomer, listener)
+			d.Reason = a.exceededLimit(origin, listener)
 		}
 	}
 	if d.Reason != ReasonNone {
@@ -108,18 +108,18 @@
 		return d
 	}
 	d.Accept = true
-	a.add(id, listener, newcomer)
+	a.add(id, listener, origin)
 	return d
 }
 
 // exceededLimit returns the first limit that keeps a new connection out: those of its
 // origin before those of all.
-func (a *Admission) exceededLimit(newcomer client, listener int) Reason {
+func (a *Admission) exceededLimit(origin client, listener int) Reason {
 	var limit Reason
-	if newcomer.known {
-		limit = a.exceededKnownLimit(newcomer)
+	if origin.known {
+		limit = a.exceededKnownLimit(origin)
 	} else {
-		limit = a.exceededUnknownLimit(newcomer)
+		limit = a.exceededUnknownLimit(origin)
 	}
 	switch caps := &a.config.Caps; {
 	case limit != ReasonNone:
@@ -133,24 +133,24 @@
 }
 
 // exceededKnownLimit applies the one limit of a known client, a multiple of the cap of an address.
-func (a *Admission) exceededKnownLimit(newcomer client) Reason {
+func (a *Admission) exceededKnownLimit(origin client) Reason {
 	limit := a.config.Caps.Address * max(a.config.KnownClients.CapMultiple, 1)
-	if limit > 0 && newcomer.address.conns >= limit {
+	if limit > 0 && origin.address.conns >= limit {
 		return AddressLimit
 	}
 	return ReasonNone
 }
 
-func (a *Admission) exceededUnknownLimit(newcomer client) Reason {
+func (a *Admission) exceededUnknownLimit(origin client) Reason {
 	caps, rates := &a.config.Caps, &a.config.Rates
 	switch {
-	case caps.Address > 0 && newcomer.address.conns >= caps.Address:
+	case caps.Address > 0 && origin.address.conns >= caps.Address:
 		return AddressLimit
-	case caps.Prefix > 0 && newcomer.prefix.conns >= caps.Prefix:
+	case caps.Prefix > 0 && origin.prefix.conns >= caps.Prefix:
 		return PrefixLimit
-	case rates.Address.PerSecond > 0 && newcomer.address.tokens(a.now) < 1:
+	case rates.Address.PerSecond > 0 && origin.address.tokens(a.now) < 1:
 		return AddressRate
-	case rates.Prefix.PerSecond > 0 && newcomer.prefix.tokens(a.now) < 1:
+	case rates.Prefix.PerSecond > 0 && origin.prefix.tokens(a.now) < 1:
 		return PrefixRate
 	}
 	return ReasonNone
--- a/internal/admission/conn.go
+++ b/internal/admission/conn.go
@@ -23,8 +23,8 @@
 	id       uint64
 	listener int
 	client   client
-	state    connState
 	since    Time // since when it is in its state
+	state    connState
 	served   bool // it had a request that was served
 
 	queue    *list.List    // the preemption queue it stands in, nil for none
--- a/internal/admission/preemption.go
+++ b/internal/admission/preemption.go
@@ -39,15 +39,15 @@
 //   - Where MaxConns is reached, and for a known client (or, with ForUnknownClients,
 //     for any): the unknown connection that is first by class, then by time. With
 //     ForUnknownClients one that is receiving has MaxIdle for its body first.
-func (a *Admission) selectVictim(limit Reason, newcomer client) *conn {
+func (a *Admission) selectVictim(limit Reason, origin client) *conn {
 	if limit == AddressLimit {
-		if oldest := newcomer.address.unserved.Front(); oldest != nil {
+		if oldest := origin.address.unserved.Front(); oldest != nil {
 			return oldest.Value.(*conn)
 		}
 		return nil
 	}
 	rules := &a.config.Preemption
-	if !newcomer.known && !rules.ForUnknownClients {
+	if !origin.known && !rules.ForUnknownClients {
 		return nil
 	}
 	for class := range knownIdle {
