--- a/internal/config/directives.go
+++ b/internal/config/directives.go
@@ -112,9 +112,9 @@
 func (p *parser) headerLimits(_ int, a *Args) {
 	limits := &p.c.HeaderLimits
 	a.pairs(keywords{
-		"bytes":  func(k string) { limits.Header = a.BytesUpTo(k, 256, maxHeaderBytes) },
-		"target": func(k string) { limits.Target = a.BytesUpTo(k, 16, maxHeaderBytes) },
-		"fields": func(k string) { limits.Fields = a.Int(k, 1, 10000) },
+		"bytes":  func(k string) { limits.HeaderBytes = a.BytesUpTo(k, 256, maxHeaderBytes) },
+		"target": func(k string) { limits.TargetBytes = a.BytesUpTo(k, 16, maxHeaderBytes) },
+		"fields": func(k string) { limits.FieldCount = a.Int(k, 1, 10000) },
 	})
 }
 
--- a/internal/discovery/call.go
+++ b/internal/discovery/call.go
@@ -82,7 +82,7 @@
 	interim  int    // interim (1xx) responses so far
 	header   http1.Response
 	inBody   bool // the header of the final response is complete
-	body     http1.Body
+	body     http1.BodyDecoder
 	bodySize int // bytes of the body so far
 	list     listDecoder
 }
@@ -91,7 +91,7 @@
 func (d *responseDecoder) write(p []byte) (complete bool, err error) {
 	d.unread = append(d.unread, p...)
 	for !d.inBody {
-		n := http1.DefaultLimits.Block(d.unread, &d.scanned)
+		n := http1.DefaultLimits.HeaderBlock(d.unread, &d.scanned)
 		if n == 0 {
 			return false, nil
 		}
@@ -111,7 +111,7 @@
 	status := d.header.Status
 	if status >= 100 && status < 200 && status != 101 {
 		d.interim++
-		if d.interim > http1.InterimMax {
+		if d.interim > http1.MaxInterimResponses {
 			return ErrTooManyInterim
 		}
 		return nil
@@ -120,8 +120,8 @@
 	if status != 200 {
 		return &StatusError{Status: status}
 	}
-	if d.header.Length > maxListBytes {
-		return tooLarge("a body of %d bytes, more than %d", d.header.Length, maxListBytes)
+	if d.header.ContentLength > maxListBytes {
+		return tooLarge("a body of %d bytes, more than %d", d.header.ContentLength, maxListBytes)
 	}
 	d.inBody = true
 	d.bodySize = 0
--- a/internal/gateway/accept.go
+++ b/internal/gateway/accept.go
@@ -86,7 +86,7 @@
 		text := rejectionText(why) + "\n"
 		b := g.clock.appendDate(http1.AppendStatus(t.text[:0], 503))
 		b = http1.AppendField(b, "Content-Type", []byte("text/plain; charset=utf-8"))
-		b = appendRetryAfter(http1.AppendInt(b, "Content-Length", int64(len(text))), time.Second)
+		b = appendRetryAfter(http1.AppendIntField(b, "Content-Length", int64(len(text))), time.Second)
 		t.text, t.of = append(append(b, "Connection: close\r\n\r\n"...), text...), s
 	}
 	return t.text
--- a/internal/gateway/buffered_protocol.go
+++ b/internal/gateway/buffered_protocol.go
@@ -22,7 +22,7 @@
 		return
 	}
 	req.info, req.body.bufferFully = a, true
-	if req.header.Length > int64(g.config.Limits.BodyBuffer) {
+	if req.header.ContentLength > int64(g.config.Limits.BodyBuffer) {
 		g.rejectLongBody(c, req)
 		return
 	}
@@ -47,7 +47,7 @@
 // node ends the connection in order; a reset, or silence, is no end.
 func (w bufferedProtocol) beginResponse(g *Gateway, attempt *nodeAttempt) bool {
 	r := &attempt.conn.response
-	if one, _ := w.p.MaxResponseBytes(); r.Length > one {
+	if one, _ := w.p.MaxResponseBytes(); r.ContentLength > one {
 		return false
 	}
 	attempt.bufferResponse, attempt.stallTimeout, attempt.responseBody = true, w.p.ResponseStallTimeout(), g.buffers.get()
@@ -73,7 +73,7 @@
 		if cl.out == nil {
 			cl.out = g.buffers.get()
 		}
-		b := http1.AppendInt(http1.AppendStatus(cl.out, req.response.status), "Content-Length", int64(len(attempt.responseBody)))
+		b := http1.AppendIntField(http1.AppendStatus(cl.out, req.response.status), "Content-Length", int64(len(attempt.responseBody)))
 		cl.out = append(g.appendHeaderEnd(b, cl, req), attempt.responseBody...)
 	}
 	g.endAttempt(attempt, scheduler.OK)
--- a/internal/gateway/client.go
+++ b/internal/gateway/client.go
@@ -10,7 +10,7 @@
 func (g *Gateway) respondHeaderTimeout(c *conn, reason string) {
 	req := g.requests.create()
 	req.client, c.req, req.body.complete, req.response.reason = c, req, true, reason
-	req.header.Minor, req.headerReceivedAt = 1, g.clock.now
+	req.header.MinorVersion, req.headerReceivedAt = 1, g.clock.now
 	c.closing = true
 	g.writeLocalResponse(req, 408, []byte(reason+"\n"), nil)
 }
@@ -37,7 +37,7 @@
 				c.headerStartedAt = g.clock.now
 				g.setDeadline(c, g.clock.now+g.config.Timeouts.Header)
 			}
-			n := g.config.HeaderLimits.Block(p, &c.headerScanned)
+			n := g.config.HeaderLimits.HeaderBlock(p, &c.headerScanned)
 			if n == 0 {
 				return p
 			}
--- a/internal/gateway/conn.go
+++ b/internal/gateway/conn.go
@@ -61,7 +61,7 @@
 	idleSince        Time          // when it was kept last
 	idleElement      *list.Element // among Gateway.kept, nil: it is not kept
 	response         http1.Response
-	responseBody     http1.Body
+	responseBody     http1.BodyDecoder
 	inBody           bool
 	interimResponses int // 1xx answers that came
 }
--- a/internal/gateway/listing.go
+++ b/internal/gateway/listing.go
@@ -63,7 +63,7 @@
 		p.body.complete, p.body.continueHandled, p.body.received = true, true, int64(len(p.body.data))
 		p.trace.id, p.trace.parent, p.trace.sampled = req.trace.id, req.trace.span, req.trace.sampled
 		g.ids.fill(p.trace.span[:])
-		p.classification = g.routes.Classify(route.RequestHeader{Method: p.method, Location: p.location, Length: p.body.received, Prefer: string(p.header.Get("prefer"))})
+		p.classification = g.routes.Classify(route.RequestHeader{Method: p.method, Location: p.location, ContentLength: p.body.received, Prefer: string(p.header.Get("prefer"))})
 		l.parts = append(l.parts, p)
 		g.submit(p)
 	}
@@ -73,7 +73,7 @@
 func (g *Gateway) receivePartData(p *request, data []byte) bool {
 	l := p.listing
 	if l.bytes += len(data); l.bytes > g.config.Limits.ListingBytes {
-		l.errorStatus, l.reason = 507, webdav.ErrTooLarge.Error()
+		l.errorStatus, l.reason = 507, webdav.ErrListingTooLarge.Error()
 		return false
 	}
 	l.bodies[p.listingPart] = append(l.bodies[p.listingPart], data...)
@@ -94,7 +94,7 @@
 	case p.response.status == 503 && p.response.source == nil:
 		l.rejected++
 	case l.errorStatus == 0:
-		l.errorStatus, l.reason = p.response.status, "a storage node gave "+http1.Text(p.response.status)+" for its part of the listing"
+		l.errorStatus, l.reason = p.response.status, "a storage node gave "+http1.StatusText(p.response.status)+" for its part of the listing"
 		if p.response.source == nil {
 			l.reason = "a part of the listing failed: " + p.response.reason
 		}
@@ -111,9 +111,9 @@
 		g.counts.Local++
 		g.writeLocalResponse(req, 503, []byte(req.response.reason+"\n"), func(b []byte) []byte { return appendRetryAfter(b, l.retryAfter) })
 	default:
-		body, err := webdav.Merge(l.bodies, g.config.Limits.ListingBytes)
+		body, err := webdav.MergeMultistatus(l.bodies, g.config.Limits.ListingBytes)
 		switch {
-		case errors.Is(err, webdav.ErrTooLarge):
+		case errors.Is(err, webdav.ErrListingTooLarge):
 			g.respondLocally(req, 507, err.Error())
 		case err != nil:
 			g.respondLocally(req, 502, err.Error())
--- a/internal/gateway/node.go
+++ b/internal/gateway/node.go
@@ -92,7 +92,7 @@
 // it; more tells whether that can be used now.
 func (g *Gateway) nodeHeader(c *conn, p []byte) (rest []byte, more bool) {
 	attempt := c.attempt
-	n := g.config.HeaderLimits.Block(p, &c.headerScanned)
+	n := g.config.HeaderLimits.HeaderBlock(p, &c.headerScanned)
 	if n == 0 {
 		return p, false
 	}
@@ -106,7 +106,7 @@
 	}
 	p = p[n:]
 	if c.response.Status < 200 {
-		if c.interimResponses++; c.interimResponses > http1.InterimMax {
+		if c.interimResponses++; c.interimResponses > http1.MaxInterimResponses {
 			g.abortNodeConn(c, scheduler.Failed)
 			return nil, false
 		}
@@ -190,7 +190,7 @@
 		}
 		return
 	}
-	if eof && c.inBody && c.responseBody.End() {
+	if eof && c.inBody && c.responseBody.InputEnded() {
 		g.responseComplete(c)
 		return
 	}
--- a/internal/gateway/races_test.go
+++ b/internal/gateway/races_test.go
@@ -23,7 +23,7 @@
 func (fakeProtocol) EndRequest(string, Outcome)             {}
 func (fakeProtocol) AppendRequest(b []byte, r *http1.Request, left time.Duration) []byte {
 	b = append(append(append(b, r.Method...), " /"...), r.Get("id")...)
-	return http1.AppendInt(append(b, " HTTP/1.1\r\n"...), "Left-Ms", int64(left/time.Millisecond))
+	return http1.AppendIntField(append(b, " HTTP/1.1\r\n"...), "Left-Ms", int64(left/time.Millisecond))
 }
 func (fakeProtocol) ParseResponse(r *http1.Response) ResponseInfo {
 	return ResponseInfo{Outcome: scheduler.OK}
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -21,7 +21,7 @@
 	req.method = internMethod(r.Method)
 	req.body.decoder.Reset(&r.Message)
 	req.body.complete = req.body.decoder.Done()
-	req.body.continueHandled = !r.Expect
+	req.body.continueHandled = !r.ExpectContinue
 	if g.phase >= draining {
 		c.closing = true
 	}
@@ -53,8 +53,8 @@
 
 // classify classifies a request whose body has the length, -1 where it is not told.
 func (g *Gateway) classify(req *request, length int64) route.Classification {
-	return g.routes.Classify(route.RequestHeader{Method: req.method, Location: req.location, Length: length, Range: string(req.header.Get("range")),
-		Prefer: string(req.header.Get("prefer")), Key: string(req.header.Get("idempotency-key"))})
+	return g.routes.Classify(route.RequestHeader{Method: req.method, Location: req.location, ContentLength: length, Range: string(req.header.Get("range")),
+		Prefer: string(req.header.Get("prefer")), IdempotencyKey: string(req.header.Get("idempotency-key"))})
 }
 
 // sendContinue lets a client that waits for it send its body (RFC 9110 10.1.1).
@@ -156,7 +156,7 @@
 	g.counts.Malformed++
 	c.closing = true
 	req.body.complete = true
-	req.method, req.header.Minor = "", 1
+	req.method, req.header.MinorVersion = "", 1
 	status, reason := 400, err.Error()
 	if e := (*http1.Error)(nil); errors.As(err, &e) {
 		status, reason = e.Status, e.Reason
--- a/internal/gateway/request_state.go
+++ b/internal/gateway/request_state.go
@@ -39,7 +39,7 @@
 
 // requestBody is what was read of a request's body.
 type requestBody struct {
-	decoder         http1.Body
+	decoder         http1.BodyDecoder
 	data            []byte // for sending it (again)
 	received        int64  // bytes of it
 	complete        bool   // it was read to its end
--- a/internal/gateway/response.go
+++ b/internal/gateway/response.go
@@ -31,7 +31,7 @@
 	cl.closing = cl.closing || g.phase >= draining || !req.body.complete
 	if cl.closing {
 		b = append(b, "Connection: close\r\n"...)
-	} else if req.header.Minor == 0 {
+	} else if req.header.MinorVersion == 0 {
 		b = append(b, "Connection: keep-alive\r\n"...)
 	}
 	return append(b, "\r\n"...)
@@ -94,7 +94,7 @@
 	if after <= 0 {
 		return b
 	}
-	return http1.AppendInt(b, "Retry-After", int64((after+time.Second-1)/time.Second))
+	return http1.AppendIntField(b, "Retry-After", int64((after+time.Second-1)/time.Second))
 }
 
 // own answers a request that the module is not asked about.
@@ -135,7 +135,7 @@
 	if len(text) > 0 {
 		b = http1.AppendField(b, "Content-Type", []byte(kind))
 	}
-	b = http1.AppendInt(b, "Content-Length", int64(len(text)))
+	b = http1.AppendIntField(b, "Content-Length", int64(len(text)))
 	if extra != nil {
 		b = extra(b)
 	}
@@ -167,9 +167,9 @@
 	if !ok {
 		return 0, false
 	}
-	for part := range http1.Parts(v) {
+	for part := range http1.ListElements(v) {
 		if x, ok := bytes.CutPrefix(part, []byte("named_metrics.inflight=")); ok {
-			if n, ok := http1.Number(x); ok {
+			if n, ok := http1.ParseDecimal(x); ok {
 				return float64(n), true
 			}
 			f, err := strconv.ParseFloat(string(x), 64)
--- a/internal/gateway/send.go
+++ b/internal/gateway/send.go
@@ -67,17 +67,17 @@
 	}
 	b := g.protocol.appendRequest(g, c.out, attempt)
 	switch {
-	case req.body.complete && (req.body.received > 0 || r.Length > 0 || r.Chunked || req.listing != nil):
-		b = http1.AppendInt(b, "Content-Length", int64(len(req.body.data)))
-	case !req.body.complete && r.Length >= 0:
-		b = http1.AppendInt(b, "Content-Length", r.Length)
+	case req.body.complete && (req.body.received > 0 || r.ContentLength > 0 || r.Chunked || req.listing != nil):
+		b = http1.AppendIntField(b, "Content-Length", int64(len(req.body.data)))
+	case !req.body.complete && r.ContentLength >= 0:
+		b = http1.AppendIntField(b, "Content-Length", r.ContentLength)
 	case !req.body.complete:
 		b = append(b, "Transfer-Encoding: chunked\r\n"...)
 	case req.method == "PUT":
 		b = append(b, "Content-Length: 0\r\n"...)
 	}
 	c.out = append(b, "\r\n"...)
-	attempt.fullyQueued, attempt.chunked = req.body.complete, !req.body.complete && r.Length < 0
+	attempt.fullyQueued, attempt.chunked = req.body.complete, !req.body.complete && r.ContentLength < 0
 	if len(req.body.data) > 0 {
 		appendBody(c, req.body.data)
 	}
--- a/internal/gateway/webdav_protocol.go
+++ b/internal/gateway/webdav_protocol.go
@@ -21,13 +21,13 @@
 		g.applyWebDAVDecision(c, req, webdav.Decision{Handling: webdav.Options})
 		return
 	}
-	path, _, err := route.Path(string(r.Target))
+	path, _, err := route.SplitTarget(string(r.Target))
 	if err == nil {
 		req.location, err = g.routes.Locate(path)
 	}
 	if err != nil {
 		status := 400
-		if errors.Is(err, route.ErrNoVolume) {
+		if errors.Is(err, route.ErrUnknownVolume) {
 			status = 404
 		}
 		g.respondLocally(req, status, err.Error())
@@ -37,11 +37,11 @@
 }
 
 func (webdavProtocol) prepareArrival(g *Gateway, req *request) *http1.Error {
-	if req.listing == nil && req.body.complete && req.header.Length < 0 { // now its length is known
+	if req.listing == nil && req.body.complete && req.header.ContentLength < 0 { // now its length is known
 		req.classification = g.classify(req, req.body.received)
 	}
 	v, j := req.volume, &req.classification
-	req.info.Arrival = scheduler.Arrival{Shard: req.location.Shard, Plan: v.Plan, Class: j.Class, Key: j.Key, Volume: v.Name, TimeRemaining: j.Timeout,
+	req.info.Arrival = scheduler.Arrival{Shard: req.location.Shard, Plan: v.Plan, Class: j.Class, Key: j.OrderingKey, Volume: v.Name, TimeRemaining: j.Timeout,
 		Units: j.Units, Instances: v.Instances}
 	return nil
 }
@@ -50,13 +50,13 @@
 	req, r := attempt.req, &attempt.req.header
 	b = append(append(b, req.method...), ' ')
 	b = append(append(b, originForm(r.Target)...), " HTTP/1.1\r\n"...)
-	b = http1.AppendPassed(b, &r.Message, "expect", "traceparent", "x-request-id", "maddergap-attempt")
+	b = http1.AppendEndToEndFields(b, &r.Message, "expect", "traceparent", "x-request-id", "maddergap-attempt")
 	if len(r.Host) == 0 { // HTTP/1.0 may leave it out, HTTP/1.1 may not
 		b = http1.AppendField(b, "Host", []byte(attempt.conn.node.addr))
 	}
 	b = append(b, "Via: 1.1 maddergap\r\nX-Request-Id: "...)
 	b = append(g.ids.appendRequestID(b, req.id), "\r\n"...)
-	b = http1.AppendInt(b, "Maddergap-Attempt", int64(attempt.number))
+	b = http1.AppendIntField(b, "Maddergap-Attempt", int64(attempt.number))
 	return append(appendTraceparent(append(b, "traceparent: "...), req.trace.id, attempt.spanID, req.trace.sampled), "\r\n"...)
 }
 
@@ -65,7 +65,7 @@
 	switch r.Status {
 	case 503:
 		v.Outcome = scheduler.Failed
-		if http1.Is(r.Get(ExecutedHeader), "no") {
+		if http1.EqualFold(r.Get(ExecutedHeader), "no") {
 			v.Outcome = scheduler.QueueFull
 		}
 	case 500, 502, 504:
@@ -93,7 +93,7 @@
 		cl.out = g.buffers.get()
 	}
 	b := http1.AppendStatus(cl.out, r.Status)
-	b = http1.AppendPassed(b, &r.Message, "x-request-id")
+	b = http1.AppendEndToEndFields(b, &r.Message, "x-request-id")
 	b = append(g.ids.appendRequestID(append(b, "X-Request-Id: "...), req.id), "\r\n"...)
 	switch {
 	case req.method == "HEAD" || r.Status == 304:
@@ -101,9 +101,9 @@
 			b = http1.AppendField(b, "Content-Length", l)
 		}
 	case r.Status == 204:
-	case r.Length >= 0:
-		b = http1.AppendInt(b, "Content-Length", r.Length)
-	case req.header.Minor == 1:
+	case r.ContentLength >= 0:
+		b = http1.AppendIntField(b, "Content-Length", r.ContentLength)
+	case req.header.MinorVersion == 1:
 		req.response.chunked = true
 		b = append(b, "Transfer-Encoding: chunked\r\n"...)
 	default:
@@ -172,8 +172,8 @@
 // learnSize remembers how large a resource is.
 func (g *Gateway) learnSize(req *request, c *conn) {
 	switch {
-	case req.method == "GET" && c.response.Status == 200 && c.response.Length >= 0:
-		g.routes.LearnSize(req.location.Path, c.response.Length)
+	case req.method == "GET" && c.response.Status == 200 && c.response.ContentLength >= 0:
+		g.routes.LearnSize(req.location.Path, c.response.ContentLength)
 	case req.method == "PUT" && c.response.Status < 300:
 		g.routes.LearnSize(req.location.Path, req.body.received)
 	}
@@ -181,7 +181,7 @@
 
 func (g *Gateway) applyWebDAVDecision(c *conn, req *request, v webdav.Decision) {
 	switch v.Handling {
-	case webdav.Answer:
+	case webdav.Respond:
 		g.respondLocally(req, v.Status, v.Reason)
 	case webdav.Options:
 		req.response.reason = "options"
@@ -192,7 +192,7 @@
 			return http1.AppendField(b, "MS-Author-Via", []byte("DAV"))
 		})
 	case webdav.ListRoot, webdav.MergeListings:
-		if req.header.Length > int64(g.config.Limits.BodyBuffer) {
+		if req.header.ContentLength > int64(g.config.Limits.BodyBuffer) {
 			g.respondLocally(req, 413, "the body of a PROPFIND is longer than can be held")
 			return
 		}
@@ -203,8 +203,8 @@
 		}
 	case webdav.Forward:
 		req.volume = &g.config.Volumes[req.location.Volume]
-		req.classification = g.classify(req, req.header.Length)
-		if req.header.Length > int64(g.config.Limits.BodyBuffer) && req.header.Expect {
+		req.classification = g.classify(req, req.header.ContentLength)
+		if req.header.ContentLength > int64(g.config.Limits.BodyBuffer) && req.header.ExpectContinue {
 			g.submit(req) // the body is invited when a node takes it
 			return
 		}
--- a/internal/http1/body.go
+++ b/internal/http1/body.go
@@ -8,8 +8,8 @@
 // maxTrailer bounds chunk extensions and trailer fields; they are read and dropped.
 const maxTrailer = 4 << 10
 
-// Body takes a message's body out of the bytes of its connection.
-type Body struct {
+// BodyDecoder takes a message's body out of the bytes of its connection.
+type BodyDecoder struct {
 	left    int64 // of the body, or of the present chunk
 	chunked bool
 	toEnd   bool // it ends with the connection
@@ -27,26 +27,26 @@
 )
 
 // Reset makes the body that of a message.
-func (b *Body) Reset(m *Message) {
-	*b = Body{line: b.line[:0], left: m.Length, chunked: m.Chunked, toEnd: !m.Chunked && m.Length < 0}
-	b.done = !b.chunked && m.Length == 0
+func (b *BodyDecoder) Reset(m *Message) {
+	*b = BodyDecoder{line: b.line[:0], left: m.ContentLength, chunked: m.Chunked, toEnd: !m.Chunked && m.ContentLength < 0}
+	b.done = !b.chunked && m.ContentLength == 0
 }
 
 // Done tells whether the whole body was seen.
-func (b *Body) Done() bool { return b.done }
+func (b *BodyDecoder) Done() bool { return b.done }
 
-// ToEnd tells whether the connection's end is the body's.
-func (b *Body) ToEnd() bool { return b.toEnd }
+// UntilClose tells whether the connection's end is the body's.
+func (b *BodyDecoder) UntilClose() bool { return b.toEnd }
 
-// End tells the body that the connection ended, and returns whether it was whole.
-func (b *Body) End() bool {
+// InputEnded tells the body that the connection ended, and returns whether it was whole.
+func (b *BodyDecoder) InputEnded() bool {
 	b.done = b.done || b.toEnd
 	return b.done
 }
 
 // Next returns the next bytes of the body in p and what follows them. It makes
 // progress whenever p is not empty and the body not done; data may be empty.
-func (b *Body) Next(p []byte) (data, rest []byte, err error) {
+func (b *BodyDecoder) Next(p []byte) (data, rest []byte, err error) {
 	switch {
 	case b.done:
 		return nil, p, nil
@@ -85,7 +85,7 @@
 	return nil, p, nil
 }
 
-func (b *Body) atLine(l []byte) error {
+func (b *BodyDecoder) atLine(l []byte) error {
 	switch b.state {
 	case afterData:
 		if len(l) != 0 {
@@ -143,7 +143,7 @@
 // AppendStatus appends a response's status line.
 func AppendStatus(dst []byte, status int) []byte {
 	dst = strconv.AppendInt(append(dst, "HTTP/1.1 "...), int64(status), 10)
-	return append(append(append(dst, ' '), Text(status)...), "\r\n"...)
+	return append(append(append(dst, ' '), StatusText(status)...), "\r\n"...)
 }
 
 // AppendField appends a field line.
@@ -152,15 +152,15 @@
 	return append(append(dst, value...), "\r\n"...)
 }
 
-// AppendInt appends a field line with a number.
-func AppendInt(dst []byte, name string, n int64) []byte {
+// AppendIntField appends a field line with a number.
+func AppendIntField(dst []byte, name string, n int64) []byte {
 	dst = strconv.AppendInt(append(append(dst, name...), ": "...), n, 10)
 	return append(dst, "\r\n"...)
 }
 
-// AppendPassed appends the fields of a message that are not of one connection alone, nor
+// AppendEndToEndFields appends the fields of a message that are not of one connection alone, nor
 // of those named.
-func AppendPassed(dst []byte, m *Message, but ...string) []byte {
+func AppendEndToEndFields(dst []byte, m *Message, but ...string) []byte {
 	listed := m.Get("connection")
 next:
 	for i := range m.Fields {
@@ -169,7 +169,7 @@
 			continue
 		}
 		for _, name := range but {
-			if Is(f.Name, name) {
+			if EqualFold(f.Name, name) {
 				continue next
 			}
 		}
--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -16,13 +16,13 @@
 
 // Limits bound one message's header.
 type Limits struct {
-	Header int // bytes of the whole block
-	Target int // bytes of the request target
-	Fields int // number of fields
+	HeaderBytes int // bytes of the whole block
+	TargetBytes int // bytes of the request target
+	FieldCount  int // number of fields
 }
 
 // DefaultLimits hold what common WebDAV clients send, with room.
-var DefaultLimits = Limits{Header: 16 << 10, Target: 4 << 10, Fields: 100}
+var DefaultLimits = Limits{HeaderBytes: 16 << 10, TargetBytes: 4 << 10, FieldCount: 100}
 
 // Error is a fault of a message, with the status that answers it.
 type Error struct {
@@ -61,11 +61,11 @@
 
 // Message is what requests and responses have in common.
 type Message struct {
-	Minor   int // of HTTP/1.x
-	Fields  []Field
-	Length  int64 // of the body; -1 where it is not told
-	Chunked bool
-	Close   bool // the connection ends with this message
+	MinorVersion  int // of HTTP/1.x
+	Fields        []Field
+	ContentLength int64 // of the body; -1 where it is not told
+	Chunked       bool
+	Close         bool // the connection ends with this message
 }
 
 // Request is a parsed request header.
@@ -73,7 +73,7 @@
 	Message
 	Method, Target []byte
 	Host           []byte
-	Expect         bool // 100-continue
+	ExpectContinue bool // 100-continue
 }
 
 // Response is a parsed response header.
@@ -99,11 +99,11 @@
 	}
 }
 
-// Block is HeaderEnd within the bound: all of p once that is past it, for the parser to
+// HeaderBlock is HeaderEnd within the bound: all of p once that is past it, for the parser to
 // refuse, and 0 while more is to be waited for. scanned is kept between calls.
-func (l Limits) Block(p []byte, scanned *int) int {
+func (l Limits) HeaderBlock(p []byte, scanned *int) int {
 	n := HeaderEnd(p, *scanned)
-	if n == 0 && len(p) <= l.Header {
+	if n == 0 && len(p) <= l.HeaderBytes {
 		*scanned = len(p)
 		return 0
 	}
@@ -116,15 +116,15 @@
 // Get returns the first field of the name (any case), nil if there is none.
 func (m *Message) Get(name string) []byte {
 	for i := range m.Fields {
-		if Is(m.Fields[i].Name, name) {
+		if EqualFold(m.Fields[i].Name, name) {
 			return m.Fields[i].Value
 		}
 	}
 	return nil
 }
 
-// Is compares a field name or token with a word, letters in any case.
-func Is(b []byte, word string) bool {
+// EqualFold compares a field name or token with a word, letters in any case.
+func EqualFold(b []byte, word string) bool {
 	if len(b) != len(word) {
 		return false
 	}
@@ -177,8 +177,8 @@
 
 // ParseRequest parses a header block that HeaderEnd measured. r is reused.
 func ParseRequest(block []byte, r *Request, lim Limits) error {
-	*r = Request{Message: Message{Fields: r.Fields[:0], Length: -1}}
-	if len(block) > lim.Header {
+	*r = Request{Message: Message{Fields: r.Fields[:0], ContentLength: -1}}
+	if len(block) > lim.HeaderBytes {
 		return errHeaderLong
 	}
 	first, rest, err := line(block)
@@ -194,10 +194,10 @@
 	if !isToken(r.Method) || len(r.Target) == 0 {
 		return errLine
 	}
-	if r.Minor, err = version(first[last+1:]); err != nil {
+	if r.MinorVersion, err = version(first[last+1:]); err != nil {
 		return err
 	}
-	if len(r.Target) > lim.Target {
+	if len(r.Target) > lim.TargetBytes {
 		return errTargetLong
 	}
 	for _, c := range r.Target {
@@ -211,29 +211,29 @@
 	hosts := 0
 	for _, f := range r.Fields {
 		switch {
-		case Is(f.Name, "host"):
+		case EqualFold(f.Name, "host"):
 			r.Host = f.Value
 			hosts++
-		case Is(f.Name, "expect"):
-			if !Is(f.Value, "100-continue") {
+		case EqualFold(f.Name, "expect"):
+			if !EqualFold(f.Value, "100-continue") {
 				return errExpect
 			}
-			r.Expect = r.Minor == 1
+			r.ExpectContinue = r.MinorVersion == 1
 		}
 	}
-	if hosts > 1 || (hosts == 0 && r.Minor == 1) {
+	if hosts > 1 || (hosts == 0 && r.MinorVersion == 1) {
 		return errHost
 	}
-	if !r.Chunked && r.Length < 0 {
-		r.Length = 0 // RFC 9112 6.3: no length, no body
+	if !r.Chunked && r.ContentLength < 0 {
+		r.ContentLength = 0 // RFC 9112 6.3: no length, no body
 	}
 	return nil
 }
 
 // ParseResponse parses a header block of a response to a request of the method.
 func ParseResponse(block []byte, r *Response, method string, lim Limits) error {
-	*r = Response{Message: Message{Fields: r.Fields[:0], Length: -1}}
-	if len(block) > lim.Header {
+	*r = Response{Message: Message{Fields: r.Fields[:0], ContentLength: -1}}
+	if len(block) > lim.HeaderBytes {
 		return errHeaderLong
 	}
 	first, rest, err := line(block)
@@ -243,7 +243,7 @@
 	if len(first) < 12 || first[8] != ' ' || (len(first) > 12 && first[12] != ' ') {
 		return errStatusLine
 	}
-	if r.Minor, err = version(first[:8]); err != nil {
+	if r.MinorVersion, err = version(first[:8]); err != nil {
 		return err
 	}
 	for _, c := range first[9:12] {
@@ -260,9 +260,9 @@
 	}
 	// RFC 9112 6.3: these have no body whatever their fields say.
 	if method == "HEAD" || r.Status < 200 || r.Status == 204 || r.Status == 304 {
-		r.Length, r.Chunked = 0, false
+		r.ContentLength, r.Chunked = 0, false
 	}
-	if r.Length < 0 && !r.Chunked {
+	if r.ContentLength < 0 && !r.Chunked {
 		r.Close = true // the body ends with the connection
 	}
 	return nil
@@ -302,43 +302,43 @@
 				return errField
 			}
 		}
-		if len(m.Fields) >= lim.Fields {
+		if len(m.Fields) >= lim.FieldCount {
 			return errFields
 		}
 		f := Field{l[:colon], value}
 		m.Fields = append(m.Fields, f)
 		switch {
-		case Is(f.Name, "content-length"):
-			n, ok := Number(value)
-			if !ok || (m.Length >= 0 && m.Length != n) {
+		case EqualFold(f.Name, "content-length"):
+			n, ok := ParseDecimal(value)
+			if !ok || (m.ContentLength >= 0 && m.ContentLength != n) {
 				return errTwoLengths
 			}
-			m.Length = n
-		case Is(f.Name, "transfer-encoding"):
-			if coded || !Is(value, "chunked") {
+			m.ContentLength = n
+		case EqualFold(f.Name, "transfer-encoding"):
+			if coded || !EqualFold(value, "chunked") {
 				return errCoding
 			}
 			coded = true
-		case Is(f.Name, "connection"):
+		case EqualFold(f.Name, "connection"):
 			m.Close = m.Close || HasToken(value, "close")
 			keep = keep || HasToken(value, "keep-alive")
 		}
 	}
-	if coded && m.Length >= 0 {
+	if coded && m.ContentLength >= 0 {
 		return errBoth
 	}
-	if coded && m.Minor == 0 {
+	if coded && m.MinorVersion == 0 {
 		return errCoding10
 	}
 	m.Chunked = coded
-	if m.Minor == 0 && !keep {
+	if m.MinorVersion == 0 && !keep {
 		m.Close = true
 	}
 	return nil
 }
 
-// Number reads a decimal without sign, up to 2^62.
-func Number(b []byte) (n int64, ok bool) {
+// ParseDecimal reads a decimal without sign, up to 2^62.
+func ParseDecimal(b []byte) (n int64, ok bool) {
 	if len(b) == 0 || len(b) > 18 {
 		return 0, false
 	}
@@ -353,16 +353,16 @@
 
 // HasToken tells whether a comma-separated list names a token.
 func HasToken(list []byte, token string) bool {
-	for part := range Parts(list) {
-		if Is(part, token) {
+	for part := range ListElements(list) {
+		if EqualFold(part, token) {
 			return true
 		}
 	}
 	return false
 }
 
-// Parts are the elements of a comma-separated list, without the blanks around them.
-func Parts(list []byte) iter.Seq[[]byte] {
+// ListElements are the elements of a comma-separated list, without the blanks around them.
+func ListElements(list []byte) iter.Seq[[]byte] {
 	return func(yield func([]byte) bool) {
 		for len(list) > 0 {
 			var part []byte
@@ -375,45 +375,45 @@
 
 var comma = []byte(",")
 
-// InterimMax is how many 1xx answers may come before one.
-const InterimMax = 16
+// MaxInterimResponses is how many 1xx answers may come before one.
+const MaxInterimResponses = 16
 
 // HopByHop tells whether a field speaks of one connection alone and is not
 // passed on (RFC 9110 7.6.1); listed is the value of Connection.
 func HopByHop(name, listed []byte) bool {
 	switch len(name) {
 	case 2:
-		return Is(name, "te")
+		return EqualFold(name, "te")
 	case 4:
-		if Is(name, "host") {
+		if EqualFold(name, "host") {
 			return false // whatever Connection lists: guards against a request without one at the node
 		}
 	case 7:
-		if Is(name, "trailer") || Is(name, "upgrade") {
+		if EqualFold(name, "trailer") || EqualFold(name, "upgrade") {
 			return true
 		}
 	case 10:
-		if Is(name, "connection") || Is(name, "keep-alive") {
+		if EqualFold(name, "connection") || EqualFold(name, "keep-alive") {
 			return true
 		}
 	case 14:
-		if Is(name, "content-length") {
+		if EqualFold(name, "content-length") {
 			return true // written anew with the body
 		}
 	case 16:
-		if Is(name, "proxy-connection") {
+		if EqualFold(name, "proxy-connection") {
 			return true
 		}
 	case 17:
-		if Is(name, "transfer-encoding") {
+		if EqualFold(name, "transfer-encoding") {
 			return true
 		}
 	}
 	return len(listed) > 0 && HasToken(listed, string(name))
 }
 
-// Text names a status.
-func Text(status int) string {
+// StatusText names a status.
+func StatusText(status int) string {
 	if t := texts[status]; t != "" {
 		return t
 	}
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -53,17 +53,17 @@
 
 func TestRequestFraming(t *testing.T) {
 	r, err := request("PUT /a/b HTTP/1.1\r\nHost: h\r\nConnection: x, Close\r\nContent-Length: 12\r\nExpect: 100-Continue\r\n\r\n")
-	if err != nil || string(r.Method) != "PUT" || r.Length != 12 || !r.Close || !r.Expect || string(r.Host) != "h" {
+	if err != nil || string(r.Method) != "PUT" || r.ContentLength != 12 || !r.Close || !r.ExpectContinue || string(r.Host) != "h" {
 		t.Fatalf("%+v %v", r, err)
 	}
-	if r, err = request("GET /a HTTP/1.0\r\n\r\n"); err != nil || !r.Close || r.Length != 0 {
+	if r, err = request("GET /a HTTP/1.0\r\n\r\n"); err != nil || !r.Close || r.ContentLength != 0 {
 		t.Fatalf("1.0: %+v %v", r, err)
 	}
 }
 
 // decode runs a body through in pieces of n bytes.
 func decode(m *Message, wire []byte, n int) (out, rest []byte, err error) {
-	var b Body
+	var b BodyDecoder
 	b.Reset(m)
 	for len(wire) > 0 && !b.Done() {
 		piece := wire[:min(n, len(wire))]
@@ -88,14 +88,14 @@
 	}
 	wire = append(AppendLastChunk(wire), "GET"...)
 	for n := 1; n < 50; n++ {
-		got, rest, err := decode(&Message{Chunked: true, Length: -1}, wire, n)
+		got, rest, err := decode(&Message{Chunked: true, ContentLength: -1}, wire, n)
 		if err != nil || !bytes.Equal(got, want) || string(rest) != "GET" {
 			t.Fatalf("pieces of %d: %d bytes, rest %q, %v", n, len(got), rest, err)
 		}
 	}
 	for _, bad := range []string{"g\r\n", "\r\n", "3\r\nabcd\r\n", "3\nabc\r\n", "-1\r\n", "3;a\rb\r\nabc\r\n",
 		"1234567890123456\r\n", "0\r\n" + strings.Repeat("X: y\r\n", 2000)} {
-		if _, _, err := decode(&Message{Chunked: true, Length: -1}, []byte(bad), 7); err == nil || err == io.ErrUnexpectedEOF {
+		if _, _, err := decode(&Message{Chunked: true, ContentLength: -1}, []byte(bad), 7); err == nil || err == io.ErrUnexpectedEOF {
 			t.Errorf("%.20q: %v, want a fault", bad, err)
 		}
 	}
@@ -116,8 +116,8 @@
 		if err := ParseResponse([]byte(c.text), &r, c.method, DefaultLimits); err != nil {
 			t.Fatal(err)
 		}
-		if r.Length != c.length || r.Close != c.toEnd {
-			t.Errorf("%q to %s: length %d close %v", c.text, c.method, r.Length, r.Close)
+		if r.ContentLength != c.length || r.Close != c.toEnd {
+			t.Errorf("%q to %s: length %d close %v", c.text, c.method, r.ContentLength, r.Close)
 		}
 	}
 }
@@ -150,9 +150,9 @@
 		if err != nil {
 			return // stricter than we are, in what frames nothing
 		}
-		if std.Method != string(r.Method) || (std.ContentLength >= 0 && std.ContentLength != r.Length && !r.Chunked) ||
+		if std.Method != string(r.Method) || (std.ContentLength >= 0 && std.ContentLength != r.ContentLength && !r.Chunked) ||
 			(len(std.TransferEncoding) > 0) != r.Chunked {
-			t.Fatalf("%q: %s %d %v, net/http %s %d %v", p[:n], r.Method, r.Length, r.Chunked, std.Method,
+			t.Fatalf("%q: %s %d %v, net/http %s %d %v", p[:n], r.Method, r.ContentLength, r.Chunked, std.Method,
 				std.ContentLength, std.TransferEncoding)
 		}
 	})
@@ -164,7 +164,7 @@
 	f.Add([]byte("5;x=y\r\nhello\r\n0\r\nT: v\r\n\r\nrest"), 3)
 	f.Fuzz(func(t *testing.T, p []byte, n int) {
 		n = max(1, n%64)
-		m := &Message{Chunked: true, Length: -1}
+		m := &Message{Chunked: true, ContentLength: -1}
 		a, restA, errA := decode(m, p, len(p)+1)
 		b, restB, errB := decode(m, p, n)
 		if (errA == nil) != (errB == nil) || (errA == nil && (!bytes.Equal(a, b) || !bytes.Equal(restA, restB))) {
--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -217,7 +217,7 @@
 		Scheduler:    f.Settings.Settings(),
 		UnitBytes:    1,
 		Deadlines:    config.Deadlines{UploadRate: 1},
-		HeaderLimits: http1.Limits{Header: 8 << 10, Target: 2 << 10, Fields: 64},
+		HeaderLimits: http1.Limits{HeaderBytes: 8 << 10, TargetBytes: 2 << 10, FieldCount: 64},
 		Timeouts: config.Timeouts{
 			Header:   1500 * time.Millisecond,
 			Idle:     idleTime,
--- a/internal/platform/protocol.go
+++ b/internal/platform/protocol.go
@@ -92,7 +92,7 @@
 		return gateway.RequestInfo{Status: 404, Reason: "there is no such page"}
 	}
 	// Guards against a request that would reach its node without a field it was read by.
-	for name := range http1.Parts(r.Get("connection")) {
+	for name := range http1.ListElements(r.Get("connection")) {
 		if r.Get(string(name)) != nil && !http1.HopByHop(name, nil) {
 			return bad("Connection lists a field of the request")
 		}
@@ -105,7 +105,7 @@
 	for i := range r.Fields {
 		f := &r.Fields[i]
 		for _, want := range once {
-			if http1.Is(f.Name, want.name) {
+			if http1.EqualFold(f.Name, want.name) {
 				if *want.to != nil {
 					return bad(want.name + " stands twice")
 				}
@@ -138,7 +138,7 @@
 	switch {
 	case !write && string(r.Method) != "GET":
 		return gateway.RequestInfo{Status: 405, Reason: "a read is a GET, a write a PUT", Close: true}
-	case !write && (r.Length > 0 || r.Chunked):
+	case !write && (r.ContentLength > 0 || r.Chunked):
 		return bad("a read has no body")
 	case len(p.writes) > 0 && p.writes[c] != write:
 		return bad("the method does not fit the class")
@@ -200,7 +200,7 @@
 // extras reads volume, units, shard and hosts, each once.
 func (p *Protocol) extras(b []byte, a *scheduler.Arrival) bool {
 	var seen [4]bool
-	for part := range http1.Parts(b) {
+	for part := range http1.ListElements(b) {
 		name, value, ok := bytes.Cut(part, []byte("="))
 		if !ok {
 			return false
@@ -221,13 +221,13 @@
 				break
 			}
 			var n int64
-			n, ok = http1.Number(value)
+			n, ok = http1.ParseDecimal(value)
 			ok = ok && n < int64(cmp.Or(p.shards, mostShards)) // 0: not told
 			a.Shard = int(n)
 		case "hosts":
 			i = 3
 			var n int64
-			n, ok = http1.Number(value)
+			n, ok = http1.ParseDecimal(value)
 			ok = ok && n >= 1 && n <= int64(p.heads)
 			a.Instances = int(n)
 		default: // of a later day
@@ -248,7 +248,7 @@
 	b = append(append(b, r.Method...), ' ')
 	b = append(append(b, r.Target...), " HTTP/1.1\r\nHost: "...)
 	b = append(append(b, r.Host...), "\r\n"...)
-	b = http1.AppendPassed(b, &r.Message, "host", "expect", fieldLeft)
+	b = http1.AppendEndToEndFields(b, &r.Message, "host", "expect", fieldLeft)
 	b = append(b, fieldLeft+": "...)
 	b = strconv.AppendInt(b, left.Microseconds(), 10)
 	return append(b, "u\r\n"...)
@@ -272,7 +272,7 @@
 // load reads a load report: the greater of the requests held and those that wait. One
 // that cannot be read is as none.
 func load(b []byte) (most float64, ok bool) {
-	for part := range http1.Parts(b) {
+	for part := range http1.ListElements(b) {
 		name, value, _ := bytes.Cut(part, []byte("="))
 		switch string(name) {
 		case "concurrent", "inflight", "depth", "queue": // by the settings, and in the protocol's own words
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -36,9 +36,9 @@
 
 // Errors of paths.
 var (
-	ErrPath     = errors.New("the path is malformed: a bad escape, an empty or a dot segment, an escaped slash or a control character")
-	ErrNoVolume = errors.New("there is no such volume")
-	ErrForm     = errors.New("the target is neither a path nor an http URL")
+	ErrMalformedPath = errors.New("the path is malformed: a bad escape, an empty or a dot segment, an escaped slash or a control character")
+	ErrUnknownVolume = errors.New("there is no such volume")
+	ErrTargetForm    = errors.New("the target is neither a path nor an http URL")
 )
 
 // Table answers for one configuration. It is not safe for concurrent use.
@@ -63,14 +63,14 @@
 	return t
 }
 
-// Path cuts the path out of a request target in origin or absolute form (RFC
+// SplitTarget cuts the path out of a request target in origin or absolute form (RFC
 // 9112 3.2); the query is dropped, as nothing here has one. authority is empty
 // for origin form.
-func Path(target string) (path, authority string, err error) {
+func SplitTarget(target string) (path, authority string, err error) {
 	if !strings.HasPrefix(target, "/") {
 		rest, ok := cutScheme(target)
 		if !ok {
-			return "", "", ErrForm
+			return "", "", ErrTargetForm
 		}
 		i := strings.IndexByte(rest, '/')
 		if i < 0 {
@@ -78,7 +78,7 @@
 		}
 		authority, target = rest[:i], rest[i:]
 		if authority == "" {
-			return "", "", ErrForm
+			return "", "", ErrTargetForm
 		}
 	}
 	if i := strings.IndexByte(target, '?'); i >= 0 {
@@ -96,23 +96,23 @@
 	return "", false
 }
 
-// Decode undoes percent escapes and holds that the path can be read in one way
+// DecodePath undoes percent escapes and holds that the path can be read in one way
 // only. Guards against two names for one resource, which would be two places.
-func Decode(path string) (string, error) {
+func DecodePath(path string) (string, error) {
 	if strings.IndexByte(path, '%') >= 0 {
 		b := make([]byte, 0, len(path))
 		for i := 0; i < len(path); i++ {
 			c := path[i]
 			if c == '%' {
 				if i+2 >= len(path) {
-					return "", ErrPath
+					return "", ErrMalformedPath
 				}
 				hi, lo := unhex(path[i+1]), unhex(path[i+2])
 				if hi < 0 || lo < 0 {
-					return "", ErrPath
+					return "", ErrMalformedPath
 				}
 				if c = byte(hi<<4 | lo); c == '/' || c == 0 {
-					return "", ErrPath
+					return "", ErrMalformedPath
 				}
 				i += 2
 			}
@@ -122,7 +122,7 @@
 	}
 	for i := 0; i < len(path); i++ {
 		if path[i] < ' ' || path[i] == 0x7f || path[i] == '\\' {
-			return "", ErrPath
+			return "", ErrMalformedPath
 		}
 		if path[i] == '/' { // the segment that follows
 			seg := path[i+1:]
@@ -132,7 +132,7 @@
 				break
 			}
 			if seg == "" || seg == "." || seg == ".." {
-				return "", ErrPath
+				return "", ErrMalformedPath
 			}
 		}
 	}
@@ -149,9 +149,9 @@
 	return -1
 }
 
-// Locate finds where a path (as Path gives it) lives.
+// Locate finds where a path (as SplitTarget gives it) lives.
 func (t *Table) Locate(path string) (Location, error) {
-	path, err := Decode(path)
+	path, err := DecodePath(path)
 	if err != nil {
 		return Location{}, err
 	}
@@ -162,7 +162,7 @@
 	}
 	v, ok := t.volumes[name]
 	if !ok {
-		return p, ErrNoVolume
+		return p, ErrUnknownVolume
 	}
 	p.Kind, p.Volume = VolumeRoot, v
 	if !below || rest == "" {
@@ -191,25 +191,25 @@
 
 // RequestHeader is what a request's header tells.
 type RequestHeader struct {
-	Method   string
-	Location Location
-	Length   int64 // of the body, -1 where it is not told
-	Range    string
-	Prefer   string
-	Key      string // Idempotency-Key
+	Method         string
+	Location       Location
+	ContentLength  int64 // of the body, -1 where it is not told
+	Range          string
+	Prefer         string
+	IdempotencyKey string // Idempotency-Key
 }
 
 // Classification is what the module is told of a request, and the head keeps to.
 type Classification struct {
-	Class   int
-	Units   float64
-	Timeout time.Duration // before the client gives up; the answer margin is taken off
-	Key     string        // of order, "" where the class has none
+	Class       int
+	Units       float64
+	Timeout     time.Duration // before the client gives up; the answer margin is taken off
+	OrderingKey string        // of order, "" where the class has none
 }
 
 // Classify classifies a request.
 func (t *Table) Classify(a RequestHeader) Classification {
-	size := a.Length
+	size := a.ContentLength
 	reads := a.Method == "GET" || a.Method == "HEAD" || a.Method == "PROPFIND"
 	if a.Method == "HEAD" {
 		size = 0
@@ -238,8 +238,8 @@
 		j.Timeout += t.c.Timeouts.Stall
 	}
 	if class.Ordered {
-		if j.Key = a.Key; j.Key == "" {
-			j.Key = a.Location.Path
+		if j.OrderingKey = a.IdempotencyKey; j.OrderingKey == "" {
+			j.OrderingKey = a.Location.Path
 		}
 	}
 	return j
@@ -275,8 +275,8 @@
 		return -1
 	}
 	from, to, _ := strings.Cut(r, "-")
-	a, okA := http1.Number([]byte(from))
-	b, okB := http1.Number([]byte(to))
+	a, okA := http1.ParseDecimal([]byte(from))
+	b, okB := http1.ParseDecimal([]byte(to))
 	switch {
 	case okA && okB && a <= b:
 		return b - a + 1
@@ -294,7 +294,7 @@
 		if !ok || !strings.EqualFold(strings.TrimSpace(k), "wait") {
 			continue
 		}
-		if n, ok := http1.Number([]byte(strings.Trim(strings.TrimSpace(v), `"`))); ok && n < 1<<31 {
+		if n, ok := http1.ParseDecimal([]byte(strings.Trim(strings.TrimSpace(v), `"`))); ok && n < 1<<31 {
 			return time.Duration(n) * time.Second
 		}
 	}
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -44,9 +44,9 @@
 			t.Errorf("%s: %+v %v", path, p, err)
 		}
 	}
-	for path, want := range map[string]error{"/nope/x": ErrNoVolume, "/feed-a//x": ErrPath, "/feed-a/../feed-b/x": ErrPath,
-		"/feed-a/%2e%2e/x": ErrPath, "/feed-a/a%2fb": ErrPath, "/feed-a/%zz": ErrPath, "/feed-a/%4": ErrPath, "/feed-a/.": ErrPath,
-		"//": ErrPath, "/feed-a/a%00": ErrPath, "/feed-a/a\\b": ErrPath} {
+	for path, want := range map[string]error{"/nope/x": ErrUnknownVolume, "/feed-a//x": ErrMalformedPath, "/feed-a/../feed-b/x": ErrMalformedPath,
+		"/feed-a/%2e%2e/x": ErrMalformedPath, "/feed-a/a%2fb": ErrMalformedPath, "/feed-a/%zz": ErrMalformedPath, "/feed-a/%4": ErrMalformedPath, "/feed-a/.": ErrMalformedPath,
+		"//": ErrMalformedPath, "/feed-a/a%00": ErrMalformedPath, "/feed-a/a\\b": ErrMalformedPath} {
 		if _, err := tab.Locate(path); err != want {
 			t.Errorf("%s: %v, want %v", path, err, want)
 		}
@@ -57,12 +57,12 @@
 		t.Errorf("an escape moved the unit: %+v %+v", a, b)
 	}
 	for target, want := range map[string]string{"http://h:1/a/b?q": "/a/b", "HTTP://h": "/", "/a?b": "/a"} {
-		if p, _, err := Path(target); err != nil || p != want {
+		if p, _, err := SplitTarget(target); err != nil || p != want {
 			t.Errorf("%s: %q %v", target, p, err)
 		}
 	}
 	for _, target := range []string{"a/b", "ftp://h/x", "http:///x", "*"} {
-		if _, _, err := Path(target); err == nil {
+		if _, _, err := SplitTarget(target); err == nil {
 			t.Errorf("%s was taken", target)
 		}
 	}
@@ -109,17 +109,17 @@
 		"head of large": {RequestHeader{Method: "HEAD", Location: at("/feed-a/big/x")}, 0, 1, 980 * time.Millisecond, ""},
 		"ranged":        {RequestHeader{Method: "GET", Location: at("/feed-a/big/x"), Range: "bytes=0-99"}, 2, 1, 4980 * time.Millisecond, ""},
 		"range past it": {RequestHeader{Method: "GET", Location: at("/feed-a/s/x"), Range: "bytes=0-99999999"}, 2, 2, 4980 * time.Millisecond, ""},
-		"write":         {RequestHeader{Method: "PUT", Location: at("/feed-a/s/y"), Length: 100<<10 + 1}, 1, 2, 1980 * time.Millisecond, ""},
-		"ordered":       {RequestHeader{Method: "PUT", Location: at("/feed-a/log/y"), Length: 1}, 3, 1, 4980 * time.Millisecond, "/feed-a/log/y"},
-		"ordered, key":  {RequestHeader{Method: "PUT", Location: at("/feed-a/log/y"), Length: 1, Key: "k"}, 3, 1, 4980 * time.Millisecond, "k"},
+		"write":         {RequestHeader{Method: "PUT", Location: at("/feed-a/s/y"), ContentLength: 100<<10 + 1}, 1, 2, 1980 * time.Millisecond, ""},
+		"ordered":       {RequestHeader{Method: "PUT", Location: at("/feed-a/log/y"), ContentLength: 1}, 3, 1, 4980 * time.Millisecond, "/feed-a/log/y"},
+		"ordered, key":  {RequestHeader{Method: "PUT", Location: at("/feed-a/log/y"), ContentLength: 1, IdempotencyKey: "k"}, 3, 1, 4980 * time.Millisecond, "k"},
 		"shorter wait":  {RequestHeader{Method: "PUT", Location: at("/feed-a/s/y"), Prefer: "respond-async, wait=1"}, 1, 1, 980 * time.Millisecond, ""},
 		"longer wait":   {RequestHeader{Method: "PUT", Location: at("/feed-a/s/y"), Prefer: "wait=100"}, 1, 1, 1980 * time.Millisecond, ""},
 	} {
-		if j := tab.Classify(c.ask); j.Class != c.class || j.Units != c.units || j.Timeout != c.time || j.Key != c.key {
+		if j := tab.Classify(c.ask); j.Class != c.class || j.Units != c.units || j.Timeout != c.time || j.OrderingKey != c.key {
 			t.Errorf("%s: %+v, want %+v", name, j, c)
 		}
 	}
-	if j := tab.Classify(RequestHeader{Method: "PUT", Location: at("/feed-a/s/y"), Length: 10 << 20}); j.Timeout != 1980*time.Millisecond+10*time.Second {
+	if j := tab.Classify(RequestHeader{Method: "PUT", Location: at("/feed-a/s/y"), ContentLength: 10 << 20}); j.Timeout != 1980*time.Millisecond+10*time.Second {
 		t.Errorf("a body of 10 MiB at 1 MiB/s has %v", j.Timeout)
 	}
 }
@@ -142,7 +142,7 @@
 	f.Add("/feed-a/x/%41")
 	tab := table(f)
 	f.Fuzz(func(t *testing.T, target string) {
-		path, _, err := Path(target)
+		path, _, err := SplitTarget(target)
 		if err != nil {
 			return
 		}
@@ -150,7 +150,7 @@
 		if err != nil || p.Kind != Unit {
 			return
 		}
-		if again, err := Decode(p.Path); err == nil && again == p.Path { // no escape is left: it is one place
+		if again, err := DecodePath(p.Path); err == nil && again == p.Path { // no escape is left: it is one place
 			if q, err := tab.Locate(p.Path); err != nil || q.Shard != p.Shard || q.Unit != p.Unit {
 				t.Fatalf("%q: %+v, decoded: %+v %v", target, p, q, err)
 			}
--- a/internal/webdav/webdav.go
+++ b/internal/webdav/webdav.go
@@ -23,10 +23,10 @@
 	Options                       // the head's own answer
 	ListRoot                      // the head's own: the volumes
 	MergeListings                 // ask all shards of the volume and merge
-	Answer                        // the status and reason given
+	Respond                       // the status and reason given
 )
 
-// Decision is how a request is dealt with; Status and Reason where Do is Answer.
+// Decision is how a request is dealt with; Status and Reason where Do is Respond.
 type Decision struct {
 	Handling Handling
 	Status   int
@@ -39,7 +39,7 @@
 // Compliance is the DAV header's value (RFC 4918 18).
 const Compliance = "1, 2, 3"
 
-func answer(status int, reason string) Decision { return Decision{Answer, status, reason} }
+func answer(status int, reason string) Decision { return Decision{Respond, status, reason} }
 
 // Decide looks at method, place and the headers that matter. destination is the
 // Destination header; host is the request's own authority; depth is Depth.
@@ -80,7 +80,7 @@
 	if destination == "" {
 		return answer(400, "Destination is missing")
 	}
-	path, authority, err := route.Path(destination)
+	path, authority, err := route.SplitTarget(destination)
 	if err != nil {
 		return answer(400, "Destination: "+err.Error())
 	}
@@ -89,7 +89,7 @@
 	}
 	to, err := t.Locate(path)
 	switch {
-	case errors.Is(err, route.ErrNoVolume):
+	case errors.Is(err, route.ErrUnknownVolume):
 		return answer(409, "Destination: "+err.Error())
 	case err != nil:
 		return answer(400, "Destination: "+err.Error())
@@ -103,15 +103,15 @@
 
 // Errors of XML bodies.
 var (
-	ErrXML      = errors.New("the XML body is malformed")
-	ErrListing  = errors.New("a node's listing is malformed")
-	ErrTooLarge = errors.New("the listing is larger than listing-max")
+	ErrMalformedXML     = errors.New("the XML body is malformed")
+	ErrMalformedListing = errors.New("a node's listing is malformed")
+	ErrListingTooLarge  = errors.New("the listing is larger than listing-max")
 )
 
 // Propfind is a parsed PROPFIND body.
 type Propfind struct {
-	All, Names bool
-	Props      []xml.Name
+	AllProperties, NamesOnly bool
+	Properties               []xml.Name
 }
 
 const maxProps = 200
@@ -138,10 +138,10 @@
 // ParsePropfind reads a PROPFIND body (RFC 4918 14.20); an empty one asks for all.
 func ParsePropfind(body []byte) (p Propfind, err error) {
 	if len(bytes.TrimSpace(body)) == 0 {
-		return Propfind{All: true}, nil
+		return Propfind{AllProperties: true}, nil
 	}
 	if !PrefixesBound(body) {
-		return p, ErrXML
+		return p, ErrMalformedXML
 	}
 	d := xml.NewDecoder(bytes.NewReader(body))
 	depth, inProp, kinds, root := 0, false, 0, false
@@ -151,7 +151,7 @@
 			break
 		}
 		if err != nil {
-			return p, ErrXML
+			return p, ErrMalformedXML
 		}
 		switch e := tok.(type) {
 		case xml.StartElement:
@@ -160,21 +160,21 @@
 			switch {
 			case depth == 1:
 				if root || !dav || e.Name.Local != "propfind" {
-					return p, ErrXML
+					return p, ErrMalformedXML
 				}
 				root = true
 			case depth == 2 && dav && e.Name.Local == "allprop":
-				p.All = true
+				p.AllProperties = true
 				kinds++
 			case depth == 2 && dav && e.Name.Local == "propname":
-				p.Names = true
+				p.NamesOnly = true
 				kinds++
 			case depth == 2 && dav && e.Name.Local == "prop":
 				inProp = true
 				kinds++
 			case depth == 3 && inProp:
-				if p.Props = append(p.Props, e.Name); len(p.Props) > maxProps {
-					return p, ErrXML
+				if p.Properties = append(p.Properties, e.Name); len(p.Properties) > maxProps {
+					return p, ErrMalformedXML
 				}
 			}
 		case xml.EndElement:
@@ -182,11 +182,11 @@
 				inProp = false
 			}
 		case xml.Directive: // no entities of a client's making
-			return p, ErrXML
+			return p, ErrMalformedXML
 		}
 	}
 	if !root || kinds != 1 {
-		return p, ErrXML
+		return p, ErrMalformedXML
 	}
 	return p, nil
 }
@@ -205,12 +205,12 @@
 			"displayname": "<D:displayname>" + escape(name) + "</D:displayname>"}
 		var have, lack strings.Builder
 		switch {
-		case p.Names:
+		case p.NamesOnly:
 			have.WriteString("<D:resourcetype/><D:displayname/>")
-		case p.All:
+		case p.AllProperties:
 			have.WriteString(known["resourcetype"] + known["displayname"])
 		}
-		for _, n := range p.Props {
+		for _, n := range p.Properties {
 			if text := known[n.Local]; n.Space == "DAV:" && text != "" {
 				have.WriteString(text)
 			} else {
@@ -241,10 +241,10 @@
 	return b.String()
 }
 
-// Merge makes one multistatus body of those that the shards gave for the same
+// MergeMultistatus makes one multistatus body of those that the shards gave for the same
 // collection. A response whose href was seen already (the collection itself) is
 // left out. What does not parse is an error: never a listing that lacks half.
-func Merge(bodies [][]byte, most int) ([]byte, error) {
+func MergeMultistatus(bodies [][]byte, most int) ([]byte, error) {
 	var out bytes.Buffer
 	out.WriteString(xmlHead + `<D:multistatus xmlns:D="DAV:">`)
 	seen := map[string]bool{}
@@ -253,7 +253,7 @@
 			return nil, err
 		}
 		if out.Len() > most {
-			return nil, ErrTooLarge
+			return nil, ErrListingTooLarge
 		}
 	}
 	out.WriteString("</D:multistatus>\n")
@@ -277,7 +277,7 @@
 			break
 		}
 		if err != nil {
-			return ErrListing
+			return ErrMalformedListing
 		}
 		switch e := tok.(type) {
 		case xml.StartElement:
@@ -285,7 +285,7 @@
 			switch {
 			case depth == 1:
 				if e.Name.Space != "DAV:" || e.Name.Local != "multistatus" || whole {
-					return ErrListing
+					return ErrMalformedListing
 				}
 				root = e.Attr
 			case depth == 2:
@@ -300,7 +300,7 @@
 				href.Write(e)
 			}
 		case xml.Directive:
-			return ErrListing
+			return ErrMalformedListing
 		case xml.EndElement:
 			switch depth--; {
 			case depth == 0:
@@ -310,7 +310,7 @@
 			case depth == 1 && isResponse:
 				name := strings.TrimSpace(href.String())
 				if name == "" {
-					return ErrListing
+					return ErrMalformedListing
 				}
 				if !seen[name] {
 					seen[name] = true
@@ -320,7 +320,7 @@
 		}
 	}
 	if !whole {
-		return ErrListing
+		return ErrMalformedListing
 	}
 	return nil
 }
--- a/internal/webdav/webdav_test.go
+++ b/internal/webdav/webdav_test.go
@@ -27,26 +27,26 @@
 	}{
 		{"GET", "/feed-a/s/x", "", "", Forward, 0},
 		{"OPTIONS", "/", "", "", Options, 0},
-		{"POST", "/feed-a/s/x", "", "", Answer, 405},
-		{"BREW", "/feed-a/s/x", "", "", Answer, 501},
-		{"GET", "/feed-a/", "", "", Answer, 405},
+		{"POST", "/feed-a/s/x", "", "", Respond, 405},
+		{"BREW", "/feed-a/s/x", "", "", Respond, 501},
+		{"GET", "/feed-a/", "", "", Respond, 405},
 		{"PROPFIND", "/", "1", "", ListRoot, 0},
 		{"PROPFIND", "/feed-a", "1", "", MergeListings, 0},
-		{"PROPFIND", "/feed-a", "infinity", "", Answer, 403},
-		{"PROPFIND", "/feed-a", "", "", Answer, 403},
+		{"PROPFIND", "/feed-a", "infinity", "", Respond, 403},
+		{"PROPFIND", "/feed-a", "", "", Respond, 403},
 		{"PROPFIND", "/feed-a/s", "infinity", "", Forward, 0},
-		{"MKCOL", "/feed-a/", "", "", Answer, 405},
-		{"DELETE", "/feed-a/", "", "", Answer, 403},
-		{"LOCK", "/", "", "", Answer, 403},
-		{"MOVE", "/feed-a/s/x", "", "", Answer, 400},
+		{"MKCOL", "/feed-a/", "", "", Respond, 405},
+		{"DELETE", "/feed-a/", "", "", Respond, 403},
+		{"LOCK", "/", "", "", Respond, 403},
+		{"MOVE", "/feed-a/s/x", "", "", Respond, 400},
 		{"MOVE", "/feed-a/s/x", "", "http://h:1/feed-a/s/y", Forward, 0},
 		{"MOVE", "/feed-a/s/x", "", "/feed-a/s/y", Forward, 0},
-		{"MOVE", "/feed-a/s/x", "", "http://other/feed-a/s/y", Answer, 502},
-		{"COPY", "/feed-a/s/x", "", "http://h:1/feed-a/t/x", Answer, 502},
-		{"COPY", "/feed-a/s/x", "", "http://h:1/feed-b/s/x", Answer, 502},
-		{"COPY", "/feed-a/s/x", "", "http://h:1/nope/s/x", Answer, 409},
-		{"COPY", "/feed-a/s/x", "", "http://h:1/feed-a/", Answer, 403},
-		{"COPY", "/feed-a/s/x", "", "http://h:1/feed-a/s/../x", Answer, 400},
+		{"MOVE", "/feed-a/s/x", "", "http://other/feed-a/s/y", Respond, 502},
+		{"COPY", "/feed-a/s/x", "", "http://h:1/feed-a/t/x", Respond, 502},
+		{"COPY", "/feed-a/s/x", "", "http://h:1/feed-b/s/x", Respond, 502},
+		{"COPY", "/feed-a/s/x", "", "http://h:1/nope/s/x", Respond, 409},
+		{"COPY", "/feed-a/s/x", "", "http://h:1/feed-a/", Respond, 403},
+		{"COPY", "/feed-a/s/x", "", "http://h:1/feed-a/s/../x", Respond, 400},
 	} {
 		at, err := tab.Locate(c.path)
 		if err != nil {
@@ -65,7 +65,7 @@
 	`<response xmlns="DAV:"><href>/feed-a/t&amp;wo</href><status>HTTP/1.1 200 OK</status></response></multistatus>`
 
 func TestMerge(t *testing.T) {
-	out, err := Merge([][]byte{[]byte(shard1), []byte(shard2)}, 1<<20)
+	out, err := MergeMultistatus([][]byte{[]byte(shard1), []byte(shard2)}, 1<<20)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -88,11 +88,11 @@
 	}
 	// A torn or foreign body, or too large a sum, is an error, never a shorter listing.
 	for _, bad := range []string{shard1[:len(shard1)-20], "", "<html/>", shard1 + shard1, `<!DOCTYPE x><D:multistatus xmlns:D="DAV:"/>`} {
-		if _, err := Merge([][]byte{[]byte(shard2), []byte(bad)}, 1<<20); err != ErrListing {
+		if _, err := MergeMultistatus([][]byte{[]byte(shard2), []byte(bad)}, 1<<20); err != ErrMalformedListing {
 			t.Errorf("%.40q: %v", bad, err)
 		}
 	}
-	if _, err := Merge([][]byte{[]byte(shard1)}, 100); err != ErrTooLarge {
+	if _, err := MergeMultistatus([][]byte{[]byte(shard1)}, 100); err != ErrListingTooLarge {
 		t.Error(err)
 	}
 }
@@ -108,7 +108,7 @@
 	}
 	for _, bad := range []string{"<x/>", "<propfind/>", `<propfind xmlns="DAV:"/>`, `<propfind xmlns="DAV:"><allprop/><propname/></propfind>`, "<a",
 		`<!DOCTYPE a [<!ENTITY b "c">]><propfind xmlns="DAV:"><allprop/></propfind>`} {
-		if _, err := ParsePropfind([]byte(bad)); err != ErrXML {
+		if _, err := ParsePropfind([]byte(bad)); err != ErrMalformedXML {
 			t.Errorf("%s: %v", bad, err)
 		}
 	}
@@ -118,8 +118,8 @@
 	f.Add([]byte(shard1))
 	f.Add([]byte(shard2))
 	f.Fuzz(func(t *testing.T, p []byte) {
-		if out, err := Merge([][]byte{p}, 1<<20); err == nil {
-			if _, err := Merge([][]byte{out}, 1<<20); err != nil {
+		if out, err := MergeMultistatus([][]byte{p}, 1<<20); err == nil {
+			if _, err := MergeMultistatus([][]byte{out}, 1<<20); err != nil {
 				t.Fatalf("%q merges to what does not: %q", p, out)
 			}
 		}
@@ -141,7 +141,7 @@
 	tab := table(f)
 	at, _ := tab.Locate("/feed-a/s/x")
 	f.Fuzz(func(t *testing.T, dest string) {
-		if v := Decide(tab, "MOVE", at, "", dest, "h:1"); v.Handling == Answer && v.Status < 400 {
+		if v := Decide(tab, "MOVE", at, "", dest, "h:1"); v.Handling == Respond && v.Status < 400 {
 			t.Fatal(v)
 		}
 	})
