--- /dev/null
+++ b/internal/http1/append.go
@@ -0,0 +1,69 @@
+package http1
+
+import "strconv"
+
+// AppendStatus appends a response's status line.
+func AppendStatus(dst []byte, status int) []byte {
+	dst = append(dst, "HTTP/1.1 "...)
+	dst = strconv.AppendInt(dst, int64(status), 10)
+	dst = append(dst, ' ')
+	dst = append(dst, StatusText(status)...)
+	return append(dst, "\r\n"...)
+}
+
+// AppendField appends a field line.
+func AppendField(dst []byte, name string, value []byte) []byte {
+	dst = append(dst, name...)
+	dst = append(dst, ": "...)
+	dst = append(dst, value...)
+	return append(dst, "\r\n"...)
+}
+
+// AppendIntField appends a field line with a decimal.
+func AppendIntField(dst []byte, name string, n int64) []byte {
+	dst = append(dst, name...)
+	dst = append(dst, ": "...)
+	dst = strconv.AppendInt(dst, n, 10)
+	return append(dst, "\r\n"...)
+}
+
+// AppendEndToEndFields appends the fields of a message that are forwarded: those that are
+// not hop-by-hop, apart from those excluded by name.
+func AppendEndToEndFields(dst []byte, m *Message, excluded ...string) []byte {
+	connection := m.Get("connection")
+	for i := range m.Fields {
+		f := &m.Fields[i]
+		if HopByHop(f.Name, connection) || equalFoldAny(f.Name, excluded) {
+			continue
+		}
+		dst = append(dst, f.Name...)
+		dst = append(dst, ": "...)
+		dst = append(dst, f.Value...)
+		dst = append(dst, "\r\n"...)
+	}
+	return dst
+}
+
+func equalFoldAny(name []byte, words []string) bool {
+	for _, word := range words {
+		if EqualFold(name, word) {
+			return true
+		}
+	}
+	return false
+}
+
+// AppendChunk appends data as a chunk of a chunked body. Empty data appends nothing, as an
+// empty chunk would end the body.
+func AppendChunk(dst, data []byte) []byte {
+	if len(data) == 0 {
+		return dst
+	}
+	dst = strconv.AppendInt(dst, int64(len(data)), 16)
+	dst = append(dst, "\r\n"...)
+	dst = append(dst, data...)
+	return append(dst, "\r\n"...)
+}
+
+// AppendLastChunk ends a chunked body.
+func AppendLastChunk(dst []byte) []byte { return append(dst, "0\r\n\r\n"...) }
--- a/internal/http1/body.go
+++ b/internal/http1/body.go
@@ -1,120 +1,163 @@
 package http1
 
-import (
-	"bytes"
-	"strconv"
+import "bytes"
+
+const (
+	// maxSkippedBytes bounds the bytes of a chunked body that are read and dropped: chunk
+	// sizes with their extensions, and the trailer.
+	maxSkippedBytes = 4 << 10
+	// maxHexDigits is how many digits of a chunk's size fit into an int64 whatever they are.
+	maxHexDigits = 15
 )
 
-// maxTrailer bounds chunk extensions and trailer fields; they are read and dropped.
-const maxTrailer = 4 << 10
+// bodyFraming is how the end of a body is told.
+type bodyFraming uint8
 
-// BodyDecoder takes a message's body out of the bytes of its connection.
-type BodyDecoder struct {
-	left    int64 // of the body, or of the present chunk
-	chunked bool
-	toEnd   bool // it ends with the connection
-	state   int
-	line    []byte // a chunk's size or a trailer line, until it is complete
-	skipped int
-	done    bool
-}
+const (
+	byLength  bodyFraming = iota // after ContentLength bytes
+	byChunks                     // after the last chunk and the trailer
+	byClosing                    // at the end of the connection
+)
+
+// chunkState is where a decoder stands in a chunked body.
+type chunkState uint8
 
 const (
-	atSize = iota
-	inData
-	afterData
+	atChunkSize chunkState = iota
+	inChunkData
+	afterChunkData // at the line break that ends a chunk
 	inTrailer
 )
 
-// Reset makes the body that of a message.
+// BodyDecoder takes a message's body out of the bytes of its connection. Reset begins one.
+type BodyDecoder struct {
+	framing bodyFraming
+	done    bool
+	left    int64 // bytes of the body, or of the present chunk
+	chunk   chunkState
+	line    []byte // of a chunk's size or the trailer, until it is complete
+	skipped int    // bytes since the last chunk's data; see maxSkippedBytes
+}
+
+// Reset begins the body of a message.
 func (b *BodyDecoder) Reset(m *Message) {
-	*b = BodyDecoder{line: b.line[:0], left: m.ContentLength, chunked: m.Chunked, toEnd: !m.Chunked && m.ContentLength < 0}
-	b.done = !b.chunked && m.ContentLength == 0
+	*b = BodyDecoder{line: b.line[:0], left: m.ContentLength}
+	switch {
+	case m.Chunked:
+		b.framing = byChunks
+	case m.ContentLength < 0:
+		b.framing = byClosing
+	default:
+		b.done = m.ContentLength == 0
+	}
 }
 
-// Done tells whether the whole body was seen.
+// Done tells whether the body is complete.
 func (b *BodyDecoder) Done() bool { return b.done }
 
-// UntilClose tells whether the connection's end is the body's.
-func (b *BodyDecoder) UntilClose() bool { return b.toEnd }
+// UntilClose tells whether the body ends with the connection.
+func (b *BodyDecoder) UntilClose() bool { return b.framing == byClosing }
 
-// InputEnded tells the body that the connection ended, and returns whether it was whole.
+// InputEnded reports the end of the connection and returns whether the body is complete.
 func (b *BodyDecoder) InputEnded() bool {
-	b.done = b.done || b.toEnd
+	b.done = b.done || b.framing == byClosing
 	return b.done
 }
 
-// Next returns the next bytes of the body in p and what follows them. It makes
-// progress whenever p is not empty and the body not done; data may be empty.
+// Next returns the next bytes of the body in p, and the rest of p. Unless p is empty or the
+// body done, it consumes some of p; data may be empty all the same. The error is an *Error.
 func (b *BodyDecoder) Next(p []byte) (data, rest []byte, err error) {
 	switch {
 	case b.done:
 		return nil, p, nil
-	case b.toEnd:
+	case b.framing == byClosing:
 		return p, nil, nil
-	case !b.chunked || b.state == inData:
-		n := min(int64(len(p)), b.left)
-		b.left -= n
-		if b.left == 0 {
-			b.done, b.state = !b.chunked, afterData
-		}
-		return p[:n], p[n:], nil
+	case b.framing == byLength || b.chunk == inChunkData:
+		data, rest = b.nextData(p)
+		return data, rest, nil
+	}
+	rest, err = b.readChunkLines(p)
+	return nil, rest, err
+}
+
+// nextData returns the bytes of p that are of the body, or of the present chunk.
+func (b *BodyDecoder) nextData(p []byte) (data, rest []byte) {
+	n := min(int64(len(p)), b.left)
+	b.left -= n
+	if b.left == 0 {
+		b.done = b.framing == byLength
+		b.chunk = afterChunkData
 	}
-	for len(p) > 0 && !b.done && b.state != inData {
-		i := bytes.IndexByte(p, '\n')
-		n := i + 1
-		if i < 0 {
+	return p[:n], p[n:]
+}
+
+// readChunkLines reads what stands between the data of two chunks, or after the last one.
+func (b *BodyDecoder) readChunkLines(p []byte) (rest []byte, err error) {
+	for len(p) > 0 && !b.done && b.chunk != inChunkData {
+		n := bytes.IndexByte(p, '\n') + 1
+		complete := n > 0
+		if !complete {
 			n = len(p)
 		}
-		if b.skipped += n; b.skipped > maxTrailer {
-			return nil, p, errTrailer
+		b.skipped += n
+		if b.skipped > maxSkippedBytes {
+			return p, errTrailerTooLong
 		}
 		b.line = append(b.line, p[:n]...)
-		if p = p[n:]; i < 0 {
+		p = p[n:]
+		if !complete {
 			break
 		}
-		l := b.line[:len(b.line)-1]
+		line := b.line[:len(b.line)-1]
 		b.line = b.line[:0]
-		if len(l) == 0 || l[len(l)-1] != '\r' || bytes.IndexByte(l[:len(l)-1], '\r') >= 0 {
-			return nil, p, errChunk
+		if len(line) == 0 || line[len(line)-1] != '\r' || bytes.IndexByte(line[:len(line)-1], '\r') >= 0 {
+			return p, errChunk
 		}
-		if err := b.atLine(l[:len(l)-1]); err != nil {
-			return nil, p, err
+		if err := b.applyLine(line[:len(line)-1]); err != nil {
+			return p, err
 		}
 	}
-	return nil, p, nil
+	return p, nil
 }
 
-func (b *BodyDecoder) atLine(l []byte) error {
-	switch b.state {
-	case afterData:
-		if len(l) != 0 {
-			return errChunk
-		}
-		b.state, b.skipped = atSize, 0
-	case atSize:
-		if i := bytes.IndexByte(l, ';'); i >= 0 {
-			l = bytes.TrimRight(l[:i], " \t")
-		}
-		size, ok := hex(l)
-		if !ok {
+// applyLine takes a complete line, without its line break.
+func (b *BodyDecoder) applyLine(line []byte) error {
+	switch b.chunk {
+	case afterChunkData:
+		if len(line) != 0 {
 			return errChunk
 		}
-		if b.left, b.state = size, inData; size == 0 {
-			b.state = inTrailer
-		}
+		b.chunk, b.skipped = atChunkSize, 0
+	case atChunkSize:
+		return b.applyChunkSize(line)
 	case inTrailer:
-		b.done = len(l) == 0
+		b.done = len(line) == 0
 	}
 	return nil
 }
 
-func hex(l []byte) (n int64, ok bool) {
-	if len(l) == 0 || len(l) > 15 {
+// applyChunkSize takes a chunk's size; extensions are dropped. Size 0 is the last chunk.
+func (b *BodyDecoder) applyChunkSize(line []byte) error {
+	if i := bytes.IndexByte(line, ';'); i >= 0 {
+		line = bytes.TrimRight(line[:i], optionalSpace)
+	}
+	size, ok := parseHex(line)
+	if !ok {
+		return errChunk
+	}
+	b.left, b.chunk = size, inChunkData
+	if size == 0 {
+		b.chunk = inTrailer
+	}
+	return nil
+}
+
+func parseHex(digits []byte) (n int64, ok bool) {
+	if len(digits) == 0 || len(digits) > maxHexDigits {
 		return 0, false
 	}
-	for _, c := range l {
-		switch c = lower(c); {
+	for _, c := range digits {
+		switch c = toLower(c); {
 		case '0' <= c && c <= '9':
 			n = n<<4 | int64(c-'0')
 		case 'a' <= c && c <= 'f':
@@ -125,56 +168,3 @@
 	}
 	return n, true
 }
-
-// AppendChunk appends data as a chunk; no data appends nothing, as an empty
-// chunk would end the body.
-func AppendChunk(dst, data []byte) []byte {
-	if len(data) == 0 {
-		return dst
-	}
-	dst = strconv.AppendInt(dst, int64(len(data)), 16)
-	dst = append(append(dst, "\r\n"...), data...)
-	return append(dst, "\r\n"...)
-}
-
-// AppendLastChunk ends a chunked body.
-func AppendLastChunk(dst []byte) []byte { return append(dst, "0\r\n\r\n"...) }
-
-// AppendStatus appends a response's status line.
-func AppendStatus(dst []byte, status int) []byte {
-	dst = strconv.AppendInt(append(dst, "HTTP/1.1 "...), int64(status), 10)
-	return append(append(append(dst, ' '), StatusText(status)...), "\r\n"...)
-}
-
-// AppendField appends a field line.
-func AppendField(dst []byte, name string, value []byte) []byte {
-	dst = append(append(dst, name...), ": "...)
-	return append(append(dst, value...), "\r\n"...)
-}
-
-// AppendIntField appends a field line with a number.
-func AppendIntField(dst []byte, name string, n int64) []byte {
-	dst = strconv.AppendInt(append(append(dst, name...), ": "...), n, 10)
-	return append(dst, "\r\n"...)
-}
-
-// AppendEndToEndFields appends the fields of a message that are not of one connection alone, nor
-// of those named.
-func AppendEndToEndFields(dst []byte, m *Message, but ...string) []byte {
-	listed := m.Get("connection")
-next:
-	for i := range m.Fields {
-		f := &m.Fields[i]
-		if HopByHop(f.Name, listed) {
-			continue
-		}
-		for _, name := range but {
-			if EqualFold(f.Name, name) {
-				continue next
-			}
-		}
-		dst = append(append(append(dst, f.Name...), ": "...), f.Value...)
-		dst = append(dst, "\r\n"...)
-	}
-	return dst
-}
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -10,12 +10,15 @@
 	"testing"
 )
 
-func request(text string) (*Request, error) {
+// parseRequest parses a request header with the default limits.
+func parseRequest(text string) (*Request, error) {
 	var r Request
 	return &r, ParseRequest([]byte(text), &r, DefaultLimits)
 }
 
-func TestRequestFaults(t *testing.T) {
+// Requests that two parsers may frame differently, or that pass a limit, are rejected with
+// the status that says why. Guards against request smuggling.
+func TestMalformedRequests(t *testing.T) {
 	long := strings.Repeat("a", 5000)
 	for name, c := range map[string]struct {
 		text   string
@@ -43,7 +46,7 @@
 		"expectation":        {"PUT /a HTTP/1.1\r\nHost: h\r\nExpect: wonders\r\n\r\n", 417},
 		"control in value":   {"GET /a HTTP/1.1\r\nHost: h\r\nX: a\x00b\r\n\r\n", 400},
 	} {
-		_, err := request(c.text)
+		_, err := parseRequest(c.text)
 		var e *Error
 		if !errors.As(err, &e) || e.Status != c.status {
 			t.Errorf("%s: %v, want status %d", name, err, c.status)
@@ -51,17 +54,18 @@
 	}
 }
 
+// The fields that frame a message are found in any case, and HTTP/1.0 closes by default.
 func TestRequestFraming(t *testing.T) {
-	r, err := request("PUT /a/b HTTP/1.1\r\nHost: h\r\nConnection: x, Close\r\nContent-Length: 12\r\nExpect: 100-Continue\r\n\r\n")
+	r, err := parseRequest("PUT /a/b HTTP/1.1\r\nHost: h\r\nConnection: x, Close\r\nContent-Length: 12\r\nExpect: 100-Continue\r\n\r\n")
 	if err != nil || string(r.Method) != "PUT" || r.ContentLength != 12 || !r.Close || !r.ExpectContinue || string(r.Host) != "h" {
 		t.Fatalf("%+v %v", r, err)
 	}
-	if r, err = request("GET /a HTTP/1.0\r\n\r\n"); err != nil || !r.Close || r.ContentLength != 0 {
+	if r, err = parseRequest("GET /a HTTP/1.0\r\n\r\n"); err != nil || !r.Close || r.ContentLength != 0 {
 		t.Fatalf("1.0: %+v %v", r, err)
 	}
 }
 
-// decode runs a body through in pieces of n bytes.
+// decode decodes a body in pieces of n bytes.
 func decode(m *Message, wire []byte, n int) (out, rest []byte, err error) {
 	var b BodyDecoder
 	b.Reset(m)
@@ -79,6 +83,8 @@
 	return out, wire, nil
 }
 
+// A chunked body reads the same however it is cut into pieces, and what follows it stays.
+// Malformed chunks are errors.
 func TestChunkedInPieces(t *testing.T) {
 	var wire []byte
 	want := bytes.Repeat([]byte("0123456789"), 100)
@@ -96,11 +102,12 @@
 	for _, bad := range []string{"g\r\n", "\r\n", "3\r\nabcd\r\n", "3\nabc\r\n", "-1\r\n", "3;a\rb\r\nabc\r\n",
 		"1234567890123456\r\n", "0\r\n" + strings.Repeat("X: y\r\n", 2000)} {
 		if _, _, err := decode(&Message{Chunked: true, ContentLength: -1}, []byte(bad), 7); err == nil || err == io.ErrUnexpectedEOF {
-			t.Errorf("%.20q: %v, want a fault", bad, err)
+			t.Errorf("%.20q: %v, want an error", bad, err)
 		}
 	}
 }
 
+// The status, the method and the fields tell how long a response's body is.
 func TestResponseBodies(t *testing.T) {
 	for _, c := range []struct {
 		text, method string
@@ -122,6 +129,7 @@
 	}
 }
 
+// A parsed request allocates nothing once its field slice is large enough.
 func TestParseAllocatesNothing(t *testing.T) {
 	text := []byte("GET /feed-a/s1/x HTTP/1.1\r\nHost: 127.0.0.1\r\nUser-Agent: t\r\nAccept: */*\r\nRange: bytes=0-99\r\n\r\n")
 	var r Request
@@ -134,8 +142,8 @@
 	}
 }
 
-// FuzzRequest holds that what this parser takes, net/http reads with the same
-// method and framing: two readings of one header are how requests are smuggled.
+// FuzzRequest checks that net/http reads what this parser accepts with the same method and
+// framing. Guards against request smuggling, which needs two readings of one header.
 func FuzzRequest(f *testing.F) {
 	f.Add([]byte("GET / HTTP/1.1\r\nHost: h\r\n\r\n"))
 	f.Add([]byte("PUT /a HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n"))
@@ -148,7 +156,7 @@
 		}
 		std, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(p[:n])))
 		if err != nil {
-			return // stricter than we are, in what frames nothing
+			return // net/http is stricter in some fields that do not frame the message
 		}
 		if std.Method != string(r.Method) || (std.ContentLength >= 0 && std.ContentLength != r.ContentLength && !r.Chunked) ||
 			(len(std.TransferEncoding) > 0) != r.Chunked {
@@ -158,7 +166,7 @@
 	})
 }
 
-// FuzzChunked holds that the pieces a body comes in do not change what is read.
+// FuzzChunked checks that a chunked body reads the same in whatever pieces it comes.
 func FuzzChunked(f *testing.F) {
 	f.Add([]byte("5\r\nhello\r\n0\r\n\r\n"), 1)
 	f.Add([]byte("5;x=y\r\nhello\r\n0\r\nT: v\r\n\r\nrest"), 3)
@@ -168,7 +176,7 @@
 		a, restA, errA := decode(m, p, len(p)+1)
 		b, restB, errB := decode(m, p, n)
 		if (errA == nil) != (errB == nil) || (errA == nil && (!bytes.Equal(a, b) || !bytes.Equal(restA, restB))) {
-			t.Fatalf("whole: %q %v; by %d: %q %v", a, errA, n, b, errB)
+			t.Fatalf("in one piece: %q %v; by %d: %q %v", a, errA, n, b, errB)
 		}
 	})
 }
