--- a/scheduler/actions.go
+++ b/scheduler/actions.go
@@ -2,29 +2,39 @@
 
 import "time"
 
-// Action is one of Send, Reject, Fail, SetTimer, WatchEndpoints.
+// Action is what the caller of Handle has to carry out: one of Send, Reject, Fail, SetTimer and
+// WatchEndpoints. Each request gets one final response: that of an attempt whose AttemptEnded had
+// Responded set, a Reject or a Fail.
 type Action interface{ action() }
 
-// Send starts an attempt; attempts of a request count from 0.
+// Send starts an attempt of a request at a node. The caller reports its end with AttemptEnded,
+// whatever becomes of it. The attempts of a request are numbered from 0 in the order of their
+// Sends.
 type Send struct {
-	ID          uint64
-	Node        string
-	StartBefore Time // it begins before that or not at all, 0: at any time
+	ID   uint64
+	Node string
+	// StartBefore is the time before which the attempt has to reach the node: later, the node
+	// may have forgotten the idempotency key of an earlier attempt. An attempt that is late ends
+	// as Superseded without being sent. 0 for no bound.
+	StartBefore Time
 }
 
-// Reject is a final answer which says that trying again does no harm.
+// Reject gives a request a final response which says that the client may safely try again.
 type Reject struct {
-	ID         uint64
-	RetryAfter time.Duration // 0: nothing said
+	ID uint64
+	// RetryAfter is what the client is told to wait before it tries again, 0 for no such advice.
+	RetryAfter time.Duration
 }
 
-// Fail is a final answer which promises nothing.
+// Fail gives a request a final response that does not say whether the request ran.
 type Fail struct{ ID uint64 }
 
-// SetTimer asks for a TimerFired event, in place of the one asked for before.
+// SetTimer asks for a TimerFired event after a time of whole milliseconds. It replaces the timer
+// set before.
 type SetTimer struct{ After time.Duration }
 
-// WatchEndpoints subscribes to the node list.
+// WatchEndpoints asks for the endpoint list and its later changes, as EndpointUpdate events. It is
+// sent where Settings.PollDiscovery is set, at the start and after a failed call.
 type WatchEndpoints struct{}
 
 func (Send) action()           {}
--- a/scheduler/deadlines.go
+++ b/scheduler/deadlines.go
@@ -1,34 +1,39 @@
 package scheduler
 
-import (
-	"time"
-)
+import "time"
 
-// Deadlines and shedding: what is out of time is answered while its client still listens.
+// Deadlines: a request that cannot be served in time is rejected while its client still waits.
 
 const (
-	// expiryMargin is how long before its deadline a request is answered.
+	// expiryMargin is how long before a request's deadline it is rejected, for the rejection to
+	// reach the client.
 	expiryMargin = 10 * time.Millisecond
-	// firstAttemptFraction is the part of its time that a request is held for its first attempt. One
-	// that others went before hardly goes in time: its client is told while it can come back.
+	// firstAttemptFraction is the fraction of its time that a request waits for its first attempt.
+	// One that others went before is unlikely to be served in the rest; rejected at this point, its
+	// client has the time to try again.
 	firstAttemptFraction = 0.5
-	// overtakingSends is how many other requests a node was sent meanwhile, if a request that
-	// waits for its first attempt is not to be held for all of its time.
+	// overtakingSends is how many requests have to be sent to its node meanwhile for a request to
+	// be rejected so. At a node that this instance rarely sends to, waiting long means little.
 	overtakingSends = 2
 )
 
-// setDeadlines sets a request's times at its arrival.
+// setDeadlines sets the times of an arriving request. The latency deadline is not after the
+// deadline. For a client's retry it counts from the client's first try, where the class says how
+// long clients wait: retries would otherwise look fresh, and go before requests that can still meet
+// their objective.
 func (s *Scheduler) setDeadlines(r *request) {
 	class := r.class
 	r.Deadline = s.now + r.TimeRemaining
-	r.LatencyDeadline = min(s.now+class.LatencyObjective, r.Deadline) // one whose client leaves before its aim aims at that
-	if r.ClientRetry && class.Deadline > r.TimeRemaining {            // its aim counts from its client's first try
-		r.LatencyDeadline = min(r.LatencyDeadline, s.now+class.LatencyObjective-(class.Deadline-r.TimeRemaining))
+	r.LatencyDeadline = min(s.now+class.LatencyObjective, r.Deadline)
+	if r.ClientRetry && class.Deadline > r.TimeRemaining {
+		sinceFirstTry := class.Deadline - r.TimeRemaining
+		r.LatencyDeadline = min(r.LatencyDeadline, s.now+class.LatencyObjective-sinceFirstTry)
 	}
 	r.ExpiresAt = max(s.now+Time(firstAttemptFraction*float64(r.TimeRemaining)), r.LatencyDeadline)
 }
 
-// extendExpiry is until when a request is held that no node has had for half of its time.
+// extendExpiry returns the later expiry of a request that has waited firstAttemptFraction of its
+// time: its deadline where few others were sent to its node meanwhile, 0 for none.
 func extendExpiry(r *request) Time {
 	if r.node != nil && r.node.sendCount-r.sendCountAtEnqueue < overtakingSends {
 		return r.Deadline
@@ -36,14 +41,14 @@
 	return 0
 }
 
-// rejectExpired answers what is out of time.
+// rejectExpired gives the requests of a queue that expire within expiryMargin their final response.
 func (s *Scheduler) rejectExpired(queue *requestQueue) {
 	for _, r := range queue.RemoveExpired(s.now+expiryMargin+1, extendExpiry) {
 		s.rejectOrFail(r)
 	}
 }
 
-// nextExpiry returns when the first of those held must be answered.
+// nextExpiry returns when rejectExpired has to look at a queue next, never if it is empty.
 func nextExpiry(queue *requestQueue) Time {
 	if queue.Len() == 0 {
 		return never
--- a/scheduler/dispatch.go
+++ b/scheduler/dispatch.go
@@ -2,9 +2,7 @@
 
 import "math"
 
-// Dispatch: which of the requests that wait for a node goes next.
-
-// dispatchNode answers what is out of time at a node and sends while its window has room.
+// dispatchNode rejects what expired at a node and sends while the send rules allow.
 func (s *Scheduler) dispatchNode(n *node) {
 	n.dirty = false
 	s.boundWindow(n)
@@ -13,7 +11,7 @@
 	s.rejectExpired(n.queue)
 	for n.queue.Len() > 0 {
 		if n.breaker.trialDue(s.now) {
-			s.openBreaker(n) // what is out is written off once more
+			s.openBreaker(n) // the trial before it no longer counts against the window
 		}
 		if s.blockedBy(nodeRules, candidate{node: n}) != ReasonAllowed {
 			break
@@ -22,30 +20,29 @@
 		if next == nil {
 			break
 		}
-		n.breaker.trialSent(s.now)
+		n.breaker.requestSent(s.now)
 		s.send(n, next)
 	}
 	s.setWakeTime(n)
 }
 
-// nextRequest returns the held request that goes next: the volume with the lowest start tag, and of
-// its requests the one of most worth, then with the nearest aim, which trades tags with the
-// first. Equal tags, as in the reserves, are told apart in the same way. Departure: what can no
-// longer meet its aim goes only when nothing else can.
+// nextRequest returns the request that a node is sent next, nil if none may be sent.
+//
+// It is of the volume with the lowest start tag, as in the paper. Start tags order volumes, and do
+// not say which of its own requests a volume sends: that is the one with the highest priority,
+// which goes with the lowest tag and leaves its own tag to the other. Volumes with equal tags, as
+// within their reserves, are ordered by priority too.
+//
+// Requests that can no longer meet their latency objective are sent when no other may be: they
+// earn little, and in tag order they would make the next ones late as well.
 func (s *Scheduler) nextRequest(n *node) *request {
-	for {
-		r, ok := n.queue.PopDeferred(s.now)
-		if !ok {
-			break
-		}
-		s.makeReady(r)
-	}
-	for _, late := range [...]bool{false, true} {
-		first := s.lowestStartTag(n, late)
+	s.makeDeferredReady(n)
+	for _, missesObjective := range [...]bool{false, true} {
+		first := s.lowestStartTag(n, missesObjective)
 		if first == nil {
 			continue
 		}
-		best := s.highestPriorityOf(n, first, late)
+		best := s.highestPriorityOf(n, first, missesObjective)
 		if best != first {
 			s.swapTags(n, best, first)
 		}
@@ -54,59 +51,74 @@
 	return nil
 }
 
-// hasPriorityOver is an order of requests: more worth a unit, then the nearer aim.
+// makeDeferredReady makes the requests of a node ready whose time has come.
+func (s *Scheduler) makeDeferredReady(n *node) {
+	for {
+		r, ok := n.queue.PopDeferred(s.now)
+		if !ok {
+			return
+		}
+		s.makeReady(r)
+	}
+}
+
+// hasPriorityOver orders ready requests by priority weight a unit, then by latency deadline.
 func hasPriorityOver(a, b *request) bool {
-	worthOfA, worthOfB := a.Profile().priorityWeight(), b.Profile().priorityWeight()
-	if worthOfA != worthOfB {
-		return worthOfA > worthOfB
+	weightA, weightB := a.Profile().priorityWeight(), b.Profile().priorityWeight()
+	if weightA != weightB {
+		return weightA > weightB
 	}
 	return latencyDeadlineBefore(a, b)
 }
 
-// lowestStartTag returns the request of the lowest start tag. Volumes that their limit keeps from
-// going are looked at each by itself, all others together by profile.
-func (s *Scheduler) lowestStartTag(n *node, late bool) (best *request) {
-	consider := func(r *request) {
-		if r == nil {
-			return
-		}
-		if best == nil || r.startTag < best.startTag || (r.startTag == best.startTag && hasPriorityOver(r, best)) {
-			best = r
-		}
-	}
+// goesBefore orders the requests of different volumes; b may be nil.
+func goesBefore(a, b *request) bool {
+	return b == nil || a.startTag < b.startTag || (a.startTag == b.startTag && hasPriorityOver(a, b))
+}
+
+// lowestStartTag returns the eligible request with the lowest start tag, nil if there is none.
+// Volumes that their limit blocks are isolated, so that the shared subqueues can be judged by
+// their first requests.
+func (s *Scheduler) lowestStartTag(n *node, missesObjective bool) (best *request) {
 	for _, sub := range n.queue.Shared {
-		r := s.firstEligible(n, sub, orderByTag, late)
+		r := s.firstEligible(n, sub, orderByTag, missesObjective)
 		for r != nil && s.limitBlocks(&sub.Profile, r.volume) {
 			n.queue.Isolate(r.volume)
-			r = s.firstEligible(n, sub, orderByTag, late)
+			r = s.firstEligible(n, sub, orderByTag, missesObjective)
+		}
+		if r != nil && goesBefore(r, best) {
+			best = r
 		}
-		consider(r)
 	}
 	for _, own := range n.queue.Isolated {
 		for _, sub := range own.Subqueues {
-			if !s.limitBlocks(&sub.Profile, own.Owner) {
-				consider(s.firstEligible(n, sub, orderByTag, late))
+			if s.limitBlocks(&sub.Profile, own.Owner) {
+				continue
+			}
+			if r := s.firstEligible(n, sub, orderByTag, missesObjective); r != nil && goesBefore(r, best) {
+				best = r
 			}
 		}
 	}
 	return best
 }
 
-// highestPriorityOf returns the request that a volume sends first of all that it has at a node.
-func (s *Scheduler) highestPriorityOf(n *node, first *request, late bool) *request {
+// highestPriorityOf returns the eligible request with the highest priority among all that the
+// volume of first has at a node.
+func (s *Scheduler) highestPriorityOf(n *node, first *request, missesObjective bool) *request {
 	best := first
 	for _, sub := range n.queue.SubqueuesOf(first.volume) {
 		if s.limitBlocks(&sub.Profile, first.volume) {
 			continue
 		}
-		if r := s.firstEligible(n, sub, orderByLatencyDeadline, late); r != nil && hasPriorityOver(r, best) {
+		if r := s.firstEligible(n, sub, orderByLatencyDeadline, missesObjective); r != nil && hasPriorityOver(r, best) {
 			best = r
 		}
 	}
 	return best
 }
 
-// swapTags has one request go with the start tag of another.
+// swapTags gives best, which is sent next, the start tag of first, and the reverse.
 func (s *Scheduler) swapTags(n *node, best, first *request) {
 	n.queue.Suspend(best)
 	n.queue.Suspend(first)
@@ -115,54 +127,36 @@
 	s.makeReady(first)
 }
 
-// firstEligible returns the request of a subqueue that goes first by an order, of those that can still
-// be in time for their aim or, if late, of those that are late; nil where none may go now.
-func (s *Scheduler) firstEligible(n *node, sub *subqueue, order int, late bool) *request {
+// firstEligible returns the first request of a subqueue by an order, nil if none may be sent now.
+// It looks at those that are expected to meet their latency objective or, with missesObjective set,
+// at all that are expected to meet their deadline.
+func (s *Scheduler) firstEligible(n *node, sub *subqueue, order int, missesObjective bool) *request {
 	if sub.Empty() {
 		return nil
 	}
-	if s.blockedBy(profileRules, candidate{node: n, profile: &sub.Profile, missesObjective: late}) != ReasonAllowed {
+	c := candidate{node: n, profile: &sub.Profile, missesObjective: missesObjective}
+	if s.blockedBy(profileRules, c) != ReasonAllowed {
 		return nil
 	}
-	answered, best := s.now+s.expectedLatency(n, sub.Profile.units), sub.BestByLatencyDeadline
-	if late {
+	respondedAt, best := s.now+s.expectedLatency(n, sub.Profile.units), sub.BestByLatencyDeadline
+	if missesObjective {
 		best = sub.BestByDeadline
 	}
-	if late && s.idleTrialDue(n) {
-		answered = math.MinInt64
+	if missesObjective && s.idleTrialDue(n) {
+		respondedAt = math.MinInt64
 	}
 	for {
-		r, ok := best(order, answered)
+		r, ok := best(order, respondedAt)
 		if !ok || s.mayRunOn(r, n) {
 			return r
 		}
-		n.queue.Suspend(r) // its nodes' window is over: never again
+		n.queue.Suspend(r) // for good: its deduplication window is over
 	}
 }
 
-// idleTrialDue tells whether a node where nothing is out is tried though no answer is expected
-// in time. Guards against a time-out of which nothing newer is ever heard, as where all nodes
-// were silent at once: it would keep all from the node.
+// idleTrialDue reports whether a node with nothing in flight is sent a request though no response
+// is expected by its deadline. An expectation that is too long, as after a time-out, is corrected
+// by new responses only; without a trial the node would never be sent anything again.
 func (s *Scheduler) idleTrialDue(n *node) bool {
 	return len(n.inFlight) == 0 && s.now >= n.lastSendAt+maxTrialInterval
 }
-
-// send starts an attempt.
-func (s *Scheduler) send(n *node, r *request) {
-	n.sendCount++
-	n.lastSendAt, n.pacingJitter = s.now, minPacingJitter+s.random.Float64()
-	n.queue.Remove(r)
-	n.advanceVirtualTime(r)
-	if r.attempts == 0 {
-		s.drawLimit(r.volume, r.Units)
-	} else {
-		s.recordRetry()
-	}
-	s.drawSlowStart(n, r.Units)
-	a := &attempt{request: r, node: n, sentAt: s.now, windowFull: float64(len(n.inFlight))+2 > n.window}
-	n.inFlight = append(n.inFlight, a)
-	s.attempts[attemptID{r.ID, uint64(r.attempts)}] = a
-	r.attempts++
-	r.inFlight++
-	s.emit(Send{ID: r.ID, Node: n.Node, StartBefore: r.startBefore()})
-}
--- a/scheduler/estimates.go
+++ b/scheduler/estimates.go
@@ -5,79 +5,83 @@
 	"time"
 )
 
-// What is held of nodes: how long their answers take, and how much of that is waiting.
+// Estimates of nodes: the latency of a response, and pressure, which is how much of the latency
+// objectives is spent waiting at the node.
 
 const (
-	observationHalfLife = 3 * time.Second // what was observed of a node counts half after this
-	// serviceTimeStep is by how much the estimate of a unit's time follows an answer.
+	// observationHalfLife is after what time an observation counts half.
+	observationHalfLife = 3 * time.Second
+	// serviceTimeStep is by what fraction the estimated service time of a unit follows a response.
 	serviceTimeStep = 0.02
-	// serviceTimeDecreaseSteps is how many such steps it takes downwards: it rests at the quickest quarter.
+	// serviceTimeDecreaseSteps is how many such steps it makes downwards. At three it rests where
+	// one response in four is faster: the fastest responses are those that did not wait.
 	serviceTimeDecreaseSteps = 3
-	// priorWeight is how many answers those of all nodes together count for at one node.
+	// priorWeight is how many observations of a node the mean of all nodes counts for.
 	priorWeight = 4.0
 	// minObservations keeps the division by their weight defined.
 	minObservations = 1e-9
 )
 
-// estimates are what answers of all nodes told.
+// estimates are what the responses of all nodes show.
 type estimates struct {
-	unitServiceTime float64 // seconds that a unit takes where nothing waits
+	unitServiceTime float64 // seconds a unit takes at a node without waiting, 0 before any response
 	allNodes        observations
-	servedByShard   map[int]*decayingSum // units served, by shard
+	servedByShard   map[int]*decayingSum // units, with half-life servedHalfLife
 }
 
 func newEstimates() estimates { return estimates{servedByShard: map[int]*decayingSum{}} }
 
-// observations are answers, weighed by age.
+// observation is one response, or what a failure counts as.
+type observation struct {
+	latency         float64 // seconds
+	waitingFraction float64 // of the latency objective, spent waiting at the node
+}
+
+// observations are sums of observations, weighted by age.
 type observations struct{ weight, latency, waitingFraction decayingSum }
 
-func (o *observations) add(now Time, weight, latency, waiting float64) {
+func (o *observations) add(now Time, weight, latency, waitingFraction float64) {
 	o.weight.add(now, weight, observationHalfLife)
 	o.latency.add(now, latency, observationHalfLife)
-	o.waitingFraction.add(now, waiting, observationHalfLife)
+	o.waitingFraction.add(now, waitingFraction, observationHalfLife)
 }
 
 // at returns the sums at a time.
-func (o *observations) at(now Time) (weight, latency, waiting float64) {
+func (o *observations) at(now Time) (weight, latency, waitingFraction float64) {
 	o.add(now, 0, 0, 0)
 	return o.weight.sum, o.latency.sum, o.waitingFraction.sum
 }
 
-// observation is what is observed of one answer, or of what stands for one.
-type observation struct {
-	latency         float64 // seconds
-	waitingFraction float64 // the part of the aim that was spent waiting
-}
-
-// recordResponse books an answer of a node.
-func (s *Scheduler) recordResponse(n *node, a observation) {
-	s.recordNodeObservation(n, a)
-	s.estimates.allNodes.add(s.now, 1, a.latency, a.clampedWaiting())
+// observeResponse counts a response of a node.
+func (s *Scheduler) observeResponse(n *node, o observation) {
+	s.observeAtNode(n, o)
+	s.estimates.allNodes.add(s.now, 1, o.latency, o.clampedWaiting())
 }
 
-// recordNodeObservation books what stands for an answer, at that node alone: a sick node tells of itself.
-func (s *Scheduler) recordNodeObservation(n *node, a observation) {
-	n.observations.add(s.now, 1, a.latency, a.clampedWaiting())
+// observeAtNode counts an observation at its node alone. Time-outs and full queues count so: a few
+// hung nodes would otherwise make requests be shed at healthy ones.
+func (s *Scheduler) observeAtNode(n *node, o observation) {
+	n.observations.add(s.now, 1, o.latency, o.clampedWaiting())
 }
 
-func (a observation) clampedWaiting() float64 { return min(max(a.waitingFraction, 0), 1) }
+func (o observation) clampedWaiting() float64 { return min(max(o.waitingFraction, 0), 1) }
 
-// updateEstimate sets what is held of a node: its own answers by age and, as far as these are few or
-// old, those of all nodes. Guards against a head that hears of a node too seldom.
+// updateEstimate computes a node's latency and pressure from its own observations and, as far as
+// these are few or old, from those of all nodes: one instance of many hears from a node only every
+// few seconds.
 func (s *Scheduler) updateEstimate(n *node) {
 	weight, latency, waiting := n.observations.at(s.now)
-	all, allLatency, allWaiting := s.estimates.allNodes.at(s.now)
-	prior := priorWeight / max(all, priorWeight)
-	weight = max(weight+prior*all, minObservations)
+	allWeight, allLatency, allWaiting := s.estimates.allNodes.at(s.now)
+	prior := priorWeight / max(allWeight, priorWeight)
+	weight = max(weight+prior*allWeight, minObservations)
 	n.latency = (latency + prior*allLatency) / weight
 	n.pressure = (waiting + prior*allWaiting) / weight
 }
 
-// serviceTime returns what a request should take where nothing waits: its units times what the
-// quickest quarter of answers took a unit.
-func (s *Scheduler) serviceTime(took float64, r *request) float64 {
-	e := &s.estimates
-	perUnit := took / max(r.Units, 1)
+// updateUnitServiceTime moves the estimated service time of a unit by a response, in small steps to
+// a low quantile of what responses show.
+func (e *estimates) updateUnitServiceTime(latency, units float64) {
+	perUnit := latency / max(units, 1)
 	switch {
 	case e.unitServiceTime == 0:
 		e.unitServiceTime = perUnit
@@ -86,14 +90,15 @@
 	default:
 		e.unitServiceTime *= 1 + serviceTimeStep
 	}
-	return e.unitServiceTime * r.Units
 }
 
-// waitingTime is how much of an answer's time was waiting. A load report stands for its
-// requests at a unit's usual time and counts half. Guards against reports that stand still or
-// lie: answer times outweigh them.
-func (s *Scheduler) waitingTime(took float64, r *request, e AttemptEnded) float64 {
-	waited := took - s.serviceTime(took, r)
+// waitingTime returns how many seconds of a response's latency were spent waiting: what it took
+// beyond its service time. A load report, taken as that many mean requests to wait for, counts
+// half. A node whose reports stand still or are wrong is thus still judged by its latency; an
+// invalid report is ignored.
+func (s *Scheduler) waitingTime(latency float64, r *request, e AttemptEnded) float64 {
+	s.estimates.updateUnitServiceTime(latency, r.Units)
+	waited := latency - s.estimates.unitServiceTime*r.Units
 	if !e.HasLoadReport || e.ReportedLoad < 0 || !(e.ReportedLoad < math.Inf(1)) {
 		return waited
 	}
@@ -101,8 +106,9 @@
 	return (max(waited, 0) + reported) / 2
 }
 
-// expectedLatency is how long an answer should take, from the node's recent ones; a request that is
-// out for longer already counts as one.
+// expectedLatency returns how long a request of so many units should take at a node: its estimated
+// latency, corrected for the size, and at least half of the time that the oldest attempt has been
+// in flight.
 func (s *Scheduler) expectedLatency(n *node, units float64) time.Duration {
 	seconds := max(n.latency+s.estimates.unitServiceTime*(units-s.settings.MeanUnits), 0)
 	if len(n.inFlight) > 0 {
--- a/scheduler/key_order.go
+++ b/scheduler/key_order.go
@@ -6,19 +6,18 @@
 	"maddergap/internal/waitqueue"
 )
 
-// Order of keyed writes: requests of a class that is in order run one at a time for each key,
-// in the order of their arrival.
-
-// keyOrder is the order of one key's requests.
+// keyOrder is the order of the requests of one key, in ordered classes: they run one at a time, in
+// the order of arrival. A request keeps its place until it is completed and none of its attempts
+// is in flight.
 type keyOrder struct {
 	requests []*request
-	// cooldownUntil is when the key rests after an attempt that may still run; its own request may
-	// be sent again before.
+	// cooldownUntil is when the next request may be sent, after an attempt that may still run at
+	// its node. The request of that attempt, cooldownOwner, may be sent again before.
 	cooldownUntil Time
 	cooldownOwner *request
 }
 
-// joinKeyOrder gives a request its turn among those of its key.
+// joinKeyOrder adds an arriving request to the order of its key.
 func (s *Scheduler) joinKeyOrder(r *request) {
 	if !r.class.Ordered || r.Key == "" {
 		return
@@ -31,8 +30,9 @@
 	order.requests = append(order.requests, r)
 }
 
-// readyAt returns when a held request may be sent as far as its own waits tell, and whether it
-// is its turn.
+// readyAt returns the earliest time at which a queued request may be sent by its retry backoff and
+// the cooldown of its key. isNext is false while an earlier request of its key is not over; the
+// time is then unknown.
 func (s *Scheduler) readyAt(r *request) (at Time, isNext bool) {
 	order := s.keyOrders[r.Key]
 	if !r.class.Ordered || order == nil {
@@ -47,7 +47,8 @@
 	return max(r.notBefore, order.cooldownUntil), true
 }
 
-// startKeyCooldown has a key rest after an attempt that may still run.
+// startKeyCooldown makes later requests of a key wait after an attempt that may still run at its
+// node: if they were sent at once, they could overtake it.
 func (s *Scheduler) startKeyCooldown(r *request, o Outcome) {
 	order := s.keyOrders[r.Key]
 	if order == nil || !r.class.Ordered || o.ProvesNotRun() || o == OK || o == Failed {
@@ -56,10 +57,10 @@
 	order.cooldownUntil, order.cooldownOwner = s.now+s.settings.KeyCooldown, r
 }
 
-// leaveKeyOrder gives the turn of a request that is over to the next of its key.
+// leaveKeyOrder removes a request that is over from the order of its key and lets the next one go.
 func (s *Scheduler) leaveKeyOrder(r *request) {
 	order := s.keyOrders[r.Key]
-	if order == nil || !r.done || r.inFlight > 0 {
+	if order == nil || r.state != completed || r.inFlight > 0 {
 		return
 	}
 	switch i := slices.Index(order.requests, r); {
@@ -80,7 +81,7 @@
 	}
 }
 
-// sweepKeyOrders forgets keys that nothing waits for.
+// sweepKeyOrders forgets keys without requests or cooldown.
 func (s *Scheduler) sweepKeyOrders() {
 	for key, order := range s.keyOrders {
 		if len(order.requests) == 0 && s.now >= order.cooldownUntil {
--- a/scheduler/limits.go
+++ b/scheduler/limits.go
@@ -1,20 +1,25 @@
 package scheduler
 
-// Admission against the limits of the plans. A limit's bucket is this host's even part, and
-// fills from nothing since the head's start: what was spent before a restart cannot be known.
+// The limit of a plan bounds a volume's first attempts by a token bucket. Each instance holds an
+// even part of it, which starts empty: what was spent before a restart is not known.
 
-// setLimit sizes the bucket of this host's part of a volume's limit.
+// setLimit sets the rate and capacity of this instance's part.
 func (v *volume) setLimit() {
 	v.limit.rate = v.plan.Limit / v.instances
 	v.limit.capacity = v.plan.LimitBurst / v.instances
 }
 
-// limitNeverAllows tells whether a request is larger than this host's part of the burst ever holds.
+// limitNeverAllows reports whether a request is larger than this instance's part can ever hold.
 func (v *volume) limitNeverAllows(units float64) bool {
 	return v.plan.Limit > 0 && v.limit.capacity < units
 }
 
-// overLimit tells whether a volume's limit keeps a first attempt of so many units.
+// limitBlocks reports whether the limit of its plan blocks a volume's requests of a profile now.
+// Retries do not count.
+func (s *Scheduler) limitBlocks(p *profile, v *volume) bool {
+	return !p.retry && s.overLimit(v, p.units)
+}
+
 func (s *Scheduler) overLimit(v *volume, units float64) bool {
 	if v.plan.Limit <= 0 {
 		return false
@@ -23,7 +28,7 @@
 	return v.limit.level < units
 }
 
-// drawLimit books a first attempt on its volume's limit.
+// drawLimit counts a first attempt.
 func (s *Scheduler) drawLimit(v *volume, units float64) {
 	if v.plan.Limit <= 0 {
 		return
--- a/scheduler/membership.go
+++ b/scheduler/membership.go
@@ -5,115 +5,119 @@
 	"time"
 )
 
-// Membership: the nodes of the list.
-
-// watchRetryDelay is the pause after a failed call for the list.
+// watchRetryDelay is the pause after a failed call for the endpoint list.
 const watchRetryDelay = time.Second
 
-// members are the nodes that the scheduler knows.
+// members are the nodes of the endpoint list, and those removed from it with attempts in flight.
 type members struct {
-	nodes       []*node
+	nodes       []*node // in the order in which they joined
 	byName      map[string]*node
 	byShard     map[int][]*node
-	joinedCount int // nodes so far
+	joinedCount int // number of nodes that ever joined
 }
 
 func newMembers() members { return members{byName: map[string]*node{}} }
 
-// node is a node of the list, with all that is held of it.
+// node is the state of one node at this instance.
 type node struct {
 	Endpoint
 	queue       *requestQueue
-	virtualTime float64    // v of fair queuing: the start tag last sent
-	inFlight    []*attempt // in order of sending, less those written off
+	virtualTime float64 // v: the highest start tag that was sent
+	// inFlight are the attempts that count against the window, in the order of their sends. Those
+	// from before the breaker opened are not among them.
+	inFlight []*attempt
 
-	window         float64
-	lastDecreaseAt Time
+	window         float64 // requests; below 1, sends are paced
+	lastDecreaseAt Time    // of the window
 	lastSendAt     Time
-	pacingJitter   float64 // of the gap after that
-	sendCount      int     // so far
+	pacingJitter   float64 // factor on the pacing gap after the last send
+	sendCount      int     // number of sends so far
 
-	observations   observations // its own answers
-	latency        float64      // what is held of it: seconds of an answer
-	pressure       float64      // and waiting times as parts of the aims, 1 at most
-	lastResponseAt Time         // last answer
+	observations   observations // of this node alone
+	latency        float64      // estimated seconds until a response
+	pressure       float64      // estimated fraction of the latency objectives spent waiting, 0 to 1
+	lastResponseAt Time         // or when the node joined or restarted
 	breaker        breaker
 
-	slowStart tokenBucket // what it may be sent while it is cold
+	slowStart tokenBucket // in units, valid while the node is warming up
 
-	joinOrder int // its number in the order in which nodes joined
-	wakeAt    Time
-	dirty     bool // stands among timers.dirty
-	waiting   bool // stands among timers.waiting
+	joinOrder int
+	wakeAt    Time // when to look at it again, never if only an event changes anything
+	dirty     bool // it is in timers.dirty
+	waiting   bool // it is in timers.waiting
 }
 
-// handleEndpointUpdate takes news of the node list.
-func (s *Scheduler) handleEndpointUpdate(list EndpointUpdate) {
-	if list.Failed {
+// handleEndpointUpdate applies an update of the endpoint list. Requests queued for a node that no
+// longer serves, or for none, are queued for the node that is now selected for them.
+func (s *Scheduler) handleEndpointUpdate(update EndpointUpdate) {
+	if update.Failed {
 		s.timers.watchAt = s.now + watchRetryDelay
 		return
 	}
-	listed, regroup := s.applyEndpoints(list)
-	// Requests held for a node that no longer serves, or for none, find their next node.
-	moved := s.unassigned.RemoveExpired(never, nil)
-	anyGone := false
+	listed, shardsChanged := s.applyEndpoints(update)
+	displaced := s.unassigned.RemoveExpired(never, nil)
+	anyRemoved := false
 	for _, n := range s.members.nodes {
-		if list.Full && !listed[n] {
+		if update.Full && !listed[n] {
 			n.State = Removed
 		}
-		if list.Full || listed[n] {
+		if update.Full || listed[n] {
 			s.markDirty(n)
 		}
 		if n.State != Serving {
-			moved = append(moved, n.queue.RemoveExpired(never, nil)...)
+			displaced = append(displaced, n.queue.RemoveExpired(never, nil)...)
 		}
-		anyGone = anyGone || n.State == Removed
+		anyRemoved = anyRemoved || n.State == Removed
 	}
-	if regroup {
+	if shardsChanged {
 		s.members.groupByShard()
 	}
-	for _, r := range moved {
+	for _, r := range displaced {
 		s.enqueue(r)
 	}
-	if anyGone {
+	if anyRemoved {
 		s.forgetRemoved()
 	}
 }
 
-// applyEndpoints takes the entries of a list and tells which nodes they name, and whether the
-// nodes of any shard may have changed.
-func (s *Scheduler) applyEndpoints(list EndpointUpdate) (listed map[*node]bool, regroup bool) {
-	listed, regroup = map[*node]bool{}, list.Full
-	for _, entry := range list.Endpoints {
-		n := s.members.byName[entry.Node]
+// applyEndpoints adds and updates the nodes of an update. It returns them, and whether the nodes of
+// any shard may have changed.
+func (s *Scheduler) applyEndpoints(update EndpointUpdate) (listed map[*node]bool, shardsChanged bool) {
+	listed, shardsChanged = map[*node]bool{}, update.Full
+	for _, endpoint := range update.Endpoints {
+		n := s.members.byName[endpoint.Node]
 		if n == nil {
-			n = s.addNode(entry)
-			regroup = true
+			n = s.addNode(endpoint)
+			shardsChanged = true
 		} else {
-			regroup = regroup || n.Shard != entry.Shard
-			s.updateNode(n, entry)
+			shardsChanged = shardsChanged || n.Shard != endpoint.Shard
+			s.updateNode(n, endpoint)
 		}
 		listed[n] = true
 	}
-	return listed, regroup
+	return listed, shardsChanged
 }
 
-// addNode adds a node that the list has for the first time.
-func (s *Scheduler) addNode(entry Endpoint) *node {
+func (s *Scheduler) addNode(endpoint Endpoint) *node {
 	m := &s.members
 	m.joinedCount++
-	n := &node{Endpoint: entry, window: initialWindow, lastResponseAt: s.now, queue: newRequestQueue(), joinOrder: m.joinedCount}
+	n := &node{
+		Endpoint:       endpoint,
+		window:         initialWindow,
+		lastResponseAt: s.now,
+		queue:          newRequestQueue(),
+		joinOrder:      m.joinedCount,
+	}
 	m.nodes = append(m.nodes, n)
 	m.byName[n.Node] = n
 	s.beginSlowStart(n)
 	return n
 }
 
-// updateNode takes what the list has of a node that is known. After a restart nothing that was
-// known of it holds any more.
-func (s *Scheduler) updateNode(n *node, entry Endpoint) {
-	restarted := entry.Started != n.Started && entry.State == Serving
-	n.Endpoint = entry
+// updateNode updates a known node. What was learned of it is void after a restart.
+func (s *Scheduler) updateNode(n *node, endpoint Endpoint) {
+	restarted := endpoint.Started != n.Started && endpoint.State == Serving
+	n.Endpoint = endpoint
 	if !restarted {
 		return
 	}
@@ -122,7 +126,6 @@
 	s.beginSlowStart(n)
 }
 
-// groupByShard finds the nodes of each shard.
 func (m *members) groupByShard() {
 	m.byShard = map[int][]*node{}
 	for _, n := range m.nodes {
@@ -130,8 +133,8 @@
 	}
 }
 
-// forgetRemoved lets go of nodes that are gone for good. Guards against a head that lives long and
-// holds all nodes that ever were.
+// forgetRemoved forgets the removed nodes that have nothing in flight. An instance that runs for
+// long would otherwise keep every node that ever was.
 func (s *Scheduler) forgetRemoved() {
 	m := &s.members
 	m.nodes = slices.DeleteFunc(m.nodes, func(n *node) bool {
--- /dev/null
+++ b/scheduler/outcomes.go
@@ -0,0 +1,51 @@
+package scheduler
+
+// recordOutcome updates what is known of a node by an attempt's outcome: its estimated latency and
+// pressure, its concurrency window and its circuit breaker. Cancelled and Superseded attempts say
+// nothing of the node.
+func (s *Scheduler) recordOutcome(n *node, a *attempt, e AttemptEnded) {
+	latency := (s.now - a.inFlightSince(s.now)).Seconds()
+	switch e.Outcome {
+	case OK, Failed:
+		s.recordResponse(n, a, e, latency)
+	case QueueFull:
+		s.recordQueueFull(n)
+	case ConnectFailed, Reset:
+		s.recordConnectionFailure(n)
+	case TimedOut:
+		s.recordTimeout(n, a, latency)
+	}
+}
+
+func (s *Scheduler) recordResponse(n *node, a *attempt, e AttemptEnded, latency float64) {
+	objective := a.request.class.LatencyObjective.Seconds()
+	n.lastResponseAt = s.now
+	n.breaker.close()
+	waiting := s.waitingTime(latency, a.request, e)
+	s.observeResponse(n, observation{latency: latency, waitingFraction: waiting / objective})
+	s.recordServed(n.Shard, a.request.Units)
+	s.adjustWindow(n, a, latency/objective)
+}
+
+func (s *Scheduler) recordQueueFull(n *node) {
+	s.observeAtNode(n, observation{latency: n.latency, waitingFraction: 1})
+	n.lastResponseAt = s.now
+	s.collapseWindow(n)
+}
+
+// recordConnectionFailure counts failures in a row: a node that resets some connections still
+// serves the others, which close its breaker again.
+func (s *Scheduler) recordConnectionFailure(n *node) {
+	n.breaker.consecutiveFailures++
+	if n.breaker.consecutiveFailures >= maxConsecutiveFailures {
+		s.openBreaker(n)
+	}
+}
+
+func (s *Scheduler) recordTimeout(n *node, a *attempt, latency float64) {
+	if a.stalledAt > 0 {
+		return // this instance's own machine held it up until its deadline
+	}
+	s.observeAtNode(n, observation{latency: latency, waitingFraction: 1})
+	s.collapseWindow(n)
+}
--- a/scheduler/placement.go
+++ b/scheduler/placement.go
@@ -1,48 +1,51 @@
 package scheduler
 
-// Placement: which node a request waits for.
-
 const (
-	// Nodes whose breaker is open come last, those that are cold before them: their load counts
-	// so much more.
+	// openBreakerPenalty and warmingUpPenalty are added to the expected wait, in seconds, so that
+	// nodes whose breaker is open are selected last, and those that are warming up before them.
 	openBreakerPenalty = 1e6
 	warmingUpPenalty   = 1e3
-	// minLatencyDivisor is the least answer time that loads are compared by, as a part of the
-	// shortest aim.
+	// minLatencyDivisor: nodes are compared by a latency of no less than the shortest latency
+	// objective divided by this, as differences below that are noise.
 	minLatencyDivisor = 10
 )
 
-// selectNode returns the serving node that holds the request's shard; a new object goes to the
-// node that should have room for it soonest. It returns nil where no node may take it.
+// selectNode returns the node that a request is queued for, nil if none may take it now. Of the
+// serving nodes that hold its shard, or of all for a new object, that is the one with the least
+// expected wait.
+//
+// For a new object the search starts at a random node: instances that know as little of all nodes
+// would otherwise all select the same one.
 func (s *Scheduler) selectNode(r *request) (best *node) {
 	candidates, first := s.members.byShard[r.Shard], 0
 	if r.Shard < 0 && len(s.members.nodes) > 0 {
 		candidates = s.members.nodes
-		first = s.random.IntN(len(candidates)) // lest all heads take nodes alike in one order
+		first = s.random.IntN(len(candidates))
 	}
-	var leastLoad float64
+	var leastWait float64
 	for i := range candidates {
 		n := candidates[(first+i)%len(candidates)]
 		if n.State != Serving || !s.mayRunOn(r, n) {
 			continue
 		}
-		load := s.expectedWait(n)
-		if best == nil || load < leastLoad {
-			best, leastLoad = n, load
+		wait := s.expectedWait(n)
+		if best == nil || wait < leastWait {
+			best, leastWait = n, wait
 		}
 	}
 	return best
 }
 
-// expectedWait is how long a request should wait at a node, as far as nodes are compared by it.
+// expectedWait returns the seconds that a request should wait for its response at a node, for the
+// comparison of nodes.
 func (s *Scheduler) expectedWait(n *node) float64 {
-	before := 1 + float64(n.queue.Len()+len(n.inFlight))
-	load := max(n.latency, s.shortestObjective.Seconds()/minLatencyDivisor) * before / n.window
+	ahead := 1 + float64(n.queue.Len()+len(n.inFlight))
+	wait := max(n.latency, s.shortestObjective.Seconds()/minLatencyDivisor) * ahead / n.window
 	if n.breaker.open {
-		load += openBreakerPenalty
+		wait += openBreakerPenalty
 	}
 	if s.isWarmingUp(n) {
-		load += warmingUpPenalty
+		wait += warmingUpPenalty
 	}
-	return load
+	return wait
 }
--- a/scheduler/requests.go
+++ b/scheduler/requests.go
@@ -2,7 +2,6 @@
 
 import (
 	"math"
-	"slices"
 
 	"maddergap/internal/waitqueue"
 )
@@ -13,43 +12,74 @@
 // subqueue holds ready requests of one profile.
 type subqueue = waitqueue.Subqueue[*request, profile]
 
-// queueItem is the queue's part of a request.
+// queueItem is the queue's part of a request: its times and its place.
 type queueItem = waitqueue.Item[*request, profile, *volume]
 
-// request is what the scheduler knows of a request until it has its final answer.
+// requestState says how much of the final response has been given.
+type requestState int
+
+const (
+	// awaitingResponse requests have no response yet.
+	awaitingResponse requestState = iota
+	// responding requests have sent part of a streamed response to the client.
+	responding
+	// completed requests have their final response, or their client is gone. An attempt may
+	// still be in flight.
+	completed
+)
+
+// String returns the state's name.
+func (s requestState) String() string {
+	switch s {
+	case awaitingResponse:
+		return "awaiting response"
+	case responding:
+		return "responding"
+	case completed:
+		return "completed"
+	}
+	return "unknown"
+}
+
+// request is what the scheduler knows of a request. It is in Scheduler.requests until it is
+// completed.
 type request struct {
 	Arrival
-	queueItem // with its deadline, its aim, and until when it is held
+	queueItem
 
 	class  *Class
 	volume *volume
-	node   *node // whose queue it waits in, nil: none
+	state  requestState
+
+	// node is the one whose queue the request is or was last in, nil if none could take it.
+	node *node
+	// sendCountAtEnqueue is the node's sendCount when the request was put into its queue.
+	sendCountAtEnqueue int
 
-	startTag      float64
-	beyondReserve bool // the tag is beyond the volume's reserve
+	startTag      float64 // S at the node
+	beyondReserve bool    // the start tag is for units beyond the volume's reserve
 
-	attempts  int // made so far
-	inFlight  int // without an outcome
-	notBefore Time
-	// mayHaveRunOn is the node where an attempt may have run, mayHaveRunSince when that was sent.
+	attempts  int  // made so far
+	inFlight  int  // of these, those without an outcome
+	notBefore Time // earliest time of the next attempt, 0 for none
+	// mayHaveRunOn is the node where an attempt may have run, nil if none may have;
+	// mayHaveRunSince is when the first such attempt was sent.
 	mayHaveRunOn    *node
 	mayHaveRunSince Time
-
-	sendCountAtEnqueue int // of its node when it was queued there
-	done, streaming    bool
 }
 
-// profile is what requests have in common that differ in their times and tags alone.
+// profile is everything that the send rules depend on, other than a request's times and tags.
+// Requests of one profile are judged together.
 type profile struct {
 	class         *Class
 	plan          *Plan
-	instances     float64
+	instances     float64 // that the volume's requests arrive through
 	units         float64
-	beyondReserve bool // beyond the reserve
+	beyondReserve bool
 	retry         bool // an attempt past the first
 }
 
-// currentProfile is the profile that a request would wait with now.
+// currentProfile returns the profile that a request would wait with now.
 func (r *request) currentProfile() profile {
 	return profile{
 		class:         r.class,
@@ -61,10 +91,10 @@
 	}
 }
 
-// priorityWeight is what a unit earns in time and within the reserve.
+// priorityWeight is what a unit is worth if it is served in time and within the reserve.
 func (p *profile) priorityWeight() float64 { return p.class.PriorityWeight * p.plan.PriorityFactor }
 
-// Orders of requests of a profile.
+// Orders of the requests of a subqueue.
 const (
 	orderByTag = iota
 	orderByLatencyDeadline
@@ -80,49 +110,13 @@
 	return a.LatencyDeadline < b.LatencyDeadline || (a.LatencyDeadline == b.LatencyDeadline && a.Sequence < b.Sequence)
 }
 
-// attempt is one sending of a request.
-type attempt struct {
-	request    *request
-	node       *node
-	sentAt     Time // later by as long as the head's own machine held it up
-	stalledAt  Time // since when that holds it up, 0: it does not
-	windowFull bool // the node's window was full with it
-}
-
-// inFlightSince is since when an attempt has been the node's to answer.
-func (a *attempt) inFlightSince(now Time) Time {
-	if a.stalledAt > 0 {
-		return a.sentAt + now - a.stalledAt
-	}
-	return a.sentAt
-}
-
-// handleAttemptStalled stops an attempt's clock. Guards against a head that takes failures of its own
-// machine for a slow or silent node.
-func (s *Scheduler) handleAttemptStalled(e AttemptStalled) {
-	a := s.attempts[attemptID{e.ID, uint64(e.Attempt)}]
-	if a != nil && a.stalledAt == 0 {
-		a.stalledAt = s.now
-	}
-}
-
-// handleAttemptResumed has an attempt's clock go on.
-func (s *Scheduler) handleAttemptResumed(e AttemptResumed) {
-	a := s.attempts[attemptID{e.ID, uint64(e.Attempt)}]
-	if a != nil && a.stalledAt > 0 {
-		a.sentAt, a.stalledAt = a.inFlightSince(s.now), 0
-	}
-}
-
-type attemptID struct{ request, number uint64 }
-
-// handleArrival takes a request from a client.
+// handleArrival queues a request, or rejects one that can never be sent.
 func (s *Scheduler) handleArrival(a Arrival) {
 	if s.requests[a.ID] != nil {
-		return // told twice; the first is being dealt with
+		return // reported twice
 	}
 	if a.Class < 0 || a.Class >= len(s.settings.Classes) || math.IsNaN(a.Units) {
-		s.emit(Reject{ID: a.ID}) // nothing known may be promised of it but that it never ran
+		s.emit(Reject{ID: a.ID}) // it did not run, so a retry is safe whatever its class
 		return
 	}
 	s.recordArrival()
@@ -140,7 +134,7 @@
 	s.enqueue(r)
 }
 
-// enqueue places a request in the queue of the node that may take it.
+// enqueue puts a request into the queue of the node that is selected for it.
 func (s *Scheduler) enqueue(r *request) {
 	n := s.selectNode(r)
 	s.enqueued++
@@ -149,7 +143,7 @@
 		s.unassigned.Add(r, s.enqueued)
 		return
 	}
-	if r.node != n || r.attempts == 0 {
+	if r.node != n || r.attempts == 0 { // a retry at the same node keeps its start tag
 		s.tag(r, n)
 	}
 	r.node, r.sendCountAtEnqueue = n, n.sendCount
@@ -158,8 +152,8 @@
 	s.markDirty(n)
 }
 
-// makeReady makes a held request ready at its node, or defers it until it may be. One that
-// waits for its key's turn is neither.
+// makeReady makes a queued request ready at its node, or defers it until it may be sent. One whose
+// key has an earlier request stays suspended until leaveKeyOrder.
 func (s *Scheduler) makeReady(r *request) {
 	readyAt, isNext := s.readyAt(r)
 	if !isNext {
@@ -172,65 +166,35 @@
 	r.node.queue.MakeReady(r, r.volume, r.currentProfile())
 }
 
-// handleResponseStarted notes that part of an answer is with the client: there is no second one.
 func (s *Scheduler) handleResponseStarted(e ResponseStarted) {
 	if r := s.requests[e.ID]; r != nil {
-		r.streaming = true
+		r.state = responding
 	}
 }
 
 func (s *Scheduler) handleClientDisconnected(e ClientDisconnected) {
 	if r := s.requests[e.ID]; r != nil {
-		s.release(r)
-	}
-}
-
-// handleAttemptEnded takes an attempt's outcome, and has the request sent again or answered.
-func (s *Scheduler) handleAttemptEnded(e AttemptEnded) {
-	id := attemptID{e.ID, uint64(e.Attempt)}
-	a := s.attempts[id]
-	if a == nil {
-		return
-	}
-	delete(s.attempts, id)
-	r, n := a.request, a.node
-	r.inFlight--
-	n.inFlight = slices.DeleteFunc(n.inFlight, func(other *attempt) bool { return other == a })
-	s.markDirty(n)
-	s.recordOutcome(n, a, e)
-	s.recordPossibleRun(r, a, e.Outcome)
-	s.startKeyCooldown(r, e.Outcome)
-	switch {
-	case r.done:
-		s.leaveKeyOrder(r)
-	case e.Responded:
-		s.release(r)
-	case r.inFlight > 0:
-	case s.isFinalOutcome(r, e):
-		s.rejectOrFail(r)
-	default:
-		r.notBefore = s.now + s.shortestObjective/retryBackoffPart
-		s.enqueue(r)
+		s.complete(r)
 	}
 }
 
-// rejectOrFail gives the final answer: a refusal where it is true that trying again does no harm,
-// else a failure.
+// rejectOrFail gives a request its final response without an attempt's: a rejection where the
+// client may safely retry, otherwise a failure.
 func (s *Scheduler) rejectOrFail(r *request) {
 	switch {
-	case r.done:
+	case r.state == completed:
 	case s.clientMayRetry(r):
 		s.emit(Reject{ID: r.ID, RetryAfter: s.settings.MaxRetryAfter})
 	default:
 		s.emit(Fail{ID: r.ID})
 	}
-	s.release(r)
+	s.complete(r)
 }
 
-// release lets go of a request that has its final answer; its key stays taken while an attempt
-// is without an outcome.
-func (s *Scheduler) release(r *request) {
-	r.done = true
+// complete ends a request that needs no further response. It keeps its place in the order of its
+// key while an attempt is in flight.
+func (s *Scheduler) complete(r *request) {
+	r.state = completed
 	delete(s.requests, r.ID)
 	s.markDirty(r.node)
 	switch {
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -1,13 +1,15 @@
-// Package scheduler decides, for one host-side scheduler (a head) in front of a shared pool of
-// storage nodes, what is sent to which node, when and in what order, and what is refused.
+// Package scheduler decides, for one gateway instance in front of a shared pool of storage nodes,
+// which request is sent to which node, when and in what order, and which is rejected.
 //
-// The ordinary path is HYBRID-DSFQ: a request is assigned to a node (placement.go), gets a
-// start tag there (fair_queue.go), waits in the head's queue for that node and leaves in the
-// order of start tags (dispatch.go) while fewer requests than the node's concurrency window
-// are out (window.go) and no send rule blocks it (send_rules.go).
+// Requests are ordered by HYBRID-DSFQ (Wang and Merchant, "Proportional-Share Scheduling for
+// Distributed Storage Systems"): a request is assigned to a node (placement.go), gets a start tag
+// there (fair_queue.go), waits in this instance's queue for that node, and leaves in the order of
+// start tags (dispatch.go) while fewer requests are in flight than the node's concurrency window
+// (window.go) and no send rule blocks it (send_rules.go).
 //
-// The package is pure: it is told of events, the time with them, and returns actions. It does
-// no I/O, reads no clock, and draws chance from a seed.
+// A Scheduler is a state machine: it is given events with the time at which they happened, and
+// returns actions. It does no I/O, reads no clock and draws its random numbers from a seed, so
+// the same events give the same actions.
 package scheduler
 
 import (
@@ -15,23 +17,25 @@
 	"time"
 )
 
-// Scheduler decides for one head. It is not safe for concurrent use.
+// Scheduler decides for one instance. It is not safe for concurrent use.
 type Scheduler struct {
-	settings          Settings
-	random            *rand.Rand
-	startedAt         Time
-	now               Time
-	actions           []Action
-	shortestObjective time.Duration
-	maxPriorityWeight float64 // most that a unit may earn
+	settings  Settings
+	random    *rand.Rand
+	startedAt Time
+	now       Time
+	actions   []Action // for the events being handled
 
-	requests   map[uint64]*request
-	attempts   map[attemptID]*attempt
-	volumes    map[string]*volume
-	keyOrders  map[string]*keyOrder
-	unassigned *requestQueue // of requests that no node of the list may take
-	sequence   int           // requests so far
-	enqueued   int           // placements so far
+	shortestObjective time.Duration // the shortest latency objective of all classes
+	maxPriorityWeight float64       // the highest of all classes and plans, for one unit
+
+	requests  map[uint64]*request    // without a final response, by id
+	attempts  map[attemptID]*attempt // without an outcome
+	volumes   map[string]*volume
+	keyOrders map[string]*keyOrder
+	// unassigned holds the requests that no node may take at present.
+	unassigned *requestQueue
+	sequence   int // number of requests so far
+	enqueued   int // number of times that a request was put into a queue
 
 	members    members
 	estimates  estimates
@@ -40,8 +44,11 @@
 	timers     timers
 }
 
-// New returns a scheduler that knows nothing yet. The seed is for what is spread by chance
-// among heads.
+// minPriorityWeight keeps the division by the highest priority weight defined.
+const minPriorityWeight = 1e-9
+
+// New returns a scheduler without nodes or requests. The seed is for what is spread at random
+// among instances; each should have its own. The error is a *SettingsError.
 func New(settings Settings, seed uint64, now Time) (*Scheduler, error) {
 	if err := settings.validate(); err != nil {
 		return nil, err
@@ -74,32 +81,36 @@
 	return s, nil
 }
 
-// minPriorityWeight keeps the division by the largest worth defined.
-const minPriorityWeight = 1e-9
-
-// Handle takes the events of one moment and returns what to do about them, in order.
+// Handle takes the events that happened at a time and returns the actions to carry out, in their
+// order. A time before that of an earlier call counts as the same time.
 func (s *Scheduler) Handle(now Time, events []Event) []Action {
 	s.now, s.actions = max(now, s.now), nil
 	for _, event := range events {
-		switch event := event.(type) {
-		case Arrival:
-			s.handleArrival(event)
-		case EndpointUpdate:
-			s.handleEndpointUpdate(event)
-		case AttemptEnded:
-			s.handleAttemptEnded(event)
-		case ResponseStarted:
-			s.handleResponseStarted(event)
-		case AttemptStalled:
-			s.handleAttemptStalled(event)
-		case AttemptResumed:
-			s.handleAttemptResumed(event)
-		case ClientDisconnected:
-			s.handleClientDisconnected(event)
-		}
+		s.handleEvent(event)
 	}
 	s.dispatch()
 	return s.actions
 }
 
+func (s *Scheduler) handleEvent(event Event) {
+	switch event := event.(type) {
+	case Arrival:
+		s.handleArrival(event)
+	case EndpointUpdate:
+		s.handleEndpointUpdate(event)
+	case AttemptEnded:
+		s.handleAttemptEnded(event)
+	case ResponseStarted:
+		s.handleResponseStarted(event)
+	case AttemptStalled:
+		s.handleAttemptStalled(event)
+	case AttemptResumed:
+		s.handleAttemptResumed(event)
+	case ClientDisconnected:
+		s.handleClientDisconnected(event)
+	case TimerFired:
+		// Each call of Handle looks at what is due.
+	}
+}
+
 func (s *Scheduler) emit(action Action) { s.actions = append(s.actions, action) }
--- a/scheduler/slow_start.go
+++ b/scheduler/slow_start.go
@@ -6,80 +6,99 @@
 	"time"
 )
 
-// Slow start of nodes that have just started: a token bucket for each. Its rate is this head's
-// even part of what is always borne or, where that is more, a part in proportion to what it was
-// served by a node of the shard before, which over all heads adds up to what such a node really
-// bore: its capacity is not told, and is no less than that.
+// Slow start of nodes that have just started: what an instance sends such a node is bounded by a
+// token bucket. Its rate is the larger of two parts of what the node can bear:
+//
+//   - this instance's even part of Settings.SlowStart.MinUnits, and
+//   - a part in proportion to what this instance was served on the shard before the node started.
+//     Over all instances that adds up to the load that the shard's nodes really bore. The capacity
+//     of a node is not known, but is no less than that.
 
 const (
-	// slowStartRateFraction is the part of the budget that the bucket fills at; it holds the rest.
+	// slowStartRateFraction divides an instance's even part for one overload window: this fraction
+	// fills the bucket within a window, and the rest is the bucket's capacity. What is sent in any
+	// window is then no more than the part.
 	slowStartRateFraction = 0.67
 	// servedHalfLife is after what time the units served on a shard count half.
 	servedHalfLife = 30 * time.Second
-	// minOverloadWindow and minBucketCapacity keep divisions defined.
+	// minOverloadWindow (seconds) and minBucketCapacity (units) keep divisions defined.
 	minOverloadWindow = 1e-3
 	minBucketCapacity = 1e-9
 )
 
 func (s *Scheduler) isWarmingUp(n *node) bool {
-	return n.Started > 0 && s.settings.SlowStart.WarmupDuration > 0 && s.now < n.Started+s.settings.SlowStart.WarmupDuration
+	warmup := s.settings.SlowStart.WarmupDuration
+	return n.Started > 0 && warmup > 0 && s.now < n.Started+warmup
 }
 
-// beginSlowStart sets a node's bucket for the time that it is cold. At many heads the rate is
-// less than one request in a window: it accrues, and each head starts at a level by chance, so
-// that their turns are spread. After the head's own start a window passes first, as its life
-// before may have spent it.
+// beginSlowStart sets the bucket of a node that is warming up.
+//
+// With many instances the rate is less than one request in a window, so a request may take the
+// bucket into debt, and each instance starts from a random level, which spreads their sends. After
+// this instance's own start one window passes first: an earlier process of it may have sent there.
 func (s *Scheduler) beginSlowStart(n *node) {
 	if !s.isWarmingUp(n) {
 		return
 	}
-	settings := &s.settings
-	window := max(settings.SlowStart.OverloadWindow.Seconds(), minOverloadWindow)
-	units := cmp.Or(settings.SlowStart.MinUnits, settings.MeanUnits)
-	evenPart := slowStartRateFraction * units / float64(settings.Instances) / window
-	servedPart := settings.SlowStart.OverloadFactor * settings.SlowStart.InitialFraction * s.recordServed(n.Shard, n.Started, 0) / s.nodesOfShard(n)
+	settings := &s.settings.SlowStart
+	window := max(settings.OverloadWindow.Seconds(), minOverloadWindow)
+	minUnits := cmp.Or(settings.MinUnits, s.settings.MeanUnits)
+	evenPart := slowStartRateFraction * minUnits / float64(s.settings.Instances) / window
+	bearable := settings.OverloadFactor * settings.InitialFraction
+	servedPart := bearable * s.servedRate(n.Shard, n.Started) / s.nodesOfShard(n)
 	rate := max(evenPart, servedPart)
 	n.slowStart = tokenBucket{rate: rate, capacity: rate * window * (1 - slowStartRateFraction) / slowStartRateFraction}
-	n.slowStart.at = max(s.now, s.startedAt+settings.SlowStart.OverloadWindow)
-	n.slowStart.level = n.slowStart.capacity - s.random.Float64()*settings.MeanUnits
+	n.slowStart.at = max(s.now, s.startedAt+settings.OverloadWindow)
+	n.slowStart.level = n.slowStart.capacity - s.random.Float64()*s.settings.MeanUnits
 }
 
-// nodesOfShard is how many nodes a shard's requests were shared among before one of them
-// started. Guards against a cold node that is held to bear what several bore together.
-func (s *Scheduler) nodesOfShard(started *node) (nodes float64) {
+// nodesOfShard returns how many nodes of the list hold a node's shard, at least 1. Where several
+// share a shard, one that starts can bear its part only, not what all of them bore together.
+func (s *Scheduler) nodesOfShard(started *node) (count float64) {
 	for _, n := range s.members.byShard[started.Shard] {
 		if n.State != Removed {
-			nodes++
+			count++
 		}
 	}
-	return max(nodes, 1)
+	return max(count, 1)
 }
 
-// recordServed counts units served on a shard and returns the mean rate up to a time.
-func (s *Scheduler) recordServed(shard int, until Time, units float64) float64 {
-	served := s.estimates.servedByShard[shard]
-	if served == nil {
-		served = &decayingSum{}
-		s.estimates.servedByShard[shard] = served
-	}
+// recordServed counts units that this instance was served on a shard.
+func (s *Scheduler) recordServed(shard int, units float64) {
+	s.servedOnShard(shard).add(s.now, units, servedHalfLife)
+}
+
+// servedRate returns the units a second that this instance was served on a shard, as a mean over
+// about the last half-life before a time, or since this instance's start if that is shorter.
+func (s *Scheduler) servedRate(shard int, until Time) float64 {
+	sum := s.servedOnShard(shard).add(until, 0, servedHalfLife)
 	halfLives := float64(until-s.startedAt) / float64(servedHalfLife)
-	sum := served.add(until, units, servedHalfLife)
 	if halfLives <= 0 {
 		return 0
 	}
 	return sum * math.Ln2 / servedHalfLife.Seconds() / (1 - math.Exp2(-halfLives))
 }
 
-// fillSlowStart fills a cold node's bucket, which grows as its capacity must, and returns it
-// as it is by now.
+func (s *Scheduler) servedOnShard(shard int) *decayingSum {
+	served := s.estimates.servedByShard[shard]
+	if served == nil {
+		served = &decayingSum{}
+		s.estimates.servedByShard[shard] = served
+	}
+	return served
+}
+
+// fillSlowStart fills the bucket of a node that is warming up and returns it with the rate and
+// capacity that it has by now: these grow with the node's capacity.
 func (s *Scheduler) fillSlowStart(n *node) tokenBucket {
-	grown := 1.0
-	if from := s.settings.SlowStart.InitialFraction; from > 0 && from < 1 {
-		age := float64(s.now-n.Started-s.settings.SlowStart.OverloadWindow) / float64(s.settings.SlowStart.WarmupDuration)
-		grown += max(0, age) * (1 - from) / from
+	settings := &s.settings.SlowStart
+	growth := 1.0
+	if initial := settings.InitialFraction; initial > 0 && initial < 1 {
+		warm := float64(s.now-n.Started-settings.OverloadWindow) / float64(settings.WarmupDuration)
+		growth += max(0, warm) * (1 - initial) / initial
 	}
 	bucket := n.slowStart
-	bucket.rate, bucket.capacity = bucket.rate*grown, bucket.capacity*grown
+	bucket.rate, bucket.capacity = bucket.rate*growth, bucket.capacity*growth
 	if s.now > bucket.at {
 		bucket.fill(s.now)
 		n.slowStart.level, n.slowStart.at = bucket.level, bucket.at
@@ -87,7 +106,8 @@
 	return bucket
 }
 
-// slowStartAllows tells whether a node may be sent so many units as far as it is cold.
+// slowStartAllows reports whether a node may be sent so many units, as far as it is warming up. A
+// request larger than the bucket goes when the bucket is full.
 func (s *Scheduler) slowStartAllows(n *node, units float64) bool {
 	if !s.isWarmingUp(n) {
 		return true
@@ -96,13 +116,13 @@
 	return s.now >= bucket.at && bucket.level >= min(units, bucket.capacity)
 }
 
-// slowStartUsed is the part of a cold node's bucket that is used.
+// slowStartUsed returns the fraction of the bucket of a node that is warming up that is used.
 func (s *Scheduler) slowStartUsed(n *node) float64 {
 	bucket := s.fillSlowStart(n)
 	return 1 - bucket.level/max(bucket.capacity, minBucketCapacity)
 }
 
-// drawSlowStart books a send on a cold node's bucket.
+// drawSlowStart counts a send.
 func (s *Scheduler) drawSlowStart(n *node, units float64) {
 	if s.isWarmingUp(n) {
 		n.slowStart.level -= units
--- a/scheduler/status.go
+++ b/scheduler/status.go
@@ -1,37 +1,45 @@
 package scheduler
 
-import "time"
+import (
+	"time"
 
-// NodeStatus is what the scheduler holds of a node, for those who watch it; nothing is decided
-// by it.
+	"maddergap/internal/waitqueue"
+)
+
+// NodeStatus is what the scheduler knows of a node, for logs and metrics.
 type NodeStatus struct {
-	Node     string
-	State    NodeState
-	InFlight int // attempts without an outcome, those written off included
-	InWindow int // of these, those that take a place in the window
-	Queued   int // requests that wait for it
-	// WaitReason is why the one of them that expires first is not sent; ReasonAllowed where others go
-	// before it, or none waits.
-	WaitReason      Reason
-	Window          float64
-	ExpectedLatency time.Duration // how long an answer is held to take
-	Pressure        float64
-	BreakerOpen     bool // the breaker
-	WarmingUp       bool
+	Node  string
+	State NodeState
+	// InFlight counts the attempts without an outcome. InWindow counts those of them that take a
+	// place in the window: not those from before the circuit breaker opened.
+	InFlight int
+	InWindow int
+	// Queued counts the requests that wait for the node. WaitReason is why the one that expires
+	// first is not sent: ReasonAllowed where none waits, or others go first.
+	Queued     int
+	WaitReason Reason
+	// Window is the concurrency window in requests; below 1, sends are paced.
+	Window float64
+	// ExpectedLatency is the estimated latency of a response.
+	ExpectedLatency time.Duration
+	// Pressure is the estimated fraction of the latency objectives spent waiting, 0 to 1.
+	Pressure    float64
+	BreakerOpen bool
+	WarmingUp   bool
 }
 
-// Status tells what is held of each node of the list.
+// Status returns the status of each known node, in the order in which they joined.
 func (s *Scheduler) Status() []NodeStatus {
-	out := map[*node]int{}
+	inFlight := map[*node]int{}
 	for _, a := range s.attempts {
-		out[a.node]++
+		inFlight[a.node]++
 	}
 	var all []NodeStatus
 	for _, n := range s.members.nodes {
 		all = append(all, NodeStatus{
 			Node:            n.Node,
 			State:           n.State,
-			InFlight:        out[n],
+			InFlight:        inFlight[n],
 			InWindow:        len(n.inFlight),
 			Queued:          n.queue.Len(),
 			WaitReason:      s.waitReasonAt(n),
@@ -45,7 +53,7 @@
 	return all
 }
 
-// waitReasonAt is why the request that expires first at a node is not sent.
+// waitReasonAt returns why the request that expires first at a node is not sent.
 func (s *Scheduler) waitReasonAt(n *node) Reason {
 	r, ok := n.queue.FirstToExpire()
 	if !ok {
@@ -53,3 +61,56 @@
 	}
 	return s.WaitReason(r.ID)
 }
+
+// WaitReason returns why a request is not sent now: ReasonAllowed where others at its node go
+// first, or where it does not wait. It is safe to call between events: it has no influence on
+// decisions.
+func (s *Scheduler) WaitReason(id uint64) Reason {
+	r := s.requests[id]
+	if r == nil || r.inFlight > 0 {
+		return ReasonAllowed
+	}
+	if r.node == nil {
+		return ReasonNoNode
+	}
+	readyAt, isNext := s.readyAt(r)
+	switch {
+	case !isNext:
+		return ReasonKeyOrder
+	case r.notBefore > s.now:
+		return ReasonRetryBackoff
+	case readyAt > s.now:
+		return ReasonKeyOrder
+	case r.QueueState() == waitqueue.Suspended:
+		return ReasonDeduplication // for good, see firstEligible
+	}
+	defer s.saveBuckets(r)()
+	return s.sendBlockedBy(r)
+}
+
+// sendBlockedBy asks all send rules about a ready request.
+func (s *Scheduler) sendBlockedBy(r *request) Reason {
+	n := r.node
+	p := r.currentProfile()
+	respondedAt := s.now + s.expectedLatency(n, r.Units)
+	c := candidate{node: n, profile: &p, request: r, missesObjective: r.LatencyDeadline < respondedAt}
+	if reason := s.blockedBy(nodeRules, c); reason != ReasonAllowed {
+		return reason
+	}
+	if reason := s.blockedBy(profileRules, c); reason != ReasonAllowed {
+		return reason
+	}
+	if r.Deadline < respondedAt && !s.idleTrialDue(n) {
+		return ReasonTooLate
+	}
+	return s.blockedBy(requestRules, c)
+}
+
+// saveBuckets returns a function that restores what send rules change when asked. A bucket that is
+// filled in two steps is rounded twice, so decisions would depend on whether WaitReason was called
+// in between.
+func (s *Scheduler) saveBuckets(r *request) (restore func()) {
+	n, v := r.node, r.volume
+	slowStart, limit, usage := n.slowStart, v.limit, s.retryUsage
+	return func() { n.slowStart, v.limit, s.retryUsage = slowStart, limit, usage }
+}
--- a/scheduler/timers.go
+++ b/scheduler/timers.go
@@ -7,34 +7,36 @@
 	"time"
 )
 
-// Timers: which nodes are looked at, and when the scheduler is to be woken. Only nodes that
-// something happened to, or whose time has come, are looked at.
+// Timers: which nodes are looked at after the events of a moment, and when the next timer fires.
+// Only nodes that something happened to, or whose time has come, are looked at.
 
 const (
+	// never is the time of what does not happen by itself.
 	never = Time(math.MaxInt64)
-	// volumeIdleTimeout is after what time an idle volume is forgotten.
-	volumeIdleTimeout = 10 * time.Second
-	// queueChecksPerObjective is how often held requests are looked at within a shortest aim.
+	// queueChecksPerObjective is how often a node with queued requests is looked at within the
+	// shortest latency objective: pressure, buckets and expected latencies change with time alone.
 	queueChecksPerObjective = 12
-	// silenceChecksPerObjective is the same for a node that owes an answer.
+	// silenceChecksPerObjective is the same for a node with attempts in flight, for checkSilence.
 	silenceChecksPerObjective = 4
-	// timerResolution is the unit of timers: one that came a fraction early would be taken for another.
+	// timerResolution is the unit of timers. The caller may round a timer down to its own unit; one
+	// that fires a fraction early would be taken for the one that was set, and nothing would be due.
 	timerResolution = time.Millisecond
 )
 
+// timers keep what has to be looked at, and when.
 type timers struct {
-	dirty      []*node // something happened to them in this moment
-	dirtyReuse []*node // those of the last, for use again
-	waiting    []*node // those that have a time to be looked at, in any order
-	nextWakeAt Time    // first of their times, or before it
-	watchAt    Time    // when to ask for the list, before 0: not
-	timerAt    Time    // when the timer asked for last goes off
+	dirty      []*node // nodes that something happened to since they were last looked at
+	dirtyReuse []*node // the list before, for use again
+	waiting    []*node // nodes with a wakeAt, in any order
+	nextWakeAt Time    // not after the first wakeAt of waiting
+	watchAt    Time    // when to ask for the endpoint list, negative for not at all
+	timerAt    Time    // when the timer that was set last fires
 	sweptAt    Time
 }
 
 func newTimers(now Time) timers { return timers{watchAt: -1, timerAt: now, sweptAt: now} }
 
-// markDirty has a node looked at when the events of the moment are taken.
+// markDirty has a node looked at once the events of the moment are handled; n may be nil.
 func (s *Scheduler) markDirty(n *node) {
 	if n != nil && !n.dirty {
 		n.dirty = true
@@ -42,28 +44,28 @@
 	}
 }
 
-// dispatch lets every node that something happened to send, and sets the timer.
+// dispatch looks at the nodes that are due, rejects what expired and sets the timer.
 func (s *Scheduler) dispatch() {
-	wake := s.watchEndpoints()
-	if s.now >= s.timers.nextWakeAt { // else only nodes that something happened to
+	wakeAt := s.watchEndpoints()
+	if s.now >= s.timers.nextWakeAt {
 		s.timers.nextWakeAt = never
-		s.wakeNodes()
+		s.markDue()
 	}
 	s.dispatchDirty()
-	wake = min(wake, s.timers.nextWakeAt)
-	if len(s.timers.dirty) > 0 { // by what came of it, as a key's next turn
-		wake = s.now
+	wakeAt = min(wakeAt, s.timers.nextWakeAt)
+	if len(s.timers.dirty) > 0 { // by what was just done, as where a key's next request may go
+		wakeAt = s.now
 	}
 	s.rejectExpired(s.unassigned)
-	wake = min(wake, nextExpiry(s.unassigned))
+	wakeAt = min(wakeAt, nextExpiry(s.unassigned))
 	if s.now >= s.timers.sweptAt+volumeIdleTimeout/2 {
 		s.sweep()
 	}
-	s.setTimer(wake)
+	s.setTimer(wakeAt)
 }
 
-// watchEndpoints asks for the node list when it is time, and returns when that is.
-func (s *Scheduler) watchEndpoints() (wake Time) {
+// watchEndpoints asks for the endpoint list when that is due, and returns when it will be.
+func (s *Scheduler) watchEndpoints() (wakeAt Time) {
 	switch at := s.timers.watchAt; {
 	case at < 0:
 		return never
@@ -75,7 +77,8 @@
 	return never
 }
 
-// dispatchDirty lets the nodes send that something happened to until now.
+// dispatchDirty looks at the nodes that are dirty by now. Those that become dirty meanwhile are
+// looked at next time.
 func (s *Scheduler) dispatchDirty() {
 	t := &s.timers
 	dirty := t.dirty
@@ -90,21 +93,21 @@
 	}
 }
 
-// setWakeTime sets when a node is to be looked at again though nothing happens to it.
+// setWakeTime sets when a node is looked at again if nothing happens to it.
 func (s *Scheduler) setWakeTime(n *node) {
 	n.wakeAt = never
 	if len(n.inFlight) > 0 {
 		n.wakeAt = s.now + s.shortestObjective/silenceChecksPerObjective
 	}
-	if n.queue.Len() > 0 { // held for a slot, or by what time alone changes
-		slot := max(n.nextSendAt(), s.now+s.shortestObjective/queueChecksPerObjective)
-		n.wakeAt = min(n.wakeAt, nextExpiry(n.queue), slot)
+	if n.queue.Len() > 0 {
+		checkAt := max(n.nextSendAt(), s.now+s.shortestObjective/queueChecksPerObjective)
+		n.wakeAt = min(n.wakeAt, nextExpiry(n.queue), checkAt)
 	}
 }
 
-// wakeNodes has nodes looked at whose time has come, in the order in which they joined. Only
-// nodes with work have one, however many are on the list.
-func (s *Scheduler) wakeNodes() {
+// markDue marks the nodes dirty whose time has come, in the order in which they joined. Only nodes
+// with queued requests or attempts in flight have a time, so the cost does not grow with the list.
+func (s *Scheduler) markDue() {
 	t := &s.timers
 	var due []*node
 	kept := t.waiting[:0]
@@ -128,38 +131,23 @@
 	}
 }
 
-// setTimer asks for a timer, if the one that was asked for goes off later or has gone off.
-func (s *Scheduler) setTimer(wake Time) {
-	if wake == never || (s.timers.timerAt > s.now && wake >= s.timers.timerAt) {
+// setTimer asks for a timer, unless the one that was set fires in the future and no later.
+func (s *Scheduler) setTimer(wakeAt Time) {
+	if wakeAt == never || (s.timers.timerAt > s.now && wakeAt >= s.timers.timerAt) {
 		return
 	}
-	in := max(wake-s.now+timerResolution-1, timerResolution).Truncate(timerResolution)
-	s.timers.timerAt = s.now + in
-	s.emit(SetTimer{After: in})
+	after := max(wakeAt-s.now+timerResolution-1, timerResolution).Truncate(timerResolution)
+	s.timers.timerAt = s.now + after
+	s.emit(SetTimer{After: after})
 }
 
-// sweep forgets idle volumes and keys. A volume whose limit's bucket is not full yet is kept:
-// forgotten, it would come back with more than it has.
+// sweep forgets what has been idle.
 func (s *Scheduler) sweep() {
 	s.timers.sweptAt = s.now
 	for _, n := range s.members.nodes {
 		n.queue.Sweep()
 	}
-	for name, v := range s.volumes {
-		s.sweepStreams(v)
-		v.limit.fill(s.now)
-		if s.now-v.lastUsedAt > volumeIdleTimeout && len(v.streams) == 0 && v.limit.level >= v.limit.capacity {
-			delete(s.volumes, name)
-		}
-	}
+	s.sweepVolumes()
 	s.sweepKeyOrders()
-	s.trimRetryUsage()
-}
-
-func (s *Scheduler) sweepStreams(v *volume) {
-	for n, at := range v.streams {
-		if s.now-at.lastUsedAt > volumeIdleTimeout {
-			delete(v.streams, n)
-		}
-	}
+	s.trimArrivals()
 }
