--- /dev/null
+++ b/internal/platform/config_file.go
@@ -0,0 +1,151 @@
+package platform
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"net/netip"
+	"os"
+	"strconv"
+
+	"maddergap/internal/config"
+	"maddergap/internal/discovery"
+	"maddergap/internal/settings"
+	"maddergap/scheduler"
+)
+
+// maxFileBytes bounds the configuration file.
+const maxFileBytes = 16 << 20
+
+// configFile is the form of the platform's configuration.
+type configFile struct {
+	Name      string `json:"name"`      // of the instance
+	Listen    string `json:"listen"`    // host:port
+	Discovery string `json:"discovery"` // host:port
+	Seed      string `json:"seed"`      // 16 hex digits
+	Limits    struct {
+		Cores    float64 `json:"cores"`
+		MemoryMB float64 `json:"memory_mb"`
+		Sockets  int     `json:"sockets"` // open descriptors
+	} `json:"limits"`
+	Known    *discovery.EndpointList `json:"known"` // the initial node list
+	Settings *settings.Site          `json:"settings"`
+}
+
+// Config is the configuration that the platform gives an instance, checked.
+type Config struct {
+	InstanceName  string
+	DiscoveryAddr string                  // host:port
+	InitialList   *discovery.EndpointList // the node list as the platform had it; may be old; nil: none
+	Settings      *settings.Site
+	Gateway       *config.Config
+	Bounds        Bounds
+}
+
+// ConfigError is a mistake in the platform's configuration. It wraps the error of package json,
+// settings, admission or scheduler that found it, if one did.
+type ConfigError struct {
+	File string
+	Err  error // names the key
+}
+
+func (e *ConfigError) Error() string { return e.File + ": " + e.Err.Error() }
+
+func (e *ConfigError) Unwrap() error { return e.Err }
+
+// Load reads the configuration file that the environment names. Errors are those of package os,
+// and those of Parse.
+func Load(env func(string) string) (*Config, error) {
+	path := env(EnvConfig)
+	if path == "" {
+		return nil, fmt.Errorf("%s is not set", EnvConfig)
+	}
+	info, err := os.Stat(path)
+	if err != nil {
+		return nil, err
+	}
+	if info.Size() > maxFileBytes {
+		return nil, fmt.Errorf("%s has %d bytes, more than %d", path, info.Size(), maxFileBytes)
+	}
+	data, err := os.ReadFile(path)
+	if err != nil {
+		return nil, err
+	}
+	return Parse(path, data, env)
+}
+
+// Parse reads a configuration. path is the file's, for errors; name and addresses that the file
+// leaves out are taken from the environment. The error joins a *ConfigError for each mistake.
+func Parse(path string, data []byte, env func(string) string) (*Config, error) {
+	var f configFile
+	if err := json.Unmarshal(data, &f); err != nil {
+		return nil, &ConfigError{path, err}
+	}
+	f.addEnvironment(env)
+	seed, bounds, mistakes := f.check()
+	if len(mistakes) > 0 {
+		return nil, joinConfigErrors(path, mistakes)
+	}
+	c := &Config{
+		InstanceName:  f.Name,
+		DiscoveryAddr: f.Discovery,
+		InitialList:   f.Known,
+		Settings:      f.Settings,
+		Gateway:       gatewayConfig(path, f.Listen, seed, f.Settings, bounds),
+		Bounds:        bounds,
+	}
+	if _, err := scheduler.New(c.Gateway.Scheduler, 0, 0); err != nil {
+		return nil, &ConfigError{path, err}
+	}
+	if err := c.Gateway.Admission.Check(); err != nil {
+		return nil, &ConfigError{path, err}
+	}
+	return c, nil
+}
+
+func joinConfigErrors(path string, mistakes []error) error {
+	var errs []error
+	for _, mistake := range mistakes {
+		errs = append(errs, &ConfigError{path, mistake})
+	}
+	return errors.Join(errs...)
+}
+
+// addEnvironment fills in what the file leaves out.
+func (f *configFile) addEnvironment(env func(string) string) {
+	setDefault := func(value *string, variable string) {
+		if *value == "" {
+			*value = env(variable)
+		}
+	}
+	setDefault(&f.Name, EnvName)
+	setDefault(&f.Listen, EnvListen)
+	setDefault(&f.Discovery, EnvDiscovery)
+}
+
+// check returns the file's mistakes, in a fixed order, and what it computes on the way.
+func (f *configFile) check() (seed uint64, bounds Bounds, mistakes []error) {
+	addMistake := func(format string, args ...any) { mistakes = append(mistakes, fmt.Errorf(format, args...)) }
+	if _, err := netip.ParseAddrPort(f.Listen); err != nil {
+		addMistake("listen %q (or %s) is not an address and port", f.Listen, EnvListen)
+	}
+	if _, err := netip.ParseAddrPort(f.Discovery); err != nil {
+		addMistake("discovery %q (or %s) is not an address and port", f.Discovery, EnvDiscovery)
+	}
+	seed, err := strconv.ParseUint(f.Seed, 16, 64)
+	if err != nil {
+		addMistake("seed %q is not a number of 16 hex digits", f.Seed)
+	}
+	if f.Settings == nil {
+		addMistake("settings are missing")
+		return seed, bounds, mistakes
+	}
+	if err := f.Settings.Check(); err != nil {
+		mistakes = append(mistakes, err)
+	}
+	bounds, err = newBounds(f.Limits.Sockets, f.Limits.MemoryMB)
+	if err != nil {
+		mistakes = append(mistakes, err)
+	}
+	return seed, bounds, mistakes
+}
