--- a/internal/fakenode/store.go
+++ b/internal/fakenode/store.go
@@ -144,7 +144,7 @@
 	case "PROPFIND", "PROPPATCH":
 		body, err := io.ReadAll(r.Body)
 		r.Body = io.NopCloser(bytes.NewReader(body))
-		if err != nil || !gatewaydav.PrefixesBound(body) {
+		if err != nil || gatewaydav.BindsEmptyNamespace(body) {
 			return 400, "the XML binds a prefix to no namespace"
 		}
 	case "PUT":
--- /dev/null
+++ b/internal/webdav/multistatus.go
@@ -0,0 +1,223 @@
+package webdav
+
+import (
+	"bytes"
+	"encoding/xml"
+	"fmt"
+	"io"
+	"strings"
+)
+
+const (
+	multistatusStart = `<?xml version="1.0" encoding="utf-8"?>` + "\n" + `<D:multistatus xmlns:D="DAV:">`
+	multistatusEnd   = "</D:multistatus>\n"
+)
+
+// ListVolumes returns the response's body to a PROPFIND of "/", whose members are the
+// volumes. They are listed for depth "1".
+func ListVolumes(p Propfind, volumes []string, depth string) []byte {
+	var b bytes.Buffer
+	b.WriteString(multistatusStart)
+	writeCollection(&b, p, "/", "/")
+	if depth == "1" {
+		for _, v := range volumes {
+			writeCollection(&b, p, "/"+v+"/", v)
+		}
+	}
+	b.WriteString(multistatusEnd)
+	return b.Bytes()
+}
+
+// writeCollection writes the response element of a collection with the properties that were
+// asked for; those it does not have are listed with status 404.
+func writeCollection(b *bytes.Buffer, p Propfind, href, name string) {
+	const resourceType = "<D:resourcetype><D:collection/></D:resourcetype>"
+	displayName := "<D:displayname>" + escape(name) + "</D:displayname>"
+	var found, missing strings.Builder
+	switch {
+	case p.NamesOnly:
+		found.WriteString("<D:resourcetype/><D:displayname/>")
+	case p.AllProperties:
+		found.WriteString(resourceType + displayName)
+	}
+	for _, property := range p.Properties {
+		switch property {
+		case xml.Name{Space: davNamespace, Local: "resourcetype"}:
+			found.WriteString(resourceType)
+		case xml.Name{Space: davNamespace, Local: "displayname"}:
+			found.WriteString(displayName)
+		default:
+			fmt.Fprintf(&missing, `<X:%s xmlns:X="%s"/>`, property.Local, escape(property.Space))
+		}
+	}
+	b.WriteString("<D:response><D:href>" + escape(href) + "</D:href>")
+	if found.Len() > 0 || missing.Len() == 0 {
+		writePropstat(b, found.String(), "200 OK")
+	}
+	if missing.Len() > 0 {
+		writePropstat(b, missing.String(), "404 Not Found")
+	}
+	b.WriteString("</D:response>")
+}
+
+func writePropstat(b *bytes.Buffer, properties, status string) {
+	b.WriteString("<D:propstat><D:prop>" + properties + "</D:prop><D:status>HTTP/1.1 " + status + "</D:status></D:propstat>")
+}
+
+func escape(s string) string {
+	var b strings.Builder
+	xml.EscapeText(&b, []byte(s))
+	return b.String()
+}
+
+// MergeMultistatus makes one multistatus body of those that the shards sent for the same
+// collection. A response element whose href has been seen (that of the collection itself) is
+// left out. The errors are ErrMalformedListing and, for more than maxBytes,
+// ErrListingTooLarge. Guards against a listing that silently lacks a shard's part: one
+// malformed body fails the whole.
+func MergeMultistatus(bodies [][]byte, maxBytes int) ([]byte, error) {
+	var out bytes.Buffer
+	out.WriteString(multistatusStart)
+	seen := map[string]bool{}
+	for _, body := range bodies {
+		if err := appendResponses(&out, body, seen); err != nil {
+			return nil, err
+		}
+		if out.Len() > maxBytes {
+			return nil, ErrListingTooLarge
+		}
+	}
+	out.WriteString(multistatusEnd)
+	return out.Bytes(), nil
+}
+
+// appendResponses copies the response elements of a body, except those seen already.
+func appendResponses(out *bytes.Buffer, body []byte, seen map[string]bool) error {
+	r := newMultistatusReader(body)
+	for {
+		element, href, err := r.next()
+		if err == io.EOF {
+			return nil
+		}
+		if err != nil {
+			return err
+		}
+		if !seen[href] {
+			seen[href] = true
+			writeWithNamespaces(out, element, r.rootAttrs)
+		}
+	}
+}
+
+// multistatusReader reads the response elements of a multistatus body one by one.
+type multistatusReader struct {
+	body      []byte
+	decoder   *xml.Decoder
+	rootAttrs []xml.Attr // of the multistatus element, with its namespaces
+	depth     int        // of open elements; the root's is 1
+	complete  bool       // the root has ended
+
+	inResponse    bool // the open element at depth 2 is a response
+	responseStart int64
+	inHref        bool
+	href          strings.Builder // of the open response
+}
+
+func newMultistatusReader(body []byte) *multistatusReader {
+	return &multistatusReader{body: body, decoder: xml.NewDecoder(bytes.NewReader(body))} // which reads UTF-8 only
+}
+
+// next returns the bytes of the next response element and its href. The errors are io.EOF
+// after the last, and ErrMalformedListing.
+func (r *multistatusReader) next() (element []byte, href string, err error) {
+	for {
+		start := r.decoder.InputOffset()
+		token, err := r.decoder.Token()
+		if err == io.EOF && r.complete {
+			return nil, "", io.EOF
+		}
+		if err != nil {
+			return nil, "", ErrMalformedListing
+		}
+		switch e := token.(type) {
+		case xml.StartElement:
+			if err := r.startElement(e, start); err != nil {
+				return nil, "", err
+			}
+		case xml.CharData:
+			if r.inHref {
+				r.href.Write(e)
+			}
+		case xml.Directive: // a node may define no entities
+			return nil, "", ErrMalformedListing
+		case xml.EndElement:
+			if !r.endElement() {
+				continue
+			}
+			href := strings.TrimSpace(r.href.String())
+			if href == "" {
+				return nil, "", ErrMalformedListing
+			}
+			return r.body[r.responseStart:r.decoder.InputOffset()], href, nil
+		}
+	}
+}
+
+func (r *multistatusReader) startElement(e xml.StartElement, start int64) error {
+	r.depth++
+	dav := e.Name.Space == davNamespace
+	switch {
+	case r.depth == 1:
+		if !dav || e.Name.Local != "multistatus" || r.complete {
+			return ErrMalformedListing
+		}
+		r.rootAttrs = e.Attr
+	case r.depth == 2:
+		r.inResponse = dav && e.Name.Local == "response"
+		r.responseStart = start
+		r.href.Reset()
+	case r.depth == 3 && r.inResponse && dav && e.Name.Local == "href":
+		r.inHref = true
+	}
+	return nil
+}
+
+// endElement returns whether the element that ended is a response.
+func (r *multistatusReader) endElement() bool {
+	r.depth--
+	switch r.depth {
+	case 0:
+		r.complete = true
+	case 1:
+		return r.inResponse
+	case 2:
+		r.inHref = false
+	}
+	return false
+}
+
+// writeWithNamespaces writes an element and adds to its start tag the namespaces that the
+// root declares, unless the tag declares them itself.
+func writeWithNamespaces(out *bytes.Buffer, element []byte, rootAttrs []xml.Attr) {
+	nameEnd := bytes.IndexAny(element, " \t\r\n/>")
+	startTag := element[:bytes.IndexByte(element, '>')+1]
+	out.Write(element[:nameEnd])
+	for _, a := range rootAttrs {
+		name, ok := namespaceAttr(a)
+		if ok && !bytes.Contains(startTag, []byte(name+"=")) {
+			fmt.Fprintf(out, ` %s="%s"`, name, escape(a.Value))
+		}
+	}
+	out.Write(element[nameEnd:])
+}
+
+// namespaceAttr returns the name of an attribute that declares a namespace.
+func namespaceAttr(a xml.Attr) (name string, ok bool) {
+	switch {
+	case a.Name.Space == "xmlns":
+		return "xmlns:" + a.Name.Local, true
+	case a.Name.Space == "" && a.Name.Local == "xmlns":
+		return "xmlns", true
+	}
+	return "", false
+}
