--- a/internal/discoverytest/agent_test.go
+++ b/internal/discoverytest/agent_test.go
@@ -7,121 +7,125 @@
 	"maddergap/internal/discovery"
 )
 
-// When a change counts: at once, at the return of an agent that was down, and after a reload
-// or behind silent watches within the protocol's time.
+const nodeName = "n"
+
+// setStatus makes the registry's list one node of a status.
+func setStatus(r *Registry, status string) {
+	r.UpdateEndpoint(func(e *discovery.Endpoint) { *e = discovery.Endpoint{Name: nodeName, Status: status} }, nodeName)
+}
+
+// A node drains, while one agent is well, one is down, and the gateway of one reloads its
+// configuration. The drain counts at once, at the end of the outage, and after the protocol's
+// grace for a reload.
 func TestNotices(t *testing.T) {
-	g := NewRegistry()
-	g.UpdateEndpoint(func(e *discovery.Endpoint) { *e = discovery.Endpoint{Name: "n", Status: "up"} }, "n")
-	well, down, moved := g.NewAgent(0), g.NewAgent(1), g.NewAgent(2)
-	down.StartOutage()
-	moved.AddressChangeDelivered()
-	before := micro()
-	g.UpdateEndpoint(func(e *discovery.Endpoint) { e.Status = "draining" }, "n")
-	if len(down.notices) != 0 {
+	r := NewRegistry()
+	setStatus(r, "up")
+	const well, down, reloaded = 0, 1, 2
+	wellAgent, downAgent, reloadedAgent := r.NewAgent(well), r.NewAgent(down), r.NewAgent(reloaded)
+	downAgent.StartOutage()
+	reloadedAgent.AddressChangeDelivered()
+	before := nowMicros()
+	r.UpdateEndpoint(func(e *discovery.Endpoint) { e.Status = "draining" }, nodeName)
+	if len(downAgent.notices.drains) != 0 {
 		t.Error("an agent that is down was sent a list")
 	}
 	time.Sleep(20 * time.Millisecond)
-	down.EndOutage()
-	all, _ := g.Notices()
-	if len(all) != 3 {
-		t.Fatalf("%+v", all)
+	downAgent.EndOutage()
+	drains, _ := r.Notices()
+	if len(drains) != 3 {
+		t.Fatalf("%+v", drains)
 	}
-	for _, n := range all {
-		after := time.Duration(n.From-before) * time.Microsecond
-		switch n.Head {
-		case 0:
+	for _, notice := range drains {
+		after := time.Duration(notice.From-before) * time.Microsecond
+		switch notice.Head {
+		case well:
 			if after > 15*time.Millisecond {
 				t.Errorf("counts %v after it was sent", after)
 			}
-		case 1:
+		case down:
 			if after < 20*time.Millisecond {
-				t.Errorf("counts %v after, before the return", after)
+				t.Errorf("counts %v after it was sent, before the end of the outage", after)
 			}
-		case 2:
+		case reloaded:
 			if after < 3*time.Second {
 				t.Errorf("counts %v after a reload", after)
 			}
 		}
 	}
-	g.UpdateEndpoint(func(e *discovery.Endpoint) { e.Status = "up" }, "n")
-	if n := well.notices[0]; n.To == 0 {
-		t.Error("the notice of a node that serves again goes on")
+	r.UpdateEndpoint(func(e *discovery.Endpoint) { e.Status = "up" }, nodeName)
+	if notice := wellAgent.notices.drains[0]; notice.To == 0 {
+		t.Error("the notice of a node that is up again has no end")
 	}
 }
 
-// Outages that overlap are one; a return that is too short for anybody to ask counts with the
-// next one.
-func TestOutagesThatOverlap(t *testing.T) {
-	g := NewRegistry()
-	g.UpdateEndpoint(func(e *discovery.Endpoint) { *e = discovery.Endpoint{Name: "n", Status: "up"} }, "n")
-	a := g.NewAgent(0)
+// Two outages overlap: the agent is down until both are over. It is then up too shortly for
+// anybody to call it, so that what it had counts with the next recovery.
+func TestOverlappingOutages(t *testing.T) {
+	r := NewRegistry()
+	setStatus(r, "up")
+	a := r.NewAgent(0)
 	a.StartOutage()
 	a.StartOutage()
-	g.UpdateEndpoint(func(e *discovery.Endpoint) { e.Status = "draining" }, "n")
+	r.UpdateEndpoint(func(e *discovery.Endpoint) { e.Status = "draining" }, nodeName)
 	a.EndOutage()
-	if !a.down || len(a.notices) != 0 {
-		t.Error("it is back while an outage goes on")
+	if !a.faults.down || len(a.notices.drains) != 0 {
+		t.Error("it is up within an outage")
 	}
 	a.EndOutage()
-	if a.down || len(a.notices) != 1 {
-		t.Errorf("down %v, %+v after both", a.down, a.notices)
+	if a.faults.down || len(a.notices.drains) != 1 {
+		t.Errorf("down %v, %+v after both", a.faults.down, a.notices.drains)
 	}
 	a.StartOutage()
-	if len(a.notices) != 0 {
+	if len(a.notices.drains) != 0 {
 		t.Error("what nobody could ask for counts")
 	}
 	a.EndOutage()
-	if len(a.notices) != 1 {
-		t.Errorf("%+v after the next return", a.notices)
+	if len(a.notices.drains) != 1 {
+		t.Errorf("%+v after the next recovery", a.notices.drains)
 	}
 }
 
-// A head that asked at a short return has what was new then, and is told what is new at the next
-// one. Guards against an agent that takes back what a head was told, and tells it half the truth.
-func TestChangesAfterAShortReturn(t *testing.T) {
-	g := NewRegistry()
-	set := func(status string) {
-		g.UpdateEndpoint(func(e *discovery.Endpoint) { *e = discovery.Endpoint{Name: "n", Status: status} }, "n")
-	}
-	set("draining")
-	a := g.NewAgent(0)
+// A gateway calls the agent in a short recovery, and again in the next one. It is told what
+// changed in between. An agent that had retracted its list with the notices would tell it half
+// of that.
+func TestChangesAfterShortRecovery(t *testing.T) {
+	r := NewRegistry()
+	setStatus(r, "draining")
+	a := r.NewAgent(0)
 	a.StartOutage()
-	set("up")
+	setStatus(r, "up")
 	a.EndOutage()
-	had := a.FullList() // as a head has it that asks at once
+	known := a.FullList()
 	a.StartOutage()
-	set("draining")
+	setStatus(r, "draining")
 	a.EndOutage()
-	if told := a.changes(*had.Index); len(told.Endpoints) != 1 || told.Endpoints[0].Status != "draining" {
-		t.Errorf("%+v is told of what changed since %+v", told, had)
+	if changes := a.list.changesSince(*known.Index); len(changes.Endpoints) != 1 || changes.Endpoints[0].Status != "draining" {
+		t.Errorf("the changes since %+v are %+v", known, changes)
 	}
 }
 
-// What an agent is sent just before it is silent counts from its return, and what had ended by it
-// goes on. Guards against a head that is blamed for what it could not have heard.
-func TestNoticeJustBeforeAnOutage(t *testing.T) {
-	g := NewRegistry()
-	set := func(status string) {
-		g.UpdateEndpoint(func(e *discovery.Endpoint) { *e = discovery.Endpoint{Name: "n", Status: status} }, "n")
-	}
-	set("up")
-	a := g.NewAgent(0)
-	time.Sleep(reachable + 10*time.Millisecond)
-	set("draining")
+// An agent receives a list just before an outage. What changed by it counts from the recovery, and
+// a drain that it ended goes on: no gateway could have heard of it.
+func TestNoticeJustBeforeOutage(t *testing.T) {
+	r := NewRegistry()
+	setStatus(r, "up")
+	a := r.NewAgent(0)
+	time.Sleep(minReachableTime + 10*time.Millisecond)
+	setStatus(r, "draining")
 	a.StartOutage()
-	if len(a.notices) != 0 {
-		t.Errorf("%+v counts while the agent is silent", a.notices)
+	if len(a.notices.drains) != 0 {
+		t.Errorf("%+v counts within the outage", a.notices.drains)
 	}
 	time.Sleep(20 * time.Millisecond)
-	back := micro()
+	recovered := nowMicros()
 	a.EndOutage()
-	if len(a.notices) != 1 || a.notices[0].From < back {
-		t.Errorf("%+v after the return", a.notices)
+	if len(a.notices.drains) != 1 || a.notices.drains[0].From < recovered {
+		t.Errorf("%+v after the recovery", a.notices.drains)
 	}
-	time.Sleep(reachable + 10*time.Millisecond)
-	set("up")
+	time.Sleep(minReachableTime + 10*time.Millisecond)
+	setStatus(r, "up")
 	a.StartOutage()
-	if len(a.notices) != 1 || a.notices[0].To != 0 {
-		t.Errorf("%+v: ended by what nobody heard", a.notices)
+	if len(a.notices.drains) != 1 || a.notices.drains[0].To != 0 {
+		t.Errorf("%+v: ended by a list that nobody heard of", a.notices.drains)
 	}
 }
