--- a/internal/discovery/agent_test.go
+++ b/internal/discovery/agent_test.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// A watch falls silent, at once or within its response, while a change waits for it. Up to three
+// A watch hangs, at once or within its response, while a change waits for it. Up to three
 // of the calls after it fail as well: the connection is refused, never comes up or is closed, the
-// server stays silent or responds with an error. The client still has the list within a second,
+// server does not respond, or responds with an error. The client still has the list within a second,
 // well before the 6 s after which the change counts as delivered.
 func TestChangeReceivedWithinGrace(t *testing.T) {
 	const bound = time.Second
@@ -19,10 +19,10 @@
 		for !run.received {
 			run.step()
 		}
-		worst = max(worst, run.now-run.silentFrom)
+		worst = max(worst, run.now-run.unresponsiveSince)
 	}
 	if worst > bound {
-		t.Errorf("the list came %v after the watch fell silent, want %v at most", worst, bound)
+		t.Errorf("the list came %v after the watch hung, want %v at most", worst, bound)
 	}
 	t.Logf("the worst of 2,000 runs: %v", worst)
 }
@@ -31,30 +31,30 @@
 type callFault int
 
 const (
-	noFault       callFault = -1
-	refusedDial   callFault = 0
-	hangingDial   callFault = 1
-	silentCall    callFault = 2
-	closedCall    callFault = 3
-	errorResponse callFault = 4
-	faultCount              = 5
-	maxFaults               = 3 // in a run
+	noFault          callFault = -1
+	rejectedDial     callFault = 0
+	hangingDial      callFault = 1
+	unresponsiveCall callFault = 2
+	closedCall       callFault = 3
+	errorResponse    callFault = 4
+	faultCount                 = 5
+	maxFaults                  = 3 // in a run
 )
 
 // faultyRun is a run of one client against a server with faults.
 type faultyRun struct {
-	draw       *rand.Rand
-	client     *Client
-	now        Time
-	faults     int
-	silentFrom Time // when the watch that fell silent was sent; 0: it was not yet
-	received   bool // a list came after that
+	draw              *rand.Rand
+	client            *Client
+	now               Time
+	faults            int
+	unresponsiveSince Time // when the watch that hung was sent; 0: it was not yet
+	received          bool // a list came after that
 }
 
 func (r *faultyRun) step() {
 	op, wakeAt := r.client.Step(r.now)
 	fault := callFault(r.draw.IntN(faultCount))
-	if r.silentFrom == 0 || r.faults == maxFaults {
+	if r.unresponsiveSince == 0 || r.faults == maxFaults {
 		fault = noFault
 	}
 	switch {
@@ -70,7 +70,7 @@
 
 func (r *faultyRun) dial(conn int, fault callFault) {
 	switch fault {
-	case refusedDial:
+	case rejectedDial:
 		r.client.Closed(r.now, conn)
 		r.faults++
 	case hangingDial:
@@ -84,13 +84,13 @@
 	isWatch := strings.Contains(string(request), "from=")
 	response := httpResponse(listJSON(42, true, endpointJSON("a", "up")))
 	switch {
-	case isWatch && r.silentFrom == 0:
-		r.silentFrom = r.now
+	case isWatch && r.unresponsiveSince == 0:
+		r.unresponsiveSince = r.now
 		r.client.Data(r.now, conn, []byte(response[:r.draw.IntN(len(response))]))
-	case fault < silentCall:
+	case fault < unresponsiveCall:
 		r.client.Data(r.now, conn, []byte(response))
-		r.received = r.silentFrom > 0
-	case fault == silentCall: // at once, or within its response
+		r.received = r.unresponsiveSince > 0
+	case fault == unresponsiveCall: // at once, or within its response
 		r.client.Data(r.now, conn, []byte(response[:r.draw.IntN(len(response))]))
 		r.faults++
 	case fault == closedCall:
@@ -102,7 +102,7 @@
 	}
 }
 
-// An agent falls silent for a span of any length, at any phase of a watch, also before the first
+// An agent hangs for a span of any length, at any phase of a watch, also before the first
 // call of a new process and behind a change of the address. It responds only to calls that begin
 // after its return. Whatever the length, the client has the list within maxCallAge of the return,
 // and makes a bounded number of calls and connections meanwhile.
@@ -117,7 +117,7 @@
 		if sent := outage.client.Status().CallsSent - calls; sent > 8+int(length/agentPolicy.maxCallAge) {
 			t.Fatalf("seed %d: %d calls within an outage of %v", seed, sent, length)
 		}
-		outage.over = true
+		outage.ended = true
 		recovery, received := outage.awaitUpdate(time.Second)
 		if !received {
 			t.Fatalf("seed %d: no list within 1 s after an outage of %v", seed, length)
@@ -132,12 +132,12 @@
 	}
 }
 
-// agentOutage is a client of an agent that serves, is silent and serves again.
+// agentOutage is a client of an agent that serves, hangs and serves again.
 type agentOutage struct {
 	*harness
 	draw  *rand.Rand
 	begun bool
-	over  bool
+	ended bool
 }
 
 func newOutage(t *testing.T, seed uint64) *agentOutage {
@@ -164,7 +164,7 @@
 
 // respondUnlessDown leaves requests of the outage unanswered for good.
 func (o *agentOutage) respondUnlessDown(conn int, _ string) {
-	if o.begun && !o.over {
+	if o.begun && !o.ended {
 		return
 	}
 	delete(o.pendingRequests, conn)
--- a/internal/discovery/call.go
+++ b/internal/discovery/call.go
@@ -130,10 +130,10 @@
 }
 
 func (d *responseDecoder) decodeBody() (complete bool, err error) {
-	rest := d.unread
-	for len(rest) > 0 && !d.body.Done() {
+	remaining := d.unread
+	for len(remaining) > 0 && !d.body.Done() {
 		var data []byte
-		data, rest, err = d.body.Next(rest)
+		data, remaining, err = d.body.Next(remaining)
 		if err != nil {
 			return false, err
 		}
@@ -145,7 +145,7 @@
 			return false, err
 		}
 	}
-	d.unread = append(d.unread[:0], rest...)
+	d.unread = append(d.unread[:0], remaining...)
 	return d.body.Done(), nil
 }
 
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -125,7 +125,7 @@
 
 // dial starts a call on a new connection.
 func (c *Client) dial(now Time) gateway.SourceOp {
-	if len(c.calls) > 0 { // these are late, and may be silent for good
+	if len(c.calls) > 0 { // these are late, and may hang for good
 		c.list.missedChanges()
 	}
 	c.lastConnID++
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -38,7 +38,7 @@
 }
 
 // A call fails in one of many ways, again and again. The list stays in force, and another call
-// follows on a new connection within a bounded time. If the server was silent, rejected the call
+// follows on a new connection within a bounded time. If the server did not respond, rejected the call
 // or lost the connection, it is asked for the changes since the version that is known; after a
 // response that is wrong it is asked for the full list.
 func TestFailedCallKeepsList(t *testing.T) {
@@ -93,7 +93,7 @@
 	changed := func(endpoint string) string { return listJSON(50, false, endpoint) }
 	return []failedCall{
 		{"silence", func(h *harness) { h.advance(agentPolicy.maxCallAge) }, changes, nil},
-		{"silence within the response", func(h *harness) { deliverPart(h); h.advance(maxResponseHoldOff) }, changes, nil},
+		{"silence within the response", func(h *harness) { deliverPart(h); h.advance(maxResponseDeferral) }, changes, nil},
 		{"closed", func(h *harness) { h.resetConn(h.lastConn) }, changes, ErrConnectionLost},
 		{"closed within the response", func(h *harness) { deliverPart(h); h.resetConn(h.lastConn) }, changes, ErrConnectionLost},
 		{"rejected", deliver("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"), changes, nil},
@@ -171,8 +171,8 @@
 	const interim = "HTTP/1.1 102 Processing\r\n\r\nHTTP/1.1 103 Hints\r\nLink: a\r\n\r\n"
 	for _, n := range []int{1, 1 << 20} {
 		h := newAgentHarness(t)
-		for rest := interim; len(rest) > 0; rest = rest[min(n, len(rest)):] {
-			h.deliver(h.lastConn, rest[:min(n, len(rest))])
+		for remaining := interim; len(remaining) > 0; remaining = remaining[min(n, len(remaining)):] {
+			h.deliver(h.lastConn, remaining[:min(n, len(remaining))])
 		}
 		h.respond(listJSON(41, true, endpointJSON("a", "up")), n)
 		if update, ok := h.client.TakeUpdate(); !update.Full || !ok || len(h.dials) != 1 {
--- a/internal/discovery/fuzz_test.go
+++ b/internal/discovery/fuzz_test.go
@@ -17,10 +17,10 @@
 		var updates []string
 		for _, n := range []int{n, len(b) + 1} {
 			h := newAgentHarness(t)
-			for conn, rest := h.lastConn, b; len(rest) > 0 && h.open[conn]; {
-				size := min(n, len(rest))
-				h.deliver(conn, string(rest[:size]))
-				rest = rest[size:]
+			for conn, remaining := h.lastConn, b; len(remaining) > 0 && h.open[conn]; {
+				size := min(n, len(remaining))
+				h.deliver(conn, string(remaining[:size]))
+				remaining = remaining[size:]
 			}
 			update, ok := h.client.TakeUpdate()
 			updates = append(updates, fmt.Sprint(update, ok))
--- a/internal/discovery/harness_test.go
+++ b/internal/discovery/harness_test.go
@@ -120,10 +120,10 @@
 func (h *harness) respond(body string, n int) {
 	conn := h.lastConn
 	delete(h.pendingRequests, conn)
-	for rest := httpResponse(body); len(rest) > 0 && h.open[conn]; {
-		size := min(n, len(rest))
-		h.deliver(conn, rest[:size])
-		rest = rest[size:]
+	for remaining := httpResponse(body); len(remaining) > 0 && h.open[conn]; {
+		size := min(n, len(remaining))
+		h.deliver(conn, remaining[:size])
+		remaining = remaining[size:]
 		h.step()
 	}
 	h.advance(callSpacing)
--- a/internal/discovery/list_state.go
+++ b/internal/discovery/list_state.go
@@ -66,7 +66,7 @@
 
 // callFailed sets what is asked for after a call that brought no list.
 //   - A rejected call did nothing, and no change was sent on it.
-//   - A call that was silent or broke may have taken changes with it, unless it was not sent.
+//   - A call that did not respond or broke may have taken changes with it, unless it was not sent.
 //   - Any other response shows that client and server disagree: they start anew.
 func (s *listState) callFailed(sent bool, cause error) {
 	switch {
--- a/internal/discovery/policy.go
+++ b/internal/discovery/policy.go
@@ -25,7 +25,7 @@
 }
 
 // agentPolicy is for an agent on the gateway's own machine. It responds at once and at no cost;
-// while discovery is down it is silent, and whatever it has when it returns counts as delivered
+// while discovery is down it is unresponsive, and whatever it has when it returns counts as delivered
 // at that moment. The failure guarded against is a call that such an outage swallowed: a gateway
 // that waits for its response, or backs off after it, keeps sending to a node that is draining
 // until the grace of that drain is over. Since the newest call is never older than maxCallAge, a
@@ -44,7 +44,7 @@
 // a time and rejects the rest. The failure guarded against is a call that is given up while its
 // response is on the way and then repeated: the service would work for nobody and stay
 // overloaded. So one call is made at a time, and timeouts exceed what the service takes under
-// load. A watch counts as a call too, so watches are long. A change that a silent watch missed
+// load. A watch counts as a call too, so watches are long. A change that a hung watch missed
 // counts as delivered 2 s after the watch was to end, so it is asked for before that.
 var pollPolicy = callPolicy{
 	watchHold:            12 * time.Second,
@@ -60,10 +60,10 @@
 func (p *callPolicy) overlapping() bool { return p.maxCallAge > 0 }
 
 const (
-	// maxResponseHoldOff bounds how long a response that is being received puts off the next call.
-	maxResponseHoldOff = 500 * time.Millisecond
-	// stalledResponseAfter is how long a response may pause before it puts off calls no more.
-	stalledResponseAfter = 90 * time.Millisecond
+	// maxResponseDeferral bounds how long a response that is being received puts off the next call.
+	maxResponseDeferral = 500 * time.Millisecond
+	// responseStallTimeout is how long a response may pause before it puts off calls no more.
+	responseStallTimeout = 90 * time.Millisecond
 	// callSpacing is the least time between the starts of two calls on one connection. It guards
 	// against a server that responds to watches at once though nothing changed, which would show
 	// as a loop of calls that uses up both machines.
--- a/internal/discovery/policy_test.go
+++ b/internal/discovery/policy_test.go
@@ -24,18 +24,18 @@
 	check(t, "calls overlap", p.overlapping() && p.maxCalls > 1)
 	check(t, "the oldest call outlives the others", p.listTimeout > Time(p.maxCalls)*p.maxCallAge && p.watchResponseTimeout >= p.listTimeout)
 	check(t, "a retry waits no longer than the next call would", p.minBackoff < p.maxBackoff && p.maxBackoff <= p.maxCallAge)
-	check(t, "a stalled response puts off no call", stalledResponseAfter < p.maxCallAge && stalledResponseAfter < maxResponseHoldOff)
+	check(t, "a stalled response puts off no call", responseStallTimeout < p.maxCallAge && responseStallTimeout < maxResponseDeferral)
 	check(t, "a watch is longer than the spacing of calls", callSpacing < p.watchHold)
 	check(t, "a call outlives its dial", dialTimeout < p.listTimeout)
 }
 
 // The timing of a polled service's calls. A call has to outlast an overloaded service, and what a
-// silent watch missed has to be asked for before it counts.
+// hung watch missed has to be asked for before it counts.
 func TestPollPolicyRelations(t *testing.T) {
 	p := pollPolicy
 	check(t, "calls do not overlap", !p.overlapping() && p.maxCalls == 1)
 	check(t, "a call outlasts an overloaded service", p.listTimeout > overloadedService)
-	check(t, "a silent watch is over before what it missed counts", p.watchResponseTimeout+p.minBackoff*3/2 < missedChangeGrace)
+	check(t, "a hung watch is over before what it missed counts", p.watchResponseTimeout+p.minBackoff*3/2 < missedChangeGrace)
 	check(t, "the hold is one that the protocol allows", p.watchHold+p.watchHoldJitter <= maxProtocolHold)
 	check(t, "a watch's timeout is its own", p.watchHold+p.watchResponseTimeout > p.listTimeout)
 	check(t, "the backoff grows", p.minBackoff < p.maxBackoff)
--- a/internal/discovery/poll_test.go
+++ b/internal/discovery/poll_test.go
@@ -10,7 +10,7 @@
 
 // A polled service is overloaded: it rejects calls, and takes nearly two seconds for a list. A
 // call that it works on is not given up, and a rejected one is repeated after a backoff. A watch
-// then falls silent: it is followed by a call for the changes since, and these are received
+// then hangs: it is followed by a call for the changes since, and these are received
 // before they count as delivered, 2 s after the watch was to end.
 func TestPollingOverloadedService(t *testing.T) {
 	for seed := range uint64(50) {
--- a/internal/discovery/schedule.go
+++ b/internal/discovery/schedule.go
@@ -82,15 +82,15 @@
 	if !s.policy.overlapping() {
 		return len(calls) == 0
 	}
-	return now >= heldOffUntil(calls)
+	return now >= deferredUntil(calls)
 }
 
-// heldOffUntil is until when the responses that are being received put off another call: one
+// deferredUntil is until when the responses that are being received put off another call: one
 // that makes progress is likely to be complete before another could be.
-func heldOffUntil(calls []*call) (until Time) {
+func deferredUntil(calls []*call) (until Time) {
 	for _, k := range calls {
 		if k.state == receiving {
-			until = max(until, min(k.firstByteAt+maxResponseHoldOff, k.lastByteAt+stalledResponseAfter))
+			until = max(until, min(k.firstByteAt+maxResponseDeferral, k.lastByteAt+responseStallTimeout))
 		}
 	}
 	return until
@@ -100,7 +100,7 @@
 func (s *callSchedule) wakeAt(now Time, calls []*call) Time {
 	at := never
 	if s.policy.overlapping() {
-		at = max(s.nextCallAt, heldOffUntil(calls))
+		at = max(s.nextCallAt, deferredUntil(calls))
 	} else if len(calls) == 0 {
 		at = s.nextCallAt
 	}
--- a/internal/discoverytest/faults.go
+++ b/internal/discoverytest/faults.go
@@ -7,7 +7,7 @@
 	outages int  // that overlap; the agent is down while there is one
 	down    bool // no connection is served, and no list received
 	// epoch numbers the spans between faults that silence connections. A connection is served in
-	// the epoch in which it was accepted, and silent from then on.
+	// the epoch in which it was accepted, and hangs from then on.
 	epoch         int
 	responseDelay time.Duration
 	recoveredAt   time.Time // when the last outage ended; zero: there was none
@@ -15,8 +15,8 @@
 	firstResponseAt time.Time
 }
 
-// silenceConns has all connections that are open stay silent.
-func (f *faultState) silenceConns() { f.epoch++ }
+// hangConns has all connections that are open hang for good.
+func (f *faultState) hangConns() { f.epoch++ }
 
 // responded is called when a response was written.
 func (f *faultState) responded(now time.Time) {
@@ -25,12 +25,12 @@
 	}
 }
 
-// StartOutage makes the agent silent, for good on its connections. Outages may overlap.
+// StartOutage makes the agent unresponsive, for good on its connections. Outages may overlap.
 func (a *Agent) StartOutage() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.faults.outages++
-	a.faults.silenceConns()
+	a.faults.hangConns()
 	if a.faults.down {
 		return
 	}
@@ -48,7 +48,7 @@
 	if a.faults.outages > 0 {
 		return
 	}
-	a.faults.silenceConns()
+	a.faults.hangConns()
 	a.faults.down = false
 	a.faults.recoveredAt = time.Now()
 	a.faults.firstResponseAt = time.Time{}
@@ -63,13 +63,13 @@
 	return a.faults.recoveredAt, a.faults.firstResponseAt
 }
 
-// SilenceWatches has the connections that are open stay silent. What their watches miss counts
+// HangWatches has the connections that are open hang for good. What their watches miss counts
 // later.
-func (a *Agent) SilenceWatches() {
+func (a *Agent) HangWatches() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.faults.silenceConns()
-	a.notices.deferBy(silenceGrace)
+	a.faults.hangConns()
+	a.notices.deferBy(hungWatchGrace)
 }
 
 // SetResponseDelay delays each response; 0 ends that. What delayed responses bring counts later.
@@ -78,7 +78,7 @@
 	defer a.mu.Unlock()
 	a.faults.responseDelay = delay
 	if delay > 0 {
-		a.notices.deferBy(silenceGrace)
+		a.notices.deferBy(hungWatchGrace)
 	}
 }
 
--- a/internal/discoverytest/notices.go
+++ b/internal/discoverytest/notices.go
@@ -8,10 +8,10 @@
 )
 
 const (
-	// silenceGrace and reloadGrace are how long after a watch fell silent, and after a reload with
+	// hungWatchGrace and reloadGrace are how long after a watch hung, and after a reload with
 	// a new address, a change counts as delivered at the latest, by the protocol.
-	silenceGrace = 6 * time.Second
-	reloadGrace  = 4 * time.Second
+	hungWatchGrace = 6 * time.Second
+	reloadGrace    = 4 * time.Second
 	// minReachableTime is how long an agent has to be up with a list for that to count: a gateway
 	// cannot be sure to have called it in a shorter time.
 	minReachableTime = 350 * time.Millisecond
--- a/internal/discoverytest/registry.go
+++ b/internal/discoverytest/registry.go
@@ -1,6 +1,6 @@
 // Package discoverytest is a fake of the discovery service, for tests and the soak: a Registry
 // has the true list of nodes and sends it to agents, one on each gateway's machine, which serve it
-// over HTTP as package discovery reads it. Agents can be down, slow, or silent on open watches.
+// over HTTP as package discovery reads it. Agents can be down, slow, or unresponsive on open watches.
 // They record from when each change counts as delivered to their gateway, for the audit.
 //
 // registry.go is the list, agent.go an agent's copy of it, server.go its HTTP server, faults.go
--- a/internal/discoverytest/server.go
+++ b/internal/discoverytest/server.go
@@ -40,7 +40,7 @@
 // Close closes the agent's listener and connections, and waits for their goroutines.
 func (a *Agent) Close() {
 	a.mu.Lock()
-	a.faults.silenceConns() // ends the watches
+	a.faults.hangConns() // ends the watches
 	if a.listener != nil {
 		a.listener.Close()
 	}
@@ -62,10 +62,10 @@
 }
 
 // serve responds to the calls on a connection. Once one got no response, none does: an agent that
-// was down is silent for good on the connections it had.
+// was down never responds on the connections it had.
 func (a *Agent) serve(conn net.Conn) {
 	defer conn.Close()
-	epoch, silent := a.addConn(conn)
+	epoch, hung := a.addConn(conn)
 	defer a.removeConn(conn)
 	in := bufio.NewReader(conn)
 	for {
@@ -74,13 +74,13 @@
 		if err != nil {
 			return
 		}
-		if !silent {
-			silent = !a.handle(conn, request, epoch)
+		if !hung {
+			hung = !a.handle(conn, request, epoch)
 		}
 	}
 }
 
-func (a *Agent) addConn(conn net.Conn) (epoch int, silent bool) {
+func (a *Agent) addConn(conn net.Conn) (epoch int, hung bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.conns[conn] = true
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -92,7 +92,7 @@
 	}
 	isNew := m == nil
 	restarted := isNew || !m.node.Started.Equal(node.Started)
-	moved := isNew || m.node.Addr != node.Addr
+	addrChanged := isNew || m.node.Addr != node.Addr
 	if isNew {
 		m = &member{}
 		t.members[node.Name] = m
@@ -105,7 +105,7 @@
 	if node.State == scheduler.Removed {
 		delete(t.members, node.Name)
 	}
-	return Change{Endpoint: m.endpoint(), Addr: node.Addr, AddressChanged: moved || restarted}, true
+	return Change{Endpoint: m.endpoint(), Addr: node.Addr, AddressChanged: addrChanged || restarted}, true
 }
 
 func (m *member) endpoint() scheduler.Endpoint {
--- a/internal/platform/bounds.go
+++ b/internal/platform/bounds.go
@@ -42,10 +42,10 @@
 	// minConnDescriptors and minMemoryMB are what a gateway needs to serve at all.
 	minConnDescriptors = 32
 	minMemoryMB        = 16
-	// runtimeMemoryShare is the runtime's share of the platform's memory limit. The rest is for
+	// runtimeMemoryFraction is the runtime's share of the platform's memory limit. The rest is for
 	// what the runtime does not count, and for its overshoot: beyond the platform's limit the
 	// process is killed.
-	runtimeMemoryShare = 0.6
+	runtimeMemoryFraction = 0.6
 	// minConnBufferBytes is the buffer that each client connection can have at any time.
 	minConnBufferBytes = 4 << 10
 )
@@ -54,7 +54,7 @@
 // of memory, in MiB. The error says that they are too low to serve.
 func newBounds(descriptors int, memoryMB float64) (Bounds, error) {
 	b := Bounds{
-		RuntimeMemoryBytes:  int64(memoryMB * runtimeMemoryShare * (1 << 20)),
+		RuntimeMemoryBytes:  int64(memoryMB * runtimeMemoryFraction * (1 << 20)),
 		DescriptorLimit:     descriptors,
 		MaxRejectionConns:   maxRejectionConns,
 		ReservedDescriptors: reservedDescriptors,
--- a/internal/platform/config_file.go
+++ b/internal/platform/config_file.go
@@ -82,9 +82,9 @@
 		return nil, &ConfigError{path, err}
 	}
 	f.addEnvironment(env)
-	seed, bounds, mistakes := f.check()
-	if len(mistakes) > 0 {
-		return nil, joinConfigErrors(path, mistakes)
+	seed, bounds, errs := f.check()
+	if len(errs) > 0 {
+		return nil, joinConfigErrors(path, errs)
 	}
 	c := &Config{
 		InstanceName:  f.Name,
@@ -103,12 +103,12 @@
 	return c, nil
 }
 
-func joinConfigErrors(path string, mistakes []error) error {
-	var errs []error
-	for _, mistake := range mistakes {
-		errs = append(errs, &ConfigError{path, mistake})
+func joinConfigErrors(path string, errs []error) error {
+	var configErrors []error
+	for _, err := range errs {
+		configErrors = append(configErrors, &ConfigError{path, err})
 	}
-	return errors.Join(errs...)
+	return errors.Join(configErrors...)
 }
 
 // addEnvironment fills in what the file leaves out.
@@ -123,29 +123,29 @@
 	setDefault(&f.Discovery, EnvDiscovery)
 }
 
-// check returns the file's mistakes, in a fixed order, and what it computes on the way.
-func (f *configFile) check() (seed uint64, bounds Bounds, mistakes []error) {
-	addMistake := func(format string, args ...any) { mistakes = append(mistakes, fmt.Errorf(format, args...)) }
+// check returns the mistakes of the file, in a fixed order, and what it computes on the way.
+func (f *configFile) check() (seed uint64, bounds Bounds, errs []error) {
+	addError := func(format string, args ...any) { errs = append(errs, fmt.Errorf(format, args...)) }
 	if _, err := netip.ParseAddrPort(f.Listen); err != nil {
-		addMistake("listen %q (or %s) is not an address and port", f.Listen, EnvListen)
+		addError("listen %q (or %s) is not an address and port", f.Listen, EnvListen)
 	}
 	if _, err := netip.ParseAddrPort(f.Discovery); err != nil {
-		addMistake("discovery %q (or %s) is not an address and port", f.Discovery, EnvDiscovery)
+		addError("discovery %q (or %s) is not an address and port", f.Discovery, EnvDiscovery)
 	}
 	seed, err := strconv.ParseUint(f.Seed, 16, 64)
 	if err != nil {
-		addMistake("seed %q is not a number of 16 hex digits", f.Seed)
+		addError("seed %q is not a number of 16 hex digits", f.Seed)
 	}
 	if f.Settings == nil {
-		addMistake("settings are missing")
-		return seed, bounds, mistakes
+		addError("settings are missing")
+		return seed, bounds, errs
 	}
 	if err := f.Settings.Check(); err != nil {
-		mistakes = append(mistakes, err)
+		errs = append(errs, err)
 	}
 	bounds, err = newBounds(f.Limits.Sockets, f.Limits.MemoryMB)
 	if err != nil {
-		mistakes = append(mistakes, err)
+		errs = append(errs, err)
 	}
-	return seed, bounds, mistakes
+	return seed, bounds, errs
 }
--- a/internal/platform/write_test.go
+++ b/internal/platform/write_test.go
@@ -64,8 +64,8 @@
 // timeout is the one in the attempt, if that is written now.
 func (a *pendingAttempt) timeout(t *testing.T) time.Duration {
 	t.Helper()
-	_, rest, found := strings.Cut(string(a.gateway.Out(a.now, a.nodeConn)), "X-Remaining: ")
-	text, _, _ := strings.Cut(rest, "u\r\n")
+	_, remaining, found := strings.Cut(string(a.gateway.Out(a.now, a.nodeConn)), "X-Remaining: ")
+	text, _, _ := strings.Cut(remaining, "u\r\n")
 	micros, err := strconv.ParseInt(text, 10, 64)
 	if !found || err != nil {
 		t.Fatalf("the attempt has no timeout: %v", err)
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -213,7 +213,7 @@
 		case DiscoveryDown:
 			a.StartOutage()
 		case WatchesSilent:
-			a.SilenceWatches()
+			a.HangWatches()
 		case DiscoverySlow:
 			a.SetResponseDelay(e.For / 10)
 		}
