--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -10,7 +10,8 @@
 	"maddergap/internal/config"
 )
 
-func table(t testing.TB) *Table {
+// newTable routes two volumes, feed-a with five shards and feed-b with one, to four classes.
+func newTable(t testing.TB) *Table {
 	t.Helper()
 	c, err := config.Parse("t", []byte(`listen 127.0.0.1:0
 nodes n
@@ -36,8 +37,10 @@
 	return NewTable(c, nil)
 }
 
-func TestPlaces(t *testing.T) {
-	tab := table(t)
+// Each kind of path is located, and a path with two readings is rejected. An escape does
+// not change where a unit is.
+func TestLocate(t *testing.T) {
+	tab := newTable(t)
 	for path, want := range map[string]Kind{"/": Root, "/feed-a": VolumeRoot, "/feed-a/": VolumeRoot,
 		"/feed%2Da/": VolumeRoot, "/feed-a/x": Unit, "/feed-a/x/": Unit, "/feed-a/x/y": Unit} {
 		if p, err := tab.Locate(path); err != nil || p.Kind != want {
@@ -54,7 +57,7 @@
 	a, _ := tab.Locate("/feed-a/st%61tion/one")
 	b, _ := tab.Locate("/feed-a/station")
 	if a.Unit != "station" || a.Shard != b.Shard {
-		t.Errorf("an escape moved the unit: %+v %+v", a, b)
+		t.Errorf("an escape changes the location: %+v %+v", a, b)
 	}
 	for target, want := range map[string]string{"http://h:1/a/b?q": "/a/b", "HTTP://h": "/", "/a?b": "/a"} {
 		if p, _, err := SplitTarget(target); err != nil || p != want {
@@ -63,13 +66,14 @@
 	}
 	for _, target := range []string{"a/b", "ftp://h/x", "http:///x", "*"} {
 		if _, _, err := SplitTarget(target); err == nil {
-			t.Errorf("%s was taken", target)
+			t.Errorf("%s is accepted", target)
 		}
 	}
 }
 
-// A shard more or less moves only what is then on it.
-func TestShardsMoveLittle(t *testing.T) {
+// A shard is removed from a random set. Only the units that were on it move, and they are
+// about its even part of all.
+func TestRemovedShardMovesOnlyItsUnits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		shards := rapid.SliceOfNDistinct(rapid.IntRange(0, 200), 2, 12, rapid.ID).Draw(t, "shards")
 		less := shards[:len(shards)-1]
@@ -77,7 +81,7 @@
 		moved := 0
 		for i := range 400 {
 			u := fmt.Sprint("station-", i)
-			a, b := shardOf(u, shards), shardOf(u, less)
+			a, b := selectShard(u, shards), selectShard(u, less)
 			if a != b && a != gone {
 				t.Fatalf("%s moved from %d to %d while %d left", u, a, b, gone)
 			}
@@ -91,17 +95,18 @@
 	})
 }
 
-func TestJobs(t *testing.T) {
-	tab := table(t)
+// Class, units, timeout and ordering key of reads, ranges, writes and ordered requests.
+func TestClassify(t *testing.T) {
+	tab := newTable(t)
 	at := func(path string) Location { p, _ := tab.Locate(path); return p }
 	tab.LearnSize("/feed-a/big/x", 5<<20)
 	tab.LearnSize("/feed-a/s/x", 150<<10)
 	for name, c := range map[string]struct {
-		ask   RequestHeader
-		class int
-		units float64
-		time  time.Duration
-		key   string
+		header RequestHeader
+		class  int
+		units  float64
+		time   time.Duration
+		key    string
 	}{
 		"unknown read":  {RequestHeader{Method: "GET", Location: at("/feed-a/u/x")}, 0, 3, 980 * time.Millisecond, ""},
 		"known read":    {RequestHeader{Method: "GET", Location: at("/feed-a/s/x")}, 0, 2, 980 * time.Millisecond, ""},
@@ -115,7 +120,7 @@
 		"shorter wait":  {RequestHeader{Method: "PUT", Location: at("/feed-a/s/y"), Prefer: "respond-async, wait=1"}, 1, 1, 980 * time.Millisecond, ""},
 		"longer wait":   {RequestHeader{Method: "PUT", Location: at("/feed-a/s/y"), Prefer: "wait=100"}, 1, 1, 1980 * time.Millisecond, ""},
 	} {
-		if j := tab.Classify(c.ask); j.Class != c.class || j.Units != c.units || j.Timeout != c.time || j.OrderingKey != c.key {
+		if j := tab.Classify(c.header); j.Class != c.class || j.Units != c.units || j.Timeout != c.time || j.OrderingKey != c.key {
 			t.Errorf("%s: %+v, want %+v", name, j, c)
 		}
 	}
@@ -124,9 +129,10 @@
 	}
 }
 
-// The table of sizes stays as large as it was made, whatever passes through it.
-func TestSizesAreBounded(t *testing.T) {
-	tab := table(t)
+// Ten thousand sizes are learned. The cache stays as large as it was made, and the last
+// size is in it.
+func TestSizeCacheIsBounded(t *testing.T) {
+	tab := newTable(t)
 	for i := range 10000 {
 		tab.LearnSize(fmt.Sprint("/feed-a/s/", i), int64(i))
 	}
@@ -138,9 +144,10 @@
 	}
 }
 
-func FuzzPlace(f *testing.F) {
+// FuzzLocate checks that a decoded path has the location of the path it was decoded from.
+func FuzzLocate(f *testing.F) {
 	f.Add("/feed-a/x/%41")
-	tab := table(f)
+	tab := newTable(f)
 	f.Fuzz(func(t *testing.T, target string) {
 		path, _, err := SplitTarget(target)
 		if err != nil {
