--- a/internal/gateway/accept.go
+++ b/internal/gateway/accept.go
@@ -10,103 +10,102 @@
 
 // AcceptResult says what becomes of a new connection.
 type AcceptResult struct {
-	ID       ConnID // of one that is admitted
+	ID       ConnID // of a connection that is admitted
 	Admitted bool
-	// Answer is written to one that is not, as far as it goes at once; then its
-	// sending side is shut, and it is closed after Linger, read or not. It is good
-	// until the next call. With none the connection is closed without a word.
+	// Answer is the response to a connection that is not admitted. The driver writes as
+	// much of it as goes at once, shuts down the sending side, and closes the connection
+	// after Linger. It is valid until the next call. Empty: the connection is closed
+	// without a response.
 	Answer []byte
 	Linger time.Duration
 }
 
-// Accept tells a new client connection of a listener. One that is not admitted
-// gets no slot, no timer and no event more: turning it away is cheap.
+// Accept is called with a new client connection of a listener. A connection that is not
+// admitted gets no slot, no timer and no further event, so that rejecting it is cheap.
 func (g *Gateway) Accept(now Time, remote netip.AddrPort, listener int) AcceptResult {
 	g.clock.advance(now)
-	id := g.conns.nextID()
-	v := g.admission.Admit(g.clock.now, uint64(id), listener, remote.Addr())
-	if v.Preempt {
-		if idle := g.conns.find(ConnID(v.PreemptID)); idle != nil {
-			idle.admitted = false
-			g.preempt(idle)
+	decision := g.admission.Admit(g.clock.now, uint64(g.conns.nextID()), listener, remote.Addr())
+	if decision.Preempt {
+		if preempted := g.conns.findClient(ConnID(decision.PreemptID)); preempted != nil {
+			preempted.admitted = false // admission has counted its end already
+			g.preempt(preempted)
 		}
 	}
-	if !v.Accept {
-		g.recordRejection(remote, v.Reason, v.SendRejection)
-		if !v.SendRejection {
+	if !decision.Accept {
+		g.recordRejection(remote, decision.Reason, decision.SendRejection)
+		if !decision.SendRejection {
 			return AcceptResult{}
 		}
-		return AcceptResult{Answer: g.rejectionResponse(v.Reason), Linger: lingerTimeout}
+		return AcceptResult{Answer: g.rejectionResponse(decision.Reason), Linger: lingerTimeout}
 	}
-	c := g.newConn()
-	c.remote, c.admitted = remote, true
+	c := &clientConn{remote: remote, admitted: true}
+	g.openConn(c)
 	g.clientConns++
-	g.setDeadline(c, g.clock.now+g.config.Timeouts.Header)
+	firstRequestTimeout := g.config.Timeouts.Header
 	if g.phase == stopping {
-		g.setDeadline(c, g.clock.now+firstRequestGrace)
+		firstRequestTimeout = firstRequestGrace
 	}
+	g.setDeadline(&c.bufferedConn, g.clock.now+firstRequestTimeout)
 	for id, ok := g.admission.NextToPreempt(g.clock.now); ok; id, ok = g.admission.NextToPreempt(g.clock.now) {
-		g.preempt(g.conns.find(ConnID(id)))
+		g.preempt(g.conns.findClient(ConnID(id)))
 	}
 	return AcceptResult{ID: c.id, Admitted: true}
 }
 
-// SetAcceptDelay tells that a new connection, and the request on it, may have waited so long to be
-// accepted: its client's time runs since then.
-func (g *Gateway) SetAcceptDelay(id ConnID, d time.Duration) {
-	if c := g.conns.find(id); c != nil {
-		c.acceptDelay = d
+// SetAcceptDelay sets how long a new connection, and the first request on it, may have
+// waited to be accepted. The time of its client runs since then.
+func (g *Gateway) SetAcceptDelay(id ConnID, delay time.Duration) {
+	if c := g.conns.findClient(id); c != nil {
+		c.acceptDelay = delay
 	}
 }
 
-// preempt closes a connection for room: idle, or with a request that was not taken.
-func (g *Gateway) preempt(c *conn) {
+// preempt closes a connection for a client of higher priority. The connection is idle, or
+// has a request that was not submitted.
+func (g *Gateway) preempt(c *clientConn) {
 	g.counts.Preempted++
-	if c.req != nil {
-		g.actions.add(Close, c.id)
-		g.clientGone(c, true)
-		return
-	}
-	g.drop(c, Close)
+	g.disconnectClient(c, Close)
 }
 
-// recordRejection counts what was not admitted.
-func (g *Gateway) recordRejection(client netip.AddrPort, why admission.Reason, told bool) {
-	g.counts.ConnectionsRejected[why]++
+// recordRejection counts and reports a connection or request that was not admitted.
+func (g *Gateway) recordRejection(client netip.AddrPort, reason admission.Reason, responseSent bool) {
+	g.counts.ConnectionsRejected[reason]++
 	if g.observer != nil {
-		g.observer.ConnectionRejected(client, why, told)
+		g.observer.ConnectionRejected(client, reason, responseSent)
 	}
 }
 
-// rejectionResponse is the whole answer to a connection that is turned away (RFC 9110
-// 15.6.4). It is made anew for each reason once a second, for its date.
-func (g *Gateway) rejectionResponse(why admission.Reason) []byte {
-	t := &g.rejections[why]
-	if s := g.clock.dateSecond(); t.text == nil || t.of != s {
-		text := rejectionText(why) + "\n"
-		b := g.clock.appendDate(http1.AppendStatus(t.text[:0], 503))
+// rejectionResponses caches the response to connections that are not admitted, by reason.
+type rejectionResponses [admission.ReasonCount]struct {
+	text       []byte
+	dateSecond int64 // of its Date field
+}
+
+// rejectionResponse returns the response to a connection that is not admitted (RFC 9110
+// section 15.6.4). It is formatted once a second for each reason.
+func (g *Gateway) rejectionResponse(reason admission.Reason) []byte {
+	cached := &g.rejections[reason]
+	if second := g.clock.dateSecond(); cached.text == nil || cached.dateSecond != second {
+		text := rejectionText(reason) + "\n"
+		b := g.clock.appendDate(http1.AppendStatus(cached.text[:0], 503))
 		b = http1.AppendField(b, "Content-Type", []byte("text/plain; charset=utf-8"))
 		b = appendRetryAfter(http1.AppendIntField(b, "Content-Length", int64(len(text))), time.Second)
-		t.text, t.of = append(append(b, "Connection: close\r\n\r\n"...), text...), s
+		b = append(b, "Connection: close\r\n\r\n"...)
+		cached.text, cached.dateSecond = append(b, text...), second
 	}
-	return t.text
-}
-
-// rejectionResponses caches the rejection response of each reason.
-type rejectionResponses [admission.ReasonCount]struct {
-	text []byte
-	of   int64 // wall-clock second of its Date field
+	return cached.text
 }
 
-func rejectionText(why admission.Reason) string {
-	return "too many connections (" + why.String() + "); trying again does no harm"
+func rejectionText(reason admission.Reason) string {
+	return "too many connections (" + reason.String() + "); trying again does no harm"
 }
 
-// endAdmittedRequest tells admission that a request's answer went out, or that the next
-// request has come. Not before: what is still to be written must not be closed for room.
-func (g *Gateway) endAdmittedRequest(c *conn) {
-	if c.owed {
-		c.owed = false
-		g.admission.EndRequest(g.clock.now, uint64(c.id), c.good)
+// reportAdmittedRequestEnd notifies admission that the response to a request was written,
+// or that the next request has arrived. Until then the connection is not preempted, as
+// that would lose what is still to be written.
+func (g *Gateway) reportAdmittedRequestEnd(c *clientConn) {
+	if c.requestEndDue {
+		c.requestEndDue = false
+		g.admission.EndRequest(g.clock.now, uint64(c.id), c.requestServed)
 	}
 }
--- a/internal/gateway/admission_test.go
+++ b/internal/gateway/admission_test.go
@@ -143,7 +143,7 @@
 		for range 300 {
 			h.flush(c)
 			h.runActions()
-			if !h.paused[h.nodeConn(i)] && h.gateway.conns.find(h.nodeConn(i)).attempt != nil {
+			if !h.paused[h.nodeConn(i)] && h.findNodeConn(h.nodeConn(i)).attempt != nil {
 				h.receive(h.nodeConn(i), strings.Repeat("y", 1000))
 			}
 		}
@@ -157,7 +157,7 @@
 	again := h.acceptFrom("1.1.1.4:1")
 	h.receive(again, getRequest("/feed-a/s/x"))
 	for i := range 2 {
-		if n := h.gateway.conns.find(h.nodeConn(i)); n != nil && n.attempt != nil {
+		if n := h.findNodeConn(h.nodeConn(i)); n != nil && n.attempt != nil {
 			h.receive(h.nodeConn(i), okResponse("well"))
 		}
 	}
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -6,45 +6,76 @@
 	"maddergap/scheduler"
 )
 
-// nodeAttempt is one sending of a request to a node.
+// nodeAttempt is one sending of a request to a node. It begins when the scheduler decides
+// to send, and ends once, with an outcome that the scheduler is notified of. conn is nil
+// if it ended before it had a connection; a connection that is not its any more has
+// another attempt or none.
 type nodeAttempt struct {
-	req              *request
-	number           int
-	nodeName         string
-	conn             *conn
-	startedAt        Time
-	startBefore      Time // it must begin before that, 0: at any time
-	firstByteWritten bool // something of it went out
-	fullyQueued      bool // all of it was handed to the connection
-	ended            bool
-	stalled          bool // the head's own machine holds it up
-	chunked          bool // its body goes out in chunks
-	responseStarted  bool // the module was told that its answer streams
-	outcome          scheduler.Outcome
-	discardedBytes   int64 // bytes of an answer that nobody is given
-	reportedLoad     float64
-	hasLoadReport    bool
-	status           int
-	announcedTimeout time.Duration // for how long it tells the node that it is waited for, 0: it does not
-	spanID           [8]byte
-	bufferResponse   bool   // its answer is held whole before any of it is passed on
-	responseBody     []byte // so much of it
-	stallTimeout     Time   // for which it may stand still
+	req         *request
+	number      int // of the request's attempts, from 0
+	nodeName    string
+	conn        *nodeConn
+	spanID      [8]byte
+	startedAt   Time
+	startBefore Time // its first byte has to be written before this; 0: at any time
+	ended       bool
+
+	fullyQueued      bool // the whole request is in the connection's buffer, or was written
+	firstByteWritten bool
+	chunked          bool          // the request body is sent in chunks
+	announcedTimeout time.Duration // that the node was told; 0: none
+	stalled          bool          // the scheduler was notified that the machine holds it up
+
+	status          int // of the response; 0: none
+	outcome         scheduler.Outcome
+	reportedLoad    float64 // requests that the node said it has, if hasLoadReport
+	hasLoadReport   bool
+	responseStarted bool  // the scheduler was notified that the response streams
+	discardedBytes  int64 // of a response that nobody is given
+	bufferResponse  bool  // the response is buffered until it is complete
+	responseBody    []byte
+	stallTimeout    time.Duration // of a buffered response
+}
+
+// requestWritten tells whether the whole request was written.
+func (a *nodeAttempt) requestWritten() bool {
+	return a.fullyQueued && len(a.conn.pending()) == 0
 }
 
-// requestWritten tells whether all of it was written.
-func (attempt *nodeAttempt) requestWritten() bool {
-	return attempt.fullyQueued && len(attempt.conn.pending()) == 0
+// responseWanted tells whether the body of its response is for a client or a listing.
+func (a *nodeAttempt) responseWanted() bool {
+	if a.bufferResponse {
+		return true
+	}
+	return a.req.response.source == a && (a.req.listing != nil || a.req.client != nil)
+}
+
+// newAttempt begins an attempt.
+func (g *Gateway) newAttempt(req *request, nodeName string, startBefore Time) *nodeAttempt {
+	attempt := &nodeAttempt{
+		req:         req,
+		number:      req.attempts.count,
+		nodeName:    nodeName,
+		startedAt:   g.clock.now,
+		startBefore: startBefore,
+	}
+	g.ids.fill(attempt.spanID[:])
+	req.attempts.latest = attempt
+	req.attempts.count++
+	req.attempts.inFlight++
+	g.counts.Attempts++
+	return attempt
 }
 
-// endAttempt tells the module how an attempt ended.
-func (g *Gateway) endAttempt(attempt *nodeAttempt, o scheduler.Outcome) {
+// endAttempt ends an attempt and notifies the scheduler of its outcome. A second call is
+// ignored.
+func (g *Gateway) endAttempt(attempt *nodeAttempt, outcome scheduler.Outcome) {
 	if attempt.ended {
 		return
 	}
 	attempt.ended = true
 	req := attempt.req
-	g.notePossibleExecution(attempt, o)
+	g.notePossibleExecution(attempt, outcome)
 	g.buffers.responseBytes -= int64(len(attempt.responseBody))
 	g.buffers.put(attempt.responseBody)
 	attempt.responseBody = nil
@@ -52,48 +83,39 @@
 	if req.attempts.uploading == attempt {
 		req.attempts.uploading = nil
 	}
-	g.events = append(g.events, scheduler.AttemptEnded{ID: req.id, Attempt: attempt.number, Node: attempt.nodeName, Outcome: o, Duration: g.clock.now - attempt.startedAt,
-		Responded: req.response.final, BodyConsumed: req.body.consumed, ReportedLoad: attempt.reportedLoad, HasLoadReport: attempt.hasLoadReport})
-	if g.observer != nil {
-		g.span = Span{Request: g.ids.requestID(req.id), Trace: req.trace.id, ID: attempt.spanID, Parent: req.trace.span, Sampled: req.trace.sampled,
-			Start: attempt.startedAt, End: g.clock.now, Method: req.method, Path: req.location.Path, Volume: req.info.Arrival.Volume,
-			Class: g.config.Scheduler.Classes[req.info.Arrival.Class].Name, Status: attempt.status, Attempt: attempt.number, Node: attempt.nodeName, AttemptOutcome: o}
-		g.observer.Attempt(&g.span)
-	}
+	g.events = append(g.events, scheduler.AttemptEnded{
+		ID:            req.id,
+		Attempt:       attempt.number,
+		Node:          attempt.nodeName,
+		Outcome:       outcome,
+		Duration:      g.clock.now - attempt.startedAt,
+		Responded:     req.response.final,
+		BodyConsumed:  req.body.consumed,
+		ReportedLoad:  attempt.reportedLoad,
+		HasLoadReport: attempt.hasLoadReport,
+	})
+	g.reportAttempt(attempt, outcome)
 	g.recycle(req)
 }
 
-// abortNodeConn ends a connection that cannot be used further, and its attempt.
-func (g *Gateway) abortNodeConn(c *conn, o scheduler.Outcome) {
-	attempt := c.attempt
-	c.attempt = nil
-	g.drop(c, Abort)
-	if attempt != nil {
-		if attempt.outcome != scheduler.OK && c.inBody {
-			o = attempt.outcome // its status was read
-		}
-		g.endAttempt(attempt, o)
-	}
-}
-
-// abortAttempt ends an attempt that is of no use any more.
+// abortAttempt ends an attempt that is of no use any more, with its connection.
 func (g *Gateway) abortAttempt(attempt *nodeAttempt) {
 	if !attempt.ended {
 		g.abortNodeConn(attempt.conn, scheduler.Cancelled)
 	}
 }
 
-// cancelAttempt ends an attempt of which nothing, or not all, has gone out: it never ran, and
-// begins for nobody. One that is out goes on to its outcome. A connection that is still
-// coming up is kept for the next request.
+// cancelAttempt ends an attempt whose client has left, unless the whole request was
+// written: then it goes on to its outcome. A request of which a part is missing is never
+// executed. A connection that is still dialed is kept for the next request.
 func (g *Gateway) cancelAttempt(attempt *nodeAttempt) {
 	c := attempt.conn
 	switch {
 	case attempt.ended || c == nil || attempt.requestWritten():
-	case c.connected:
-		g.abortNodeConn(c, scheduler.Cancelled)
-	default:
+	case c.state == nodeDialing:
 		c.attempt = nil
 		g.endAttempt(attempt, scheduler.Superseded)
+	default:
+		g.abortNodeConn(c, scheduler.Cancelled)
 	}
 }
--- a/internal/gateway/buffered_protocol.go
+++ b/internal/gateway/buffered_protocol.go
@@ -7,21 +7,23 @@
 	"maddergap/scheduler"
 )
 
-// SetProtocol has clients and nodes spoken to in another protocol than WebDAV. It is
-// called before anything is told.
+// SetProtocol has the gateway speak another protocol than WebDAV with clients and nodes.
+// It is called before any event.
 func (g *Gateway) SetProtocol(p Protocol) { g.protocol = bufferedProtocol{p} }
 
-// bufferedProtocol carries a Protocol whose messages are held whole.
+// bufferedProtocol carries a Protocol, whose messages are buffered until they are complete.
 type bufferedProtocol struct{ p Protocol }
 
-func (w bufferedProtocol) beginRequest(g *Gateway, c *conn, req *request) {
-	a := w.p.ParseRequest(&req.header)
-	if a.Status != 0 {
-		c.closing = c.closing || a.Close
-		g.respondLocally(req, a.Status, a.Reason)
+func (b bufferedProtocol) beginRequest(g *Gateway, c *clientConn, req *request) {
+	info := b.p.ParseRequest(&req.header)
+	if info.Status != 0 {
+		if info.Close {
+			c.enter(clientClosing)
+		}
+		g.respondLocally(req, info.Status, info.Reason)
 		return
 	}
-	req.info, req.body.bufferFully = a, true
+	req.info, req.body.bufferFully = info, true
 	if req.header.ContentLength > int64(g.config.Limits.BodyBuffer) {
 		g.rejectLongBody(c, req)
 		return
@@ -32,70 +34,68 @@
 	}
 }
 
-func (w bufferedProtocol) prepareArrival(g *Gateway, req *request) *http1.Error {
-	return w.p.BeginRequest(&req.info)
+func (b bufferedProtocol) prepareArrival(_ *Gateway, req *request) *http1.Error {
+	return b.p.BeginRequest(&req.info)
 }
 
-func (w bufferedProtocol) appendRequest(g *Gateway, b []byte, attempt *nodeAttempt) []byte {
+func (b bufferedProtocol) appendRequest(g *Gateway, dst []byte, attempt *nodeAttempt) []byte {
 	attempt.announcedTimeout = attempt.req.timeRemaining(g.clock.now)
-	return w.p.AppendRequest(b, &attempt.req.header, attempt.announcedTimeout)
+	return b.p.AppendRequest(dst, &attempt.req.header, attempt.announcedTimeout)
 }
 
-func (w bufferedProtocol) parseResponse(r *http1.Response) ResponseInfo { return w.p.ParseResponse(r) }
+func (b bufferedProtocol) parseResponse(r *http1.Response) ResponseInfo { return b.p.ParseResponse(r) }
 
-// beginResponse begins to hold an answer. One without a length of its own is whole when its
-// node ends the connection in order; a reset, or silence, is no end.
-func (w bufferedProtocol) beginResponse(g *Gateway, attempt *nodeAttempt) bool {
-	r := &attempt.conn.response
-	if one, _ := w.p.MaxResponseBytes(); r.ContentLength > one {
+// beginResponse begins to buffer a response. A response without a length is complete when
+// its node ends the connection in order; after a reset, or while nothing comes, it is not.
+func (b bufferedProtocol) beginResponse(g *Gateway, attempt *nodeAttempt) bool {
+	if limit, _ := b.p.MaxResponseBytes(); attempt.conn.response.ContentLength > limit {
 		return false
 	}
-	attempt.bufferResponse, attempt.stallTimeout, attempt.responseBody = true, w.p.ResponseStallTimeout(), g.buffers.get()
+	attempt.bufferResponse, attempt.responseBody = true, g.buffers.get()
+	attempt.stallTimeout = b.p.ResponseStallTimeout()
 	return true
 }
 
-func (w bufferedProtocol) responseData(g *Gateway, attempt *nodeAttempt, data []byte) bool {
-	one, all := w.p.MaxResponseBytes()
+func (b bufferedProtocol) responseData(g *Gateway, attempt *nodeAttempt, data []byte) bool {
+	limit, totalLimit := b.p.MaxResponseBytes()
 	g.buffers.responseBytes += int64(len(data)) // given back when the attempt ends
 	attempt.responseBody = append(attempt.responseBody, data...)
-	return int64(len(attempt.responseBody)) <= one && g.buffers.responseBytes <= all
+	return int64(len(attempt.responseBody)) <= limit && g.buffers.responseBytes <= totalLimit
 }
 
-func (w bufferedProtocol) endResponse(g *Gateway, attempt *nodeAttempt) {
+func (b bufferedProtocol) endResponse(g *Gateway, attempt *nodeAttempt) {
 	req := attempt.req
-	if req.response.final { // its client has left: the node did its part
+	if req.response.final { // its client has left
 		g.endAttempt(attempt, scheduler.OK)
 		return
 	}
 	req.response.final, req.response.source, req.response.status = true, attempt, attempt.conn.response.Status
 	g.counts.Served++
-	if cl := req.client; cl != nil {
-		if cl.out == nil {
-			cl.out = g.buffers.get()
-		}
-		b := http1.AppendIntField(http1.AppendStatus(cl.out, req.response.status), "Content-Length", int64(len(attempt.responseBody)))
-		cl.out = append(g.appendHeaderEnd(b, cl, req), attempt.responseBody...)
+	if client := req.client; client != nil {
+		out := http1.AppendStatus(g.buffers.orNew(client.out), req.response.status)
+		out = http1.AppendIntField(out, "Content-Length", int64(len(attempt.responseBody)))
+		client.out = append(g.appendHeaderEnd(out, client, req), attempt.responseBody...)
 	}
 	g.endAttempt(attempt, scheduler.OK)
 	g.reportRequestEnd(req, Served)
 	g.responseQueued(req)
 }
 
-// truncated: what did not come whole was not run.
-func (w bufferedProtocol) truncatedRequestOutcome() scheduler.Outcome { return scheduler.ConnectFailed }
+// A node executes only a complete request, so that one it received in part was not executed.
+func (bufferedProtocol) truncatedRequestOutcome() scheduler.Outcome { return scheduler.ConnectFailed }
 
-func (w bufferedProtocol) allowsEarlyResponse() bool { return false }
+func (bufferedProtocol) malformedResponseOutcome() scheduler.Outcome { return scheduler.Failed }
 
-func (w bufferedProtocol) malformedResponseOutcome() scheduler.Outcome { return scheduler.Failed }
+func (bufferedProtocol) allowsEarlyResponse() bool { return false }
 
-func (w bufferedProtocol) appendRetryAfter(b []byte, after time.Duration) []byte {
-	return w.p.AppendRetryAfter(b, after)
-}
+func (bufferedProtocol) eofMeansDisconnect() bool { return true }
 
-func (w bufferedProtocol) eofMeansDisconnect() bool { return true }
+func (b bufferedProtocol) appendRetryAfter(dst []byte, after time.Duration) []byte {
+	return b.p.AppendRetryAfter(dst, after)
+}
 
-func (w bufferedProtocol) requestEnded(req *request, o Outcome) {
+func (b bufferedProtocol) requestEnded(req *request, outcome Outcome) {
 	if req.id != 0 {
-		w.p.EndRequest(req.info.ID, o)
+		b.p.EndRequest(req.info.ID, outcome)
 	}
 }
--- a/internal/gateway/buffers.go
+++ b/internal/gateway/buffers.go
@@ -13,7 +13,7 @@
 type bufferPool struct {
 	free [][]byte
 
-	clientBytes   int64 // held for all client connections; see clientBytesHeld
+	clientBytes   int64 // held for all client connections; see accountClientBytes
 	responseBytes int64 // of responses that are buffered until they are complete
 }
 
@@ -27,6 +27,14 @@
 	return make([]byte, 0, initialBufferBytes)
 }
 
+// orNew returns b, or an empty buffer if b is nil.
+func (p *bufferPool) orNew(b []byte) []byte {
+	if b == nil {
+		return p.get()
+	}
+	return b
+}
+
 // put takes back a buffer that is no longer in use. A nil buffer is ignored.
 func (p *bufferPool) put(b []byte) {
 	if cap(b) > 0 && cap(b) <= maxPooledBuffer && len(p.free) < maxPooled {
--- /dev/null
+++ b/internal/gateway/client_conn.go
@@ -0,0 +1,355 @@
+package gateway
+
+import (
+	"net/netip"
+	"time"
+)
+
+const (
+	// firstRequestGrace is how long a connection that may have a request on its way has
+	// to deliver it when the instance is stopping.
+	firstRequestGrace = 200 * time.Millisecond
+	// lingerTimeout is how long a client that still sends is listened to after the last
+	// response, so that a reset does not take the response from it.
+	lingerTimeout = 2 * time.Second
+)
+
+// clientPhase is the life of a client connection. It only moves on.
+type clientPhase uint8
+
+const (
+	clientOpen       clientPhase = iota // requests are read
+	clientClosing                       // the connection ends after the present response
+	clientOverflowed                    // closing, and the client has pipelined too much: it is read and dropped
+	clientDiscarding                    // closing, and what the client still sends cannot be read as requests
+	clientLingering                     // the sending side is shut down; input is dropped until the client closes
+)
+
+func (p clientPhase) String() string {
+	return [...]string{"open", "closing", "overflowed", "discarding", "lingering"}[p]
+}
+
+// peerState is what is known of the client's end of a connection.
+type peerState uint8
+
+const (
+	peerConnected    peerState = iota
+	peerHalfClosed             // it sends no more, and still reads
+	peerDisconnected           // it has left
+)
+
+func (s peerState) String() string {
+	return [...]string{"connected", "half-closed", "disconnected"}[s]
+}
+
+// clientConn is a connection of a client. It has one request at a time; the next one
+// is looked at when the response to it was queued whole.
+type clientConn struct {
+	bufferedConn
+	remote netip.AddrPort
+	phase  clientPhase
+	peer   peerState
+
+	req             *request // under way; nil: none
+	requestCount    int      // requests it had
+	headerStartedAt Time     // when the first byte of a header arrived; 0: none
+	queued          bool     // it is in Gateway.readyClients
+	acceptDelay     Time     // how long it may have waited to be accepted
+
+	admitted bool // admission counts it
+	// requestEndDue: admission is to be notified of the end of its request as soon as
+	// the response was written. requestServed tells how it ended.
+	requestEndDue, requestServed bool
+
+	// mayHaveUnreadRequest: a system call on it was put off for want of the machine's
+	// own resources, and nothing was read since, so a request may wait in the socket.
+	// The driver reports reads and writes alike; after a write that was put off the
+	// only consequence is that a stopping instance waits firstRequestGrace for it.
+	mayHaveUnreadRequest bool
+
+	upload         transferProgress // of the request body
+	download       transferProgress // of the response
+	accountedBytes int              // its part of bufferPool.clientBytes
+}
+
+// transferProgress is how far a body or a response has come.
+type transferProgress struct {
+	since Time // when it began; 0: it has not
+	bytes int64
+}
+
+// deadline returns when a transfer is given up: when it has made no progress for stall,
+// and when it is slower than rate bytes a second after grace. The rate guards against
+// peers that move a byte now and then, which no timeout between bytes ends. A rate of 0
+// allows any.
+func (p *transferProgress) deadline(now Time, stall, grace time.Duration, rate int64) Time {
+	if rate <= 0 {
+		return now + stall
+	}
+	return min(now+stall, p.since+grace+Time(float64(p.bytes)/float64(rate)*float64(time.Second)))
+}
+
+// enter moves the connection on to a phase, unless it is further already.
+func (c *clientConn) enter(phase clientPhase) { c.phase = max(c.phase, phase) }
+
+// responseDue tells whether the connection has a submitted request that is owed its
+// final response.
+func (c *clientConn) responseDue() bool {
+	return c.req != nil && c.req.id != 0 && !c.req.response.final && c.peer != peerDisconnected
+}
+
+func (c *clientConn) handleData(g *Gateway, data []byte) {
+	c.mayHaveUnreadRequest = false
+	g.storeUnread(&c.bufferedConn, g.consumeClientData(c, c.withUnread(data)))
+	if !c.closed {
+		g.accountClientBytes(c)
+	}
+}
+
+// handleWritten goes on with what waited for the client to take the response.
+func (c *clientConn) handleWritten(g *Gateway, n int) {
+	c.download.bytes += int64(n)
+	g.accountClientBytes(c)
+	allWritten := len(c.pending()) == 0
+	if allWritten {
+		c.download = transferProgress{}
+		g.reportAdmittedRequestEnd(c)
+	} else {
+		g.setDeadline(&c.bufferedConn, g.downloadDeadline(c))
+	}
+	if req := c.req; req != nil {
+		if req.response.source != nil && len(c.pending()) <= g.bufferAllowance()/2 {
+			g.resumeNode(req.response.source.conn)
+		}
+		if len(c.pending()) == 0 && !req.response.final && req.body.complete {
+			g.setDeadline(&c.bufferedConn, never)
+		}
+	} else if allWritten {
+		g.clientIdle(c)
+	}
+}
+
+func (c *clientConn) handleEOF(g *Gateway) {
+	c.peer = peerHalfClosed
+	if g.protocol.eofMeansDisconnect() {
+		c.peer = peerDisconnected
+	}
+	switch {
+	case c.phase >= clientDiscarding, c.req == nil && len(c.pending()) == 0 && !c.queued:
+		g.closeConn(c, Close)
+	case c.req != nil && (!c.req.body.complete || c.peer == peerDisconnected):
+		g.disconnectClient(c, Close)
+	} // else a half-close: the response is still due
+}
+
+func (c *clientConn) handleClosed(g *Gateway) {
+	c.peer = peerDisconnected
+	g.removeConn(c, true)
+	g.abandonClientRequest(c)
+}
+
+func (c *clientConn) handleTimer(g *Gateway) {
+	req := c.req
+	switch {
+	case c.phase >= clientDiscarding, len(c.pending()) > 0: // it does not take its response
+		g.disconnectClient(c, Abort)
+	case req != nil && !req.body.complete && !req.response.final:
+		g.uploadTimedOut(c, req)
+	case req != nil:
+	case c.headerStartedAt > 0:
+		g.counts.Malformed++
+		g.respondHeaderTimeout(c)
+	default:
+		g.closeConn(c, Close)
+	}
+}
+
+func (c *clientConn) handleRemoved(g *Gateway) {
+	if c.responseDue() {
+		g.invariants.RecordUnansweredClose(g.clock.now, c.req.id)
+	}
+	g.buffers.clientBytes -= int64(c.accountedBytes)
+	c.accountedBytes = 0
+	g.clientConns--
+	if c.admitted {
+		g.admission.Closed(g.clock.now, uint64(c.id))
+	}
+}
+
+// uploadTimedOut ends a request whose body has stopped, or is too slow.
+func (g *Gateway) uploadTimedOut(c *clientConn, req *request) {
+	if req.id != 0 {
+		g.abandonRequest(req)
+	}
+	if req.response.source != nil {
+		g.disconnectClient(c, Abort)
+		return
+	}
+	c.enter(clientClosing)
+	req.body.complete, req.response.reason = true, "the body stopped"
+	g.counts.Malformed++
+	g.writeLocalResponse(req, 408, []byte("the body did not come in time\n"), nil)
+}
+
+// respondHeaderTimeout answers a client whose request's header does not come, which has
+// no request yet, and ends with it.
+func (g *Gateway) respondHeaderTimeout(c *clientConn) {
+	const reason = "the header did not come in time"
+	req := g.requests.create()
+	req.client, c.req = c, req
+	req.body.complete, req.response.reason = true, reason
+	req.header.MinorVersion, req.headerReceivedAt = 1, g.clock.now
+	c.enter(clientClosing)
+	g.writeLocalResponse(req, 408, []byte(reason+"\n"), nil)
+}
+
+// uploadDeadline and downloadDeadline return when a client is given up that sends its
+// body, or takes its response, too slowly.
+func (g *Gateway) uploadDeadline(c *clientConn) Time {
+	return c.upload.deadline(g.clock.now, g.config.Timeouts.Stall, g.config.MinRates.Grace, g.config.MinRates.Body)
+}
+
+func (g *Gateway) downloadDeadline(c *clientConn) Time {
+	return c.download.deadline(g.clock.now, g.config.Timeouts.Stall, g.config.MinRates.Grace, g.config.MinRates.Response)
+}
+
+// bufferAllowance returns how many bytes of a response or a body a connection may hold
+// now. A transfer is paused above it and goes on below half of it.
+func (g *Gateway) bufferAllowance() int {
+	return g.admission.BufferAllowance(g.buffers.clientBytes, g.config.Limits.ConnBuffer)
+}
+
+// accountClientBytes updates the account of the bytes that are held for clients.
+func (g *Gateway) accountClientBytes(c *clientConn) {
+	n := len(c.unread) + len(c.out)
+	if req := c.req; req != nil {
+		n += len(req.body.data)
+		if req.listing != nil {
+			n += req.listing.bytes
+		}
+	}
+	g.buffers.clientBytes += int64(n - c.accountedBytes)
+	c.accountedBytes = n
+}
+
+// flushClient has what is pending written to a client, which has to take it in time.
+func (g *Gateway) flushClient(c *clientConn) {
+	if c.closed {
+		return
+	}
+	g.accountClientBytes(c)
+	if !c.flushPending && len(c.pending()) > 0 {
+		if c.download.since == 0 {
+			c.download = transferProgress{since: g.clock.now}
+		}
+		if c.timer.deadline == never {
+			g.setDeadline(&c.bufferedConn, g.downloadDeadline(c))
+		}
+	}
+	g.flush(&c.bufferedConn)
+}
+
+// resumeClient reads a paused client again, and uses what it sent before.
+func (g *Gateway) resumeClient(c *clientConn) {
+	if !c.paused {
+		return
+	}
+	g.resume(&c.bufferedConn)
+	if len(c.unread) > 0 {
+		g.storeUnread(&c.bufferedConn, g.consumeClientData(c, c.unread))
+	}
+}
+
+// disconnectClient closes a client connection by op, and ends what it had under way.
+func (g *Gateway) disconnectClient(c *clientConn, op Op) {
+	if !c.closed {
+		g.closeConn(c, op)
+		g.abandonClientRequest(c)
+	}
+}
+
+// abandonClientRequest ends the request of a client connection that is closed.
+func (g *Gateway) abandonClientRequest(c *clientConn) {
+	req := c.req
+	if req == nil {
+		return
+	}
+	c.req, req.client = nil, nil
+	if !req.response.final {
+		g.abandonRequest(req)
+	}
+	g.recycle(req)
+}
+
+// responseQueued ends the request of a client whose response is complete in the buffers.
+func (g *Gateway) responseQueued(req *request) {
+	c := req.client
+	if c == nil {
+		g.recycle(req)
+		return
+	}
+	if !req.body.complete { // RFC 9112 section 9.3: the rest of the body cannot be told from a request
+		c.enter(clientDiscarding)
+	}
+	c.requestEndDue = true
+	c.requestServed = req.id != 0 && req.response.source != nil && req.response.status < 400
+	c.req, req.client = nil, nil
+	g.recycle(req)
+	g.flushClient(c)
+	if len(c.pending()) > 0 {
+		g.setDeadline(&c.bufferedConn, g.downloadDeadline(c))
+	} else {
+		g.reportAdmittedRequestEnd(c)
+	}
+	if !c.queued && !c.closed {
+		c.queued = true
+		g.readyClients = append(g.readyClients, c)
+	}
+}
+
+// startNextRequest looks at what a client sent while its last request was under way.
+func (g *Gateway) startNextRequest(c *clientConn) {
+	c.queued = false
+	if c.closed || c.req != nil {
+		return
+	}
+	if c.phase >= clientClosing || g.phase == stopping || c.peer == peerDisconnected {
+		c.unread = c.unread[:0]
+	}
+	if c.phase < clientDiscarding {
+		g.resume(&c.bufferedConn)
+	}
+	if len(c.unread) > 0 {
+		g.storeUnread(&c.bufferedConn, g.consumeClientData(c, c.unread))
+	}
+	if !c.closed && c.req == nil && len(c.pending()) == 0 {
+		g.clientIdle(c)
+	}
+}
+
+// clientIdle is called for a client that has no request and nothing to be written.
+func (g *Gateway) clientIdle(c *clientConn) {
+	switch {
+	case c.queued: // startNextRequest looks first
+	case c.phase >= clientClosing, g.phase == stopping, c.peer != peerConnected:
+		g.lingeringClose(c)
+	default:
+		g.setDeadline(&c.bufferedConn, g.clock.now+g.config.Timeouts.Idle)
+	}
+}
+
+// lingeringClose shuts down the sending side of a client connection, and reads and drops
+// what still comes until the client has closed too, or lingerTimeout has passed. A close
+// with unread bytes in the socket would reset the connection, and the client would lose
+// the last response.
+func (g *Gateway) lingeringClose(c *clientConn) {
+	switch {
+	case c.peer != peerConnected:
+		g.closeConn(c, Close)
+	case c.phase != clientLingering:
+		c.enter(clientLingering)
+		g.actions.add(CloseWrite, c.id)
+		g.resume(&c.bufferedConn)
+		g.setDeadline(&c.bufferedConn, g.clock.now+lingerTimeout)
+	}
+}
--- /dev/null
+++ b/internal/gateway/conn_events.go
@@ -0,0 +1,79 @@
+package gateway
+
+// Connected is called when a connection requested by Dial is established.
+func (g *Gateway) Connected(now Time, id ConnID) {
+	g.clock.advance(now)
+	switch c := g.conns.find(id).(type) {
+	case *nodeConn:
+		g.nodeConnected(c)
+	case *discoveryConn:
+		g.discoveryConnected(c)
+	}
+}
+
+// Data is called with bytes that were read from a connection. They are not used after
+// the call.
+func (g *Gateway) Data(now Time, id ConnID, data []byte) {
+	g.clock.advance(now)
+	if c := g.conns.find(id); c != nil && len(data) > 0 {
+		c.handleData(g, data)
+	}
+}
+
+// Out returns the bytes that are to be written to a connection, and nil if there are
+// none. It is the one place where bytes are handed out, and where the invariants are
+// checked before the first byte of an attempt.
+func (g *Gateway) Out(now Time, id ConnID) []byte {
+	g.clock.advance(now)
+	c := g.conns.find(id)
+	if c == nil {
+		return nil
+	}
+	base := c.base()
+	base.flushPending = false
+	if node, ok := c.(*nodeConn); ok && !g.mayWrite(node) {
+		return nil
+	}
+	return base.pending()
+}
+
+// Wrote is called when the first n bytes of Out were written.
+func (g *Gateway) Wrote(now Time, id ConnID, n int) {
+	g.clock.advance(now)
+	c := g.conns.find(id)
+	if c == nil || n <= 0 {
+		return
+	}
+	g.wrote(c.base(), n, g.config.Limits.ConnBuffer)
+	c.handleWritten(g, n)
+}
+
+// EOF is called when the peer of a connection sends no more.
+func (g *Gateway) EOF(now Time, id ConnID) {
+	g.clock.advance(now)
+	if c := g.conns.find(id); c != nil {
+		c.handleEOF(g)
+	}
+}
+
+// Closed is called when a connection is lost or could not be made. The driver has
+// closed it.
+func (g *Gateway) Closed(now Time, id ConnID) {
+	g.clock.advance(now)
+	if c := g.conns.find(id); c != nil {
+		c.handleClosed(g)
+	}
+}
+
+// Stalled is called when a system call on a connection failed for want of the machine's
+// own resources and is retried later: dialing, reading or writing. The peer is not to
+// blame for the delay.
+func (g *Gateway) Stalled(now Time, id ConnID) {
+	g.clock.advance(now)
+	switch c := g.conns.find(id).(type) {
+	case *clientConn:
+		c.mayHaveUnreadRequest = true
+	case *nodeConn:
+		g.nodeStalled(c)
+	}
+}
--- a/internal/gateway/conn_table.go
+++ b/internal/gateway/conn_table.go
@@ -16,7 +16,7 @@
 // Such a slot is in closing until Advance returns the action, then in closed until
 // the next call of Advance, by which time the driver has carried it out.
 type connTable struct {
-	slots       []*conn // nil: the slot is free
+	slots       []connection // nil: the slot is free
 	generations []uint32
 	free        []uint32 // slots that may be used at once
 	closing     []uint32 // slots whose Close or Abort is queued
@@ -36,7 +36,7 @@
 }
 
 // add gives a connection a slot and returns its id.
-func (t *connTable) add(c *conn) ConnID {
+func (t *connTable) add(c connection) ConnID {
 	var slot uint32
 	if n := len(t.free); n > 0 {
 		slot = t.free[n-1]
@@ -50,11 +50,18 @@
 }
 
 // find returns an open connection, or nil if the connection is closed.
-func (t *connTable) find(id ConnID) *conn {
-	if slot := id.Slot(); slot < len(t.slots) && t.slots[slot] != nil && t.slots[slot].id == id {
-		return t.slots[slot]
+func (t *connTable) find(id ConnID) connection {
+	slot := id.Slot()
+	if slot >= len(t.slots) || t.id(uint32(slot)) != id {
+		return nil
 	}
-	return nil
+	return t.slots[slot]
+}
+
+// findClient returns an open connection of a client, or nil if there is none of that id.
+func (t *connTable) findClient(id ConnID) *clientConn {
+	c, _ := t.find(id).(*clientConn)
+	return c
 }
 
 // remove frees the slot of a connection: at once if the driver has closed the
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,17 +1,20 @@
-// Package gateway is one head: it takes what happens on client and node
-// connections, tells the decision module, and carries out what that decides.
-// It is sans-I/O: bytes, a clock reading and events go in, bytes and actions
-// come out. It opens no descriptor, reads no clock, starts no goroutine and
-// draws all chance from its seed, so it runs alike on epoll and on a simulated
-// network. It decides nothing about routing, order, limits, retries or health.
+// Package gateway is the state machine of one instance. It takes what happens on the
+// connections of clients, storage nodes and discovery, notifies the scheduler of it, and
+// carries out what the scheduler decides. It decides nothing itself about routing, order,
+// limits, retries or the health of nodes.
 //
-// A driver calls Accept, Connected, Data, EOF, Closed, Wrote, Nodes as things
-// happen, then Advance until that returns no action, and Advance again not
-// later than the time it gave.
+// It does no I/O: it opens no descriptor, reads no clock, starts no goroutine, and draws
+// all random numbers from its seed. Bytes, clock readings and events go in; bytes and
+// actions come out. The same events therefore give the same actions, on epoll or on a
+// simulated network.
+//
+// A driver, which is package eventloop in production, calls Accept, Connected, Data, EOF,
+// Closed, Wrote, Stalled and SetNodes as things happen. Then it calls Advance until that
+// returns no action, and again not later than the time that Advance has returned.
 package gateway
 
 import (
-	"fmt"
+	"errors"
 	"math"
 	"reflect"
 	"time"
@@ -23,15 +26,25 @@
 	"maddergap/scheduler"
 )
 
-// Time is a clock reading, as the module's.
+// Time is a reading of the driver's monotonic clock, as the scheduler's.
 type Time = scheduler.Time
 
-// Scheduler decides: the module, or in its place what a comparison or a test wants.
+// never is a time that does not come.
+const never = Time(math.MaxInt64)
+
+// ErrRestartRequired is returned by Reload for a configuration that differs in what only
+// a restart can change.
+var ErrRestartRequired = errors.New("classes, plans, heads, cold, budget, units and attempts change with a restart only")
+
+// Scheduler decides what is sent where and when: scheduler.Scheduler, or what a test or a
+// comparison puts in its place.
 type Scheduler interface {
+	// Handle takes the events since the last call, in their order, and returns what is to
+	// be done. The gateway does not keep the actions.
 	Handle(now Time, events []scheduler.Event) []scheduler.Action
 }
 
-// Gateway is one head. It is not safe for concurrent use.
+// Gateway is one instance. It is not safe for concurrent use.
 type Gateway struct {
 	config     *config.Config
 	routes     *route.Table
@@ -53,59 +66,59 @@
 
 	conns        connTable
 	timers       timerQueue
-	readyClients []*conn // whose next request may be looked at
-	clientConns  int     // open connections of clients
+	readyClients []*clientConn // whose next request may be looked at
+	clientConns  int           // open connections of clients
 	nodes        nodeTable
 	requests     requestTable
 	buffers      bufferPool
 
 	counts     Counts
-	span       Span // scratch for the observer
+	span       Span // what the observer is called with
 	rejections rejectionResponses
 }
 
-const never = Time(math.MaxInt64)
-
-// New returns a head. The seed is for what is spread by chance among heads.
-// origin is the wall-clock time of the head's Time zero.
-func New(c *config.Config, seed uint64, now Time, origin time.Time, obs Observer) (*Gateway, error) {
-	core, err := scheduler.New(c.Scheduler, seed, now)
+// New returns an instance. seed is that of all its random numbers, those of the scheduler
+// included. origin is the wall-clock time of Time zero. observer may be nil.
+func New(c *config.Config, seed uint64, now Time, origin time.Time, observer Observer) (*Gateway, error) {
+	s, err := scheduler.New(c.Scheduler, seed, now)
 	if err != nil {
 		return nil, err
 	}
-	return NewWithScheduler(core, c, seed, now, origin, obs), nil
+	return NewWithScheduler(s, c, seed, now, origin, observer), nil
 }
 
-// NewWithScheduler returns a head with a core in the module's place.
-func NewWithScheduler(core Scheduler, c *config.Config, seed uint64, now Time, origin time.Time, obs Observer) *Gateway {
+// NewWithScheduler returns an instance with another scheduler. The configuration must have
+// passed its checks.
+func NewWithScheduler(s Scheduler, c *config.Config, seed uint64, now Time, origin time.Time, observer Observer) *Gateway {
 	admission, err := admission.New(c.Admission, seed)
-	if err != nil { // never: the configuration is checked
+	if err != nil {
+		// Reading a configuration checks that of admission, so it was made by hand.
 		panic(err)
 	}
 	g := &Gateway{
 		config:    c,
 		routes:    route.NewTable(c, nil),
 		admission: admission,
-		scheduler: core,
+		scheduler: s,
 		protocol:  webdavProtocol{},
-		observer:  obs,
+		observer:  observer,
 		clock:     clock{now: now, origin: origin},
 		ids:       newIDGenerator(seed),
 		wakeAt:    never,
 		nodes:     newNodeTable(origin),
 		requests:  newRequestTable(),
 	}
-	if obs != nil {
+	if observer != nil {
 		g.invariants.OnViolation = g.reportViolation
 	}
 	return g
 }
 
-// Reload takes a new configuration. What the module was told at start cannot
-// change while it runs; then nothing is applied.
+// Reload takes a new configuration. Requests under way go on by the old one. On an error,
+// for instance ErrRestartRequired, nothing of it is applied.
 func (g *Gateway) Reload(c *config.Config) error {
 	if !reflect.DeepEqual(c.Scheduler, g.config.Scheduler) {
-		return fmt.Errorf("classes, plans, heads, cold, budget, units and attempts change with a restart only")
+		return ErrRestartRequired
 	}
 	if err := g.admission.Reconfigure(c.Admission); err != nil {
 		return err
@@ -115,53 +128,73 @@
 	return nil
 }
 
-// Advance runs timers and the module over what was told, and returns what to
-// do and when to come back at the latest. The actions are good until the next call.
+// Advance runs expired timers, and hands the events since the last call to the scheduler.
+// It returns what is to be done, and the time by which it has to be called again. The
+// actions are valid until the next call.
 func (g *Gateway) Advance(now Time) ([]Action, Time) {
 	g.clock.advance(now)
 	g.stall.observe(g.clock.now)
 	g.conns.beginAdvance()
+	g.runTimers()
+	sourceNext := g.advanceMembershipSource()
+	for len(g.events) > 0 || len(g.readyClients) > 0 {
+		g.startNextRequests()
+		g.runScheduler()
+	}
+	g.conns.endAdvance()
+	next := min(g.wakeAt, sourceNext, g.timers.next())
+	g.stall.nextAdvance = next
+	return g.actions.take(), next
+}
+
+// runTimers runs the expired timers of connections and of the scheduler.
+func (g *Gateway) runTimers() {
 	for c := g.timers.popExpired(g.clock.now); c != nil; c = g.timers.popExpired(g.clock.now) {
-		g.expired(c)
+		c.handleTimer(g)
 	}
 	if g.clock.now >= g.wakeAt {
 		g.wakeAt = never
 		g.events = append(g.events, scheduler.TimerFired{})
 	}
-	feedNext := g.advanceMembershipSource()
-	for len(g.events) > 0 || len(g.readyClients) > 0 {
-		for len(g.readyClients) > 0 {
-			c := g.readyClients[len(g.readyClients)-1]
-			g.readyClients = g.readyClients[:len(g.readyClients)-1]
-			g.startNextRequest(c)
-		}
-		events := g.events
-		if g.events = nil; len(events) == 0 {
-			break
-		}
-		for _, a := range g.scheduler.Handle(g.clock.now, events) {
-			g.applyDecision(a)
-		}
-		if g.events == nil {
-			g.events = events[:0]
-		}
+}
+
+// startNextRequests looks at what clients have sent ahead of a response that is complete
+// now.
+func (g *Gateway) startNextRequests() {
+	for len(g.readyClients) > 0 {
+		last := len(g.readyClients) - 1
+		c := g.readyClients[last]
+		g.readyClients = g.readyClients[:last]
+		g.startNextRequest(c)
+	}
+}
+
+// runScheduler hands the events to the scheduler and carries its decisions out, which may
+// lead to further events.
+func (g *Gateway) runScheduler() {
+	if len(g.events) == 0 {
+		return
+	}
+	events := g.events
+	g.events = nil
+	for _, action := range g.scheduler.Handle(g.clock.now, events) {
+		g.applyDecision(action)
+	}
+	if g.events == nil { // the buffer is free for the next events
+		g.events = events[:0]
 	}
-	g.conns.endAdvance()
-	next := min(g.wakeAt, feedNext, g.timers.next())
-	g.stall.nextAdvance = next
-	return g.actions.take(), next
 }
 
-// applyDecision does what the module decided.
-func (g *Gateway) applyDecision(a scheduler.Action) {
-	switch a := a.(type) {
+// applyDecision carries out a decision of the scheduler.
+func (g *Gateway) applyDecision(action scheduler.Action) {
+	switch a := action.(type) {
 	case scheduler.Send:
 		g.startAttempt(g.requests.byID[a.ID], a.Node, a.StartBefore)
 	case scheduler.Reject:
 		g.reject(g.requests.byID[a.ID], a.RetryAfter)
 	case scheduler.Fail:
 		g.fail(g.requests.byID[a.ID])
-	case scheduler.SetTimer:
-		g.wakeAt = g.clock.now + a.After // in place of the one before, as the module counts on
+	case scheduler.SetTimer: // replaces the timer before, also by a later one
+		g.wakeAt = g.clock.now + a.After
 	}
 }
--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -221,3 +221,9 @@
 func okResponse(body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\nendpoint-load-metrics: TEXT named_metrics.inflight=1\r\n\r\n%s", len(body), body)
 }
+
+// findNodeConn returns an open connection to a node, or nil if it is closed.
+func (h *harness) findNodeConn(id ConnID) *nodeConn {
+	c, _ := h.gateway.conns.find(id).(*nodeConn)
+	return c
+}
--- a/internal/gateway/idle_conns.go
+++ b/internal/gateway/idle_conns.go
@@ -8,18 +8,22 @@
 	"maddergap/scheduler"
 )
 
-// reuseDelay is how long a kept connection rests before it is used again, if another can be.
-// Guards against nodes that answer twice, the second time some milliseconds late: such an
-// answer would be taken for that of the next request.
+// reuseDelay is how long a connection is idle before it is reused, if another one can be
+// used. It guards against nodes that respond twice, the second time some milliseconds
+// later: the second response would be taken for that of the next request. On an idle
+// connection it is seen to be one that nobody has asked for.
 const reuseDelay = 20 * time.Millisecond
 
-// reusableConn returns the kept connection that a request goes out on, nil where there is none for
-// it: of those that have rested the last used, so that what is not needed ages, or the one that
-// has rested longest. Where the node is not known to keep connections open, a request that must
-// not run twice gets a new one before one that has not rested. Guards against a node that closes
-// a connection right behind an answer: nobody can tell whether a request that met the reset has
-// run.
-func (g *Gateway) reusableConn(req *request, n *node) *conn {
+// reusableConn returns the idle connection to a node that a request is sent on, or nil if
+// it needs a new one. Of the connections that were idle for reuseDelay it is the one used
+// last, so that those not needed reach their idle timeout; if there is none, it is the
+// one that was idle longest.
+//
+// A non-idempotent request gets a new connection rather than one that was not idle for
+// reuseDelay, until the node is known to keep connections open. That guards against a
+// node that closes a connection right behind a response: the next request meets the
+// reset, and nobody can tell whether it was executed.
+func (g *Gateway) reusableConn(req *request, n *node) *nodeConn {
 	if n == nil || len(n.idle) == 0 {
 		return nil
 	}
@@ -35,8 +39,9 @@
 	return n.idle[0]
 }
 
-// noteClosedByNode notes that a node ended a connection: behind an answer, if it had not rested.
-func (g *Gateway) noteClosedByNode(c *conn) {
+// noteClosedByNode notes that a node has closed a connection, if that was right behind a
+// response.
+func (g *Gateway) noteClosedByNode(c *nodeConn) {
 	if c.idleSince > 0 && g.clock.now-c.idleSince < reuseDelay {
 		c.node.keepsConnsOpen = false
 	}
@@ -44,66 +49,76 @@
 
 // canAddConn tells whether a connection to a node may be added without closing another.
 func (g *Gateway) canAddConn(n *node) bool {
-	return n.conns < g.config.Limits.ConnsPerNode && (g.config.Limits.NodeConns == 0 || g.nodes.conns < g.config.Limits.NodeConns)
+	return n.conns < g.config.Limits.ConnsPerNode && g.belowNodeConnLimit()
 }
 
-// makeRoomForNodeConn tells whether one more connection to a node may be opened, after the
-// one that was kept longest was closed for it where need be.
+// belowNodeConnLimit tells whether one more connection fits into the limit over all
+// nodes; a limit of 0 is none.
+func (g *Gateway) belowNodeConnLimit() bool {
+	limit := g.config.Limits.NodeConns
+	return limit == 0 || g.nodes.conns < limit
+}
+
+// makeRoomForNodeConn tells whether one more connection to any node may be opened. At the
+// limit the connection that was idle longest is closed for it.
 func (g *Gateway) makeRoomForNodeConn() bool {
-	if g.config.Limits.NodeConns == 0 || g.nodes.conns < g.config.Limits.NodeConns {
+	if g.belowNodeConnLimit() {
 		return true
 	}
 	oldest := g.nodes.idle.oldest()
 	if oldest == nil {
 		return false
 	}
-	g.unpark(oldest)
-	g.drop(oldest, Close)
+	g.nodes.removeIdle(oldest)
+	g.closeConn(oldest, Close)
 	return true
 }
 
-// park keeps a connection for the next request, unless it leads to where its node was
-// before, or to a life of it that is over: a request was under way when that changed.
-func (g *Gateway) park(c *conn) {
-	if n := c.node; !n.listed || c.closed || c.addr != n.addr || c.incarnation != n.started {
-		g.drop(c, Close)
+// makeIdle keeps a connection for the next request. It is closed instead if its node has
+// left the list, moved or restarted while a request was under way.
+func (g *Gateway) makeIdle(c *nodeConn) {
+	if !c.node.listed || c.closed || !c.current() {
+		g.closeConn(c, Close)
 		return
 	}
-	g.resume(c)
-	c.idleSince = g.clock.now
+	g.resume(&c.bufferedConn)
+	c.state = nodeIdle
+	g.nodes.addIdle(g.clock.now, c)
+	g.setDeadline(&c.bufferedConn, g.clock.now+g.config.Timeouts.NodeIdle)
+}
+
+func (t *nodeTable) addIdle(now Time, c *nodeConn) {
+	c.idleSince = now
 	c.node.idle = append(c.node.idle, c)
-	g.nodes.idle.add(c)
-	g.setDeadline(c, g.clock.now+g.config.Timeouts.NodeIdle)
+	t.idle.add(c)
 }
 
-func (g *Gateway) unpark(c *conn) {
-	g.nodes.idle.remove(c)
-	idle := c.node.idle
-	for i, o := range idle {
-		if o == c {
-			c.node.idle = append(idle[:i], idle[i+1:]...)
-			return
-		}
+// removeIdle takes a connection from those of its node that may be reused, if it is one
+// of them.
+func (t *nodeTable) removeIdle(c *nodeConn) {
+	t.idle.remove(c)
+	if i := slices.Index(c.node.idle, c); i >= 0 {
+		c.node.idle = append(c.node.idle[:i], c.node.idle[i+1:]...)
 	}
 }
 
-// idleList has the kept connections of all nodes in the order in which they were kept, so
-// that the oldest is found at once, however many nodes there are.
+// idleList has the idle connections of all nodes in the order in which they became idle,
+// so that the oldest is found at once, however many nodes there are.
 type idleList struct{ conns list.List }
 
-func (l *idleList) add(c *conn) { c.idleElement = l.conns.PushBack(c) }
+func (l *idleList) add(c *nodeConn) { c.idleElement = l.conns.PushBack(c) }
 
-func (l *idleList) remove(c *conn) {
+func (l *idleList) remove(c *nodeConn) {
 	if c.idleElement != nil {
 		l.conns.Remove(c.idleElement)
 		c.idleElement = nil
 	}
 }
 
-// oldest is the connection that was kept first, nil: there is none.
-func (l *idleList) oldest() *conn {
+// oldest returns the connection that was idle longest, or nil if there is none.
+func (l *idleList) oldest() *nodeConn {
 	if e := l.conns.Front(); e != nil {
-		return e.Value.(*conn)
+		return e.Value.(*nodeConn)
 	}
 	return nil
 }
--- a/internal/gateway/invariant_checks.go
+++ b/internal/gateway/invariant_checks.go
@@ -5,48 +5,72 @@
 	"maddergap/scheduler"
 )
 
-// invariantAttempt describes an attempt to the guard.
+// invariantAttempt describes an attempt to the invariants.
 func (g *Gateway) invariantAttempt(attempt *nodeAttempt) invariant.Attempt {
 	req := attempt.req
-	a := invariant.Attempt{Request: req.id, Node: attempt.nodeName, Number: attempt.number, MembershipKnown: g.nodes.known, ClientDisconnectedAt: req.disconnectedAt, Deadline: req.deadline,
-		Timeout: attempt.announcedTimeout, Prior: g.priorAttempts(attempt)}
+	a := invariant.Attempt{
+		Request:              req.id,
+		Node:                 attempt.nodeName,
+		Number:               attempt.number,
+		MembershipKnown:      g.nodes.known,
+		ClientDisconnectedAt: req.disconnectedAt,
+		Deadline:             req.deadline,
+		Timeout:              attempt.announcedTimeout,
+		Prior:                g.priorAttempts(attempt),
+	}
 	n := g.nodes.byName[attempt.nodeName]
 	if n == nil {
 		return a
 	}
 	a.Serving, a.StateChangedAt = n.listed && n.state == scheduler.Serving, n.stateChangedAt
-	if c := attempt.conn; c != nil && (c.node != n || c.addr != n.addr || c.incarnation != n.started) {
+	if c := attempt.conn; c != nil && (c.node != n || !c.current()) {
 		a.Serving = false
 	}
 	return a
 }
 
-// class is the class of a request, as it is configured.
+// class returns the configured class of a request.
 func (g *Gateway) class(req *request) *scheduler.Class {
 	return &g.config.Scheduler.Classes[req.info.Arrival.Class]
 }
 
-// priorAttempts tells what became of a request's attempts before this one.
+// priorAttempts describes what became of a request's attempts before this one.
 func (g *Gateway) priorAttempts(attempt *nodeAttempt) invariant.PriorAttempts {
-	req, class := attempt.req, g.class(attempt.req)
-	e := invariant.PriorAttempts{Effect: class.Effect, InFlight: req.attempts.inFlight - 1, MayHaveRun: req.attempts.mayHaveExecuted.known}
-	if class.Effect != scheduler.Idempotent || !e.MayHaveRun {
-		return e
+	executed, class := &attempt.req.attempts.mayHaveExecuted, g.class(attempt.req)
+	prior := invariant.PriorAttempts{
+		Effect:     class.Effect,
+		InFlight:   attempt.req.attempts.inFlight - 1,
+		MayHaveRun: executed.known,
+	}
+	if class.Effect != scheduler.Idempotent || !executed.known {
+		return prior
 	}
-	e.RetryBefore = req.attempts.mayHaveExecuted.startedAt + class.DeduplicationWindow
+	prior.RetryBefore = executed.startedAt + class.DeduplicationWindow
 	n := g.nodes.byName[attempt.nodeName]
 	switch class.DeduplicationScope {
 	case scheduler.ScopeZone:
-		e.SameDeduplicationScope = n != nil && n.zone == req.attempts.mayHaveExecuted.zone
+		prior.SameDeduplicationScope = n != nil && n.zone == executed.zone
 	case scheduler.ScopeShard:
-		e.SameDeduplicationScope = n != nil && n.shard == req.attempts.mayHaveExecuted.shard
+		prior.SameDeduplicationScope = n != nil && n.shard == executed.shard
 	default:
-		e.SameDeduplicationScope = true
+		prior.SameDeduplicationScope = true
 	}
-	return e
+	return prior
 }
 
-// reportViolation reports what the guard found, with the client's name for the request.
+// notePossibleExecution notes that an attempt may have been executed, by its outcome.
+func (g *Gateway) notePossibleExecution(attempt *nodeAttempt, outcome scheduler.Outcome) {
+	executed := &attempt.req.attempts.mayHaveExecuted
+	if executed.known || outcome.ProvesNotRun() {
+		return
+	}
+	*executed = possibleExecution{known: true, startedAt: attempt.startedAt}
+	if n := g.nodes.byName[attempt.nodeName]; n != nil {
+		executed.zone, executed.shard = n.zone, n.shard
+	}
+}
+
+// reportViolation reports a violated invariant, with the request id that the client knows.
 func (g *Gateway) reportViolation(v invariant.Violation) {
 	if req := g.requests.byID[v.Request]; req != nil {
 		v.RequestID = g.clientRequestID(req)
@@ -54,7 +78,7 @@
 	g.observer.InvariantViolated(v)
 }
 
-// clientRequestID is the client's name for a request, or the head's own.
+// clientRequestID returns the client's id of a request, or the gateway's if it has none.
 func (g *Gateway) clientRequestID(req *request) string {
 	if req.info.ID != "" {
 		return req.info.ID
@@ -62,18 +86,23 @@
 	return g.ids.requestID(req.id)
 }
 
-// mayStartAttempt asks whether an attempt may begin, as the module decides on it.
+// mayStartAttempt tells whether an attempt may start, when the scheduler has decided it.
 func (g *Gateway) mayStartAttempt(attempt *nodeAttempt) bool {
 	a := g.invariantAttempt(attempt)
 	return g.invariants.CheckBeforeWrite(g.clock.now, &a) == invariant.None
 }
 
-// mayWriteFirstByte asks whether the attempt of a connection may begin, as its first byte is about to
-// be written. One that would tell its node more time than is left is written anew.
-func (g *Gateway) mayWriteFirstByte(c *conn) bool {
+// mayWrite tells whether bytes may be written to a node's connection. Before the first
+// byte of an attempt the invariants are checked again, as time has passed since the
+// scheduler decided: the connection was dialed, or its socket was full. An attempt that
+// may not start any more is withheld.
+func (g *Gateway) mayWrite(c *nodeConn) bool {
 	attempt := c.attempt
+	if attempt == nil || attempt.firstByteWritten || len(c.pending()) == 0 {
+		return true
+	}
 	a := g.invariantAttempt(attempt)
-	if attempt.announcedTimeout > 0 && g.clock.now < attempt.req.deadline && invariant.TimeoutOutdated(g.clock.now, attempt.req.deadline, attempt.announcedTimeout) {
+	if g.announcedTimeoutOutdated(attempt) {
 		g.encodeRequest(c)
 		a.Timeout = attempt.announcedTimeout
 	}
@@ -84,36 +113,26 @@
 	return false
 }
 
-// withholdAttempt takes an attempt of which nothing was written back from its connection, which
-// serves the next one.
-func (g *Gateway) withholdAttempt(c *conn) {
+// announcedTimeoutOutdated tells whether an attempt would tell its node more time than
+// there is left, so that it has to be encoded anew.
+func (g *Gateway) announcedTimeoutOutdated(attempt *nodeAttempt) bool {
+	timeout, deadline := attempt.announcedTimeout, attempt.req.deadline
+	return timeout > 0 && g.clock.now < deadline && invariant.TimeoutOutdated(g.clock.now, deadline, timeout)
+}
+
+// withholdAttempt takes an attempt of which nothing was written back from its connection,
+// which is kept for the next one.
+func (g *Gateway) withholdAttempt(c *nodeConn) {
 	attempt := c.attempt
 	c.attempt = nil
-	g.buffers.put(c.out)
-	c.out, c.written = nil, 0
+	g.discardOutput(&c.bufferedConn)
 	g.endAttempt(attempt, scheduler.Superseded)
-	g.park(c)
+	g.makeIdle(c)
 }
 
-// checkFirstByteWritten tells the guard that the first byte of an attempt was written.
+// checkFirstByteWritten checks the invariants again when the first byte of an attempt was
+// written, which finds what came to pass between mayWrite and the write.
 func (g *Gateway) checkFirstByteWritten(attempt *nodeAttempt) {
 	a := g.invariantAttempt(attempt)
 	g.invariants.CheckAfterWrite(g.clock.now, &a)
 }
-
-// notePossibleExecution notes that an attempt may have run, by how it ended.
-func (g *Gateway) notePossibleExecution(attempt *nodeAttempt, o scheduler.Outcome) {
-	req := attempt.req
-	if req.attempts.mayHaveExecuted.known || o.ProvesNotRun() {
-		return
-	}
-	req.attempts.mayHaveExecuted = possibleExecution{known: true, startedAt: attempt.startedAt}
-	if n := g.nodes.byName[attempt.nodeName]; n != nil {
-		req.attempts.mayHaveExecuted.zone, req.attempts.mayHaveExecuted.shard = n.zone, n.shard
-	}
-}
-
-// owedResponse tells whether a client's connection has a request that is owed its final answer.
-func (c *conn) owedResponse() bool {
-	return c.client() && c.req != nil && c.req.id != 0 && !c.req.response.final && !c.left
-}
--- a/internal/gateway/invariant_checks_test.go
+++ b/internal/gateway/invariant_checks_test.go
@@ -109,7 +109,7 @@
 	h.gateway.updateMembership(membership.Update{Nodes: []nodelist.Node{{Name: "n0", Addr: "node:0", State: scheduler.Draining}}})
 	h.now += 200 * time.Millisecond
 	h.gateway.Wrote(h.now, h.dialed[0], len(out))
-	h.gateway.drop(h.gateway.conns.find(client), Close)
+	h.gateway.closeConn(h.gateway.conns.find(client), Close)
 	h.gateway.reportRequestEnd(h.gateway.requests.byID[1], Rejected)
 	h.gateway.reportRequestEnd(h.gateway.requests.byID[1], Rejected)
 	broken := h.gateway.Counts().Invariants.Violated
--- a/internal/gateway/listing.go
+++ b/internal/gateway/listing.go
@@ -10,117 +10,183 @@
 	"maddergap/internal/webdav"
 )
 
-// listing is a PROPFIND that the head answers itself: of the volumes, or of a
-// volume's root, for which every shard is asked. Each part is a request of its
-// own to the module, with its own final answer.
+// Reasons that the gateway gives for its own responses to a PROPFIND.
+const (
+	reasonListingBodyTooLong = "the body of a PROPFIND is longer than can be held"
+	reasonListingRejected    = "a part of the listing was refused; trying again does no harm"
+)
+
+// listing is a PROPFIND that the gateway answers itself: of the volumes, or of the root of
+// a volume, to which each shard contributes a part. A part is a request of its own to the
+// scheduler, with its own final response. The parent is never submitted.
 type listing struct {
-	ofVolumes   bool
-	parent      *request // nil when its client left
-	parts       []*request
-	bodies      [][]byte
-	bytes       int
-	pending     int
-	rejected    int
-	errorStatus int // status of a part that is neither a listing nor refused
-	reason      string
-	retryAfter  time.Duration
+	ofVolumes bool // it lists the volumes, and has no parts
+	parent    *request
+	parts     []*request // nil: the part has its final response
+	bodies    [][]byte   // of the parts' responses
+	bytes     int        // of all bodies
+	pending   int        // parts without a final response
+
+	rejected    int           // parts that were rejected
+	retryAfter  time.Duration // the longest of theirs
+	errorStatus int           // of the first part that failed otherwise; 0: none did
+	errorReason string
+}
+
+// receiveListingBody takes a piece of the body of a PROPFIND.
+func (g *Gateway) receiveListingBody(req *request, data []byte) {
+	if len(req.body.data)+len(data) > g.config.Limits.BodyBuffer {
+		g.respondLocally(req, 413, reasonListingBodyTooLong)
+		return
+	}
+	req.body.data = append(req.body.data, data...)
+	if req.body.complete {
+		g.beginListing(req)
+	}
 }
 
-// beginListing starts it when the request's body is whole.
+// beginListing begins a listing when the body of its request is complete.
 func (g *Gateway) beginListing(req *request) {
-	l, depth := req.listing, string(req.header.Get("depth"))
-	l.parent = req
-	if l.ofVolumes {
-		find, err := webdav.ParsePropfind(req.body.data)
-		if err != nil {
-			g.respondLocally(req, 400, err.Error())
-			return
-		}
-		var names []string
-		for _, v := range g.config.Volumes {
-			names = append(names, v.Name)
-		}
-		req.response.reason = "list of volumes"
-		g.counts.Local++
-		g.writeLocalResponse(req, 207, webdav.ListVolumes(find, names, depth), nil)
+	depth := string(req.header.Get("depth"))
+	req.listing.parent = req
+	if req.listing.ofVolumes {
+		g.listVolumes(req, depth)
 		return
 	}
 	g.admission.RequestAccepted(g.clock.now, uint64(req.client.id))
 	req.volume = &g.config.Volumes[req.location.Volume]
 	shards := req.volume.Shards
 	if depth == "0" {
-		shards = shards[:1] // each has the volume's root
+		shards = shards[:1] // each shard has the root of the volume
 	}
-	l.bodies = make([][]byte, len(shards))
-	l.pending = len(shards)
+	req.listing.bodies = make([][]byte, len(shards))
+	req.listing.pending = len(shards)
 	for i, shard := range shards {
-		p := g.requests.create()
-		p.method, p.location, p.listing, p.listingPart = req.method, req.location, l, i
-		p.location.Shard, p.volume = shard, req.volume
-		p.rawHeader = append(g.buffers.get(), req.rawHeader...)
-		http1.ParseRequest(p.rawHeader, &p.header, g.config.HeaderLimits) // parsed well before
-		p.body.data = append(g.buffers.get(), req.body.data...)
-		p.body.complete, p.body.continueHandled, p.body.received = true, true, int64(len(p.body.data))
-		p.trace.id, p.trace.parent, p.trace.sampled = req.trace.id, req.trace.span, req.trace.sampled
-		g.ids.fill(p.trace.span[:])
-		p.classification = g.routes.Classify(route.RequestHeader{Method: p.method, Location: p.location, ContentLength: p.body.received, Prefer: string(p.header.Get("prefer"))})
-		l.parts = append(l.parts, p)
-		g.submit(p)
+		part := g.newListingPart(req, i, shard)
+		req.listing.parts = append(req.listing.parts, part)
+		g.submit(part)
+	}
+}
+
+// listVolumes answers a PROPFIND of the root, which the gateway knows without a node.
+func (g *Gateway) listVolumes(req *request, depth string) {
+	find, err := webdav.ParsePropfind(req.body.data)
+	if err != nil {
+		g.respondLocally(req, 400, err.Error())
+		return
 	}
+	var names []string
+	for _, v := range g.config.Volumes {
+		names = append(names, v.Name)
+	}
+	req.response.reason = "list of volumes"
+	g.counts.Local++
+	g.writeLocalResponse(req, 207, webdav.ListVolumes(find, names, depth), nil)
+}
+
+// newListingPart returns the request to one shard of a listing, a copy of its parent.
+func (g *Gateway) newListingPart(parent *request, index, shard int) *request {
+	part := g.requests.create()
+	part.method, part.location, part.volume = parent.method, parent.location, parent.volume
+	part.location.Shard = shard
+	part.listing, part.listingPart = parent.listing, index
+	part.rawHeader = append(g.buffers.get(), parent.rawHeader...)
+	http1.ParseRequest(part.rawHeader, &part.header, g.config.HeaderLimits) // the parent's header parsed well
+	part.body.data = append(g.buffers.get(), parent.body.data...)
+	part.body.received = int64(len(part.body.data))
+	part.body.complete, part.body.continueHandled = true, true
+	part.trace.id, part.trace.parent, part.trace.sampled = parent.trace.id, parent.trace.span, parent.trace.sampled
+	g.ids.fill(part.trace.span[:])
+	part.classification = g.routes.Classify(route.RequestHeader{
+		Method:        part.method,
+		Location:      part.location,
+		ContentLength: part.body.received,
+		Prefer:        string(part.header.Get("prefer")),
+	})
+	return part
 }
 
-// receivePartData keeps a piece of a part's answer; false where it is too much.
-func (g *Gateway) receivePartData(p *request, data []byte) bool {
-	l := p.listing
+// abandonListing ends a listing whose client has left.
+func (g *Gateway) abandonListing(req *request) {
+	req.listing.parent, req.response.final = nil, true
+	for i, part := range req.listing.parts {
+		if part != nil && !part.response.final {
+			req.listing.parts[i] = nil
+			g.abandonRequest(part)
+			g.recycle(part)
+		}
+	}
+}
+
+// receivePartData takes a piece of the response to a part. It returns false if the listing
+// gets too long.
+func (g *Gateway) receivePartData(part *request, data []byte) bool {
+	l := part.listing
 	if l.bytes += len(data); l.bytes > g.config.Limits.ListingBytes {
-		l.errorStatus, l.reason = 507, webdav.ErrListingTooLarge.Error()
+		l.errorStatus, l.errorReason = 507, webdav.ErrListingTooLarge.Error()
 		return false
 	}
-	l.bodies[p.listingPart] = append(l.bodies[p.listingPart], data...)
+	l.bodies[part.listingPart] = append(l.bodies[part.listingPart], data...)
 	if l.parent != nil && l.parent.client != nil {
 		g.accountClientBytes(l.parent.client)
 	}
 	return true
 }
 
-// endPart counts a part's final answer; the last one makes the listing.
-func (g *Gateway) endPart(p *request) {
-	l := p.listing
-	if p.listingPart < len(l.parts) {
-		l.parts[p.listingPart] = nil
+// endPart counts the final response of a part. The last one completes the listing.
+func (g *Gateway) endPart(part *request) {
+	l := part.listing
+	if part.listingPart < len(l.parts) {
+		l.parts[part.listingPart] = nil
+	}
+	l.count(part)
+	if l.pending--; l.pending == 0 && l.parent != nil {
+		g.respondWithListing(l)
 	}
+}
+
+// count notes how a part ended.
+func (l *listing) count(part *request) {
+	fromNode := part.response.source != nil
 	switch {
-	case p.response.status == 207:
-	case p.response.status == 503 && p.response.source == nil:
+	case part.response.status == 207:
+	case part.response.status == 503 && !fromNode:
 		l.rejected++
-	case l.errorStatus == 0:
-		l.errorStatus, l.reason = p.response.status, "a storage node gave "+http1.StatusText(p.response.status)+" for its part of the listing"
-		if p.response.source == nil {
-			l.reason = "a part of the listing failed: " + p.response.reason
-		}
+	case l.errorStatus != 0:
+	case fromNode:
+		l.errorStatus = part.response.status
+		l.errorReason = "a storage node gave " + http1.StatusText(part.response.status) + " for its part of the listing"
+	default:
+		l.errorStatus = part.response.status
+		l.errorReason = "a part of the listing failed: " + part.response.reason
 	}
-	if l.pending--; l.pending > 0 || l.parent == nil {
+}
+
+// respondWithListing merges the parts of a listing, if all are there. A listing that lacks
+// a part is never sent, as a client would take the missing resources for deleted.
+func (g *Gateway) respondWithListing(l *listing) {
+	req := l.parent
+	if l.errorStatus != 0 {
+		g.respondLocally(req, l.errorStatus, l.errorReason)
 		return
 	}
-	req := l.parent
-	switch {
-	case l.errorStatus != 0:
-		g.respondLocally(req, l.errorStatus, l.reason)
-	case l.rejected > 0:
-		req.response.reason = "a part of the listing was refused; trying again does no harm"
+	if l.rejected > 0 {
+		req.response.reason = reasonListingRejected
 		g.counts.Local++
-		g.writeLocalResponse(req, 503, []byte(req.response.reason+"\n"), func(b []byte) []byte { return appendRetryAfter(b, l.retryAfter) })
+		g.writeLocalResponse(req, 503, []byte(req.response.reason+"\n"), func(b []byte) []byte {
+			return appendRetryAfter(b, l.retryAfter)
+		})
+		return
+	}
+	body, err := webdav.MergeMultistatus(l.bodies, g.config.Limits.ListingBytes)
+	switch {
+	case errors.Is(err, webdav.ErrListingTooLarge):
+		g.respondLocally(req, 507, err.Error())
+	case err != nil:
+		g.respondLocally(req, 502, err.Error())
 	default:
-		body, err := webdav.MergeMultistatus(l.bodies, g.config.Limits.ListingBytes)
-		switch {
-		case errors.Is(err, webdav.ErrListingTooLarge):
-			g.respondLocally(req, 507, err.Error())
-		case err != nil:
-			g.respondLocally(req, 502, err.Error())
-		default:
-			req.response.reason = "merged listing"
-			g.counts.Local++
-			g.writeLocalResponse(req, 207, bytes.TrimSpace(body), nil)
-		}
+		req.response.reason = "merged listing"
+		g.counts.Local++
+		g.writeLocalResponse(req, 207, bytes.TrimSpace(body), nil)
 	}
 }
--- /dev/null
+++ b/internal/gateway/local_response.go
@@ -0,0 +1,139 @@
+package gateway
+
+import (
+	"time"
+
+	"maddergap/internal/http1"
+	"maddergap/internal/webdav"
+)
+
+// Texts of the responses that the gateway itself makes for the scheduler's decisions.
+const (
+	reasonRejected = "not now; trying again does no harm"
+	reasonFailed   = "the storage node failed; whether the request took effect is not known"
+	reasonTimedOut = "no answer in time; whether the request took effect is not known"
+)
+
+// reject gives a request the final response that it was not executed and may be retried,
+// after the time if that is not 0.
+func (g *Gateway) reject(req *request, retryAfter time.Duration) {
+	if req == nil || req.response.final {
+		return
+	}
+	req.response.final, req.response.status, req.response.reason = true, 503, reasonRejected
+	g.counts.Rejected++
+	g.finishRequest(req, Rejected, retryAfter)
+}
+
+// fail gives a request the final response that it is not known whether it was executed.
+func (g *Gateway) fail(req *request) {
+	if req == nil || req.response.final {
+		return
+	}
+	req.response.final, req.response.status, req.response.reason = true, 502, reasonFailed
+	if req.attempts.timedOut {
+		req.response.status, req.response.reason = 504, reasonTimedOut
+	}
+	g.counts.Failed++
+	g.finishRequest(req, Failed, 0)
+}
+
+// finishRequest reports the end of a request without a node's response, and responds.
+func (g *Gateway) finishRequest(req *request, outcome Outcome, retryAfter time.Duration) {
+	g.reportRequestEnd(req, outcome)
+	switch {
+	case req.listing != nil:
+		req.listing.retryAfter = max(req.listing.retryAfter, retryAfter)
+		g.endPart(req)
+		g.recycle(req)
+	case req.client == nil:
+		g.recycle(req)
+	case req.response.source != nil: // the header of a node's response is out, which can only be cut short
+		g.disconnectClient(req.client, Abort)
+	default:
+		g.writeLocalResponse(req, req.response.status, []byte(req.response.reason+"\n"), func(b []byte) []byte {
+			return g.protocol.appendRetryAfter(b, retryAfter)
+		})
+	}
+}
+
+// appendRetryAfter appends a Retry-After field in whole seconds, rounded up (RFC 9110
+// section 10.2.3), and none for 0.
+func appendRetryAfter(b []byte, after time.Duration) []byte {
+	if after <= 0 {
+		return b
+	}
+	return http1.AppendIntField(b, "Retry-After", int64((after+time.Second-1)/time.Second))
+}
+
+// respondLocally answers a request that is not submitted to the scheduler.
+func (g *Gateway) respondLocally(req *request, status int, reason string) {
+	g.counts.Local++
+	req.response.reason = reason
+	g.writeLocalResponse(req, status, []byte(reason+"\n"), func(b []byte) []byte {
+		if status == 405 {
+			b = http1.AppendField(b, "Allow", []byte(webdav.Allow))
+		}
+		return b
+	})
+}
+
+// writeLocalResponse writes a complete response of the gateway's own; req must not be
+// used after it. appendFields appends header fields of the response; nil: there are none.
+func (g *Gateway) writeLocalResponse(req *request, status int, body []byte, appendFields func([]byte) []byte) {
+	c := req.client
+	req.response.status, req.response.final = status, true
+	if req.id == 0 {
+		g.reportRequestEnd(req, Served)
+	}
+	if c == nil {
+		g.recycle(req)
+		return
+	}
+	b := http1.AppendStatus(g.buffers.orNew(c.out), status)
+	if req.id != 0 {
+		b = g.appendRequestIDField(b, req)
+	}
+	b = g.clock.appendDate(b)
+	if len(body) > 0 {
+		b = http1.AppendField(b, "Content-Type", []byte(localContentType(status)))
+	}
+	b = http1.AppendIntField(b, "Content-Length", int64(len(body)))
+	if appendFields != nil {
+		b = appendFields(b)
+	}
+	b = g.appendHeaderEnd(b, c, req)
+	if req.method != "HEAD" {
+		b = append(b, body...)
+	}
+	c.out = b
+	g.responseQueued(req)
+}
+
+// localContentType returns the media type of a response of the gateway's own: a listing,
+// or a line of text.
+func localContentType(status int) string {
+	if status == 207 {
+		return "application/xml; charset=utf-8"
+	}
+	return "text/plain; charset=utf-8"
+}
+
+func (g *Gateway) appendRequestIDField(b []byte, req *request) []byte {
+	b = append(b, "X-Request-Id: "...)
+	return append(g.ids.appendRequestID(b, req.id), "\r\n"...)
+}
+
+// appendHeaderEnd ends the header of a client's response, which says whether it is the
+// last one on the connection.
+func (g *Gateway) appendHeaderEnd(b []byte, c *clientConn, req *request) []byte {
+	if g.phase >= draining || !req.body.complete {
+		c.enter(clientClosing)
+	}
+	if c.phase >= clientClosing {
+		b = append(b, "Connection: close\r\n"...)
+	} else if req.header.MinorVersion == 0 {
+		b = append(b, "Connection: keep-alive\r\n"...)
+	}
+	return append(b, "\r\n"...)
+}
--- a/internal/gateway/membership_source.go
+++ b/internal/gateway/membership_source.go
@@ -2,19 +2,22 @@
 
 import "maddergap/internal/membership"
 
-// MembershipSource is a client of whoever tells the node list, driven by the head: bytes and
-// clock readings in, bytes and lists out. It numbers its connections itself.
+// MembershipSource is a client of discovery, from which the endpoint list comes. Like the
+// gateway it does no I/O: it takes clock readings and bytes, and returns operations and
+// watch events. It numbers its connections itself.
 type MembershipSource interface {
-	// Step tells what is to be done next, and when to ask again.
+	// Step returns the next operation, and the time by which Step has to be called again.
+	// The gateway calls it until it returns the zero SourceOp.
 	Step(now Time) (SourceOp, Time)
 	Connected(now Time, conn int)
 	Data(now Time, conn int, p []byte)
 	Closed(now Time, conn int)
-	// TakeUpdate returns the news since it was last asked for.
-	TakeUpdate() (news membership.Update, ok bool)
+	// TakeUpdate returns the watch event since the last call, if there was one.
+	TakeUpdate() (update membership.Update, ok bool)
 }
 
-// SourceOp is what a feed wants done: a connection made, bytes written to it, or it closed.
+// SourceOp is an operation on connection Conn of a MembershipSource: to dial an address,
+// to write bytes, or to close it. The zero value of the other fields is no operation.
 type SourceOp struct {
 	Conn  int
 	Dial  string
@@ -22,40 +25,41 @@
 	Close bool
 }
 
-// membershipClient is a feed and the connections it has.
+// membershipClient is the membership source and its connections.
 type membershipClient struct {
-	source MembershipSource // nil: the node list is told
-	conns  map[int]*conn
+	source MembershipSource // nil: the endpoint list is set by SetNodes
+	conns  map[int]*discoveryConn
 }
 
-// SetMembershipSource has the node list come from a feed.
-func (g *Gateway) SetMembershipSource(f MembershipSource) {
-	g.membership = membershipClient{source: f, conns: map[int]*conn{}}
+// SetMembershipSource has the endpoint list come from a source.
+func (g *Gateway) SetMembershipSource(source MembershipSource) {
+	g.membership = membershipClient{source: source, conns: map[int]*discoveryConn{}}
 }
 
-// advanceMembershipSource lets the feed go on, and returns when it is to be asked again.
+// advanceMembershipSource carries out what the source wants, and returns when it has to
+// be called again.
 func (g *Gateway) advanceMembershipSource() Time {
-	f := &g.membership
-	if f.source == nil {
+	client := &g.membership
+	if client.source == nil {
 		return never
 	}
 	for {
-		if news, ok := f.source.TakeUpdate(); ok {
-			g.updateMembership(news)
+		if update, ok := client.source.TakeUpdate(); ok {
+			g.updateMembership(update)
 		}
-		op, next := f.source.Step(g.clock.now)
-		c := f.conns[op.Conn]
+		op, next := client.source.Step(g.clock.now)
+		c := client.conns[op.Conn]
 		switch {
 		case op.Dial != "":
-			g.dialMembershipSource(op)
+			g.dialDiscovery(op)
 		case op.Close:
-			delete(f.conns, op.Conn)
+			delete(client.conns, op.Conn)
 			if c != nil {
-				g.drop(c, Close)
+				g.closeConn(c, Close)
 			}
 		case len(op.Write) > 0:
 			if c != nil {
-				g.writeToMembershipSource(c, op.Write)
+				g.writeToDiscovery(c, op.Write)
 			}
 		default:
 			return next
@@ -63,29 +67,52 @@
 	}
 }
 
-func (g *Gateway) dialMembershipSource(op SourceOp) {
-	c := g.newConn()
-	c.feed, c.feedConn = true, op.Conn
+// discoveryConn is a connection of the membership source. It has no timer: the source
+// has its own timeouts.
+type discoveryConn struct {
+	bufferedConn
+	sourceConn int // the source's number for it
+	connected  bool
+}
+
+func (g *Gateway) dialDiscovery(op SourceOp) {
+	c := &discoveryConn{sourceConn: op.Conn}
+	g.openConn(c)
 	g.membership.conns[op.Conn] = c
 	g.actions.dial(c.id, op.Dial)
 }
 
-func (g *Gateway) writeToMembershipSource(c *conn, p []byte) {
-	if c.out == nil {
-		c.out = g.buffers.get()
+func (g *Gateway) discoveryConnected(c *discoveryConn) {
+	if !c.connected {
+		c.connected = true
+		g.membership.source.Connected(g.clock.now, c.sourceConn)
 	}
-	c.out = append(c.out, p...)
-	g.flush(c)
 }
 
-func (g *Gateway) discoveryConnClosed(c *conn, open bool) {
-	if open {
-		g.drop(c, Close)
-	} else {
-		g.forget(c, false)
-	}
-	if g.membership.conns[c.feedConn] == c {
-		delete(g.membership.conns, c.feedConn)
-		g.membership.source.Closed(g.clock.now, c.feedConn)
+func (g *Gateway) writeToDiscovery(c *discoveryConn, data []byte) {
+	c.out = append(g.buffers.orNew(c.out), data...)
+	g.flush(&c.bufferedConn)
+}
+
+// discoveryConnLost notifies the source that a connection was ended by discovery.
+func (g *Gateway) discoveryConnLost(c *discoveryConn, closedByDriver bool) {
+	g.removeLost(c, closedByDriver)
+	if g.membership.conns[c.sourceConn] == c {
+		delete(g.membership.conns, c.sourceConn)
+		g.membership.source.Closed(g.clock.now, c.sourceConn)
 	}
 }
+
+func (c *discoveryConn) handleData(g *Gateway, data []byte) {
+	g.membership.source.Data(g.clock.now, c.sourceConn, data)
+}
+
+func (c *discoveryConn) handleWritten(*Gateway, int) {}
+
+func (c *discoveryConn) handleEOF(g *Gateway) { g.discoveryConnLost(c, false) }
+
+func (c *discoveryConn) handleClosed(g *Gateway) { g.discoveryConnLost(c, true) }
+
+func (c *discoveryConn) handleTimer(*Gateway) {}
+
+func (c *discoveryConn) handleRemoved(*Gateway) {}
--- /dev/null
+++ b/internal/gateway/node_conn.go
@@ -0,0 +1,224 @@
+package gateway
+
+import (
+	"container/list"
+
+	"maddergap/internal/http1"
+	"maddergap/scheduler"
+)
+
+// nodeConnState is what a connection to a node is doing.
+type nodeConnState uint8
+
+const (
+	nodeDialing          nodeConnState = iota // it is not established yet
+	nodeIdle                                  // it has no attempt
+	nodeAwaitingResponse                      // an attempt is sent; the header of its response has not come
+	nodeReadingBody                           // the body of a response is read
+)
+
+func (s nodeConnState) String() string {
+	return [...]string{"dialing", "idle", "awaiting response", "reading body"}[s]
+}
+
+// nodeConn is a connection to a storage node. It carries one attempt at a time, and is
+// dialed for an attempt. If that attempt is cancelled first, the connection has none
+// while it is dialed, and is idle once it is established.
+type nodeConn struct {
+	bufferedConn
+	node        *node
+	addr        string // where it leads
+	incarnation Time   // of the node that it leads to; see node.started
+	state       nodeConnState
+	attempt     *nodeAttempt // nil: none
+	dialStalled bool         // dialing was put off for want of the machine's own resources
+
+	idleSince   Time          // when it was last made idle; 0: never
+	idleElement *list.Element // in nodeTable.idle; nil: it is not idle
+
+	response         http1.Response // of the attempt, if state is nodeReadingBody
+	responseBody     http1.BodyDecoder
+	interimResponses int // 1xx responses to the attempt
+}
+
+// current tells whether the connection leads to the present address and incarnation of
+// its node.
+func (c *nodeConn) current() bool {
+	return c.addr == c.node.addr && c.incarnation == c.node.started
+}
+
+// dialNode opens a connection to a node for an attempt.
+func (g *Gateway) dialNode(n *node, attempt *nodeAttempt) {
+	c := &nodeConn{node: n, addr: n.addr, incarnation: n.started, attempt: attempt}
+	g.openConn(c)
+	attempt.conn = c
+	g.nodes.connOpened(n)
+	g.actions.dial(c.id, n.addr)
+	g.setDeadline(&c.bufferedConn, min(g.clock.now+g.config.Timeouts.Dial, attempt.req.deadline))
+}
+
+// nodeConnected is called when a connection is established. Its attempt is sent, unless
+// it came too late for it.
+func (g *Gateway) nodeConnected(c *nodeConn) {
+	if c.state != nodeDialing {
+		return
+	}
+	g.nodes.lastConnected = g.clock.now
+	if c.attempt == nil {
+		g.makeIdle(c)
+		return
+	}
+	c.state = nodeAwaitingResponse
+	if startBefore := c.attempt.startBefore; startBefore > 0 && g.clock.now >= startBefore {
+		g.withholdAttempt(c)
+		return
+	}
+	g.setDeadline(&c.bufferedConn, c.attempt.req.deadline)
+	g.sendRequest(c)
+}
+
+// resumeNode reads a paused connection again, and uses what the node sent before.
+func (g *Gateway) resumeNode(c *nodeConn) {
+	if !c.paused {
+		return
+	}
+	g.resume(&c.bufferedConn)
+	if len(c.unread) > 0 {
+		g.storeUnread(&c.bufferedConn, g.consumeNodeData(c, c.unread))
+	}
+}
+
+func (c *nodeConn) handleData(g *Gateway, data []byte) {
+	g.storeUnread(&c.bufferedConn, g.consumeNodeData(c, c.withUnread(data)))
+}
+
+// handleWritten notes that an attempt has begun, and goes on with an upload that waited
+// for the node.
+func (c *nodeConn) handleWritten(g *Gateway, _ int) {
+	attempt := c.attempt
+	if attempt == nil {
+		return
+	}
+	g.attemptResumed(attempt)
+	if !attempt.firstByteWritten {
+		attempt.firstByteWritten = true
+		g.checkFirstByteWritten(attempt)
+	}
+	client := attempt.req.client
+	if attempt.req.attempts.uploading == attempt && client != nil && client.paused && len(c.pending()) <= g.bufferAllowance()/2 {
+		g.restartUploadTimer(client)
+		g.resumeClient(client)
+	}
+}
+
+func (c *nodeConn) handleEOF(g *Gateway) {
+	if c.attempt != nil && c.state == nodeReadingBody && c.responseBody.InputEnded() { // a body that ends with the connection
+		g.noteClosedByNode(c)
+		g.responseComplete(c)
+		return
+	}
+	g.nodeConnLost(c, false)
+}
+
+func (c *nodeConn) handleClosed(g *Gateway) { g.nodeConnLost(c, true) }
+
+// nodeConnLost ends a connection that the node has closed, and its attempt.
+func (g *Gateway) nodeConnLost(c *nodeConn, closedByDriver bool) {
+	g.noteClosedByNode(c)
+	attempt := c.attempt
+	if attempt == nil {
+		g.nodes.removeIdle(c)
+		g.removeLost(c, closedByDriver)
+		return
+	}
+	outcome := g.connLossOutcome(c, attempt)
+	c.attempt = nil
+	g.removeLost(c, closedByDriver)
+	g.endAttempt(attempt, outcome)
+}
+
+// connLossOutcome returns the outcome of an attempt whose connection is lost now.
+func (g *Gateway) connLossOutcome(c *nodeConn, attempt *nodeAttempt) scheduler.Outcome {
+	switch {
+	case c.state == nodeReadingBody && attempt.outcome != scheduler.OK:
+		return attempt.outcome
+	case c.state == nodeDialing:
+		return g.dialFailureOutcome(c, attempt)
+	case !attempt.firstByteWritten: // an idle connection was closed just then: it is proven not to have run
+		return scheduler.Superseded
+	case !attempt.requestWritten():
+		return g.protocol.truncatedRequestOutcome()
+	}
+	return scheduler.Reset
+}
+
+// dialFailureOutcome returns the outcome of an attempt whose connection was not
+// established. That is a fault of the node, unless dialing was put off for want of the
+// machine's own resources. If other connections were established meanwhile, the machine
+// had them, and it is the node's fault all the same, for instance because there is no
+// route to it.
+func (g *Gateway) dialFailureOutcome(c *nodeConn, attempt *nodeAttempt) scheduler.Outcome {
+	if c.dialStalled && g.nodes.lastConnected <= attempt.startedAt {
+		return scheduler.Superseded
+	}
+	return scheduler.ConnectFailed
+}
+
+func (c *nodeConn) handleTimer(g *Gateway) {
+	attempt := c.attempt
+	switch {
+	case attempt == nil:
+		g.nodes.removeIdle(c)
+		g.closeConn(c, Close)
+	case c.state == nodeDialing:
+		c.attempt = nil
+		g.closeConn(c, Abort)
+		g.endAttempt(attempt, g.dialFailureOutcome(c, attempt))
+	case !attempt.firstByteWritten: // the machine was too busy to write it: it never ran
+		c.attempt = nil
+		g.closeConn(c, Abort)
+		g.endAttempt(attempt, scheduler.Superseded)
+	case attempt.req.response.source == attempt, attempt.bufferResponse && g.clock.now < attempt.req.deadline: // the response stalled
+		g.abortNodeConn(c, g.protocol.malformedResponseOutcome())
+	default: // the deadline of the request has passed; a later response would reach nobody
+		attempt.req.attempts.timedOut = true
+		g.abortNodeConn(c, scheduler.TimedOut)
+	}
+}
+
+func (c *nodeConn) handleRemoved(g *Gateway) { g.nodes.connClosed(c.node) }
+
+// nodeStalled notes that a system call on a connection was put off, and notifies the
+// scheduler, which does not blame the node for the delay.
+func (g *Gateway) nodeStalled(c *nodeConn) {
+	if c.state == nodeDialing {
+		c.dialStalled = true
+	}
+	if attempt := c.attempt; attempt != nil && !attempt.stalled {
+		attempt.stalled = true
+		g.events = append(g.events, scheduler.AttemptStalled{ID: attempt.req.id, Attempt: attempt.number})
+	}
+}
+
+// attemptResumed notifies the scheduler that a stalled attempt goes on.
+func (g *Gateway) attemptResumed(attempt *nodeAttempt) {
+	if attempt != nil && attempt.stalled {
+		attempt.stalled = false
+		g.events = append(g.events, scheduler.AttemptResumed{ID: attempt.req.id, Attempt: attempt.number})
+	}
+}
+
+// abortNodeConn resets a connection that cannot be used any more, and ends its attempt
+// with the outcome, unless the header of the response has told a fault already.
+func (g *Gateway) abortNodeConn(c *nodeConn, outcome scheduler.Outcome) {
+	attempt := c.attempt
+	c.attempt = nil
+	g.closeConn(c, Abort)
+	if attempt == nil {
+		return
+	}
+	if attempt.outcome != scheduler.OK && c.state == nodeReadingBody {
+		outcome = attempt.outcome
+	}
+	g.endAttempt(attempt, outcome)
+}
--- /dev/null
+++ b/internal/gateway/node_response.go
@@ -0,0 +1,158 @@
+package gateway
+
+import (
+	"maddergap/internal/http1"
+	"maddergap/scheduler"
+)
+
+// maxDiscardedBytes is how much of a response that nobody is given is read, so that its
+// connection can be reused. A longer one ends the connection.
+const maxDiscardedBytes = 64 << 10
+
+// consumeNodeData uses the bytes of a node and returns those that cannot be used yet.
+func (g *Gateway) consumeNodeData(c *nodeConn, data []byte) []byte {
+	g.attemptResumed(c.attempt)
+	for more := true; more && len(data) > 0 && !c.closed; {
+		switch {
+		case c.attempt == nil: // a response that nobody has asked for
+			g.nodes.removeIdle(c)
+			g.closeConn(c, Close)
+			return nil
+		case c.state == nodeReadingBody:
+			data, more = g.consumeResponseBody(c, data)
+		default:
+			data, more = g.consumeResponseHeader(c, data)
+		}
+		if c.state == nodeReadingBody && c.responseBody.Done() && !c.closed {
+			g.responseComplete(c)
+		}
+	}
+	if c.attempt != nil && !c.closed {
+		g.responseProgressed(c)
+	}
+	return data
+}
+
+// consumeResponseHeader takes the header of a response, if it is complete. It returns
+// what is behind it, and whether that can be used now.
+func (g *Gateway) consumeResponseHeader(c *nodeConn, data []byte) (rest []byte, more bool) {
+	attempt := c.attempt
+	n := g.config.HeaderLimits.HeaderBlock(data, &c.headerScanned)
+	if n == 0 {
+		return data, false
+	}
+	if err := http1.ParseResponse(data[:n], &c.response, attempt.req.method, g.config.HeaderLimits); err != nil {
+		g.abortNodeConn(c, scheduler.Failed)
+		return nil, false
+	}
+	// A response that comes before the request was written whole is one to an earlier
+	// request, of a node that responds twice.
+	if !g.protocol.allowsEarlyResponse() && !attempt.requestWritten() {
+		g.abortNodeConn(c, g.protocol.truncatedRequestOutcome())
+		return nil, false
+	}
+	if c.response.Status < 200 {
+		if c.interimResponses++; c.interimResponses > http1.MaxInterimResponses {
+			g.abortNodeConn(c, scheduler.Failed)
+			return nil, false
+		}
+		return data[n:], true
+	}
+	c.state = nodeReadingBody
+	c.responseBody.Reset(&c.response.Message)
+	if !g.beginResponse(attempt) {
+		g.abortNodeConn(c, g.protocol.malformedResponseOutcome())
+		return nil, false
+	}
+	return data[n:], true
+}
+
+// beginResponse reads the header of a response. A response that tells a fault is for the
+// scheduler alone; any other becomes the client's. It returns false if the response
+// cannot be used.
+func (g *Gateway) beginResponse(attempt *nodeAttempt) bool {
+	response := &attempt.conn.response
+	info := g.protocol.parseResponse(response)
+	attempt.status, attempt.outcome = response.Status, info.Outcome
+	attempt.reportedLoad, attempt.hasLoadReport = info.ReportedLoad, info.HasLoadReport
+	if info.Outcome != scheduler.OK {
+		return true
+	}
+	return g.protocol.beginResponse(g, attempt)
+}
+
+// consumeResponseBody takes a piece of the body of a response, or pauses the node if the
+// client has not taken what came before.
+func (g *Gateway) consumeResponseBody(c *nodeConn, data []byte) (rest []byte, more bool) {
+	attempt := c.attempt
+	client := attempt.req.client
+	if attempt.req.response.source == attempt && client != nil && len(client.pending()) > g.bufferAllowance() {
+		g.pause(&c.bufferedConn)
+		g.setDeadline(&c.bufferedConn, never) // the node waits for the client
+		return data, false
+	}
+	piece, rest, err := c.responseBody.Next(data)
+	if err != nil {
+		g.abortNodeConn(c, g.protocol.malformedResponseOutcome())
+		return nil, false
+	}
+	g.receiveResponseData(attempt, piece)
+	return rest, true
+}
+
+// receiveResponseData takes a piece of the body of a response.
+func (g *Gateway) receiveResponseData(attempt *nodeAttempt, data []byte) {
+	if len(data) == 0 {
+		return
+	}
+	if !attempt.responseWanted() {
+		if attempt.discardedBytes += int64(len(data)); attempt.discardedBytes > maxDiscardedBytes {
+			g.abortNodeConn(attempt.conn, attempt.outcome)
+		}
+		return
+	}
+	if !g.protocol.responseData(g, attempt, data) {
+		g.abortNodeConn(attempt.conn, g.protocol.malformedResponseOutcome())
+	}
+}
+
+// responseProgressed sets how long a response that has begun may stall.
+func (g *Gateway) responseProgressed(c *nodeConn) {
+	attempt := c.attempt
+	if attempt.bufferResponse {
+		g.setDeadline(&c.bufferedConn, min(attempt.req.deadline, g.clock.now+attempt.stallTimeout))
+		return
+	}
+	if attempt.req.response.source != attempt {
+		return
+	}
+	if !attempt.responseStarted {
+		attempt.responseStarted = true
+		g.events = append(g.events, scheduler.ResponseStarted{ID: attempt.req.id, Attempt: attempt.number})
+	}
+	if !c.paused {
+		g.setDeadline(&c.bufferedConn, g.clock.now+g.config.Timeouts.Stall)
+	}
+}
+
+// responseComplete ends an attempt whose response was read to its end, and makes the
+// connection idle if it can be reused.
+func (g *Gateway) responseComplete(c *nodeConn) {
+	attempt := c.attempt
+	req := attempt.req
+	c.attempt, c.state = nil, nodeIdle
+	reusable := !c.response.Close && attempt.requestWritten()
+	if req.attempts.uploading == attempt {
+		req.attempts.uploading = nil
+	}
+	if attempt.bufferResponse || req.response.source == attempt {
+		g.protocol.endResponse(g, attempt)
+	} else {
+		g.endAttempt(attempt, attempt.outcome)
+	}
+	if reusable {
+		g.makeIdle(c)
+	} else {
+		g.closeConn(c, Close)
+	}
+}
--- a/internal/gateway/node_table.go
+++ b/internal/gateway/node_table.go
@@ -18,8 +18,8 @@
 	state          scheduler.NodeState
 	stateChangedAt Time // when the gateway was notified of this state or address
 
-	conns int     // open connections, those being dialed included
-	idle  []*conn // connections without a request, the last used last
+	conns int         // open connections, those being dialed included
+	idle  []*nodeConn // connections without a request, the last used last
 	// keepsConnsOpen: an idle connection was still open after reuseDelay, and the node
 	// has closed none sooner since.
 	keepsConnsOpen bool
@@ -118,7 +118,7 @@
 func (g *Gateway) closeIdleConns(n *node) {
 	for _, c := range n.idle {
 		g.nodes.idle.remove(c)
-		g.drop(c, Close)
+		g.closeConn(c, Close)
 	}
 	n.idle = nil
 }
--- a/internal/gateway/observer.go
+++ b/internal/gateway/observer.go
@@ -10,22 +10,23 @@
 	"maddergap/scheduler"
 )
 
-// Outcome is the final answer of a request.
+// Outcome is how a request ended.
 type Outcome uint8
 
-// Final answers; ClientDisconnected is a client that went before it had one.
+// Outcomes. The first three are those of the final response.
 const (
-	Served Outcome = iota
-	Rejected
-	Failed
-	ClientDisconnected
+	Served             Outcome = iota // a node's response
+	Rejected                          // not executed, and may be retried
+	Failed                            // not known whether it was executed
+	ClientDisconnected                // the client left before the final response
 )
 
+// String returns the outcome as it stands in metric labels.
 func (o Outcome) String() string { return [...]string{"served", "refused", "failed", "left"}[o] }
 
-// Span is an attempt or a whole request, as an Observer is told of it.
+// Span describes an attempt or a whole request.
 type Span struct {
-	Request        string // the request id that clients and nodes see
+	Request        string // the request id that clients and nodes see; empty: the request was not submitted
 	Trace          [16]byte
 	ID             [8]byte
 	Parent         [8]byte
@@ -36,43 +37,118 @@
 	Path           string
 	Volume         string
 	Class          string
-	Status         int
-	Outcome        Outcome // of a request
-	Client         string  // of a request: the client's address
-	Attempts       int     // of a request
-	Attempt        int     // of an attempt: its number
-	Node           string  // of an attempt
+	Status         int // of the response; 0: none
+	Outcome        Outcome
+	Client         string // the client's address; empty for an attempt
+	Attempts       int    // how many a request had
+	Attempt        int    // the number of an attempt, from 0
+	Node           string // of an attempt; empty for a request
 	AttemptOutcome scheduler.Outcome
-	Reason         string // why the head itself answered
+	Reason         string // why the gateway itself responded to a request; empty: it did not
 }
 
-// Observer is told what was done; it must not keep the span.
+// Observer is notified of what the gateway has done. It must not keep a span after the call.
 type Observer interface {
 	Request(*Span)
 	Attempt(*Span)
-	MembersChanged([]membership.Change)                                        // what changed of the node list
-	InvariantViolated(invariant.Violation)                                     // an invariant that was broken, or an attempt that was withheld
-	ConnectionRejected(client netip.AddrPort, why admission.Reason, told bool) // a connection that was not admitted
+	// MembersChanged is called with the changes of the endpoint list.
+	MembersChanged([]membership.Change)
+	// InvariantViolated is called with an invariant that was violated, or that would have
+	// been by an attempt that was withheld.
+	InvariantViolated(invariant.Violation)
+	// ConnectionRejected is called with a connection or request that was not admitted;
+	// responseSent tells whether the client gets a response.
+	ConnectionRejected(client netip.AddrPort, reason admission.Reason, responseSent bool)
 }
 
-// Counts are sums since the start.
+// Counts are counters since the start, and gauges.
 type Counts struct {
-	Received, Served, Rejected, Failed, Disconnected uint64                        // requests given to the module, and how they ended
-	Attempts, Local, Malformed                       uint64                        // sends; answers of the head's own; requests refused as malformed
-	Clients, NodeConns                               int                           // connections now
-	Preempted                                        uint64                        // idle connections closed for others
-	ConnectionsRejected                              [admission.ReasonCount]uint64 // connections and requests not admitted
-	Admitted                                         admission.Counts
-	BufferedBytes                                    int64 // bytes held for clients
-	Stall                                            time.Duration
-	Invariants                                       invariant.Counts // attempts withheld, invariants broken
+	// Requests submitted to the scheduler, and how they ended.
+	Received, Served, Rejected, Failed, Disconnected uint64
+
+	Attempts  uint64 // attempts, those included that ended before anything was sent
+	Local     uint64 // requests that the gateway answered without the scheduler
+	Malformed uint64 // requests rejected as malformed or too slow
+	Preempted uint64 // client connections closed for others
+
+	// ConnectionsRejected counts connections and requests that were not admitted.
+	ConnectionsRejected [admission.ReasonCount]uint64
+	Admitted            admission.Counts
+	Invariants          invariant.Counts // attempts withheld, and invariants violated
+
+	Clients, NodeConns int           // open connections
+	BufferedBytes      int64         // held for clients
+	Stall              time.Duration // estimate of how late Advance is called
 }
 
-// Counts returns the sums.
+// Counts returns the counters and gauges.
 func (g *Gateway) Counts() Counts {
 	c := g.counts
 	c.Clients, c.NodeConns = g.clientConns, g.nodes.conns
-	c.Admitted, c.BufferedBytes, c.Stall = g.admission.Counts(), g.buffers.clientBytes, g.stall.current(g.clock.now)
+	c.BufferedBytes = g.buffers.clientBytes
+	c.Stall = g.stall.current(g.clock.now)
+	c.Admitted = g.admission.Counts()
 	c.Invariants = g.invariants.Counts()
 	return c
 }
+
+// reportAttempt notifies the observer of the end of an attempt.
+func (g *Gateway) reportAttempt(attempt *nodeAttempt, outcome scheduler.Outcome) {
+	if g.observer == nil {
+		return
+	}
+	req := attempt.req
+	g.span = Span{
+		Request:        g.ids.requestID(req.id),
+		Trace:          req.trace.id,
+		ID:             attempt.spanID,
+		Parent:         req.trace.span,
+		Sampled:        req.trace.sampled,
+		Start:          attempt.startedAt,
+		End:            g.clock.now,
+		Method:         req.method,
+		Path:           req.location.Path,
+		Volume:         req.info.Arrival.Volume,
+		Class:          g.class(req).Name,
+		Status:         attempt.status,
+		Attempt:        attempt.number,
+		Node:           attempt.nodeName,
+		AttemptOutcome: outcome,
+	}
+	g.observer.Attempt(&g.span)
+}
+
+// reportRequestEnd notifies the protocol and the observer of the end of a request.
+func (g *Gateway) reportRequestEnd(req *request, outcome Outcome) {
+	if req.response.reported && req.id != 0 {
+		g.invariants.RecordDuplicateResponse(g.clock.now, req.id)
+	}
+	req.response.reported = true
+	g.protocol.requestEnded(req, outcome)
+	if g.observer == nil {
+		return
+	}
+	g.span = Span{
+		Request:  g.ids.requestID(req.id),
+		Trace:    req.trace.id,
+		ID:       req.trace.span,
+		Parent:   req.trace.parent,
+		Sampled:  req.trace.sampled,
+		Start:    req.headerReceivedAt,
+		End:      g.clock.now,
+		Method:   req.method,
+		Path:     req.location.Path,
+		Status:   req.response.status,
+		Outcome:  outcome,
+		Attempts: req.attempts.count,
+		Reason:   req.response.reason,
+	}
+	if req.client != nil {
+		g.span.Client = req.client.remote.String()
+	}
+	if req.id != 0 {
+		g.span.Start = req.submittedAt
+		g.span.Volume, g.span.Class = req.info.Arrival.Volume, g.class(req).Name
+	}
+	g.observer.Request(&g.span)
+}
--- a/internal/gateway/protocol.go
+++ b/internal/gateway/protocol.go
@@ -7,70 +7,80 @@
 	"maddergap/scheduler"
 )
 
-// protocol is what a protocol has of its own between clients, head and nodes: reading a
-// request, writing an attempt, reading and passing on its answer. Connections,
-// bounds, timers and the module's part are the same for all.
+// protocol is what differs between WebDAV, whose messages stream, and a Protocol, whose
+// messages are buffered: how requests are read and sent, and how responses are passed on.
+// Connections, limits, timers and the scheduler's part are the same for all.
 type protocol interface {
-	// beginRequest says what becomes of a request whose header was read and that was admitted.
-	beginRequest(g *Gateway, c *conn, req *request)
-	// prepareArrival fills in what the module is told of a request; a fault is answered instead.
+	// beginRequest decides what becomes of a request whose header was read.
+	beginRequest(g *Gateway, c *clientConn, req *request)
+	// prepareArrival fills in what the scheduler is told of a request. A request with an
+	// error is answered with it, and not submitted.
 	prepareArrival(g *Gateway, req *request) *http1.Error
-	// appendRequest writes an attempt's start line and fields, without its length.
+	// appendRequest appends the request line and the fields of an attempt, without those
+	// that give the length of the body.
 	appendRequest(g *Gateway, b []byte, attempt *nodeAttempt) []byte
-	// parseResponse reads the header of a node's answer.
+	// parseResponse reads the header of a node's response.
 	parseResponse(r *http1.Response) ResponseInfo
-	// beginResponse and responseData take the answer that is to go to the client, and
-	// endResponse brings it to its end. A false ends the attempt as broken.
+
+	// beginResponse, responseData and endResponse pass a response on whose outcome is OK.
+	// Where the first two return false, the attempt ends with malformedResponseOutcome.
 	beginResponse(g *Gateway, attempt *nodeAttempt) bool
 	responseData(g *Gateway, attempt *nodeAttempt, data []byte) bool
 	endResponse(g *Gateway, attempt *nodeAttempt)
-	// truncatedRequestOutcome is the outcome of an attempt whose connection broke when it had gone out in part.
+
+	// truncatedRequestOutcome is the outcome of an attempt of which only a part was
+	// written when its connection was lost.
 	truncatedRequestOutcome() scheduler.Outcome
-	// allowsEarlyResponse tells whether a node may answer before the request has come whole.
-	allowsEarlyResponse() bool
-	// malformedResponseOutcome is the outcome of one whose answer's body cannot be read.
+	// malformedResponseOutcome is the outcome of an attempt whose response cannot be read.
 	malformedResponseOutcome() scheduler.Outcome
-	appendRetryAfter(b []byte, after time.Duration) []byte
+	// allowsEarlyResponse tells whether a node may respond before it has the whole request.
+	allowsEarlyResponse() bool
 	// eofMeansDisconnect tells whether a client that sends no more has left.
 	eofMeansDisconnect() bool
-	// requestEnded tells of a final answer, or of a client that left.
-	requestEnded(req *request, o Outcome)
+	// appendRetryAfter appends the fields that tell a client when to retry.
+	appendRetryAfter(b []byte, after time.Duration) []byte
+	// requestEnded is called with the end of each request.
+	requestEnded(req *request, outcome Outcome)
 }
 
-// ResponseInfo is what an answer's header says of its attempt.
+// ResponseInfo is what the header of a response says of its attempt.
 type ResponseInfo struct {
 	Outcome       scheduler.Outcome
-	ReportedLoad  float64 // requests that the node said it held or had waiting
-	HasLoadReport bool    // it said so
+	ReportedLoad  float64 // requests that the node said it holds or has waiting, if HasLoadReport
+	HasLoadReport bool
 }
 
-// RequestInfo is what a protocol reads out of a request's header.
+// RequestInfo is what a protocol reads out of the header of a request.
 type RequestInfo struct {
-	// Status and Reason are the head's own answer, 0: the request is the module's.
+	// Status and Reason are the gateway's own response. 0: the request is submitted.
 	Status int
 	Reason string
-	Close  bool   // no more is read of this client
-	ID     string // the client's name for the request
-	// Arrival is what the module is told, but for its ID. ClientDisconnected counts from the
-	// request's last byte.
+	Close  bool   // the client's connection ends with that response
+	ID     string // the client's id of the request; empty: none
+	// Arrival is what the scheduler is told of the request; the gateway sets its ID.
+	// TimeRemaining counts from the last byte of the request.
 	Arrival scheduler.Arrival
 }
 
-// Protocol is one whose messages are small: requests and answers are held whole, and
-// checked, before anything of them is passed on. It does no I/O and reads no clock.
+// Protocol is a protocol whose messages are small: requests and responses are buffered
+// until they are complete, and checked, before anything of them is passed on. It does no
+// I/O and reads no clock.
 type Protocol interface {
 	ParseRequest(r *http1.Request) RequestInfo
-	// BeginRequest takes a whole request's id; one that is taken already is answered with the fault.
+	// BeginRequest takes the id of a complete request. It returns the error with which a
+	// request is answered whose id is taken already.
 	BeginRequest(a *RequestInfo) *http1.Error
-	// EndRequest tells how it ended.
+	// EndRequest releases the id of a request, and tells how the request ended.
 	EndRequest(id string, o Outcome)
-	// AppendRequest writes an attempt's start line and fields, without its length;
-	// left is for how long the head will wait.
+	// AppendRequest appends the request line and the fields of an attempt, without those
+	// that give the length of the body. left is for how long the gateway will wait.
 	AppendRequest(b []byte, r *http1.Request, left time.Duration) []byte
 	ParseResponse(r *http1.Response) ResponseInfo
+	// AppendRetryAfter appends the fields that tell a client when to retry.
 	AppendRetryAfter(b []byte, after time.Duration) []byte
-	// MaxResponseBytes is how large an answer may be, and all answers that are held, and Stall
-	// for how long an answer that has begun may stand still.
+	// MaxResponseBytes returns the limits of a response body, and of all response bodies
+	// that are buffered at a time.
 	MaxResponseBytes() (one, all int64)
+	// ResponseStallTimeout returns how long a response that has begun may stall.
 	ResponseStallTimeout() time.Duration
 }
--- a/internal/gateway/races_test.go
+++ b/internal/gateway/races_test.go
@@ -124,7 +124,7 @@
 		if h.paused[c] {
 			t.Errorf("it is not read on after %d more", n)
 		}
-		if in := len(h.gateway.conns.find(c).unread); in > maxPipelinedBytes {
+		if in := len(h.gateway.conns.findClient(c).unread); in > maxPipelinedBytes {
 			t.Errorf("%d bytes are held", in)
 		}
 		h.gateway.EOF(h.now, c)
@@ -217,8 +217,8 @@
 		h.deferConnects = true
 		h.connectClient(requestWithID("a"))
 		n := h.nodeConn(0)
-		req := h.gateway.conns.find(n).attempt.req
-		h.gateway.conns.find(n).attempt.startBefore = h.now + 100*time.Millisecond
+		req := h.findNodeConn(n).attempt.req
+		h.findNodeConn(n).attempt.startBefore = h.now + 100*time.Millisecond
 		h.now += 100*time.Millisecond + late
 		h.gateway.Connected(h.now, n)
 		if h.runActions(); req.attempts.inFlight == 0 && late < 0 || h.takeWritten(n) != "" && late > 0 {
--- a/internal/gateway/random_histories_test.go
+++ b/internal/gateway/random_histories_test.go
@@ -143,7 +143,7 @@
 				}
 			}
 		}
-		if conn := h.gateway.conns.find(c); conn != nil && len(conn.unread) > len(p) {
+		if conn := h.gateway.conns.findClient(c); conn != nil && len(conn.unread) > len(p) {
 			t.Fatalf("%d bytes are kept of %d", len(conn.unread), len(p))
 		}
 		h.advanceTime(30 * time.Second)
--- a/internal/gateway/random_races_test.go
+++ b/internal/gateway/random_races_test.go
@@ -132,11 +132,11 @@
 					left = append(left, x.lastRequest[c])
 				case what < 7 && len(x.dialed) > 0: // a connection to a node comes up, or does not
 					if d := pick(x.dialed); rapid.IntRange(0, 3).Draw(rt, "refused") > 0 {
-						if c := x.gateway.conns.find(d); c != nil && !c.connected {
+						if c := x.findNodeConn(d); c != nil && c.state == nodeDialing {
 							x.connectedBefore[d] = !x.nodeDraining
 						}
 						x.gateway.Connected(x.now, d)
-					} else if c := x.gateway.conns.find(d); c != nil && !c.connected {
+					} else if c := x.findNodeConn(d); c != nil && c.state == nodeDialing {
 						x.gateway.Closed(x.now, d)
 					}
 				case what < 9 && len(x.dialed) > 0: // a node answers what it carries, well or not
@@ -172,7 +172,7 @@
 			}
 			x.drainingConns = map[ConnID]bool{}
 			for _, d := range x.dialed {
-				if c := x.gateway.conns.find(d); c != nil {
+				if c := x.findNodeConn(d); c != nil {
 					x.drainingConns[d] = c.node.name == "n0"
 				}
 			}
--- a/internal/gateway/request_state.go
+++ b/internal/gateway/request_state.go
@@ -8,83 +8,97 @@
 	"maddergap/internal/route"
 )
 
-// request is a request of a client and what becomes of it.
+// request is a request of a client and what becomes of it. It has an id, and is in the
+// request table, from when it is submitted to the scheduler; from then on it is owed one
+// final response. It is reused once neither a client, nor an attempt, nor the scheduler
+// refers to it; see inUse.
 type request struct {
-	id     uint64 // 0: not given to the module
-	client *conn  // nil: it left, or has its answer whole
+	id     uint64      // 0: not submitted
+	client *clientConn // nil: it has left, or has the whole response in its buffers
 	method string
 
-	rawHeader      []byte
+	rawHeader      []byte // that header points into
 	header         http1.Request
 	location       route.Location
 	classification route.Classification
-	volume         *config.Volume // as the configuration was when it came
-	info           RequestInfo    // what the module is told of it
+	volume         *config.Volume // of the configuration that was in force when it arrived
+	info           RequestInfo    // of the protocol; its Arrival is what the scheduler is told
 
-	headerReceivedAt Time // when its header was whole
-	submittedAt      Time // when the module was told
-	deadline         Time // by when its answer must go out
-	disconnectedAt   Time // when its client was seen to go, 0: it is there
+	headerReceivedAt Time
+	submittedAt      Time
+	deadline         Time // of the final response
+	disconnectedAt   Time // when its client was seen to have left; 0: it has not
 
 	body     requestBody
 	attempts requestAttempts
 	response clientResponse
 	trace    traceContext
 
-	listing     *listing
-	listingPart int // of the listing
+	listing     *listing // that the request begins, or is a part of; nil: none
+	listingPart int      // its index in listing.parts
 
-	recycled bool // kept for use again
+	recycled bool // it is in requestTable.free, or left to the garbage collector
 }
 
-// requestBody is what was read of a request's body.
+// requestBody is the body of a request, as far as it was received. Its data is sent again
+// with each attempt, unless consumed is set.
 type requestBody struct {
 	decoder         http1.BodyDecoder
-	data            []byte // for sending it (again)
-	received        int64  // bytes of it
-	complete        bool   // it was read to its end
-	consumed        bool   // more of it was sent on than is held: it cannot be sent again
-	continueHandled bool   // the client was told 100, or need not be
-	bufferFully     bool   // it is held whole before the request is taken, up to BodyHold
+	data            []byte // the beginning of the body, at most Limits.BodyBuffer and one read
+	received        int64  // bytes
+	complete        bool   // all of it was received
+	consumed        bool   // more of it was forwarded than is in data: no retry is possible
+	continueHandled bool   // the client was sent 100 (Continue), or does not wait for it
+	bufferFully     bool   // the request is submitted when all of it is in data
 }
 
 // requestAttempts is what is known of a request's attempts.
 type requestAttempts struct {
 	count           int
-	inFlight        int // without an outcome
-	latest          *nodeAttempt
-	uploading       *nodeAttempt // that the body is sent on to as it comes
+	inFlight        int          // without an outcome
+	latest          *nodeAttempt // nil: none
+	uploading       *nodeAttempt // that the body is forwarded to as it comes; nil: none
 	mayHaveExecuted possibleExecution
-	timedOut        bool // one had no answer in time
+	timedOut        bool // one had no response by the request's deadline
 }
 
-// possibleExecution is where and when an attempt of a request began that may have run.
+// possibleExecution is the first attempt of a request that may have been executed.
 type possibleExecution struct {
-	known       bool
-	zone, shard int
+	known       bool // there is one
+	zone, shard int  // of its node
 	startedAt   Time
 }
 
-// clientResponse is a request's final answer, on its way to the client.
+// clientResponse is a request's final response.
 type clientResponse struct {
-	final    bool
+	final    bool         // it is decided; no other may be given
 	reported bool         // the request's end was reported
-	source   *nodeAttempt // whose answer it is, nil: the head's own or none yet
-	chunked  bool         // it goes out in chunks
+	source   *nodeAttempt // whose response it is; nil: the gateway's own, or none yet
+	chunked  bool         // it is sent in chunks
 	status   int
-	reason   string // why the head itself answered
+	reason   string // why the gateway itself responded; empty: it did not
 }
 
 // traceContext is a request's part of a trace (W3C Trace Context).
 type traceContext struct {
 	id      [16]byte
-	span    [8]byte
-	parent  [8]byte
+	span    [8]byte // of the request at the gateway
+	parent  [8]byte // of the client; zero: the gateway began the trace
 	sampled bool
 }
 
-// recycle takes back an exchange that is no longer in use, if it is. It may be
-// called more often than once.
+// inUse tells whether a client, an attempt or the scheduler still refers to the request.
+func (r *request) inUse() bool {
+	responseDue := !r.response.final && (r.id != 0 || r.listing != nil)
+	return r.client != nil || r.attempts.inFlight > 0 || responseDue
+}
+
+// timeRemaining returns for how long the gateway waits for an attempt that is sent now.
+func (r *request) timeRemaining(now Time) time.Duration {
+	return max(r.deadline-now, time.Millisecond)
+}
+
+// recycle takes back a request if it is no longer in use. It may be called more than once.
 func (g *Gateway) recycle(req *request) {
 	if req.recycled || req.inUse() {
 		return
@@ -93,14 +107,3 @@
 	g.buffers.put(req.body.data)
 	g.requests.recycle(req)
 }
-
-// inUse tells whether a client, an attempt or the module still speaks of it.
-func (req *request) inUse() bool {
-	owed := !req.response.final && (req.id != 0 || req.listing != nil)
-	return req.client != nil || req.attempts.inFlight > 0 || owed
-}
-
-// timeRemaining is for how long an attempt that is sent now is waited for.
-func (req *request) timeRemaining(now Time) time.Duration {
-	return max(req.deadline-now, time.Millisecond)
-}
--- a/internal/gateway/send.go
+++ b/internal/gateway/send.go
@@ -5,85 +5,82 @@
 	"maddergap/scheduler"
 )
 
-// startAttempt starts an attempt, as the module decided.
-func (g *Gateway) startAttempt(req *request, name string, by Time) {
-	if req == nil { // never: the module sends only what it has no final answer for
+// startAttempt sends a request to a node, as the scheduler decided. The first byte must
+// be written before startBefore, if that is not 0. An attempt that may not start, or for
+// which there is no connection, ends at once, and the scheduler decides anew.
+func (g *Gateway) startAttempt(req *request, nodeName string, startBefore Time) {
+	if req == nil { // the scheduler sends no request that has its final response
 		return
 	}
-	attempt := &nodeAttempt{req: req, number: req.attempts.count, nodeName: name, startedAt: g.clock.now, startBefore: by}
-	g.ids.fill(attempt.spanID[:])
-	req.attempts.latest = attempt
-	req.attempts.count++
-	req.attempts.inFlight++
-	g.counts.Attempts++
-	n := g.nodes.byName[name]
-	kept := g.reusableConn(req, n)
+	attempt := g.newAttempt(req, nodeName, startBefore)
+	n := g.nodes.byName[nodeName]
+	idle := g.reusableConn(req, n)
 	switch {
-	case req.response.final: // it got its answer in this very turn
+	case req.response.final: // it got its final response since the scheduler decided
 		g.endAttempt(attempt, scheduler.Superseded)
 	case !g.mayStartAttempt(attempt):
 		g.endAttempt(attempt, scheduler.Superseded)
-	case kept == nil && (n.conns >= g.config.Limits.ConnsPerNode || !g.makeRoomForNodeConn()):
-		g.endAttempt(attempt, scheduler.ConnectFailed) // nothing was sent
-	case kept != nil:
-		g.unpark(kept)
-		kept.attempt, attempt.conn = attempt, kept
-		g.setDeadline(kept, req.deadline)
-		g.writeRequest(kept)
+	case idle != nil:
+		g.nodes.removeIdle(idle)
+		idle.attempt, attempt.conn = attempt, idle
+		g.setDeadline(&idle.bufferedConn, req.deadline)
+		g.sendRequest(idle)
+	case n.conns >= g.config.Limits.ConnsPerNode || !g.makeRoomForNodeConn():
+		g.endAttempt(attempt, scheduler.ConnectFailed)
 	default:
-		c := g.newConn()
-		c.node, c.attempt, attempt.conn = n, attempt, c
-		c.addr, c.incarnation = n.addr, n.started
-		g.nodes.connOpened(n)
-		g.actions.dial(c.id, n.addr)
-		g.setDeadline(c, min(g.clock.now+g.config.Timeouts.Dial, req.deadline))
+		g.dialNode(n, attempt)
 	}
 }
 
-// writeRequest hands a request's header and what is held of its body to a node.
-func (g *Gateway) writeRequest(c *conn) {
+// sendRequest sends the attempt of an established connection: the header, and as much of
+// the body as is buffered. The rest of the body is forwarded as it comes.
+func (g *Gateway) sendRequest(c *nodeConn) {
 	g.encodeRequest(c)
 	attempt, req := c.attempt, c.attempt.req
 	if !req.body.complete {
 		req.attempts.uploading = attempt
-		if cl := req.client; cl != nil {
-			g.sendContinue(cl, req)
-			g.restartUploadTimer(cl)
-			g.resumeReading(cl)
+		if client := req.client; client != nil {
+			g.sendContinue(client, req)
+			g.restartUploadTimer(client)
+			g.resumeClient(client)
 		}
 	}
-	c.used, c.interimResponses = true, 0
-	g.flush(c)
+	c.state, c.interimResponses = nodeAwaitingResponse, 0
+	g.flush(&c.bufferedConn)
 }
 
-// encodeRequest writes a request's header and what is held of its body for a connection, in place
-// of what was written before.
-func (g *Gateway) encodeRequest(c *conn) {
-	attempt := c.attempt
-	req, r := attempt.req, &attempt.req.header
+// encodeRequest encodes the header of a connection's attempt, and as much of the body as
+// is buffered, in place of what was encoded before.
+func (g *Gateway) encodeRequest(c *nodeConn) {
+	attempt, req := c.attempt, c.attempt.req
 	c.out, c.written = c.out[:0], 0
-	if c.out == nil {
-		c.out = g.buffers.get()
+	b := g.protocol.appendRequest(g, g.buffers.orNew(c.out), attempt)
+	c.out = append(appendRequestFraming(b, req), "\r\n"...)
+	attempt.fullyQueued = req.body.complete
+	attempt.chunked = !req.body.complete && req.header.ContentLength < 0
+	if len(req.body.data) > 0 {
+		appendBody(c, req.body.data)
 	}
-	b := g.protocol.appendRequest(g, c.out, attempt)
+}
+
+// appendRequestFraming appends the field that gives the length of a request's body.
+func appendRequestFraming(b []byte, req *request) []byte {
+	header, body := &req.header, &req.body
+	hasBody := body.received > 0 || header.ContentLength > 0 || header.Chunked || req.listing != nil
 	switch {
-	case req.body.complete && (req.body.received > 0 || r.ContentLength > 0 || r.Chunked || req.listing != nil):
-		b = http1.AppendIntField(b, "Content-Length", int64(len(req.body.data)))
-	case !req.body.complete && r.ContentLength >= 0:
-		b = http1.AppendIntField(b, "Content-Length", r.ContentLength)
-	case !req.body.complete:
-		b = append(b, "Transfer-Encoding: chunked\r\n"...)
+	case body.complete && hasBody:
+		return http1.AppendIntField(b, "Content-Length", int64(len(body.data)))
+	case !body.complete && header.ContentLength >= 0:
+		return http1.AppendIntField(b, "Content-Length", header.ContentLength)
+	case !body.complete:
+		return append(b, "Transfer-Encoding: chunked\r\n"...)
 	case req.method == "PUT":
-		b = append(b, "Content-Length: 0\r\n"...)
-	}
-	c.out = append(b, "\r\n"...)
-	attempt.fullyQueued, attempt.chunked = req.body.complete, !req.body.complete && r.ContentLength < 0
-	if len(req.body.data) > 0 {
-		appendBody(c, req.body.data)
+		return append(b, "Content-Length: 0\r\n"...)
 	}
+	return b
 }
 
-func appendBody(c *conn, data []byte) {
+func appendBody(c *nodeConn, data []byte) {
 	if c.attempt.chunked {
 		c.out = http1.AppendChunk(c.out, data)
 	} else {
@@ -91,12 +88,10 @@
 	}
 }
 
-// forwardBody sends a piece of a body on as it comes.
+// forwardBody sends a piece of a request body on as it comes.
 func (g *Gateway) forwardBody(attempt *nodeAttempt, data []byte) {
 	c, req := attempt.conn, attempt.req
-	if c.out == nil {
-		c.out = g.buffers.get()
-	}
+	c.out = g.buffers.orNew(c.out)
 	if len(data) > 0 {
 		appendBody(c, data)
 	}
@@ -107,5 +102,5 @@
 		attempt.fullyQueued = true
 		req.attempts.uploading = nil
 	}
-	g.flush(c)
+	g.flush(&c.bufferedConn)
 }
--- a/internal/gateway/shutdown.go
+++ b/internal/gateway/shutdown.go
@@ -6,8 +6,8 @@
 	"maddergap/scheduler"
 )
 
-// shutdownPhase is how far the graceful shutdown of an instance has come. It only
-// moves on.
+// shutdownPhase is how far the graceful shutdown of an instance has come. It only moves
+// on: by Drain, and by Shutdown.
 type shutdownPhase uint8
 
 const (
@@ -18,34 +18,34 @@
 
 func (p shutdownPhase) String() string { return [...]string{"running", "draining", "stopping"}[p] }
 
-// Drain tells clients with their next answer that their connection ends; requests go on
-// being taken. Guards against a stop that loses what is on its way to the head.
+// Drain asks clients, with the next response to each, to close their connections. Requests
+// are still taken, so that none is lost that is on its way to the instance before its
+// clients know that it stops.
 func (g *Gateway) Drain(now Time) {
 	g.clock.advance(now)
 	g.phase = max(g.phase, draining)
 }
 
-// Shutdown begins the end: requests taken get their answers, connections without
-// one are closed, and no new request is read.
+// Shutdown ends the taking of requests. Requests under way are answered, and connections
+// without one are closed. A connection that may have a request on its way, or unread in
+// its socket, has firstRequestGrace to deliver it.
 func (g *Gateway) Shutdown(now Time) {
 	g.clock.advance(now)
 	g.phase = stopping
-	for _, c := range g.conns.slots {
+	for _, conn := range g.conns.slots {
+		c, ok := conn.(*clientConn)
 		switch {
-		case c == nil || !c.client() || c.req != nil || len(c.pending()) > 0 || c.headerStartedAt > 0:
-		case c.requestCount == 0 || c.mayHaveUnreadRequest: // a request may be on its way, or come and not be read
-			g.setDeadline(c, min(c.timer.deadline, g.clock.now+firstRequestGrace))
+		case !ok || c.req != nil || len(c.pending()) > 0 || c.headerStartedAt > 0:
+		case c.requestCount == 0 || c.mayHaveUnreadRequest:
+			g.setDeadline(&c.bufferedConn, min(c.timer.deadline, g.clock.now+firstRequestGrace))
 		default:
 			g.lingeringClose(c)
 		}
 	}
 }
 
-// firstRequestGrace is how long a connection that was accepted at the very end has for its request.
-const firstRequestGrace = 200 * time.Millisecond
-
-// AbortRemaining gives every request that has no final answer one: refused where no attempt was made,
-// failed else.
+// AbortRemaining gives every request that has no final response one: it is rejected if no
+// attempt of it was made, and failed otherwise.
 func (g *Gateway) AbortRemaining(now Time) {
 	g.clock.advance(now)
 	for _, id := range g.requests.sortedIDs() {
@@ -65,14 +65,15 @@
 	}
 }
 
-// Idle tells whether nothing is under way: no request, and no answer unsent.
+// Idle tells whether nothing is under way: there is no request and no client connection.
 func (g *Gateway) Idle() bool { return len(g.requests.byID) == 0 && g.clientConns == 0 }
 
-// EachPendingRequest tells the ids and ages of requests that have no final answer.
-func (g *Gateway) EachPendingRequest(tell func(id, method, path string, age time.Duration)) {
+// EachPendingRequest calls report with the id and age of each request that has no final
+// response, in no particular order.
+func (g *Gateway) EachPendingRequest(report func(id, method, path string, age time.Duration)) {
 	for _, req := range g.requests.byID {
 		if !req.response.final {
-			tell(g.ids.requestID(req.id), req.method, req.location.Path, g.clock.now-req.submittedAt)
+			report(g.ids.requestID(req.id), req.method, req.location.Path, g.clock.now-req.submittedAt)
 		}
 	}
 }
--- a/internal/gateway/stall_estimate.go
+++ b/internal/gateway/stall_estimate.go
@@ -5,33 +5,39 @@
 	"time"
 )
 
-// stallEstimate is how much later than asked the head was called lately: the most of it,
-// fading by half in stallHalfLife. Guards against a machine too busy to run the head in
-// time, whatever keeps it busy: a request is read so much later than it came, and
-// its last answer is written so much later than it is due.
+// stallEstimate is how much later than asked Advance was called lately: the most of it,
+// fading by half in stallHalfLife. On a machine that is too busy to run the gateway in
+// time a request is read so much later than it arrived, and its response is written so
+// much later than it is due; clientTimeRemaining allows for both.
 type stallEstimate struct {
-	nextAdvance Time
-	peak        Time
+	nextAdvance Time // when Advance has to be called at the latest; 0: not known
+	peak        Time // of the delay, at measuredAt
 	measuredAt  Time
 }
 
 const (
 	stallHalfLife = 2 * time.Second
-	minStall      = 2 * time.Millisecond // a timer's own grain
+	minStall      = 2 * time.Millisecond // less is the granularity of the driver's timer
 )
 
-func (l *stallEstimate) current(now Time) Time {
-	return Time(float64(l.peak) * math.Exp2(-float64(now-l.measuredAt)/float64(stallHalfLife)))
+// current returns the estimate.
+func (s *stallEstimate) current(now Time) Time {
+	halfLives := float64(now-s.measuredAt) / float64(stallHalfLife)
+	return Time(float64(s.peak) * math.Exp2(-halfLives))
 }
 
-func (l *stallEstimate) observe(now Time) {
-	if late := now - l.nextAdvance; l.nextAdvance > 0 && late >= minStall && late > l.current(now) {
-		l.peak, l.measuredAt = late, now
+// observe is called with the time at which Advance was called.
+func (s *stallEstimate) observe(now Time) {
+	if s.nextAdvance == 0 {
+		return
+	}
+	if delay := now - s.nextAdvance; delay >= minStall && delay > s.current(now) {
+		s.peak, s.measuredAt = delay, now
 	}
 }
 
-// left is what is left of a client's time: less what reading its request took and
-// what bringing it the answer will take, half of the time at most.
-func (g *Gateway) clientTimeLeft(t time.Duration) time.Duration {
-	return max(t-2*g.stall.current(g.clock.now), t/2)
+// clientTimeRemaining returns what is left of a client's deadline: less the estimated
+// delay of reading its request and of writing its response, and half of it at least.
+func (g *Gateway) clientTimeRemaining(deadline time.Duration) time.Duration {
+	return max(deadline-2*g.stall.current(g.clock.now), deadline/2)
 }
--- a/internal/gateway/status.go
+++ b/internal/gateway/status.go
@@ -2,49 +2,56 @@
 
 import "maddergap/scheduler"
 
-// NodeConnections is what crosses the sockets to a node now.
+// NodeConnections counts the connections to a node.
 type NodeConnections struct {
-	Active int // attempts on connections, dialling ones included
-	Unsent int // of these, not yet written whole
-	Idle   int // connections kept
+	Active int // connections with an attempt, those being dialed included
+	Unsent int // of these, those whose request was not written whole
+	Idle   int // connections without an attempt
 }
 
-// NodeStatus is one node: what the scheduler holds of it, and what is on its sockets.
+// NodeStatus is the scheduler's status of a node, and the connections to it.
 type NodeStatus struct {
 	scheduler.NodeStatus
 	NodeConnections
 }
 
-// statusReporter is a core that tells what it holds.
+// statusReporter is a Scheduler that reports the status of its nodes.
 type statusReporter interface{ Status() []scheduler.NodeStatus }
 
-// Status compares what the scheduler holds of load and health with the sockets, node by node.
-// A node of the sockets that the scheduler has forgotten is told with its name alone.
+// Status returns the status of each node that the scheduler knows. A node that it has
+// forgotten, and that still has an attempt, follows with its name alone.
 func (g *Gateway) Status() []NodeStatus {
-	on := map[string]NodeConnections{}
-	for _, c := range g.conns.slots {
-		if c == nil || c.node == nil {
-			continue
-		}
-		s := on[c.node.name]
-		if c.attempt == nil {
-			s.Idle++
-		} else if s.Active++; !c.connected || !c.attempt.requestWritten() {
-			s.Unsent++
-		}
-		on[c.node.name] = s
-	}
+	connections := g.nodeConnections()
 	var all []NodeStatus
-	if v, ok := g.scheduler.(statusReporter); ok {
-		for _, n := range v.Status() {
-			all = append(all, NodeStatus{n, on[n.Node]})
-			delete(on, n.Node)
+	if reporter, ok := g.scheduler.(statusReporter); ok {
+		for _, status := range reporter.Status() {
+			all = append(all, NodeStatus{status, connections[status.Node]})
+			delete(connections, status.Node)
 		}
 	}
-	for name, s := range on {
-		if s.Active > 0 {
-			all = append(all, NodeStatus{scheduler.NodeStatus{Node: name}, s})
+	for name, counts := range connections {
+		if counts.Active > 0 {
+			all = append(all, NodeStatus{scheduler.NodeStatus{Node: name}, counts})
 		}
 	}
 	return all
 }
+
+// nodeConnections counts the connections to nodes, by the node's name.
+func (g *Gateway) nodeConnections() map[string]NodeConnections {
+	connections := map[string]NodeConnections{}
+	for _, conn := range g.conns.slots {
+		c, ok := conn.(*nodeConn)
+		if !ok {
+			continue
+		}
+		counts := connections[c.node.name]
+		if c.attempt == nil {
+			counts.Idle++
+		} else if counts.Active++; c.state == nodeDialing || !c.attempt.requestWritten() {
+			counts.Unsent++
+		}
+		connections[c.node.name] = counts
+	}
+	return connections
+}
--- a/internal/gateway/webdav_protocol.go
+++ b/internal/gateway/webdav_protocol.go
@@ -1,7 +1,9 @@
 package gateway
 
 import (
+	"bytes"
 	"errors"
+	"strconv"
 	"time"
 
 	"maddergap/internal/http1"
@@ -10,18 +12,23 @@
 	"maddergap/scheduler"
 )
 
-// webdavProtocol is the protocol of the head's own front: bodies and answers stream, a
-// PROPFIND may be gathered from several nodes.
+// executedHeader is the field by which a node says, with the value "no" in a 503
+// response, that it rejected the request before executing it. A 503 without it leaves
+// that open.
+const executedHeader = "Maddergap-Ran"
+
+// webdavProtocol is WebDAV: bodies and responses stream, and a listing may be merged from
+// several nodes.
 type webdavProtocol struct{}
 
-func (webdavProtocol) beginRequest(g *Gateway, c *conn, req *request) {
-	r := &req.header
+func (webdavProtocol) beginRequest(g *Gateway, c *clientConn, req *request) {
+	header := &req.header
 	g.startTrace(req)
-	if req.method == "OPTIONS" && string(r.Target) == "*" {
+	if req.method == "OPTIONS" && string(header.Target) == "*" {
 		g.applyWebDAVDecision(c, req, webdav.Decision{Handling: webdav.Options})
 		return
 	}
-	path, _, err := route.SplitTarget(string(r.Target))
+	path, _, err := route.SplitTarget(string(header.Target))
 	if err == nil {
 		req.location, err = g.routes.Locate(path)
 	}
@@ -33,72 +40,135 @@
 		g.respondLocally(req, status, err.Error())
 		return
 	}
-	g.applyWebDAVDecision(c, req, webdav.Decide(g.routes, req.method, req.location, string(r.Get("depth")), string(r.Get("destination")), string(r.Host)))
+	decision := webdav.Decide(g.routes, req.method, req.location, string(header.Get("depth")), string(header.Get("destination")), string(header.Host))
+	g.applyWebDAVDecision(c, req, decision)
+}
+
+func (g *Gateway) applyWebDAVDecision(c *clientConn, req *request, decision webdav.Decision) {
+	switch decision.Handling {
+	case webdav.Respond:
+		g.respondLocally(req, decision.Status, decision.Reason)
+	case webdav.Options:
+		g.respondToOptions(req)
+	case webdav.ListRoot, webdav.MergeListings:
+		if req.header.ContentLength > int64(g.config.Limits.BodyBuffer) {
+			g.respondLocally(req, 413, reasonListingBodyTooLong)
+			return
+		}
+		req.listing = &listing{ofVolumes: decision.Handling == webdav.ListRoot}
+		g.sendContinue(c, req)
+		if req.body.complete {
+			g.beginListing(req)
+		}
+	case webdav.Forward:
+		g.beginForward(c, req)
+	}
+}
+
+func (g *Gateway) respondToOptions(req *request) {
+	req.response.reason = "options"
+	g.counts.Local++
+	g.writeLocalResponse(req, 200, nil, func(b []byte) []byte {
+		b = http1.AppendField(b, "Allow", []byte(webdav.Allow))
+		b = http1.AppendField(b, "DAV", []byte(webdav.Compliance))
+		return http1.AppendField(b, "MS-Author-Via", []byte("DAV"))
+	})
+}
+
+// beginForward takes a request that is forwarded to a node. It is submitted when its body
+// is complete or fills its buffer. A client that waits for 100 (Continue) with a longer
+// body is asked for it only once a node takes it, so that it sends none for a rejection.
+func (g *Gateway) beginForward(c *clientConn, req *request) {
+	req.volume = &g.config.Volumes[req.location.Volume]
+	req.classification = g.classify(req, req.header.ContentLength)
+	if req.header.ContentLength > int64(g.config.Limits.BodyBuffer) && req.header.ExpectContinue {
+		g.submit(req)
+		return
+	}
+	g.sendContinue(c, req)
+	if req.body.complete {
+		g.submit(req)
+	}
 }
 
 func (webdavProtocol) prepareArrival(g *Gateway, req *request) *http1.Error {
-	if req.listing == nil && req.body.complete && req.header.ContentLength < 0 { // now its length is known
+	if req.listing == nil && req.body.complete && req.header.ContentLength < 0 { // now the length is known
 		req.classification = g.classify(req, req.body.received)
 	}
-	v, j := req.volume, &req.classification
-	req.info.Arrival = scheduler.Arrival{Shard: req.location.Shard, Plan: v.Plan, Class: j.Class, Key: j.OrderingKey, Volume: v.Name, TimeRemaining: j.Timeout,
-		Units: j.Units, Instances: v.Instances}
+	class := &req.classification
+	req.info.Arrival = scheduler.Arrival{
+		Shard:         req.location.Shard,
+		Plan:          req.volume.Plan,
+		Class:         class.Class,
+		Key:           class.OrderingKey,
+		Volume:        req.volume.Name,
+		TimeRemaining: class.Timeout,
+		Units:         class.Units,
+		Instances:     req.volume.Instances,
+	}
 	return nil
 }
 
 func (webdavProtocol) appendRequest(g *Gateway, b []byte, attempt *nodeAttempt) []byte {
-	req, r := attempt.req, &attempt.req.header
+	req, header := attempt.req, &attempt.req.header
 	b = append(append(b, req.method...), ' ')
-	b = append(append(b, originForm(r.Target)...), " HTTP/1.1\r\n"...)
-	b = http1.AppendEndToEndFields(b, &r.Message, "expect", "traceparent", "x-request-id", "maddergap-attempt")
-	if len(r.Host) == 0 { // HTTP/1.0 may leave it out, HTTP/1.1 may not
+	b = append(append(b, originForm(header.Target)...), " HTTP/1.1\r\n"...)
+	b = http1.AppendEndToEndFields(b, &header.Message, "expect", "traceparent", "x-request-id", "maddergap-attempt")
+	if len(header.Host) == 0 { // HTTP/1.0 may leave it out, HTTP/1.1 may not
 		b = http1.AppendField(b, "Host", []byte(attempt.conn.node.addr))
 	}
-	b = append(b, "Via: 1.1 maddergap\r\nX-Request-Id: "...)
-	b = append(g.ids.appendRequestID(b, req.id), "\r\n"...)
+	b = append(b, "Via: 1.1 maddergap\r\n"...)
+	b = g.appendRequestIDField(b, req)
 	b = http1.AppendIntField(b, "Maddergap-Attempt", int64(attempt.number))
-	return append(appendTraceparent(append(b, "traceparent: "...), req.trace.id, attempt.spanID, req.trace.sampled), "\r\n"...)
+	b = append(b, "traceparent: "...)
+	return append(appendTraceparent(b, req.trace.id, attempt.spanID, req.trace.sampled), "\r\n"...)
 }
 
-func (webdavProtocol) parseResponse(r *http1.Response) (v ResponseInfo) {
-	v.ReportedLoad, v.HasLoadReport = loadReport(r.Get("endpoint-load-metrics"))
+// parseResponse reads a status that tells a fault of the node. Any other is a response
+// for the client.
+func (webdavProtocol) parseResponse(r *http1.Response) (info ResponseInfo) {
+	info.ReportedLoad, info.HasLoadReport = parseLoadReport(r.Get("endpoint-load-metrics"))
 	switch r.Status {
 	case 503:
-		v.Outcome = scheduler.Failed
-		if http1.EqualFold(r.Get(ExecutedHeader), "no") {
-			v.Outcome = scheduler.QueueFull
+		info.Outcome = scheduler.Failed
+		if http1.EqualFold(r.Get(executedHeader), "no") {
+			info.Outcome = scheduler.QueueFull
 		}
 	case 500, 502, 504:
-		v.Outcome = scheduler.Failed
+		info.Outcome = scheduler.Failed
 	}
-	return v
+	return info
 }
 
+// beginResponse sends the header of the first usable response on to the client. A further
+// one is read and dropped.
 func (webdavProtocol) beginResponse(g *Gateway, attempt *nodeAttempt) bool {
-	req, r := attempt.req, &attempt.conn.response
+	req := attempt.req
 	if req.response.final || req.response.source != nil {
-		return true // swallowed
+		return true
 	}
 	req.response.source = attempt
-	req.response.status = r.Status
-	if req.attempts.uploading == attempt { // it answers before it has the body: no more is sent
+	req.response.status = attempt.conn.response.Status
+	if req.attempts.uploading == attempt { // an early response: no more of the body is sent
 		req.attempts.uploading = nil
 		attempt.fullyQueued = false
 	}
 	if req.listing != nil || req.client == nil {
 		return true
 	}
-	cl := req.client
-	if cl.out == nil {
-		cl.out = g.buffers.get()
-	}
-	b := http1.AppendStatus(cl.out, r.Status)
+	g.writeResponseHeader(req.client, req, &attempt.conn.response)
+	return true
+}
+
+// writeResponseHeader sends the header of a node's response to a client.
+func (g *Gateway) writeResponseHeader(c *clientConn, req *request, r *http1.Response) {
+	b := http1.AppendStatus(g.buffers.orNew(c.out), r.Status)
 	b = http1.AppendEndToEndFields(b, &r.Message, "x-request-id")
-	b = append(g.ids.appendRequestID(append(b, "X-Request-Id: "...), req.id), "\r\n"...)
+	b = g.appendRequestIDField(b, req)
 	switch {
 	case req.method == "HEAD" || r.Status == 304:
-		if l := r.Get("content-length"); l != nil {
-			b = http1.AppendField(b, "Content-Length", l)
+		if length := r.Get("content-length"); length != nil {
+			b = http1.AppendField(b, "Content-Length", length)
 		}
 	case r.Status == 204:
 	case r.ContentLength >= 0:
@@ -107,37 +177,33 @@
 		req.response.chunked = true
 		b = append(b, "Transfer-Encoding: chunked\r\n"...)
 	default:
-		cl.closing = true // the body ends with the connection
+		c.enter(clientClosing) // the body ends with the connection
 	}
-	cl.out = g.appendHeaderEnd(b, cl, req)
-	g.flush(cl)
-	return true
+	c.out = g.appendHeaderEnd(b, c, req)
+	g.flushClient(c)
 }
 
 func (webdavProtocol) responseData(g *Gateway, attempt *nodeAttempt, data []byte) bool {
 	req := attempt.req
-	switch {
-	case req.listing != nil:
+	if req.listing != nil {
 		if !g.receivePartData(req, data) {
 			g.abortNodeConn(attempt.conn, scheduler.Cancelled)
 		}
-	default:
-		cl := req.client
-		if cl.out == nil {
-			cl.out = g.buffers.get()
-		}
-		if req.response.chunked {
-			cl.out = http1.AppendChunk(cl.out, data)
-		} else {
-			cl.out = append(cl.out, data...)
-		}
-		g.flush(cl)
+		return true
 	}
+	c := req.client
+	c.out = g.buffers.orNew(c.out)
+	if req.response.chunked {
+		c.out = http1.AppendChunk(c.out, data)
+	} else {
+		c.out = append(c.out, data...)
+	}
+	g.flushClient(c)
 	return true
 }
 
 func (webdavProtocol) endResponse(g *Gateway, attempt *nodeAttempt) {
-	req, c := attempt.req, attempt.conn
+	req := attempt.req
 	req.response.final = true
 	g.counts.Served++
 	if req.listing != nil {
@@ -146,7 +212,7 @@
 		g.endAttempt(attempt, scheduler.OK)
 		return
 	}
-	g.learnSize(req, c)
+	g.learnSize(req, &attempt.conn.response)
 	if req.response.chunked {
 		req.client.out = http1.AppendLastChunk(req.client.out)
 	}
@@ -157,60 +223,61 @@
 
 func (webdavProtocol) truncatedRequestOutcome() scheduler.Outcome { return scheduler.Reset }
 
+func (webdavProtocol) malformedResponseOutcome() scheduler.Outcome { return scheduler.Reset }
+
 func (webdavProtocol) allowsEarlyResponse() bool { return true }
 
-func (webdavProtocol) malformedResponseOutcome() scheduler.Outcome { return scheduler.Reset }
+func (webdavProtocol) eofMeansDisconnect() bool { return false }
 
 func (webdavProtocol) appendRetryAfter(b []byte, after time.Duration) []byte {
 	return appendRetryAfter(b, after)
 }
 
-func (webdavProtocol) eofMeansDisconnect() bool { return false }
-
 func (webdavProtocol) requestEnded(*request, Outcome) {}
 
-// learnSize remembers how large a resource is.
-func (g *Gateway) learnSize(req *request, c *conn) {
+// learnSize remembers the size of a resource, by which later requests are classified.
+func (g *Gateway) learnSize(req *request, r *http1.Response) {
 	switch {
-	case req.method == "GET" && c.response.Status == 200 && c.response.ContentLength >= 0:
-		g.routes.LearnSize(req.location.Path, c.response.ContentLength)
-	case req.method == "PUT" && c.response.Status < 300:
+	case req.method == "GET" && r.Status == 200 && r.ContentLength >= 0:
+		g.routes.LearnSize(req.location.Path, r.ContentLength)
+	case req.method == "PUT" && r.Status < 300:
 		g.routes.LearnSize(req.location.Path, req.body.received)
 	}
 }
 
-func (g *Gateway) applyWebDAVDecision(c *conn, req *request, v webdav.Decision) {
-	switch v.Handling {
-	case webdav.Respond:
-		g.respondLocally(req, v.Status, v.Reason)
-	case webdav.Options:
-		req.response.reason = "options"
-		g.counts.Local++
-		g.writeLocalResponse(req, 200, nil, func(b []byte) []byte {
-			b = http1.AppendField(b, "Allow", []byte(webdav.Allow))
-			b = http1.AppendField(b, "DAV", []byte(webdav.Compliance))
-			return http1.AppendField(b, "MS-Author-Via", []byte("DAV"))
-		})
-	case webdav.ListRoot, webdav.MergeListings:
-		if req.header.ContentLength > int64(g.config.Limits.BodyBuffer) {
-			g.respondLocally(req, 413, "the body of a PROPFIND is longer than can be held")
-			return
-		}
-		req.listing = &listing{ofVolumes: v.Handling == webdav.ListRoot}
-		g.sendContinue(c, req)
-		if req.body.complete {
-			g.beginListing(req)
+// originForm turns a request target in absolute form into a path (RFC 9112 section 3.2).
+func originForm(target []byte) []byte {
+	if target[0] == '/' {
+		return target
+	}
+	if i := bytes.Index(target, []byte("://")); i >= 0 {
+		if j := bytes.IndexByte(target[i+3:], '/'); j >= 0 {
+			return target[i+3+j:]
 		}
-	case webdav.Forward:
-		req.volume = &g.config.Volumes[req.location.Volume]
-		req.classification = g.classify(req, req.header.ContentLength)
-		if req.header.ContentLength > int64(g.config.Limits.BodyBuffer) && req.header.ExpectContinue {
-			g.submit(req) // the body is invited when a node takes it
-			return
+	}
+	return []byte("/")
+}
+
+// maxReportedLoad bounds what a load report may say; more is taken for an error.
+const maxReportedLoad = 1e9
+
+// parseLoadReport reads the text form of ORCA's endpoint-load-metrics. What counts is the
+// named metric inflight, which is how many requests the node holds.
+func parseLoadReport(v []byte) (load float64, ok bool) {
+	v, ok = bytes.CutPrefix(v, []byte("TEXT "))
+	if !ok {
+		return 0, false
+	}
+	for part := range http1.ListElements(v) {
+		value, ok := bytes.CutPrefix(part, []byte("named_metrics.inflight="))
+		if !ok {
+			continue
 		}
-		g.sendContinue(c, req)
-		if req.body.complete {
-			g.submit(req)
+		if n, ok := http1.ParseDecimal(value); ok {
+			return float64(n), true
 		}
+		load, err := strconv.ParseFloat(string(value), 64)
+		return load, err == nil && load >= 0 && load < maxReportedLoad
 	}
+	return 0, false
 }
