--- a/internal/gateway/admission_test.go
+++ b/internal/gateway/admission_test.go
@@ -18,7 +18,7 @@
 }
 
 // A body that moves a byte now and then, never standing still for long, is given up.
-func TestBodyPace(t *testing.T) {
+func TestUploadBelowMinRateIsEnded(t *testing.T) {
 	h := newHarness(t, "pace body 100 after 5s\n")
 	c := h.connectClient("PUT /feed-a/s/x HTTP/1.1\r\nHost: h\r\nContent-Length: 1000\r\n\r\n")
 	for i := 0; h.takeWritten(c) == "" && i < 20; i++ {
@@ -36,7 +36,7 @@
 }
 
 // One that keeps the pace is not, however long it takes.
-func TestBodyKeepsPace(t *testing.T) {
+func TestUploadAboveMinRateGoesOn(t *testing.T) {
 	h := newHarness(t, "pace body 100 after 2s\n")
 	c := h.connectClient("PUT /feed-a/s/x HTTP/1.1\r\nHost: h\r\nContent-Length: 3000\r\n\r\n")
 	for range 20 {
@@ -49,7 +49,7 @@
 }
 
 // A reader that takes a few bytes now and then is dropped; its node is not held.
-func TestAnswerPace(t *testing.T) {
+func TestDownloadBelowMinRateIsEnded(t *testing.T) {
 	h := newHarness(t, "pace answer 1k after 5s\n")
 	c := h.connectClient(getRequest("/feed-a/s/x"))
 	h.blocked[c] = true
@@ -70,7 +70,7 @@
 }
 
 // A connection has so many requests, and its last answer says that it ends.
-func TestRequestsOfAConnection(t *testing.T) {
+func TestRequestsPerConnectionLimit(t *testing.T) {
 	h := newHarness(t, "requests 2\n")
 	c := h.connectClient(getRequest("/feed-a/s/x"))
 	h.receive(h.nodeConn(0), okResponse("one"))
@@ -85,7 +85,7 @@
 
 // For a known client a request that has not come whole gives way; one that is taken,
 // and an answer that is still to be written, do not.
-func TestWhoGivesWay(t *testing.T) {
+func TestPreemption(t *testing.T) {
 	h := newHarness(t, "clients 3\nadmit reserve 1\nknown 10.0.0.0/8\n")
 	slow := h.acceptFrom("1.1.1.1:1")
 	h.receive(slow, "PUT /feed-a/s/x HTTP/1.1\r\nHost: h\r\nContent-Length: 100\r\n\r\nabc")
@@ -114,7 +114,7 @@
 
 // Past the bound of all buffers no request of an unknown client begins, each
 // connection holds its least alone, and all is as before when they have drained.
-func TestBuffersInAll(t *testing.T) {
+func TestTotalBufferLimit(t *testing.T) {
 	h := newHarness(t, "clients 4\nadmit reserve 1\nbuffers 40k\nknown 10.0.0.0/8\n")
 	var readers []ConnID
 	for i := range 2 {
@@ -165,7 +165,7 @@
 }
 
 // What is turned away costs no slot and no timer, and is told so within the budget.
-func TestTurnedAwayCostsNothing(t *testing.T) {
+func TestRejectedConnectionTakesNoSlot(t *testing.T) {
 	h := newHarness(t, "clients 1\nadmit answers 1 answers-burst 2\n")
 	h.acceptFrom("1.1.1.1:1")
 	slots, timers := len(h.gateway.conns.slots), len(h.gateway.timers.heap)
@@ -188,7 +188,7 @@
 // A head that is called late takes that twice from its clients' time, so that the
 // last answer is still in time; half of the time is left whatever happens, and the
 // lag is forgotten.
-func TestLag(t *testing.T) {
+func TestStallShortensDeadlines(t *testing.T) {
 	last := func(lateBy, after time.Duration) time.Duration {
 		h := newHarness(t, "")
 		h.refuseDials = true // no node is reached: the answer is the head's own, at the end
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -20,20 +20,22 @@
 	startBefore Time // its first byte has to be written before this; 0: at any time
 	ended       bool
 
+	// The request, on the connection.
 	fullyQueued      bool // the whole request is in the connection's buffer, or was written
 	firstByteWritten bool
 	chunked          bool          // the request body is sent in chunks
-	announcedTimeout time.Duration // that the node was told; 0: none
 	stalled          bool          // the scheduler was notified that the machine holds it up
+	announcedTimeout time.Duration // that the node was told; 0: none
 
-	status          int // of the response; 0: none
-	outcome         scheduler.Outcome
-	reportedLoad    float64 // requests that the node said it has, if hasLoadReport
+	// The response.
+	outcome         scheduler.Outcome // by its header
 	hasLoadReport   bool
-	responseStarted bool  // the scheduler was notified that the response streams
-	discardedBytes  int64 // of a response that nobody is given
-	bufferResponse  bool  // the response is buffered until it is complete
-	responseBody    []byte
+	responseStarted bool          // the scheduler was notified that the response streams
+	bufferResponse  bool          // the response is buffered until it is complete
+	status          int           // 0: there is none
+	reportedLoad    float64       // requests that the node said it has, if hasLoadReport
+	discardedBytes  int64         // of a response that nobody is given
+	responseBody    []byte        // of a buffered response
 	stallTimeout    time.Duration // of a buffered response
 }
 
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -13,7 +13,7 @@
 )
 
 // The seam: one whole request through a head, no descriptor, no real clock.
-func TestWholeRequestOverPipes(t *testing.T) {
+func TestRequestReachesNodeAndResponseReturns(t *testing.T) {
 	h := newHarness(t, "")
 	c := h.connectClient(getRequest("/feed-a/s/x", "traceparent: 00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01"))
 	n := h.nodeConn(0)
@@ -63,7 +63,7 @@
 }
 
 // A node takes a segment-write and never answers.
-func TestSilentNodeUnsafe(t *testing.T) {
+func TestUnresponsiveNodeFailsNonIdempotentRequest(t *testing.T) {
 	h := newHarness(t, "")
 	c := h.connectClient(putRequest("/feed-a/s/x", "segment"))
 	n := h.nodeConn(0)
@@ -91,7 +91,7 @@
 }
 
 // An answer after the deadline reaches nobody: its connection is gone.
-func TestLateAnswer(t *testing.T) {
+func TestResponseAfterDeadlineIsDropped(t *testing.T) {
 	h := newHarness(t, "")
 	c := h.connectClient(putRequest("/feed-a/s/x", "segment"))
 	n := h.nodeConn(0)
@@ -109,7 +109,7 @@
 // A client gives up in the middle of a long body: the node's connection is
 // broken off before the body is whole, so that it cannot run, and the slot is
 // free at once.
-func TestClientLeavesInBody(t *testing.T) {
+func TestClientDisconnectsDuringUpload(t *testing.T) {
 	h := newHarness(t, "")
 	long := strings.Repeat("x", 40<<10)
 	c := h.connectClient(putRequest("/feed-a/s/x", long)[:20<<10])
@@ -130,7 +130,7 @@
 }
 
 // A client that leaves while it waits: the slot comes back with the answer.
-func TestClientLeavesWaiting(t *testing.T) {
+func TestClientDisconnectsWhileNodeExecutes(t *testing.T) {
 	h := newHarness(t, "")
 	c := h.connectClient(putRequest("/feed-a/s/x", "segment"))
 	n := h.nodeConn(0)
@@ -152,7 +152,7 @@
 }
 
 // A client leaves in the middle of an answer.
-func TestClientLeavesInAnswer(t *testing.T) {
+func TestClientDisconnectsDuringResponse(t *testing.T) {
 	h := newHarness(t, "")
 	c := h.connectClient(getRequest("/feed-a/s/x"))
 	n := h.nodeConn(0)
@@ -167,7 +167,7 @@
 
 // A node that answers before it has the body: the client has that answer, and
 // neither connection is used again.
-func TestAnswerBeforeBody(t *testing.T) {
+func TestNodeRespondsBeforeBodyIsComplete(t *testing.T) {
 	h := newHarness(t, "")
 	c := h.connectClient(putRequest("/feed-a/s/x", strings.Repeat("x", 400<<10))[:40<<10])
 	n := h.nodeConn(0)
@@ -186,7 +186,7 @@
 
 // A reset in the middle of an answer: the client's answer is cut short, so that
 // it cannot be taken for whole, and nothing is sent again.
-func TestResetInAnswer(t *testing.T) {
+func TestNodeResetsDuringResponse(t *testing.T) {
 	h := newHarness(t, "")
 	c := h.connectClient(getRequest("/feed-a/s/x"))
 	n := h.nodeConn(0)
@@ -204,7 +204,7 @@
 
 // A kept connection closes just as a request goes out. Not a byte written: it
 // never ran, and may go again. Written: an unsafe request fails.
-func TestKeptConnectionCloses(t *testing.T) {
+func TestIdleConnectionClosesAsRequestIsSent(t *testing.T) {
 	for _, written := range []bool{false, true} {
 		h := newHarness(t, "")
 		c := h.connectClient(getRequest("/feed-a/s/x"))
@@ -230,7 +230,7 @@
 }
 
 // A safe request whose attempt was reset goes again; both are in one trace.
-func TestSafeGoesAgain(t *testing.T) {
+func TestSafeRequestIsRetriedAfterReset(t *testing.T) {
 	h := newHarness(t, "")
 	c := h.connectClient(getRequest("/feed-a/s/x"))
 	h.gateway.Closed(h.now, h.nodeConn(0))
@@ -244,7 +244,7 @@
 }
 
 // A full node: a body that is held goes again, one that streamed on does not.
-func TestFullNode(t *testing.T) {
+func TestNodeQueueFull(t *testing.T) {
 	const full = "HTTP/1.1 503 Service Unavailable\r\nMaddergap-Ran: no\r\nContent-Length: 0\r\n\r\n"
 	h := newHarness(t, "")
 	c := h.connectClient(putRequest("/feed-a/s/x", "segment"))
@@ -266,7 +266,7 @@
 }
 
 // A 503 that does not say that it never ran promises nothing.
-func TestPlain503(t *testing.T) {
+func TestPlain503IsAFailure(t *testing.T) {
 	h := newHarness(t, "")
 	c := h.connectClient(putRequest("/feed-a/s/x", "segment"))
 	h.receive(h.nodeConn(0), "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
@@ -274,7 +274,7 @@
 }
 
 // No node: a refusal, at the end of the client's time.
-func TestNoConnection(t *testing.T) {
+func TestUnreachableNodeIsRejectedAtDeadline(t *testing.T) {
 	h := newHarness(t, "")
 	h.refuseDials = true
 	c := h.connectClient(putRequest("/feed-a/s/x", "segment"))
@@ -283,7 +283,7 @@
 	h.wantOutcomes(map[Outcome]int{Rejected: 1})
 }
 
-func TestPipelined(t *testing.T) {
+func TestPipelinedRequests(t *testing.T) {
 	h := newHarness(t, "")
 	c := h.connectClient(getRequest("/feed-a/s/1") + putRequest("/feed-a/s/2", "two") + getRequest("/feed-a/s/3"))
 	for i, sent := range []struct {
@@ -301,7 +301,7 @@
 }
 
 // A client that closes its sending side is still owed what it asked for.
-func TestHalfClose(t *testing.T) {
+func TestHalfClosedClientGetsItsResponses(t *testing.T) {
 	h := newHarness(t, "")
 	c := h.connectClient(getRequest("/feed-a/s/1") + getRequest("/feed-a/s/2"))
 	h.gateway.EOF(h.now, c)
@@ -335,7 +335,7 @@
 	}
 }
 
-func TestChunkedBothWays(t *testing.T) {
+func TestChunkedBodies(t *testing.T) {
 	h := newHarness(t, "")
 	c := h.connectClient("PUT /feed-a/s/x HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n")
 	n := h.nodeConn(0)
@@ -371,7 +371,7 @@
 }
 
 // Malformed requests are answered as RFC 9112 says and reach no node.
-func TestMalformedReachNoNode(t *testing.T) {
+func TestMalformedRequestsReachNoNode(t *testing.T) {
 	for text, status := range map[string]string{
 		"PUT /feed-a/s/x HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n": "400",
 		"GET /feed-a/s/x HTTP/1.1\r\nHost: h\r\n X: folded\r\n\r\n":                                      "400",
@@ -439,7 +439,7 @@
 }
 
 // A long body goes at the pace of the node: the client is paused at the bound.
-func TestUploadIsBounded(t *testing.T) {
+func TestUploadIsPausedAtBufferLimit(t *testing.T) {
 	h := newHarness(t, "")
 	c := h.connectClient(putRequest("/feed-a/s/x", strings.Repeat("x", 1<<20))[:20<<10])
 	n := h.nodeConn(0)
@@ -469,7 +469,7 @@
 }
 
 // At the bound of connections to a node an attempt is not sent, and says so.
-func TestNodeConnectionsAreBounded(t *testing.T) {
+func TestConnectionsPerNodeAreLimited(t *testing.T) {
 	h := newHarness(t, "")
 	for i := range 40 {
 		h.connectClient(getRequest(fmt.Sprint("/feed-a/s/", i)))
@@ -484,7 +484,7 @@
 	}
 }
 
-func TestListing(t *testing.T) {
+func TestMergedListing(t *testing.T) {
 	const find = "PROPFIND /feed-b/ HTTP/1.1\r\nHost: h\r\nDepth: 1\r\nContent-Length: 0\r\n\r\n"
 	part := func(name string) string {
 		x := `<D:multistatus xmlns:D="DAV:"><D:response><D:href>` + name + `</D:href><D:status>HTTP/1.1 200 OK</D:status></D:response></D:multistatus>`
@@ -533,7 +533,7 @@
 }
 
 // A stop: what was taken is answered, and nothing more is read.
-func TestStop(t *testing.T) {
+func TestShutdown(t *testing.T) {
 	h := newHarness(t, "")
 	idle := h.connectClient(getRequest("/feed-a/s/0"))
 	h.receive(h.nodeConn(0), okResponse("zero"))
@@ -571,7 +571,7 @@
 
 // At the end of the stop time whatever has no answer gets one: refused where nothing was
 // sent, failed else.
-func TestStopAnswersWhatIsLeft(t *testing.T) {
+func TestAbortRemainingAnswersEveryRequest(t *testing.T) {
 	h := newHarness(t, "")
 	out := h.connectClient(getRequest("/feed-a/s/1"))
 	h.gateway.SetNodes(h.now, nil)
@@ -591,7 +591,7 @@
 }
 
 // A warm connection's request costs few allocations, and an idle one little memory.
-func TestCosts(t *testing.T) {
+func TestAllocationsPerRequest(t *testing.T) {
 	h := newHarness(t, "")
 	h.gateway.observer = nil
 	c := h.connectClient(getRequest("/feed-a/s/x"))
@@ -645,7 +645,7 @@
 
 // A timer takes the place of the one before, also where it is later: the module
 // takes an earlier one for a chance event and would wait for the later for ever.
-func TestTimerIsReplaced(t *testing.T) {
+func TestSchedulerTimerIsReplaced(t *testing.T) {
 	h := newHarness(t, "")
 	core := &timerScheduler{timers: []time.Duration{10 * time.Millisecond, 20 * time.Millisecond}}
 	h.gateway.scheduler = core
@@ -660,7 +660,7 @@
 
 // A client that leaves in the middle of a long body, or of an answer, gives its
 // exchange back once: given back twice, it would serve two requests at once.
-func TestExchangeIsKeptOnce(t *testing.T) {
+func TestRequestIsRecycledOnce(t *testing.T) {
 	h := newHarness(t, "")
 	for i := range 5 {
 		c := h.connectClient(putRequest("/feed-a/s/x", strings.Repeat("x", 40<<10))[:20<<10])
@@ -678,7 +678,7 @@
 }
 
 // A reload with fewer volumes leaves requests under way as they were taken.
-func TestReloadUnderWay(t *testing.T) {
+func TestReloadDuringRequest(t *testing.T) {
 	h := newHarness(t, "")
 	c := h.connectClient(getRequest("/feed-b/s/x"))
 	n := h.nodeConn(0)
@@ -702,7 +702,7 @@
 }
 
 // Connection may name fields of one connection alone, never Host.
-func TestConnectionListsHost(t *testing.T) {
+func TestConnectionFieldCannotRemoveHost(t *testing.T) {
 	h := newHarness(t, "")
 	h.connectClient(getRequest("/feed-a/s/x", "Connection: Host, X-Own", "X-Own: 1"))
 	got := h.takeWritten(h.nodeConn(0))
@@ -713,7 +713,7 @@
 }
 
 // A slot whose connection the driver has yet to close is not used again before.
-func TestSlotIsFreeAfterItsClose(t *testing.T) {
+func TestSlotIsReusedOnlyAfterClose(t *testing.T) {
 	h := newHarness(t, "clients 2\nadmit reserve 1\nknown 10.0.0.0/8\n")
 	first := h.gateway.Accept(h.now, netip.MustParseAddrPort("127.0.0.1:1"), 0).ID
 	h.gateway.Accept(h.now, netip.MustParseAddrPort("127.0.0.1:2"), 0)
@@ -733,7 +733,7 @@
 }
 
 // Nodes that come and go leave nothing behind, nor do their connections.
-func TestReplacedNodesLeaveNothing(t *testing.T) {
+func TestReplacedNodesAreForgotten(t *testing.T) {
 	h := newHarness(t, "")
 	for i := range 3000 {
 		name := fmt.Sprint("x", i)
@@ -751,7 +751,7 @@
 
 // A node's address changes, or it starts anew, while a request is under way on a
 // connection to it: that connection is not kept for the next.
-func TestConnectionToWhereANodeWasIsNotKept(t *testing.T) {
+func TestConnectionToPreviousAddressIsNotReused(t *testing.T) {
 	for name, n := range map[string]nodelist.Node{"moved": {Name: "n0", Addr: "node:9"}, "new start": {Name: "n0", Addr: "node:0", Started: time.Unix(2e9, 0)}} {
 		h := newHarness(t, "")
 		h.connectClient(getRequest("/feed-a/s/x"))
--- a/internal/gateway/invariant_checks_test.go
+++ b/internal/gateway/invariant_checks_test.go
@@ -38,7 +38,7 @@
 }
 
 // What the module must never ask for is withheld, counted by its rule and reported.
-func TestGuardWithholds(t *testing.T) {
+func TestAttemptViolatingInvariantIsWithheld(t *testing.T) {
 	send := scheduler.Send{ID: 1, Node: "n0"}
 	tests := []struct {
 		name    string
@@ -98,7 +98,7 @@
 }
 
 // What went out all the same, and what ended without its answer, is found after the fact.
-func TestGuardFindsWhatIsBroken(t *testing.T) {
+func TestViolationsAreFoundAfterTheFact(t *testing.T) {
 	h, c, client := newScriptedHarness(t)
 	c.actions = []scheduler.Action{scheduler.Send{ID: 1, Node: "n0"}}
 	h.gateway.events = append(h.gateway.events, scheduler.TimerFired{})
@@ -125,7 +125,7 @@
 
 // A connection that the head's own machine could not begin is not the node's failure, unless
 // others came up meanwhile.
-func TestStalledConnections(t *testing.T) {
+func TestStalledDialIsNotTheNodesFault(t *testing.T) {
 	for _, others := range []bool{false, true} {
 		h, c, _ := newScriptedHarness(t)
 		h.deferConnects = true
--- a/internal/gateway/races_test.go
+++ b/internal/gateway/races_test.go
@@ -44,7 +44,7 @@
 
 // A client that left while the connection for its request was still coming up has gone:
 // nothing of it is sent when the connection stands, which then serves another.
-func TestGoneWhileDialing(t *testing.T) {
+func TestClientDisconnectsWhileDialing(t *testing.T) {
 	for name, leave := range map[string]func(h *harness, c ConnID){
 		"end":   func(h *harness, c ConnID) { h.gateway.EOF(h.now, c) },
 		"reset": func(h *harness, c ConnID) { h.gateway.Closed(h.now, c) },
@@ -72,7 +72,7 @@
 }
 
 // The same in one turn: the close before the connection, and after it.
-func TestGoneAsTheConnectionStands(t *testing.T) {
+func TestClientDisconnectsAsConnectionIsEstablished(t *testing.T) {
 	for _, before := range []bool{true, false} {
 		h := newProtocolHarness(t)
 		h.deferConnects = true
@@ -94,7 +94,7 @@
 }
 
 // A request that its node did not take whole when its client left is not brought to its end.
-func TestGoneWhileHalfWritten(t *testing.T) {
+func TestClientDisconnectsWithRequestHalfWritten(t *testing.T) {
 	h := newProtocolHarness(t)
 	h.receive(h.connectClient(requestWithID("warm")), "")
 	n := h.nodeConn(0)
@@ -113,7 +113,7 @@
 
 // A client that sent ahead is read on while its first request is under way, so that its
 // end is seen behind; none of its requests is sent then.
-func TestGoneBehindRequestsSentAhead(t *testing.T) {
+func TestClientDisconnectsBehindPipelinedRequests(t *testing.T) {
 	for _, n := range []int{1, 1000} {
 		h := newProtocolHarness(t)
 		h.gateway.SetNodes(h.now, nil)
@@ -165,7 +165,7 @@
 }
 
 // With WebDAV a half-close leaves its answer owed.
-func TestHalfCloseIsOwedItsAnswer(t *testing.T) {
+func TestHalfCloseIsNoDisconnectInWebDAV(t *testing.T) {
 	h := newHarness(t, "")
 	c := h.connectClient(getRequest("/feed-a/s/1") + getRequest("/feed-a/s/2"))
 	h.gateway.EOF(h.now, c)
@@ -177,7 +177,7 @@
 
 // A drain, a node's new address, the end of the client's time: what was chosen before and
 // whose connection comes up after goes elsewhere, or is refused, and never to that node.
-func TestOvertakenWhileDialing(t *testing.T) {
+func TestNodeChangesWhileDialing(t *testing.T) {
 	h := newProtocolHarness(t)
 	h.deferConnects = true
 	c := h.connectClient(requestWithID("a"))
@@ -211,7 +211,7 @@
 
 // What may be repeated within a window alone does not begin after it, though its
 // connection comes up late.
-func TestRepeatBeginsWithinItsWindow(t *testing.T) {
+func TestAttemptStartsBeforeItsLimit(t *testing.T) {
 	for _, late := range []time.Duration{-time.Millisecond, time.Millisecond} {
 		h := newProtocolHarness(t)
 		h.deferConnects = true
@@ -229,7 +229,7 @@
 
 // An answer without a length is whole when its node ends the connection in order. After a
 // reset, or where no end comes, it is not.
-func TestAnswerWithoutLength(t *testing.T) {
+func TestResponseWithoutLength(t *testing.T) {
 	const text = "HTTP/1.1 200 OK\r\n\r\nall of it"
 	for _, c := range []struct {
 		name string
@@ -264,7 +264,7 @@
 
 // A node that answers twice, the second time some milliseconds late, does so on a
 // connection that rests meanwhile, where another can be used; it is then closed.
-func TestLateSecondAnswer(t *testing.T) {
+func TestDuplicateResponseFromNode(t *testing.T) {
 	h := newProtocolHarness(t)
 	one, two := h.connectClient(requestWithID("a")), h.connectClient(requestWithID("b"))
 	n, m := h.nodeConn(0), h.nodeConn(1)
@@ -302,7 +302,7 @@
 // and is not touched by the reset that may be under way behind that answer, until the node is
 // seen to keep connections open, and again once it has not. Where no connection may be added it
 // goes out all the same, and other requests reuse connections at once.
-func TestUnsafeRequestOnFreshConnection(t *testing.T) {
+func TestNonIdempotentRequestAvoidsFreshConnection(t *testing.T) {
 	h := newHarness(t, "")
 	c := h.connectClient(getRequest("/feed-a/s/x"))
 	n := h.nodeConn(0)
@@ -353,7 +353,7 @@
 
 // An answer that comes before the request has gone out whole is of an earlier one: the
 // request never ran, and is sent on another connection.
-func TestAnswerBeforeTheRequestIsWhole(t *testing.T) {
+func TestResponseToAnEarlierRequest(t *testing.T) {
 	h := newProtocolHarness(t)
 	h.connectClient(requestWithID("warm"))
 	n := h.nodeConn(0)
--- a/internal/gateway/random_races_test.go
+++ b/internal/gateway/random_races_test.go
@@ -95,7 +95,7 @@
 // told in any order within a turn: what has gone is not sent on, each request taken has one
 // answer, which is its own, what may have run and must not run twice is not sent again, and
 // a node that drains is sent nothing.
-func TestRandomCrossings(t *testing.T) {
+func TestRandomRaces(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		x := &raceHistory{harness: newProtocolHarness(t), rt: rt, requests: map[string]*trackedRequest{}, lastRequest: map[ConnID]*trackedRequest{},
 			carried: map[ConnID]*trackedRequest{}, drainingConns: map[ConnID]bool{}}
