--- a/internal/eventloop/accept.go
+++ b/internal/eventloop/accept.go
@@ -82,19 +82,19 @@
 
 // acceptBudget bounds the accepts of one iteration.
 type acceptBudget struct {
-	left  int           // connections
-	until time.Duration // of the clock
-	spent bool
+	remaining int           // connections
+	until     time.Duration // of the clock
+	spent     bool
 }
 
 // serveListeners is the accept phase of an iteration that began at a time. What is
 // due in the meantime is done first, and ends the phase early.
 func (l *Loop) serveListeners(iterationStart time.Duration) {
-	nextDue := l.applyActions()
+	nextTimer := l.applyActions()
 	l.endPhase(PhaseActions)
 	spent := l.phaseStart - iterationStart
 	until := l.phaseStart + min(max(spent, minAcceptTime), maxAcceptTime)
-	until = min(until, max(nextDue, l.phaseStart+minAcceptTime))
+	until = min(until, max(nextTimer, l.phaseStart+minAcceptTime))
 	l.acceptUntil(until)
 	l.endPhase(PhaseAccept)
 }
@@ -103,9 +103,9 @@
 // first, then the others, one of each queue in a round.
 func (l *Loop) acceptUntil(until time.Duration) {
 	defer l.rearmSharedListeners()
-	budget := acceptBudget{left: maxAccepts, until: until}
+	budget := acceptBudget{remaining: maxAccepts, until: until}
 	if len(l.listeners) > 0 && l.listeners[0].shared {
-		budget.left = maxAcceptsShared
+		budget.remaining = maxAcceptsShared
 	}
 	for _, knownClients := range []bool{true, false} {
 		for more := true; more && !budget.spent; {
@@ -123,8 +123,8 @@
 			continue
 		}
 		more = true
-		budget.left--
-		if budget.left == 0 || l.accepting.paused() || l.Now() >= budget.until {
+		budget.remaining--
+		if budget.remaining == 0 || l.accepting.paused() || l.Now() >= budget.until {
 			l.accepting.firstListener++
 			budget.spent = true
 			return false
@@ -195,7 +195,7 @@
 		}
 		l.conns.add(socket{fd: fd, id: decision.ID, side: clientSide, state: socketOpen, wanted: readEvents})
 		l.registerConn(decision.ID)
-	case len(decision.Answer) > 0 && l.rejected.hasRoom():
+	case len(decision.Answer) > 0 && l.rejected.hasCapacity():
 		// At once and without epoll: the buffer of a new socket has room for it.
 		l.calls.Write(fd, decision.Answer)
 		unix.Shutdown(fd, unix.SHUT_WR)
--- a/internal/eventloop/rejected.go
+++ b/internal/eventloop/rejected.go
@@ -20,7 +20,7 @@
 	closeAt time.Duration
 }
 
-func (q *rejectedQueue) hasRoom() bool { return len(q.waiting) < q.capacity }
+func (q *rejectedQueue) hasCapacity() bool { return len(q.waiting) < q.capacity }
 
 // add takes over a descriptor. closeAt is not before that of the one added last.
 func (q *rejectedQueue) add(fd int, closeAt time.Duration) {
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -76,21 +76,21 @@
 func TestRemovedShardMovesOnlyItsUnits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		shards := rapid.SliceOfNDistinct(rapid.IntRange(0, 200), 2, 12, rapid.ID).Draw(t, "shards")
-		less := shards[:len(shards)-1]
-		gone := shards[len(shards)-1]
+		remaining := shards[:len(shards)-1]
+		removed := shards[len(shards)-1]
 		moved := 0
 		for i := range 400 {
 			u := fmt.Sprint("station-", i)
-			a, b := selectShard(u, shards), selectShard(u, less)
-			if a != b && a != gone {
-				t.Fatalf("%s moved from %d to %d while %d left", u, a, b, gone)
+			a, b := selectShard(u, shards), selectShard(u, remaining)
+			if a != b && a != removed {
+				t.Fatalf("%s moved from %d to %d while %d was removed", u, a, b, removed)
 			}
 			if a != b {
 				moved++
 			}
 		}
-		if share := float64(moved) / 400 * float64(len(shards)); share < 0.3 || share > 2 {
-			t.Fatalf("the part of one shard of %d is %.2f of even", len(shards), share)
+		if ratio := float64(moved) / 400 * float64(len(shards)); ratio < 0.3 || ratio > 2 {
+			t.Fatalf("one shard of %d has %.2f times its even part", len(shards), ratio)
 		}
 	})
 }
@@ -157,7 +157,7 @@
 		if err != nil || p.Kind != Unit {
 			return
 		}
-		if again, err := DecodePath(p.Path); err == nil && again == p.Path { // no escape is left: it is one place
+		if decoded, err := DecodePath(p.Path); err == nil && decoded == p.Path { // no escape is left
 			if q, err := tab.Locate(p.Path); err != nil || q.Shard != p.Shard || q.Unit != p.Unit {
 				t.Fatalf("%q: %+v, decoded: %+v %v", target, p, q, err)
 			}
