--- a/cmd/maddergap/bench.go
+++ b/cmd/maddergap/bench.go
@@ -26,7 +26,7 @@
 		return bench.Proxy(c.Proxy, c.Target)
 	}
 	if c.Clients < 1 || c.Turns < 1 || c.Turn <= 0 || c.Size < 0 || c.Stream < 1 {
-		return usage{fmt.Errorf("--clients, --turns, --turn and --stream want more than nothing")}
+		return usageError{fmt.Errorf("--clients, --turns, --turn and --stream want more than nothing")}
 	}
 	exe, err := os.Executable()
 	if err != nil {
--- a/cmd/maddergap/demo.go
+++ b/cmd/maddergap/demo.go
@@ -84,7 +84,7 @@
 
 func (c *demoCmd) Run(io *streams) error {
 	if c.Nodes < 1 || c.Nodes > 100 {
-		return usage{fmt.Errorf("--nodes is %d, want 1 to 100", c.Nodes)}
+		return usageError{fmt.Errorf("--nodes is %d, want 1 to 100", c.Nodes)}
 	}
 	dir, err := os.MkdirTemp("", "maddergap-demo-")
 	if err != nil {
@@ -110,9 +110,9 @@
 	}
 	conf, err := config.Load(file)
 	if err != nil {
-		return usage{err}
+		return usageError{err}
 	}
-	return serve(nil, nil, conf, io, func(d *daemon.Daemon, _ *slog.Logger) {
-		fmt.Fprintf(io.out, "ready http://%s/\n", d.Addrs()[0])
-	})
+	open := func(log *slog.Logger) (*daemon.Daemon, error) { return daemon.New(conf, log) }
+	ready := func(d *daemon.Daemon, _ *slog.Logger) { fmt.Fprintf(io.out, "ready http://%s/\n", d.Addrs()[0]) }
+	return serveConfig(conf, io, open, ready)
 }
--- a/cmd/maddergap/flood.go
+++ b/cmd/maddergap/flood.go
@@ -61,12 +61,12 @@
 
 func (c *floodCmd) Run(io *streams) error {
 	if c.Sources < 1 || c.Sources > 50000 || c.Known < 0 || c.Known > 1000 || c.Others < 0 || c.Others > 1000 {
-		return usage{errors.New("--sources wants 1 to 50000, --known and --others 0 to 1000")}
+		return usageError{errors.New("--sources wants 1 to 50000, --known and --others 0 to 1000")}
 	}
 	if c.Target != "" {
 		r, err := flood.Run(c.options())
 		if err != nil {
-			return usage{err}
+			return usageError{err}
 		}
 		if c.JSON {
 			return json.NewEncoder(io.out).Encode(r.Flood)
@@ -183,7 +183,7 @@
 	calm.Tries = 0
 	known, err := flood.Run(calm)
 	if err := errors.Join(err, <-pressed); err != nil {
-		return nil, usage{err}
+		return nil, usageError{err}
 	}
 	r.Known, r.Others = known.Known, known.Others
 	wall := time.Since(began)
--- a/cmd/maddergap/scenario.go
+++ b/cmd/maddergap/scenario.go
@@ -9,7 +9,7 @@
 	"maddergap/internal/scenario"
 )
 
-type baddayCmd struct {
+type scenarioCmd struct {
 	Seed    uint64        `default:"1" help:"Seed of the day."`
 	Long    bool          `help:"The long form, for people: three minutes."`
 	Length  time.Duration `help:"Another length."`
@@ -23,7 +23,7 @@
 
 var errRules = errors.New("a rule is broken")
 
-func (c *baddayCmd) Run(io *streams) error {
+func (c *scenarioCmd) Run(io *streams) error {
 	size := scenario.Short
 	if c.Long {
 		size = scenario.Long
@@ -35,7 +35,7 @@
 		size.Rate = c.Rate
 	}
 	if size.Length < 2*time.Second || size.Length > time.Hour || size.Rate > 1e5 {
-		return usage{fmt.Errorf("a day of %v at %g a second is out of range (2s to 1h, up to 100000)", size.Length, size.Rate)}
+		return usageError{fmt.Errorf("a day of %v at %g a second is out of range (2s to 1h, up to 100000)", size.Length, size.Rate)}
 	}
 	plan := scenario.Draw(c.Seed, size)
 	fmt.Fprintf(io.out, "day of seed %d: %d heads, %d nodes, %v, %d requests\n", c.Seed, size.Heads, size.Nodes, size.Length, len(plan.Jobs))
--- /dev/null
+++ b/cmd/maddergap/serve_workers.go
@@ -0,0 +1,121 @@
+package main
+
+import (
+	"context"
+	"fmt"
+	"log/slog"
+	"os"
+	"os/exec"
+	"os/signal"
+	"strings"
+	"sync"
+	"syscall"
+
+	"maddergap/internal/config"
+	"maddergap/internal/daemon"
+	"maddergap/internal/eventloop"
+	"maddergap/internal/supervisor"
+)
+
+// supervise runs the worker processes of a configuration: it opens the listeners that they
+// share, starts them, and restarts one that exits or hangs. It serves nothing itself. SIGHUP is
+// forwarded to all of them; SIGINT and SIGTERM end them.
+func (s *serveCmd) supervise(c *config.Config, io *streams) error {
+	listeners, err := daemon.OpenListeners(c)
+	if err != nil {
+		return err
+	}
+	queues := listeners.ListenQueues()
+	files, err := inheritableFiles(queues)
+	if err != nil {
+		return err
+	}
+	exe, err := os.Executable()
+	if err != nil {
+		return err
+	}
+	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
+	defer stop()
+	// While the parent holds the listeners, the kernel goes on to take connections.
+	closeListeners := sync.OnceFunc(func() {
+		listeners.Close()
+		for _, f := range files {
+			f.Close()
+		}
+	})
+	defer closeListeners()
+	signals := make(chan os.Signal, 4)
+	signal.Notify(signals, syscall.SIGHUP)
+	defer signal.Stop(signals)
+	log := slog.New(slog.NewJSONHandler(io.err, nil))
+	log.Info("supervising workers", "processes", c.Processes, "listen", c.Listen, "pid", os.Getpid())
+	command := func(i int) *exec.Cmd {
+		cmd := exec.Command(exe, "serve", "--config", s.Config, "--worker", fmt.Sprint(i), "--queues", formatQueues(queues))
+		cmd.Stdout, cmd.Stderr = io.out, io.err
+		return cmd
+	}
+	return supervisor.Run(ctx, supervisor.Options{
+		Workers:         c.Processes,
+		ShutdownTimeout: c.Timeouts.Shutdown,
+		Log:             log,
+		Files:           files,
+		OnShutdown:      closeListeners,
+		Command:         command,
+	}, signals)
+}
+
+// inheritableFiles duplicates the descriptors of listen queues for workers to inherit.
+func inheritableFiles(queues []eventloop.ListenQueue) ([]*os.File, error) {
+	var files []*os.File
+	for _, queue := range queues {
+		fd, err := syscall.Dup(queue.FD)
+		if err != nil {
+			return nil, err
+		}
+		syscall.CloseOnExec(fd)
+		// A file made of a non-blocking descriptor is set to blocking when a process
+		// inherits it, and with it the listener of every worker, whose loop would hang in
+		// accept. A file made of a blocking one is left as it is.
+		syscall.SetNonblock(fd, false)
+		files = append(files, os.NewFile(uintptr(fd), "listener"))
+		syscall.SetNonblock(fd, true)
+	}
+	return files, nil
+}
+
+// formatQueues is the value of --queues: for each inherited listen queue its descriptor in the
+// worker, the key of its address, and whether it is the one of known clients.
+func formatQueues(queues []eventloop.ListenQueue) string {
+	var parts []string
+	for i, queue := range queues {
+		parts = append(parts, fmt.Sprintf("%d:%d:%t", supervisor.FirstInheritedFD+i, queue.AddressKey, queue.KnownClients))
+	}
+	return strings.Join(parts, ",")
+}
+
+// parseQueues is the reverse of formatQueues.
+func parseQueues(text string) (queues []eventloop.ListenQueue, err error) {
+	for part := range strings.SplitSeq(text, ",") {
+		var queue eventloop.ListenQueue
+		fields := strings.ReplaceAll(part, ":", " ")
+		if _, err := fmt.Sscanf(fields, "%d %d %t", &queue.FD, &queue.AddressKey, &queue.KnownClients); err != nil {
+			return nil, usageError{fmt.Errorf("--queues %q: %w", text, err)}
+		}
+		queues = append(queues, queue)
+	}
+	return queues, nil
+}
+
+// runWorker serves as one of the processes that supervise starts.
+func (s *serveCmd) runWorker(c *config.Config, io *streams) error {
+	queues, err := parseQueues(s.Queues)
+	if err != nil {
+		return err
+	}
+	heartbeat := os.NewFile(uintptr(supervisor.HeartbeatFD(len(queues))), "heartbeat")
+	worker := daemon.Worker{Index: s.Worker, Queues: queues, Heartbeat: heartbeat}
+	open := func(log *slog.Logger) (*daemon.Daemon, error) {
+		return daemon.NewWorker(worker, c, log, s.options()...)
+	}
+	return serveConfig(c, io, open, logServing(c), "worker", s.Worker)
+}
--- a/cmd/maddergap/soak.go
+++ b/cmd/maddergap/soak.go
@@ -26,7 +26,7 @@
 	for i := range c.Seeds {
 		o := &soak.Options{Seed: c.Seed + uint64(i), Duration: c.Duration, Heads: c.Heads, Nodes: c.Nodes}
 		if err := o.Check(); err != nil {
-			return usage{err}
+			return usageError{err}
 		}
 		if c.Script {
 			for _, e := range soak.Draw(o).Events {
--- /dev/null
+++ b/cmd/maddergap/version.go
@@ -0,0 +1,25 @@
+package main
+
+import (
+	"fmt"
+	"runtime/debug"
+)
+
+type versionCmd struct{}
+
+// Run prints the version and, if known, the revision that the program was built from.
+func (versionCmd) Run(io *streams) error {
+	version, revision := "(devel)", ""
+	if info, ok := debug.ReadBuildInfo(); ok {
+		if info.Main.Version != "" {
+			version = info.Main.Version
+		}
+		for _, setting := range info.Settings {
+			if setting.Key == "vcs.revision" {
+				revision = " " + setting.Value
+			}
+		}
+	}
+	fmt.Fprintf(io.out, "maddergap %s%s\n", version, revision)
+	return nil
+}
--- a/internal/daemon/iterations.go
+++ b/internal/daemon/iterations.go
@@ -6,68 +6,93 @@
 	"time"
 
 	"github.com/prometheus/client_golang/prometheus"
-	"golang.org/x/time/rate"
 
 	"maddergap/internal/eventloop"
 )
 
-// What the log tells of turns: those in which somebody waited for longer than can
-// go unnoticed, one line a second at most.
 const (
-	turnLong   = 50 * time.Millisecond
-	turnWindow = time.Minute
+	// slowIteration is the duration above which an iteration is logged: every client waited
+	// that long.
+	slowIteration = 50 * time.Millisecond
+	// slowIterationLines is how many lines a second are logged of slow iterations.
+	slowIterationLines = 1
+	// slowPhase is the duration above which such a line names a phase.
+	slowPhase = time.Millisecond
+	// longestWindow is the period whose longest iteration is kept; that of the last period is
+	// kept besides.
+	longestWindow = time.Minute
 )
 
-// turns watches how long the loop's turns take, and what takes it: all that wait,
-// wait that long.
-type turns struct {
+// iterationStats watches how long the loop's iterations take, and which phase takes it. While
+// one iteration lasts, every client and node waits. It belongs to the loop's goroutine.
+type iterationStats struct {
 	log     *slog.Logger
 	seconds prometheus.Histogram
-	longest [2][eventloop.PhaseCount + 1]time.Duration // of this minute and the last; the last place is the whole turn's
-	began   time.Duration
-	lines   *rate.Limiter
-	untold  int
+
+	current, previous phaseDurations // the longest of this window and of the last
+	windowStart       time.Duration
+
+	lines lineLimiter // of slow iterations
 }
 
-func newTurns(log *slog.Logger) *turns {
-	return &turns{log: log, lines: rate.NewLimiter(1, 1), seconds: prometheus.NewHistogram(prometheus.HistogramOpts{
-		Name: "maddergap_turn_seconds", Help: "Turns of the loop, without their wait for events.",
-		Buckets: prometheus.ExponentialBuckets(50e-6, 2, 15)})}
+// phaseDurations are the longest duration of each phase of an iteration and of whole iterations.
+type phaseDurations struct {
+	phases [eventloop.PhaseCount]time.Duration
+	whole  time.Duration
 }
 
-// took is told of each turn.
-func (t *turns) took(now time.Duration, turn *eventloop.Iteration) {
-	if now >= t.began+turnWindow {
-		t.longest[1], t.longest[0], t.began = t.longest[0], [eventloop.PhaseCount + 1]time.Duration{}, now
+// merge keeps the longer one of each duration.
+func (d *phaseDurations) merge(other phaseDurations) {
+	for p, duration := range other.phases {
+		d.phases[p] = max(d.phases[p], duration)
 	}
-	sum := turn.Total()
-	t.seconds.Observe(sum.Seconds())
-	most := &t.longest[0]
-	most[eventloop.PhaseCount] = max(most[eventloop.PhaseCount], sum)
-	for p, d := range turn.Durations {
-		most[p] = max(most[p], d)
+	d.whole = max(d.whole, other.whole)
+}
+
+func newIterationStats(log *slog.Logger) *iterationStats {
+	return &iterationStats{
+		log:   log,
+		lines: newLineLimiter(slowIterationLines),
+		seconds: prometheus.NewHistogram(prometheus.HistogramOpts{
+			Name:    "maddergap_turn_seconds",
+			Help:    "Event loop iterations, without their wait for events.",
+			Buckets: prometheus.ExponentialBuckets(50e-6, 2, 15),
+		}),
 	}
-	if sum < turnLong {
-		return
+}
+
+// observe records an iteration that has ended, and logs a slow one.
+func (s *iterationStats) observe(now time.Duration, it *eventloop.Iteration) {
+	if now >= s.windowStart+longestWindow {
+		s.previous = s.current
+		s.current = phaseDurations{}
+		s.windowStart = now
+	}
+	whole := it.Total()
+	s.seconds.Observe(whole.Seconds())
+	s.current.merge(phaseDurations{phases: it.Durations, whole: whole})
+	if whole >= slowIteration {
+		s.logSlow(it)
 	}
-	if !t.lines.Allow() {
-		t.untold++
+}
+
+func (s *iterationStats) logSlow(it *eventloop.Iteration) {
+	suppressed, ok := s.lines.allow()
+	if !ok {
 		return
 	}
-	attrs := []slog.Attr{slog.Duration("took", sum), slog.Int("events", turn.Events), slog.Int("others_not_logged", t.untold)}
-	for p, d := range turn.Durations {
-		if d >= time.Millisecond {
-			attrs = append(attrs, slog.Duration(eventloop.Phase(p).String(), d))
+	attrs := []slog.Attr{slog.Duration("took", it.Total()), slog.Int("events", it.Events), slog.Int("suppressed", suppressed)}
+	for p, duration := range it.Durations {
+		if duration >= slowPhase {
+			attrs = append(attrs, slog.Duration(eventloop.Phase(p).String(), duration))
 		}
 	}
-	t.log.LogAttrs(context.Background(), slog.LevelWarn, "a long turn of the loop", attrs...)
-	t.untold = 0
+	s.log.LogAttrs(context.Background(), slog.LevelWarn, "slow event loop iteration", attrs...)
 }
 
-// most is the longest of this minute and the last, by part.
-func (t *turns) most() (most [eventloop.PhaseCount + 1]time.Duration) {
-	for p := range most {
-		most[p] = max(t.longest[0][p], t.longest[1][p])
-	}
-	return most
+// longest returns the longest durations of this window and the last.
+func (s *iterationStats) longest() phaseDurations {
+	longest := s.previous
+	longest.merge(s.current)
+	return longest
 }
--- a/internal/daemon/sink_test.go
+++ b/internal/daemon/log_sink_test.go
@@ -9,12 +9,12 @@
 	"golang.org/x/sys/unix"
 )
 
-// disk is a log file that fails for a while.
+// disk is a log file whose writes can be made to fail.
 type disk struct {
 	mu   sync.Mutex
 	text strings.Builder
-	err  error // nil: it is well
-	part int   // bytes that a failing write leaves behind
+	err  error // of each write; nil while it works
+	part int   // bytes that a failing write leaves in the file
 }
 
 func (d *disk) Write(p []byte) (int, error) {
@@ -40,13 +40,13 @@
 	return d.text.String()
 }
 
-// A log that cannot be written for a while loses lines, counts them, and goes on with whole
-// lines; a write that was left half done spoils no line behind it.
-func TestSinkOnAFailingDisk(t *testing.T) {
+// The log's disk is full, or fails, for a while, and may keep a part of a line. Lines are lost and
+// counted, the count comes before the next line, and a torn line spoils none after it.
+func TestLogSinkOnFailingDisk(t *testing.T) {
 	for _, err := range []error{unix.ENOSPC, unix.EIO} {
 		for _, part := range []int{0, 3} {
 			d := &disk{}
-			s := NewSink(d)
+			s := NewLogSink(d)
 			s.Write([]byte("first\n"))
 			eventually(t, func() bool { return d.read() == "first\n" })
 			d.set(err, part)
@@ -57,26 +57,27 @@
 			s.Write([]byte("last\n"))
 			s.Close()
 			lines := strings.Split(strings.TrimSuffix(d.read(), "\n"), "\n")
-			if n := len(lines); lines[0] != "first" || lines[n-1] != "last" || !strings.Contains(lines[n-2], `"number":2}`) {
+			if n := len(lines); lines[0] != "first" || lines[n-1] != "last" || !strings.Contains(lines[n-2], `"count":2}`) {
 				t.Errorf("%v, %d bytes left behind: %q", err, part, lines)
 			}
 		}
 	}
 }
 
-// Nobody reads the log: lines are dropped and counted, nothing waits, and the end is in time.
-func TestSinkThatNobodyReads(t *testing.T) {
+// The log is a pipe that nobody reads. Lines are dropped and counted, Write does not block, and
+// Close returns in time.
+func TestLogSinkThatNobodyReads(t *testing.T) {
 	read := make(chan struct{})
-	s := NewSink(writerFunc(func(p []byte) (int, error) { <-read; return len(p), nil }))
+	s := NewLogSink(writerFunc(func(p []byte) (int, error) { <-read; return len(p), nil }))
 	began := time.Now()
-	for range 2 * sinkLines {
+	for range 2 * sinkQueueLines {
 		s.Write([]byte("line\n"))
 	}
 	s.Close()
 	s.Write([]byte("behind the end\n"))
 	s.Close()
-	if took := time.Since(began); took > 5*sinkCloseTime || s.dropped.Load() == 0 {
-		t.Errorf("%v for %d lines, %d of them dropped", took, 2*sinkLines, s.dropped.Load())
+	if took := time.Since(began); took > 5*sinkCloseTimeout || s.dropped.Load() == 0 {
+		t.Errorf("%v for %d lines, %d of them dropped", took, 2*sinkQueueLines, s.dropped.Load())
 	}
 	close(read)
 	<-s.done
@@ -90,7 +91,7 @@
 	t.Helper()
 	for until := time.Now().Add(5 * time.Second); !is(); time.Sleep(time.Millisecond) {
 		if time.Now().After(until) {
-			t.Fatal("it never comes to that")
+			t.Fatal("the condition never holds")
 		}
 	}
 }
--- a/internal/daemon/metrics.go
+++ b/internal/daemon/metrics.go
@@ -3,6 +3,7 @@
 import (
 	"net"
 	"net/http"
+	"sync/atomic"
 	"time"
 
 	"github.com/prometheus/client_golang/prometheus"
@@ -14,104 +15,135 @@
 	"maddergap/internal/invariant"
 )
 
-// publishEvery is how often the loop leaves its sums for other goroutines.
-const publishEvery = 100 * time.Millisecond
+const (
+	// metricsInterval is how often the loop publishes its counters for the goroutines that
+	// serve metrics.
+	metricsInterval = 100 * time.Millisecond
+	// metricsHeaderTimeout bounds a scrape's request header.
+	metricsHeaderTimeout = 5 * time.Second
+)
 
-func (d *Daemon) publish() {
-	if now := d.loop.Now(); d.counts.Load() == nil || now >= d.publishedAt+publishEvery {
-		d.counts.Store(&published{d.head.Counts(), d.turns.most()})
-		d.publishedAt = now
-	}
+// metricsServer serves /metrics on a listener and goroutines of its own, so that a scrape never
+// delays the loop.
+type metricsServer struct {
+	addr       string
+	server     *http.Server
+	iterations *iterationStats // of the loop's goroutine
+
+	publishedAt time.Duration            // of the loop's goroutine
+	snapshot    atomic.Pointer[snapshot] // nil before the first
 }
 
-// published is what other goroutines may read of a head.
-type published struct {
+// snapshot is what the loop has published. It does not change after that.
+type snapshot struct {
 	gateway.Counts
-	longest [eventloop.PhaseCount + 1]time.Duration
+	longest phaseDurations
 }
 
-func sum(list []uint64) (n uint64) {
-	for _, x := range list {
-		n += x
+// newMetricsServer starts to serve metrics on addr.
+func newMetricsServer(addr string, iterations *iterationStats) (*metricsServer, error) {
+	listener, err := net.Listen("tcp", addr)
+	if err != nil {
+		return nil, err
 	}
-	return n
+	m := &metricsServer{addr: listener.Addr().String(), iterations: iterations}
+	registry := prometheus.NewRegistry()
+	registry.MustRegister(m, iterations.seconds)
+	m.server = &http.Server{Handler: promhttp.HandlerFor(registry, promhttp.HandlerOpts{}), ReadHeaderTimeout: metricsHeaderTimeout}
+	go m.server.Serve(listener)
+	return m, nil
 }
 
-// serveMetrics opens the metrics' own listener; it is not on the head's path.
-func (d *Daemon) serveMetrics(addr string) error {
-	ln, err := net.Listen("tcp", addr)
-	if err != nil {
-		return err
+func (m *metricsServer) close() { m.server.Close() }
+
+// publish leaves the counters for scrapes, at most once in metricsInterval. It is called on the
+// loop's goroutine.
+func (m *metricsServer) publish(now time.Duration, g *gateway.Gateway) {
+	if m.snapshot.Load() != nil && now < m.publishedAt+metricsInterval {
+		return
 	}
-	r := prometheus.NewRegistry()
-	r.MustRegister(collector{d}, d.turns.seconds)
-	d.metrics = &http.Server{Handler: promhttp.HandlerFor(r, promhttp.HandlerOpts{}), ReadHeaderTimeout: 5 * time.Second}
-	d.metricsAddr = ln.Addr().String()
-	go d.metrics.Serve(ln)
-	return nil
+	m.snapshot.Store(&snapshot{Counts: g.Counts(), longest: m.iterations.longest()})
+	m.publishedAt = now
 }
 
-// collector reads the sums that the loop left.
-type collector struct{ d *Daemon }
+func newDesc(name, help string, labels ...string) *prometheus.Desc {
+	return prometheus.NewDesc(name, help, labels, nil)
+}
 
+// The metrics keep the names and label values that dashboards know; some of them are older
+// than the terms of the code.
 var (
-	requestsDesc  = prometheus.NewDesc("maddergap_requests_total", "Requests taken, by final answer; left: the client went before.", []string{"outcome"}, nil)
-	attemptsDesc  = prometheus.NewDesc("maddergap_attempts_total", "Sends to nodes.", nil, nil)
-	badDesc       = prometheus.NewDesc("maddergap_malformed_total", "Requests answered as malformed or too slow.", nil, nil)
-	turnedDesc    = prometheus.NewDesc("maddergap_turned_away_total", "Connections and requests not admitted, by what kept them out.", []string{"reason"}, nil)
-	preemptedDesc = prometheus.NewDesc("maddergap_connections_preempted_total", "Idle connections closed to make room.", nil, nil)
-	connsDesc     = prometheus.NewDesc("maddergap_connections", "Connections now, by kind: client, known (of clients), node.", []string{"kind"}, nil)
-	turnDesc      = prometheus.NewDesc("maddergap_turn_longest_seconds", "The longest turn of the loop within this minute and the last, and the longest of each part.", []string{"part"}, nil)
-	heldDesc      = prometheus.NewDesc("maddergap_client_buffers_bytes", "Bytes held for all client connections.", nil, nil)
-	lagDesc       = prometheus.NewDesc("maddergap_lag_seconds", "How much later than asked the head was woken lately; taken twice from its clients' time.", nil, nil)
-	withheldDesc  = prometheus.NewDesc("maddergap_attempts_withheld_total", "Attempts that were not begun, by the invariant that was against it.", []string{"rule"}, nil)
-	brokenDesc    = prometheus.NewDesc("maddergap_invariants_broken_total", "Invariants found broken after the fact, by rule.", []string{"rule"}, nil)
-	tableDesc     = prometheus.NewDesc("maddergap_admission_entries", "Entries of admission's tables in use.", []string{"table"}, nil)
+	requestsDesc         = newDesc("maddergap_requests_total", "Requests received, by outcome; left: the client disconnected before its response.", "outcome")
+	attemptsDesc         = newDesc("maddergap_attempts_total", "Attempts sent to nodes.")
+	malformedDesc        = newDesc("maddergap_malformed_total", "Requests rejected as malformed or too slow.")
+	rejectedDesc         = newDesc("maddergap_turned_away_total", "Connections and requests rejected by admission, by the limit that rejected them.", "reason")
+	preemptedDesc        = newDesc("maddergap_connections_preempted_total", "Idle connections closed to make room.")
+	connectionsDesc      = newDesc("maddergap_connections", "Open connections, by kind: client, known (clients of these), node.", "kind")
+	longestIterationDesc = newDesc("maddergap_turn_longest_seconds", "The longest event loop iteration within this minute and the last, and the longest of each phase.", "part")
+	clientBuffersDesc    = newDesc("maddergap_client_buffers_bytes", "Bytes buffered for all client connections.")
+	stallDesc            = newDesc("maddergap_lag_seconds", "How much later than requested the event loop was woken lately; taken twice from the deadlines.")
+	withheldDesc         = newDesc("maddergap_attempts_withheld_total", "Attempts withheld, by the invariant that they would have violated.", "rule")
+	violatedDesc         = newDesc("maddergap_invariants_broken_total", "Invariants found violated after the fact, by rule.", "rule")
+	admissionEntriesDesc = newDesc("maddergap_admission_entries", "Entries of the admission tables in use.", "table")
 )
 
-func (collector) Describe(ch chan<- *prometheus.Desc) {
-	for _, d := range []*prometheus.Desc{requestsDesc, attemptsDesc, badDesc, turnedDesc, preemptedDesc, connsDesc, tableDesc, turnDesc, heldDesc, lagDesc, withheldDesc, brokenDesc} {
-		ch <- d
+// wholeIteration is the label value of a whole iteration, beside those of its phases.
+const wholeIteration = "whole"
+
+// Describe implements prometheus.Collector.
+func (*metricsServer) Describe(ch chan<- *prometheus.Desc) {
+	for _, desc := range []*prometheus.Desc{requestsDesc, attemptsDesc, malformedDesc, rejectedDesc, preemptedDesc, connectionsDesc, longestIterationDesc,
+		clientBuffersDesc, stallDesc, withheldDesc, violatedDesc, admissionEntriesDesc} {
+		ch <- desc
 	}
 }
 
-func (k collector) Collect(ch chan<- prometheus.Metric) {
-	c := k.d.counts.Load()
-	if c == nil {
+// Collect implements prometheus.Collector from the last snapshot.
+func (m *metricsServer) Collect(ch chan<- prometheus.Metric) {
+	s := m.snapshot.Load()
+	if s == nil {
 		return
 	}
-	count := func(d *prometheus.Desc, n uint64, labels ...string) {
-		ch <- prometheus.MustNewConstMetric(d, prometheus.CounterValue, float64(n), labels...)
-	}
-	gauge := func(d *prometheus.Desc, n int, labels ...string) {
-		ch <- prometheus.MustNewConstMetric(d, prometheus.GaugeValue, float64(n), labels...)
-	}
-	for p, took := range c.longest {
-		name := "whole"
-		if p < int(eventloop.PhaseCount) {
-			name = eventloop.Phase(p).String()
-		}
-		ch <- prometheus.MustNewConstMetric(turnDesc, prometheus.GaugeValue, took.Seconds(), name)
-	}
-	for o, n := range map[gateway.Outcome]uint64{gateway.Served: c.Served, gateway.Rejected: c.Rejected, gateway.Failed: c.Failed, gateway.ClientDisconnected: c.Disconnected} {
-		count(requestsDesc, n, o.String())
+	collectCounters(ch, &s.Counts)
+	collectGauges(ch, s)
+}
+
+// collectCounters maps the counters of the gateway to metrics.
+func collectCounters(ch chan<- prometheus.Metric, c *gateway.Counts) {
+	counter := func(desc *prometheus.Desc, n uint64, labels ...string) {
+		ch <- prometheus.MustNewConstMetric(desc, prometheus.CounterValue, float64(n), labels...)
 	}
-	count(attemptsDesc, c.Attempts)
-	count(badDesc, c.Malformed)
-	count(preemptedDesc, c.Preempted)
+	counter(requestsDesc, c.Served, gateway.Served.String())
+	counter(requestsDesc, c.Rejected, gateway.Rejected.String())
+	counter(requestsDesc, c.Failed, gateway.Failed.String())
+	counter(requestsDesc, c.Disconnected, gateway.ClientDisconnected.String())
+	counter(attemptsDesc, c.Attempts)
+	counter(malformedDesc, c.Malformed)
+	counter(preemptedDesc, c.Preempted)
 	for r := admission.ReasonNone + 1; r < admission.ReasonCount; r++ {
-		count(turnedDesc, c.ConnectionsRejected[r], r.String())
+		counter(rejectedDesc, c.ConnectionsRejected[r], r.String())
 	}
 	for r := invariant.None + 1; r < invariant.RuleCount; r++ {
-		count(withheldDesc, c.Invariants.Withheld[r], r.String())
-		count(brokenDesc, c.Invariants.Violated[r], r.String())
+		counter(withheldDesc, c.Invariants.Withheld[r], r.String())
+		counter(violatedDesc, c.Invariants.Violated[r], r.String())
+	}
+}
+
+// collectGauges maps the present state of the gateway and of the loop to metrics.
+func collectGauges(ch chan<- prometheus.Metric, s *snapshot) {
+	gauge := func(desc *prometheus.Desc, x float64, labels ...string) {
+		ch <- prometheus.MustNewConstMetric(desc, prometheus.GaugeValue, x, labels...)
+	}
+	gauge(connectionsDesc, float64(s.Clients), "client")
+	gauge(connectionsDesc, float64(s.Admitted.Known), "known")
+	gauge(connectionsDesc, float64(s.NodeConns), "node")
+	gauge(stallDesc, s.Stall.Seconds())
+	gauge(clientBuffersDesc, float64(s.BufferedBytes))
+	gauge(admissionEntriesDesc, float64(s.Admitted.Addresses), "addresses")
+	gauge(admissionEntriesDesc, float64(s.Admitted.Prefixes), "prefixes")
+	gauge(admissionEntriesDesc, float64(s.Admitted.Learned), "learned")
+	for p, longest := range s.longest.phases {
+		gauge(longestIterationDesc, longest.Seconds(), eventloop.Phase(p).String())
 	}
-	gauge(connsDesc, c.Clients, "client")
-	gauge(connsDesc, c.Admitted.Known, "known")
-	gauge(connsDesc, c.NodeConns, "node")
-	ch <- prometheus.MustNewConstMetric(lagDesc, prometheus.GaugeValue, c.Stall.Seconds())
-	gauge(heldDesc, int(c.BufferedBytes))
-	gauge(tableDesc, c.Admitted.Addresses, "addresses")
-	gauge(tableDesc, c.Admitted.Prefixes, "prefixes")
-	gauge(tableDesc, c.Admitted.Learned, "learned")
+	gauge(longestIterationDesc, s.longest.whole.Seconds(), wholeIteration)
 }
--- a/internal/daemon/observer.go
+++ b/internal/daemon/observer.go
@@ -5,17 +5,11 @@
 	"fmt"
 	"log/slog"
 	"net/netip"
-	"os"
 	"time"
 
 	"go.opentelemetry.io/otel/attribute"
-	"go.opentelemetry.io/otel/codes"
-	"go.opentelemetry.io/otel/exporters/stdout/stdouttrace"
-	sdk "go.opentelemetry.io/otel/sdk/trace"
 	"go.opentelemetry.io/otel/trace"
 
-	"golang.org/x/time/rate"
-
 	"maddergap/internal/admission"
 	"maddergap/internal/config"
 	"maddergap/internal/gateway"
@@ -24,167 +18,137 @@
 	"maddergap/scheduler"
 )
 
-// observer writes requests to the log and spans to the trace file.
+const (
+	// rejectionLines and violationLines are how many lines a second are logged of each kind.
+	rejectionLines = 5
+	violationLines = 5
+	// maxNodesNamed is how many nodes a line about a membership change names.
+	maxNodesNamed = 8
+)
+
+// observer logs what the gateway does and writes spans of it. It implements gateway.Observer.
 type observer struct {
-	log      *slog.Logger
-	quiet    bool
-	start    time.Time
-	provider *sdk.TracerProvider
-	tracer   trace.Tracer
-	file     *os.File
-	turns    *rate.Limiter // of lines about connections not admitted
-	untold   int
-	// violations limits the lines about invariants, unlogged counts those left out.
-	violations *rate.Limiter
-	unlogged   int
+	log         *slog.Logger
+	logRequests bool
+	spans       *spanWriter // nil for none
+	rejections  lineLimiter
+	violations  lineLimiter
 }
 
-func newObserver(c *config.Config, log *slog.Logger, start time.Time) (*observer, error) {
-	o := &observer{log: log, quiet: !c.Telemetry.LogRequests, start: start, turns: rate.NewLimiter(turnLines, turnLines), violations: rate.NewLimiter(turnLines, turnLines)}
+var _ gateway.Observer = (*observer)(nil)
+
+// newObserver opens the trace file, if there is one. origin is the wall-clock time at which the
+// loop's clock reads 0.
+func newObserver(c *config.Config, log *slog.Logger, origin time.Time) (*observer, error) {
+	o := &observer{
+		log:         log,
+		logRequests: c.Telemetry.LogRequests,
+		rejections:  newLineLimiter(rejectionLines),
+		violations:  newLineLimiter(violationLines),
+	}
 	if c.Telemetry.TraceFile == "" {
 		return o, nil
 	}
-	f, err := os.OpenFile(c.Telemetry.TraceFile, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
-	if err != nil {
-		return nil, err
-	}
-	exp, err := stdouttrace.New(stdouttrace.WithWriter(f))
-	if err != nil {
-		f.Close()
-		return nil, err
-	}
-	o.file = f
-	// The batcher's queue is bounded; what does not fit is dropped.
-	o.provider = sdk.NewTracerProvider(sdk.WithBatcher(exp), sdk.WithIDGenerator(given{}), sdk.WithSampler(sdk.AlwaysSample()))
-	o.tracer = o.provider.Tracer("maddergap")
-	return o, nil
-}
-
-func (o *observer) close() {
-	if o.provider != nil {
-		o.provider.Shutdown(context.Background())
-		o.file.Close()
-	}
+	var err error
+	o.spans, err = newSpanWriter(c.Telemetry.TraceFile, origin)
+	return o, err
 }
 
-// given hands the tracer the ids that went over the wire.
-type given struct{}
-
-type spanKey struct{}
-
-func (given) NewIDs(ctx context.Context) (trace.TraceID, trace.SpanID) {
-	s := ctx.Value(spanKey{}).(*gateway.Span)
-	return s.Trace, s.ID
-}
-
-func (g given) NewSpanID(ctx context.Context, _ trace.TraceID) trace.SpanID {
-	_, id := g.NewIDs(ctx)
-	return id
-}
-
-func (o *observer) span(s *gateway.Span, kind trace.SpanKind, name string, failed string, attrs ...attribute.KeyValue) {
-	if o.tracer == nil || !s.Sampled {
-		return
-	}
-	ctx := context.WithValue(context.Background(), spanKey{}, s)
-	if s.Parent != ([8]byte{}) {
-		ctx = trace.ContextWithRemoteSpanContext(ctx, trace.NewSpanContext(trace.SpanContextConfig{
-			TraceID: s.Trace, SpanID: s.Parent, TraceFlags: trace.FlagsSampled, Remote: true}))
-	}
-	attrs = append(attrs, attribute.String("maddergap.request", s.Request), attribute.String("http.request.method", s.Method),
-		attribute.String("url.path", s.Path), attribute.Int("http.response.status_code", s.Status),
-		attribute.String("maddergap.volume", s.Volume), attribute.String("maddergap.class", s.Class))
-	_, span := o.tracer.Start(ctx, name, trace.WithTimestamp(o.start.Add(s.Start)), trace.WithSpanKind(kind), trace.WithAttributes(attrs...))
-	if failed != "" {
-		span.SetStatus(codes.Error, failed)
-	}
-	span.End(trace.WithTimestamp(o.start.Add(s.End)))
-}
+func (o *observer) close() { o.spans.close() }
 
-// Request logs a request's end and its span.
+// Request logs a request that has ended and writes its span.
 func (o *observer) Request(s *gateway.Span) {
-	failed := ""
+	failure := ""
 	if s.Outcome != gateway.Served {
-		failed = s.Outcome.String()
+		failure = s.Outcome.String()
 	}
-	o.span(s, trace.SpanKindServer, s.Method, failed, attribute.String("client.address", s.Client), attribute.Int("maddergap.attempts", s.Attempts))
-	if o.quiet {
+	o.spans.write(s, trace.SpanKindServer, s.Method, failure, attribute.String("client.address", s.Client), attribute.Int("maddergap.attempts", s.Attempts))
+	if !o.logRequests {
 		return
 	}
-	o.log.LogAttrs(context.Background(), slog.LevelInfo, "request", slog.String("request", s.Request),
-		slog.String("trace", fmt.Sprintf("%x", s.Trace)), slog.String("client", s.Client), slog.String("method", s.Method),
-		slog.String("path", s.Path), slog.String("volume", s.Volume), slog.String("class", s.Class),
+	o.log.LogAttrs(context.Background(), slog.LevelInfo, "request",
+		slog.String("request", s.Request), traceID(s), slog.String("client", s.Client),
+		slog.String("method", s.Method), slog.String("path", s.Path), slog.String("volume", s.Volume), slog.String("class", s.Class),
 		slog.String("outcome", s.Outcome.String()), slog.Int("status", s.Status), slog.Int("attempts", s.Attempts),
 		slog.Duration("took", s.End-s.Start), slog.String("reason", s.Reason))
 }
 
-// turnLines is how many lines a second tell of connections that are not admitted;
-// a flood must not be one of the log too.
-const turnLines = 5
+// attemptOutcomes are the names of outcomes in logs and spans.
+var attemptOutcomes = map[scheduler.Outcome]string{
+	scheduler.OK:            "ok",
+	scheduler.Failed:        "failed",
+	scheduler.QueueFull:     "full",
+	scheduler.TimedOut:      "timed out",
+	scheduler.ConnectFailed: "no connection",
+	scheduler.Reset:         "reset",
+	scheduler.Cancelled:     "cancelled",
+	scheduler.Superseded:    "not sent",
+}
 
-// ConnectionRejected logs a connection that was not admitted, or counts it for the next line.
-func (o *observer) ConnectionRejected(client netip.AddrPort, why admission.Reason, told bool) {
-	if !o.turns.Allow() {
-		o.untold++
+// Attempt logs an attempt that failed, and writes the span of every attempt.
+func (o *observer) Attempt(s *gateway.Span) {
+	failure := ""
+	if s.AttemptOutcome != scheduler.OK {
+		failure = attemptOutcomes[s.AttemptOutcome]
+	}
+	o.spans.write(s, trace.SpanKindClient, "attempt", failure, attribute.String("maddergap.node", s.Node), attribute.Int("maddergap.attempt", s.Attempt))
+	if !o.logRequests || s.AttemptOutcome == scheduler.OK {
 		return
 	}
-	o.log.LogAttrs(context.Background(), slog.LevelWarn, "connection not admitted", slog.String("client", client.String()),
-		slog.String("by", why.String()), slog.Bool("told", told), slog.Int("others_not_logged", o.untold))
-	o.untold = 0
+	o.log.LogAttrs(context.Background(), slog.LevelWarn, "attempt failed",
+		slog.String("request", s.Request), traceID(s), slog.Int("attempt", s.Attempt), slog.String("node", s.Node),
+		slog.String("outcome", failure), slog.Int("status", s.Status), slog.Duration("took", s.End-s.Start))
 }
 
-// membersNamed is how many nodes a line about a change of the list names.
-const membersNamed = 8
+func traceID(s *gateway.Span) slog.Attr { return slog.String("trace", fmt.Sprintf("%x", s.Trace)) }
 
-var stateNames = map[scheduler.NodeState]string{scheduler.Serving: "serving", scheduler.Draining: "draining", scheduler.Removed: "gone"}
+// ConnectionRejected logs a connection that admission rejected. responded says that the client
+// is sent a response; else its connection is closed without one.
+func (o *observer) ConnectionRejected(client netip.AddrPort, reason admission.Reason, responded bool) {
+	suppressed, ok := o.rejections.allow()
+	if !ok {
+		return
+	}
+	o.log.LogAttrs(context.Background(), slog.LevelWarn, "connection rejected",
+		slog.String("client", client.String()), slog.String("reason", reason.String()), slog.Bool("responded", responded),
+		slog.Int("suppressed", suppressed))
+}
 
-// MembersChanged logs what changed of the node list: how many nodes by their new state, and the
-// first of them by name.
+// nodeStateNames are the names of states in the node list and in logs.
+var nodeStateNames = map[scheduler.NodeState]string{
+	scheduler.Serving:  "serving",
+	scheduler.Draining: "draining",
+	scheduler.Removed:  "gone",
+}
+
+// MembersChanged logs how many nodes changed to each state, and names the first of them.
 func (o *observer) MembersChanged(changes []membership.Change) {
 	counts := map[scheduler.NodeState]int{}
 	var named []string
 	for i := range changes {
-		e := &changes[i].Endpoint
-		counts[e.State]++
-		if len(named) < membersNamed {
-			named = append(named, e.Node+" "+stateNames[e.State])
+		endpoint := &changes[i].Endpoint
+		counts[endpoint.State]++
+		if len(named) < maxNodesNamed {
+			named = append(named, endpoint.Node+" "+nodeStateNames[endpoint.State])
 		}
 	}
-	o.log.LogAttrs(context.Background(), slog.LevelInfo, "members changed", slog.Int("serving", counts[scheduler.Serving]),
-		slog.Int("draining", counts[scheduler.Draining]), slog.Int("gone", counts[scheduler.Removed]), slog.Any("first", named))
+	o.log.LogAttrs(context.Background(), slog.LevelInfo, "membership changed",
+		slog.Int("serving", counts[scheduler.Serving]), slog.Int("draining", counts[scheduler.Draining]),
+		slog.Int("gone", counts[scheduler.Removed]), slog.Any("nodes", named))
 }
 
-// InvariantViolated logs an invariant that was broken, or an attempt that was not begun for it, or
-// counts it for the next line.
+// InvariantViolated logs an invariant that was violated, or an attempt that was withheld to keep it.
 func (o *observer) InvariantViolated(v invariant.Violation) {
-	if !o.violations.Allow() {
-		o.unlogged++
+	suppressed, ok := o.violations.allow()
+	if !ok {
 		return
 	}
-	level, text := slog.LevelError, "invariant broken"
+	level, message := slog.LevelError, "invariant violated"
 	if v.Withheld {
-		level, text = slog.LevelInfo, "attempt withheld"
-	}
-	o.log.LogAttrs(context.Background(), level, text, slog.String("rule", v.Rule.String()), slog.String("request", v.RequestID),
-		slog.String("node", v.Node), slog.Int("attempt", v.Attempt), slog.Duration("now", v.Now), slog.Duration("limit", v.Limit),
-		slog.Int("others_not_logged", o.unlogged))
-	o.unlogged = 0
-}
-
-var outcomes = map[scheduler.Outcome]string{scheduler.OK: "ok", scheduler.Failed: "failed", scheduler.QueueFull: "full", scheduler.TimedOut: "timed out",
-	scheduler.ConnectFailed: "no connection", scheduler.Reset: "reset", scheduler.Cancelled: "cancelled", scheduler.Superseded: "not sent"}
-
-// Attempt logs an attempt that did not bring an answer, and every one's span.
-func (o *observer) Attempt(s *gateway.Span) {
-	failed := ""
-	if s.AttemptOutcome != scheduler.OK {
-		failed = outcomes[s.AttemptOutcome]
-	}
-	o.span(s, trace.SpanKindClient, "attempt", failed, attribute.String("maddergap.node", s.Node), attribute.Int("maddergap.attempt", s.Attempt))
-	if o.quiet || s.AttemptOutcome == scheduler.OK {
-		return
+		level, message = slog.LevelInfo, "attempt withheld"
 	}
-	o.log.LogAttrs(context.Background(), slog.LevelWarn, "attempt", slog.String("request", s.Request),
-		slog.String("trace", fmt.Sprintf("%x", s.Trace)), slog.Int("attempt", s.Attempt), slog.String("node", s.Node),
-		slog.String("ended", failed), slog.Int("status", s.Status), slog.Duration("took", s.End-s.Start))
+	o.log.LogAttrs(context.Background(), level, message,
+		slog.String("rule", v.Rule.String()), slog.String("request", v.RequestID), slog.String("node", v.Node),
+		slog.Int("attempt", v.Attempt), slog.Duration("now", v.Now), slog.Duration("limit", v.Limit),
+		slog.Int("suppressed", suppressed))
 }
--- /dev/null
+++ b/internal/daemon/platform_role.go
@@ -0,0 +1,63 @@
+package daemon
+
+import (
+	"errors"
+	"fmt"
+	"log/slog"
+	"reflect"
+	"slices"
+
+	"maddergap/internal/eventloop"
+	"maddergap/internal/platform"
+)
+
+// platformRole is an instance of a platform: its configuration comes from there, its nodes from
+// discovery, and its clients speak the platform's protocol.
+type platformRole struct {
+	config *platform.Config
+	load   func() (*platform.Config, error)
+	source *discoverySource
+}
+
+// NewPlatform returns an instance of a platform for its configuration. load reads the
+// configuration again when the daemon is to reload it.
+func NewPlatform(c *platform.Config, load func() (*platform.Config, error), log *slog.Logger, opts ...Option) (*Daemon, error) {
+	if err := checkDescriptorLimit(c.Bounds.RequiredDescriptors()); err != nil {
+		return nil, fmt.Errorf("%s: the bounds: %w", c.Gateway.File, err)
+	}
+	loop, err := eventloop.NewWithCalls(newSyscalls(c.Gateway), c.Bounds.MaxAcceptedConns(), c.Bounds.MaxRejectionConns)
+	if err != nil {
+		return nil, err
+	}
+	o := newOptions(opts)
+	source := newDiscoverySource(c, loop, log, o.nodeStateInterval)
+	r := &platformRole{config: c, load: load, source: source}
+	d := &Daemon{config: c.Gateway, log: log, loop: loop, iterations: newIterationStats(log), role: r, members: source}
+	if err := d.open(o, c.Gateway.Seed); err != nil {
+		d.close()
+		return nil, err
+	}
+	return d, nil
+}
+
+// openListeners has no filter: on a platform, no client is known before it connects.
+func (r *platformRole) openListeners(d *Daemon) error { return d.listen(nil) }
+
+// reload follows a new address of discovery. Everything else needs a restart.
+func (r *platformRole) reload(d *Daemon) error {
+	c, err := r.load()
+	if err != nil {
+		return err
+	}
+	if c.DiscoveryAddr != r.config.DiscoveryAddr {
+		d.log.Info("discovery address changed", "from", r.config.DiscoveryAddr, "to", c.DiscoveryAddr)
+		r.source.client.SetAddress(d.loop.Now(), c.DiscoveryAddr)
+		r.config.DiscoveryAddr = c.DiscoveryAddr
+	}
+	if !slices.Equal(c.Gateway.Listen, d.config.Listen) || !reflect.DeepEqual(c.Gateway.Scheduler, d.config.Scheduler) || c.Bounds != r.config.Bounds {
+		return errors.New("discovery is followed where the file says; listen, settings and limits change with a restart only")
+	}
+	return nil
+}
+
+func (r *platformRole) background(*Daemon, <-chan struct{}) {}
--- a/internal/e2e/crossing_test.go
+++ b/internal/e2e/crossing_test.go
@@ -16,10 +16,10 @@
 	"maddergap/internal/discovery"
 )
 
-// counted is a field of the latest line that compares beliefs, or nothing.
-func (s *service) counted(field string) string {
+// instanceState is a field of the latest line that logs the state of the instance, or nothing.
+func (s *service) instanceState(field string) string {
 	log := s.log.String()
-	i := strings.LastIndex(log, "msg=belief")
+	i := strings.LastIndex(log, `msg="instance state"`)
 	if i < 0 {
 		return ""
 	}
@@ -60,12 +60,12 @@
 				text += second(s.request("GET", "read", 1, "1200m", ""))
 			}
 			go c.Write([]byte(text))
-			within(t, time.Second, func() bool { return s.counted("taken") == "1" })
+			within(t, time.Second, func() bool { return s.instanceState("received") == "1" })
 			if how == "reset" {
 				c.SetLinger(0)
 			}
 			c.Close()
-			within(t, time.Second, func() bool { return s.counted("left") == "1" })
+			within(t, time.Second, func() bool { return s.instanceState("disconnected") == "1" })
 			d.set(endpointOf("s0", one, 0, "up"), endpointOf("s1", two, 1, "up"))
 			within(t, time.Second, func() bool {
 				status, _ := s.raw(second(s.request("GET", "read", 1, "1200m", "")))
@@ -139,14 +139,14 @@
 			s := serveWith(t, d, strings.NewReplacer(`"connectTimeout":250000`, `"connectTimeout":3000000`))
 			c := s.dial(t)
 			fmt.Fprint(c, second(s.request("GET", "read", 0, "5000m", "")))
-			within(t, time.Second, func() bool { return s.counted("node_connections") == "1" })
+			within(t, time.Second, func() bool { return s.instanceState("node_connections") == "1" })
 			if how == "client leaves" {
 				c.Close()
-				within(t, time.Second, func() bool { return s.counted("left") == "1" })
+				within(t, time.Second, func() bool { return s.instanceState("disconnected") == "1" })
 			} else {
-				version := s.counted("version")
+				version := s.instanceState("version")
 				d.set(entry("draining"), endpointOf("other", other, 0, "up"))
-				within(t, time.Second, func() bool { return s.counted("version") != version })
+				within(t, time.Second, func() bool { return s.instanceState("version") != version })
 			}
 			ln := goOn()
 			ln.(*net.TCPListener).SetDeadline(time.Now().Add(4 * time.Second))
@@ -234,11 +234,11 @@
 		io.Copy(io.Discard, r.Body)
 	}
 	s.d.Stop()
-	within(t, time.Second, func() bool { return strings.Contains(s.log.String(), "msg=leaving") })
+	within(t, time.Second, func() bool { return strings.Contains(s.log.String(), "msg=draining") })
 	fresh := s.dial(t)
 	_, text := s.request("GET", "read", 0, "1200m", "")
 	io.WriteString(half, text[:60])
-	within(t, time.Second, func() bool { return strings.Contains(s.log.String(), "msg=stopping") })
+	within(t, time.Second, func() bool { return strings.Contains(s.log.String(), `msg="shutting down"`) })
 	before := len(sh.ids())
 	io.WriteString(resting, second(s.request("GET", "read", 0, "1200m", "")))
 	if b, err := io.ReadAll(in); err != nil || len(b) > 0 {
@@ -273,7 +273,7 @@
 		fmt.Fprint(c, second(s.request("GET", "read", i%2, "30000m", "")))
 		conns = append(conns, c)
 	}
-	within(t, time.Second, func() bool { return s.counted("taken") == "6" })
+	within(t, time.Second, func() bool { return s.instanceState("received") == "6" })
 	s.d.Stop()
 	s.d.Stop()
 	s.stop()
@@ -325,7 +325,7 @@
 	s = serveOn(t, d)
 	c := s.dial(t)
 	fmt.Fprint(c, second(s.request("GET", "read", 0, "1200m", "")))
-	within(t, time.Second, func() bool { return s.counted("taken") == "1" })
+	within(t, time.Second, func() bool { return s.instanceState("received") == "1" })
 	d.StartOutage() // discovery is down from here on
 	s.tell(silentDiscovery(t))
 	s.d.Reload()
--- a/internal/e2e/flood_test.go
+++ b/internal/e2e/flood_test.go
@@ -116,10 +116,10 @@
 					}
 				}
 			}
-			if name == "from 2,000 addresses" && !strings.Contains(s.log.String(), "connection not admitted") {
+			if name == "from 2,000 addresses" && !strings.Contains(s.log.String(), "connection rejected") {
 				t.Error("the log does not tell of the flood")
 			}
-			if n := strings.Count(s.log.String(), "connection not admitted"); n > 60 {
+			if n := strings.Count(s.log.String(), "connection rejected"); n > 60 {
 				t.Errorf("%d lines of the log", n)
 			}
 		})
--- a/internal/e2e/platform_test.go
+++ b/internal/e2e/platform_test.go
@@ -203,7 +203,7 @@
 	t.Cleanup(func() {
 		s.stop()
 		// What the module holds to be out is what is out on the sockets, at each look.
-		if log := s.log.String(); strings.Contains(log, "differs=true") || !strings.Contains(log, "msg=belief") {
+		if log := s.log.String(); strings.Contains(log, "mismatch=true") || !strings.Contains(log, `msg="instance state"`) {
 			t.Error("the module's attempts and those on the sockets differ, or were not compared")
 		}
 	})
@@ -241,7 +241,7 @@
 			t.Fatal(err)
 		}
 	}
-	if s.d, err = daemon.NewPlatform(c, nil, 50*time.Millisecond, load, slog.New(slog.NewTextHandler(s.log, nil))); err != nil {
+	if s.d, err = daemon.NewPlatform(c, load, slog.New(slog.NewTextHandler(s.log, nil)), daemon.WithNodeStateLog(50*time.Millisecond)); err != nil {
 		t.Fatal(err)
 	}
 	s.addr = s.d.Addrs()[0]
@@ -468,7 +468,7 @@
 	}
 	os.WriteFile(s.file, []byte(`{"name":`), 0o644)
 	s.d.Reload()
-	within(t, time.Second, func() bool { return strings.Contains(s.log.String(), "reload refused") })
+	within(t, time.Second, func() bool { return strings.Contains(s.log.String(), "reload rejected") })
 	if got := get(); got != "one" {
 		t.Fatalf("%q after a bad file", got)
 	}
--- a/internal/e2e/syscalls_test.go
+++ b/internal/e2e/syscalls_test.go
@@ -59,7 +59,7 @@
 			}
 			clients.Wait()
 			s.stop()
-			if log := s.log.String(); strings.Contains(log, "breaker=true") {
+			if log := s.log.String(); strings.Contains(log, "breaker_open=true") {
 				t.Errorf("the breaker of a node opened that was well; the head's log:\n%s", log)
 			}
 			seen := map[string]bool{}
@@ -92,7 +92,7 @@
 		served++
 	}
 	s.stop()
-	if log := s.log.String(); served < least || strings.Contains(log, "breaker=true") {
+	if log := s.log.String(); served < least || strings.Contains(log, "breaker_open=true") {
 		t.Errorf("%d requests served, want %d, with no breaker open; the head's log:\n%s", served, least, log)
 	}
 }
--- a/internal/scenario/run.go
+++ b/internal/scenario/run.go
@@ -81,7 +81,7 @@
 		if err != nil {
 			return nil, err
 		}
-		d, err := daemon.NewWith(nil, o.Core, c, slog.New(slog.DiscardHandler))
+		d, err := daemon.New(c, slog.New(slog.DiscardHandler), daemon.WithScheduler(o.Core))
 		if err != nil {
 			return nil, err
 		}
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -320,7 +320,7 @@
 	scan.Buffer(nil, 1<<20)
 	for scan.Scan() {
 		line := scan.Text()
-		if strings.Contains(line, `"invariant broken"`) || strings.Contains(line, "cut off at the stop") || strings.HasPrefix(line, "panic:") ||
+		if strings.Contains(line, `"invariant violated"`) || strings.Contains(line, "request aborted at shutdown") || strings.HasPrefix(line, "panic:") ||
 			strings.HasPrefix(line, "fatal error:") {
 			lines = append(lines, filepath.Base(path)+": "+line)
 		}
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -65,7 +65,7 @@
 func TestBrokenLines(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "head0.log")
 	os.WriteFile(file, []byte(`{"msg":"serving"}
-{"level":"ERROR","msg":"invariant broken","rule":"drain"}
+{"level":"ERROR","msg":"invariant violated","rule":"drain"}
 panic: runtime error
 {"msg":"stopped"}
 `), 0o644)
--- a/internal/supervisor/run.go
+++ b/internal/supervisor/run.go
@@ -4,151 +4,183 @@
 	"context"
 	"errors"
 	"fmt"
-	"io"
 	"log/slog"
 	"os"
 	"os/exec"
 	"time"
 )
 
-// What a machine's workers are held to.
-var standard = Config{Hung: 10 * time.Second, Rise: 30 * time.Second, PauseMin: 100 * time.Millisecond, PauseMax: 10 * time.Second, Lived: 30 * time.Second}
+// defaults are the timeouts that the workers of a machine are held to.
+var defaults = Config{
+	HeartbeatTimeout: 10 * time.Second,
+	StartupTimeout:   30 * time.Second,
+	BackoffMin:       100 * time.Millisecond,
+	BackoffMax:       10 * time.Second,
+	StableAfter:      30 * time.Second,
+}
 
-// BeatEvery is how often a worker beats.
-const BeatEvery = time.Second
+const (
+	// exitGrace is what a worker has beyond its own shutdown timeout before it is killed.
+	exitGrace = 2 * time.Second
+	// maxWait bounds one wait for events.
+	maxWait = time.Hour
+	// FirstInheritedFD is the descriptor of the first file that a process inherits, after its
+	// standard streams.
+	FirstInheritedFD = 3
+)
 
 // Options of a run.
 type Options struct {
-	Workers  int
-	StopTime time.Duration
-	// Command makes the command of a worker; files are what it inherits, from
-	// descriptor 3 on, before the pipe that it beats on.
+	Workers int
+	// ShutdownTimeout is how long a worker takes for its own graceful shutdown.
+	ShutdownTimeout time.Duration
+	// Command makes the command of worker i. It inherits Files from descriptor 3 on, and after
+	// them the pipe that it sends heartbeats on: see HeartbeatFD.
 	Command func(i int) *exec.Cmd
 	Files   []*os.File
-	Stopped func() // called when the end begins; Files are not used after it
-	Log     *slog.Logger
+	// OnShutdown is called when the shutdown begins. Files are not used after it.
+	OnShutdown func()
+	Log        *slog.Logger
 }
 
-// BeatFD is the descriptor that a worker beats on, where so many files come before it.
-func BeatFD(files int) int { return 3 + files }
+// HeartbeatFD is the descriptor that a worker that inherits so many files sends heartbeats on.
+func HeartbeatFD(files int) int { return FirstInheritedFD + files }
 
-type news struct {
+// workerEvent is a heartbeat of a worker, or its exit.
+type workerEvent struct {
 	worker int
-	ended  bool
-	err    error
+	exited bool
+	cause  error // why it exited, never nil then
 }
 
-// Run keeps the workers up until ctx is done; each signal that comes is passed on.
+// errExited is the cause of an exit with status 0.
+var errExited = errors.New("it exited by itself")
+
+// Run keeps the workers running until ctx is done and all of them have ended. Each signal that
+// arrives is forwarded to every worker. It returns an error if the first worker to exit did so
+// before any worker has started properly.
 func Run(ctx context.Context, o Options, signals <-chan os.Signal) error {
-	c := standard
-	c.Workers, c.StopTime = o.Workers, o.StopTime+2*time.Second
-	began := time.Now()
-	now := func() Time { return time.Since(began) }
-	s := New(c, 0)
-	told := make(chan news, 64)
-	running := make([]*os.Process, o.Workers)
+	r := newRunner(o)
 	stop := ctx.Done()
 	for {
-		acts, next := s.Advance(now())
-		for _, a := range acts {
-			switch a.Op {
-			case Start:
-				p, err := start(o, a.Worker, told)
-				if err != nil {
-					s.Ended(now(), a.Worker, err)
-					continue
-				}
-				running[a.Worker] = p
-				o.Log.Info("worker started", "worker", a.Worker, "pid", p.Pid)
-			case Term:
-				running[a.Worker].Signal(os.Interrupt)
-			case Kill:
-				o.Log.Error("worker killed: no sign of life, or no end in time", "worker", a.Worker)
-				running[a.Worker].Kill()
-			}
+		actions, next := r.supervisor.Advance(r.now())
+		for _, action := range actions {
+			r.apply(action)
 		}
-		if len(acts) > 0 {
-			continue // what failed to start is looked at again
+		if len(actions) > 0 {
+			continue // a start that failed asks for more
 		}
-		if done, err := s.Done(); done {
+		if done, err := r.supervisor.Done(); done {
 			return err
 		}
-		timer := time.NewTimer(min(max(next-now(), 0), time.Hour))
+		timer := time.NewTimer(min(max(next-r.now(), 0), maxWait))
 		select {
-		case n := <-told:
-			switch {
-			case !n.ended:
-				s.Beat(now(), n.worker)
-			default:
-				running[n.worker] = nil
-				s.Ended(now(), n.worker, n.err)
-				o.Log.Warn("worker ended", "worker", n.worker, "cause", fmt.Sprint(n.err), "up", s.Up())
-			}
+		case event := <-r.events:
+			r.handle(event)
 		case sig := <-signals:
-			for _, p := range running {
-				if p != nil {
-					p.Signal(sig)
-				}
-			}
+			r.forward(sig)
 		case <-stop:
 			stop = nil
-			s.Stop(now())
-			o.Stopped()
+			r.supervisor.Shutdown(r.now())
+			o.OnShutdown()
 		case <-timer.C:
 		}
 		timer.Stop()
 	}
 }
 
-// start starts a worker and tells of its beats and its end.
-func start(o Options, i int, told chan<- news) (*os.Process, error) {
-	r, w, err := os.Pipe()
+// runner carries out a supervisor's decisions on processes.
+type runner struct {
+	options    Options
+	supervisor *Supervisor
+	startedAt  time.Time
+	processes  []*os.Process // by worker, nil if not running
+	events     chan workerEvent
+}
+
+func newRunner(o Options) *runner {
+	c := defaults
+	c.Workers = o.Workers
+	c.ShutdownTimeout = o.ShutdownTimeout + exitGrace
+	return &runner{
+		options:    o,
+		supervisor: New(c, 0),
+		startedAt:  time.Now(),
+		processes:  make([]*os.Process, o.Workers),
+		events:     make(chan workerEvent, 64),
+	}
+}
+
+func (r *runner) now() Time { return time.Since(r.startedAt) }
+
+func (r *runner) apply(a Action) {
+	switch a.Op {
+	case Start:
+		process, err := r.start(a.Worker)
+		if err != nil {
+			r.supervisor.Exited(r.now(), a.Worker, err)
+			return
+		}
+		r.processes[a.Worker] = process
+		r.options.Log.Info("worker started", "worker", a.Worker, "pid", process.Pid)
+	case Terminate:
+		r.processes[a.Worker].Signal(os.Interrupt)
+	case Kill:
+		r.options.Log.Error("worker killed: no heartbeat, or no exit in time", "worker", a.Worker)
+		r.processes[a.Worker].Kill()
+	}
+}
+
+func (r *runner) handle(e workerEvent) {
+	if !e.exited {
+		r.supervisor.Heartbeat(r.now(), e.worker)
+		return
+	}
+	r.processes[e.worker] = nil
+	r.supervisor.Exited(r.now(), e.worker, e.cause)
+	r.options.Log.Warn("worker exited", "worker", e.worker, "error", fmt.Sprint(e.cause), "running", r.supervisor.Running())
+}
+
+func (r *runner) forward(sig os.Signal) {
+	for _, process := range r.processes {
+		if process != nil {
+			process.Signal(sig)
+		}
+	}
+}
+
+// start starts worker i and watches its heartbeats and its exit.
+func (r *runner) start(i int) (*os.Process, error) {
+	heartbeats, workerEnd, err := os.Pipe()
 	if err != nil {
 		return nil, err
 	}
-	cmd := o.Command(i)
-	cmd.ExtraFiles = append(cmd.ExtraFiles, o.Files...)
-	cmd.ExtraFiles = append(cmd.ExtraFiles, w)
+	cmd := r.options.Command(i)
+	cmd.ExtraFiles = append(cmd.ExtraFiles, r.options.Files...)
+	cmd.ExtraFiles = append(cmd.ExtraFiles, workerEnd)
 	err = cmd.Start()
-	w.Close()
+	workerEnd.Close()
 	if err != nil {
-		r.Close()
+		heartbeats.Close()
 		return nil, err
 	}
-	go func() {
-		defer r.Close()
-		b := make([]byte, 16)
-		for {
-			if _, err := r.Read(b); err != nil {
-				err = cmd.Wait()
-				if err == nil {
-					err = errors.New("it ended by itself")
-				}
-				told <- news{i, true, err}
-				return
-			}
-			told <- news{worker: i}
-		}
-	}()
+	go r.watch(i, cmd, heartbeats)
 	return cmd.Process, nil
 }
 
-// Beat beats on a worker's pipe until quit; alive is asked each time and answers
-// from the loop that does the work, so that one that hangs is not heard. It returns
-// when the other end is gone, with io.EOF.
-func Beat(f *os.File, alive func() bool, quit <-chan struct{}) error {
-	tick := time.NewTicker(BeatEvery)
-	defer tick.Stop()
+// watch reports the heartbeats of worker i until its end of the pipe is closed, and then its exit.
+func (r *runner) watch(i int, cmd *exec.Cmd, heartbeats *os.File) {
+	defer heartbeats.Close()
+	buf := make([]byte, 16)
 	for {
-		if alive() {
-			if _, err := f.Write([]byte{1}); err != nil {
-				return io.EOF
-			}
-		}
-		select {
-		case <-tick.C:
-		case <-quit:
-			return nil
+		if _, err := heartbeats.Read(buf); err != nil {
+			break
 		}
+		r.events <- workerEvent{worker: i}
+	}
+	cause := cmd.Wait()
+	if cause == nil {
+		cause = errExited
 	}
+	r.events <- workerEvent{worker: i, exited: true, cause: cause}
 }
--- a/internal/supervisor/supervisor.go
+++ b/internal/supervisor/supervisor.go
@@ -1,14 +1,15 @@
-// Package supervisor decides about the processes of one machine that serve the same
-// listeners: when one is started, started again, and given up as hung. It is pure: it
-// is told of starts, beats and ends with a clock reading, and gives actions.
+// Package supervisor keeps the worker processes of one machine running. Supervisor decides when
+// a worker is started, restarted, or killed as hung; it does no I/O, but is told of starts,
+// heartbeats and exits with readings of a clock, and returns actions. Run carries them out.
 //
 // What holds at every step:
-//   - a worker that ended is started again, after a pause that doubles while it ends
-//     soon after its starts, and is short again once one lived for a while;
-//   - one that shows no beat for a time is killed, and then counts as ended;
-//   - one that ends before its first beat, when none ever beat, ends them all: what
-//     keeps it from coming up is in the configuration, and no pause mends that;
-//   - at a stop none is started, all are told, and killed when their time is up.
+//   - a worker that exited is restarted after a backoff, which doubles while it keeps exiting
+//     and is at its minimum again once it ran for StableAfter;
+//   - a worker without a heartbeat for HeartbeatTimeout is killed, and then counts as exited;
+//   - if a worker exits before any worker has ever sent a heartbeat, all are terminated: what
+//     keeps it from starting is in the configuration, and no backoff mends that;
+//   - in a shutdown no worker is started, all are terminated, and those that are left after
+//     ShutdownTimeout are killed.
 package supervisor
 
 import (
@@ -17,164 +18,190 @@
 	"time"
 )
 
-// Time is a clock reading.
+// Time is a reading of a monotonic clock.
 type Time = time.Duration
 
-// Config says how patient it is.
+// Config are the number of workers and the timeouts they are held to.
 type Config struct {
-	Workers  int
-	Hung     time.Duration // without a beat, after which a worker is killed
-	Rise     time.Duration // for its first beat
-	PauseMin time.Duration // before a start after an end
-	PauseMax time.Duration
-	Lived    time.Duration // after which an end is not soon
-	StopTime time.Duration // for the workers' end
+	Workers int
+	// HeartbeatTimeout is how long after its last heartbeat a worker is killed.
+	HeartbeatTimeout time.Duration
+	// StartupTimeout is how long after its start a worker without a heartbeat is killed.
+	StartupTimeout time.Duration
+	// BackoffMin is the pause before the restart of a worker that exited; it doubles with each
+	// exit up to BackoffMax.
+	BackoffMin time.Duration
+	BackoffMax time.Duration
+	// StableAfter is how long a worker has to run for its backoff to start from BackoffMin again.
+	StableAfter time.Duration
+	// ShutdownTimeout is how long workers may take to end before they are killed.
+	ShutdownTimeout time.Duration
 }
 
-// Op is what is to be done.
+// Op is what an Action asks for.
 type Op uint8
 
-// Operations.
+// Operations on a worker.
 const (
-	Start Op = iota
-	Term     // tell it to end
+	Start     Op = iota
+	Terminate    // ask it to shut down
 	Kill
 )
 
-// Action is asked of the caller.
+func (o Op) String() string { return [...]string{"start", "terminate", "kill"}[o] }
+
+// Action is an operation that the caller is to carry out.
 type Action struct {
 	Op     Op
 	Worker int
 }
 
+// worker is what is known of one worker. Its times are valid as noted.
 type worker struct {
-	up      bool // it was started and has not ended
-	killed  bool
-	risen   bool // it beat since its start
-	began   Time // of its start
-	beat    Time // last sign of life
-	startAt Time
-	pause   time.Duration
+	running       bool
+	killed        bool // running, and to be killed; its exit is still to come
+	responsive    bool // running, and has sent a heartbeat since its start
+	startedAt     Time // if running
+	lastHeartbeat Time // if responsive
+	restartAt     Time // if not running
+	backoff       time.Duration
 }
 
 // Supervisor decides about the workers. It is not safe for concurrent use.
 type Supervisor struct {
-	c       Config
-	now     Time
-	workers []worker
-	risen   bool // one of them beat once
-	stopAt  Time // when those that are left are killed, 0: no stop
-	told    bool // of the stop
-	err     error
+	config        Config
+	now           Time
+	workers       []worker
+	everStarted   bool // a worker has sent a heartbeat
+	stopping      bool
+	killAt        Time // if stopping: when the workers that are left are killed
+	terminateSent bool // if stopping: the workers were asked to shut down
+	startErr      error
 }
 
-// New returns a supervisor; all workers are to be started at once.
+// New returns a supervisor that is to start all workers at once.
 func New(c Config, now Time) *Supervisor {
-	s := &Supervisor{c: c, now: now, workers: make([]worker, c.Workers)}
+	s := &Supervisor{config: c, now: now, workers: make([]worker, c.Workers)}
 	for i := range s.workers {
-		s.workers[i] = worker{startAt: now, pause: c.PauseMin}
+		s.workers[i] = worker{restartAt: now, backoff: c.BackoffMin}
 	}
 	return s
 }
 
-func (s *Supervisor) at(now Time) { s.now = max(s.now, now) }
+// advanceClock keeps the clock from going back between calls.
+func (s *Supervisor) advanceClock(now Time) { s.now = max(s.now, now) }
 
-// Beat tells a sign of life.
-func (s *Supervisor) Beat(now Time, i int) {
-	s.at(now)
-	if w := &s.workers[i]; w.up {
-		w.beat, w.risen, s.risen = s.now, true, true
+// Heartbeat records a heartbeat of worker i.
+func (s *Supervisor) Heartbeat(now Time, i int) {
+	s.advanceClock(now)
+	w := &s.workers[i]
+	if !w.running {
+		return
 	}
+	w.lastHeartbeat = s.now
+	w.responsive = true
+	s.everStarted = true
 }
 
-// Ended tells that a worker is gone, or could not be started.
-func (s *Supervisor) Ended(now Time, i int, why error) {
-	s.at(now)
+// Exited records that worker i exited, or could not be started.
+func (s *Supervisor) Exited(now Time, i int, cause error) {
+	s.advanceClock(now)
 	w := &s.workers[i]
-	if !w.up {
+	if !w.running {
 		return
 	}
-	if !s.risen && s.stopAt == 0 {
-		s.err = fmt.Errorf("worker %d did not come up: %w", i, why)
-		s.stop()
+	if !s.everStarted && !s.stopping {
+		s.startErr = fmt.Errorf("worker %d failed to start: %w", i, cause)
+		s.beginShutdown()
 	}
-	if s.now-w.began >= s.c.Lived {
-		w.pause = s.c.PauseMin
+	if s.now-w.startedAt >= s.config.StableAfter {
+		w.backoff = s.config.BackoffMin
 	}
-	w.up, w.killed, w.startAt = false, false, s.now+w.pause
-	w.pause = min(2*w.pause, s.c.PauseMax)
+	w.running = false
+	w.killed = false
+	w.restartAt = s.now + w.backoff
+	w.backoff = min(2*w.backoff, s.config.BackoffMax)
 }
 
-// Stop begins the end.
-func (s *Supervisor) Stop(now Time) {
-	s.at(now)
-	s.stop()
+// Shutdown begins to end all workers.
+func (s *Supervisor) Shutdown(now Time) {
+	s.advanceClock(now)
+	s.beginShutdown()
 }
 
-func (s *Supervisor) stop() {
-	if s.stopAt == 0 {
-		s.stopAt = s.now + s.c.StopTime
+func (s *Supervisor) beginShutdown() {
+	if s.stopping {
+		return
 	}
+	s.stopping = true
+	s.killAt = s.now + s.config.ShutdownTimeout
 }
 
-// Done tells whether all have ended after a stop, and what stopped them.
+// Done reports whether a shutdown is complete. The error is that of the worker that failed to
+// start, if that is what began it.
 func (s *Supervisor) Done() (bool, error) {
-	for i := range s.workers {
-		if s.workers[i].up {
-			return false, nil
-		}
+	if s.Running() > 0 {
+		return false, nil
 	}
-	return s.stopAt > 0, s.err
+	return s.stopping, s.startErr
 }
 
-// Up is how many are running.
-func (s *Supervisor) Up() (n int) {
+// Running is the number of workers that are running.
+func (s *Supervisor) Running() (n int) {
 	for i := range s.workers {
-		if s.workers[i].up {
+		if s.workers[i].running {
 			n++
 		}
 	}
 	return n
 }
 
-// Advance returns what to do now, and when to come back at the latest.
-func (s *Supervisor) Advance(now Time) (acts []Action, next Time) {
-	s.at(now)
+// Advance returns what is to be done now, and when it is to be called again at the latest.
+func (s *Supervisor) Advance(now Time) (actions []Action, next Time) {
+	s.advanceClock(now)
 	next = math.MaxInt64
-	stopping := s.stopAt > 0
 	for i := range s.workers {
-		w := &s.workers[i]
-		switch {
-		case !w.up && stopping:
-		case !w.up && s.now >= w.startAt:
-			w.up, w.began, w.risen = true, s.now, false
-			acts = append(acts, Action{Start, i})
-			next = min(next, s.now+s.c.Rise)
-		case !w.up:
-			next = min(next, w.startAt)
-		case w.killed:
-		case stopping && s.now >= s.stopAt, !stopping && s.now >= s.limit(w):
-			w.killed = true
-			acts = append(acts, Action{Kill, i})
-		default:
-			if stopping && !s.told {
-				acts = append(acts, Action{Term, i})
-			}
-			if stopping {
-				next = min(next, s.stopAt)
-			} else {
-				next = min(next, s.limit(w))
-			}
+		op, ok, workerNext := s.advanceWorker(&s.workers[i])
+		if ok {
+			actions = append(actions, Action{op, i})
 		}
+		next = min(next, workerNext)
+	}
+	s.terminateSent = s.terminateSent || s.stopping
+	return actions, next
+}
+
+// advanceWorker returns the operation that a worker is due for, if any, and when it is due for
+// the next one.
+func (s *Supervisor) advanceWorker(w *worker) (op Op, ok bool, next Time) {
+	deadline := s.killDeadline(w)
+	switch {
+	case !w.running && s.stopping, w.killed:
+		return 0, false, math.MaxInt64
+	case !w.running && s.now < w.restartAt:
+		return 0, false, w.restartAt
+	case !w.running:
+		w.running = true
+		w.startedAt = s.now
+		w.responsive = false
+		return Start, true, s.now + s.config.StartupTimeout
+	case s.now >= deadline:
+		w.killed = true
+		return Kill, true, math.MaxInt64
+	case s.stopping && !s.terminateSent:
+		return Terminate, true, deadline
 	}
-	s.told = s.told || stopping
-	return acts, next
+	return 0, false, deadline
 }
 
-// limit is when a worker counts as hung.
-func (s *Supervisor) limit(w *worker) Time {
-	if !w.risen {
-		return w.began + s.c.Rise
+// killDeadline is when a running worker is killed: at the end of a shutdown, or else when it
+// counts as hung.
+func (s *Supervisor) killDeadline(w *worker) Time {
+	switch {
+	case s.stopping:
+		return s.killAt
+	case !w.responsive:
+		return w.startedAt + s.config.StartupTimeout
 	}
-	return w.beat + s.c.Hung
+	return w.lastHeartbeat + s.config.HeartbeatTimeout
 }
--- a/internal/supervisor/supervisor_test.go
+++ b/internal/supervisor/supervisor_test.go
@@ -8,11 +8,18 @@
 	"pgregory.net/rapid"
 )
 
-var conf = Config{Workers: 3, Hung: 5 * time.Second, Rise: 10 * time.Second, PauseMin: 100 * time.Millisecond, PauseMax: 3 * time.Second,
-	Lived: 10 * time.Second, StopTime: 4 * time.Second}
+var testConfig = Config{
+	Workers:          3,
+	HeartbeatTimeout: 5 * time.Second,
+	StartupTimeout:   10 * time.Second,
+	BackoffMin:       100 * time.Millisecond,
+	BackoffMax:       3 * time.Second,
+	StableAfter:      10 * time.Second,
+	ShutdownTimeout:  4 * time.Second,
+}
 
-func count(acts []Action, op Op) (n int) {
-	for _, a := range acts {
+func count(actions []Action, op Op) (n int) {
+	for _, a := range actions {
 		if a.Op == op {
 			n++
 		}
@@ -20,172 +27,176 @@
 	return n
 }
 
-// One that ends is started again, sooner where it lived for a while.
-func TestStartedAgain(t *testing.T) {
-	s := New(conf, 0)
-	if acts, _ := s.Advance(0); count(acts, Start) != 3 {
-		t.Fatalf("%v", acts)
+// A worker that crashes in a loop must not take the machine: the pause before each restart doubles
+// up to a maximum, and is at its minimum again once the worker ran for StableAfter.
+func TestRestartBackoff(t *testing.T) {
+	s := New(testConfig, 0)
+	if actions, _ := s.Advance(0); count(actions, Start) != 3 {
+		t.Fatalf("%v", actions)
 	}
 	now := Time(0)
 	for i := range 3 {
-		s.Beat(now, i)
+		s.Heartbeat(now, i)
 	}
-	var pauses []time.Duration
+	var backoffs []time.Duration
 	for range 7 {
-		s.Ended(now, 1, errors.New("x"))
+		s.Exited(now, 1, errors.New("x"))
 		_, next := s.Advance(now)
-		pauses = append(pauses, next-now)
-		s.Beat(next, 0)
-		s.Beat(next, 2)
-		acts, _ := s.Advance(next)
-		if len(acts) != 1 || acts[0] != (Action{Start, 1}) {
-			t.Fatalf("%v", acts)
+		backoffs = append(backoffs, next-now)
+		s.Heartbeat(next, 0)
+		s.Heartbeat(next, 2)
+		actions, _ := s.Advance(next)
+		if len(actions) != 1 || actions[0] != (Action{Start, 1}) {
+			t.Fatalf("%v", actions)
 		}
 		now = next
 	}
-	if pauses[0] != 100*time.Millisecond || pauses[3] != 800*time.Millisecond || pauses[6] != 3*time.Second {
-		t.Errorf("%v", pauses)
+	if backoffs[0] != 100*time.Millisecond || backoffs[3] != 800*time.Millisecond || backoffs[6] != 3*time.Second {
+		t.Errorf("%v", backoffs)
 	}
 	for range 12 {
 		now += time.Second
 		for i := range 3 {
-			s.Beat(now, i)
+			s.Heartbeat(now, i)
 		}
 	}
-	s.Ended(now, 1, nil)
+	s.Exited(now, 1, nil)
 	if _, next := s.Advance(now); next-now != 100*time.Millisecond {
-		t.Errorf("after a long life the pause is %v", next-now)
+		t.Errorf("after a stable run the backoff is %v", next-now)
 	}
 }
 
-// One that shows no life is killed, once, and started again when it has ended.
-func TestHung(t *testing.T) {
-	s := New(conf, 0)
+// A worker whose loop hangs sends no heartbeats, while its process goes on to exist. It is killed
+// once, and restarted when it has exited.
+func TestHungWorkerIsKilledOnce(t *testing.T) {
+	s := New(testConfig, 0)
 	s.Advance(0)
 	for now := Time(0); now <= 4*time.Second; now += time.Second {
 		for i := range 3 {
 			if i != 2 || now == 0 {
-				s.Beat(now, i)
+				s.Heartbeat(now, i)
 			}
 		}
-		if acts, _ := s.Advance(now); len(acts) > 0 {
-			t.Fatalf("at %v: %v", now, acts)
+		if actions, _ := s.Advance(now); len(actions) > 0 {
+			t.Fatalf("at %v: %v", now, actions)
 		}
 	}
-	acts, _ := s.Advance(5 * time.Second)
-	if len(acts) != 1 || acts[0] != (Action{Kill, 2}) {
-		t.Fatalf("%v", acts)
+	actions, _ := s.Advance(5 * time.Second)
+	if len(actions) != 1 || actions[0] != (Action{Kill, 2}) {
+		t.Fatalf("%v", actions)
 	}
-	s.Beat(5*time.Second, 0)
-	s.Beat(5*time.Second, 1)
-	if acts, _ := s.Advance(6 * time.Second); len(acts) > 0 {
-		t.Errorf("killed twice: %v", acts)
+	s.Heartbeat(5*time.Second, 0)
+	s.Heartbeat(5*time.Second, 1)
+	if actions, _ := s.Advance(6 * time.Second); len(actions) > 0 {
+		t.Errorf("killed twice: %v", actions)
 	}
-	s.Ended(6*time.Second, 2, errors.New("killed"))
-	if acts, _ := s.Advance(6*time.Second + conf.PauseMin); count(acts, Start) != 1 {
-		t.Errorf("%v", acts)
+	s.Exited(6*time.Second, 2, errors.New("killed"))
+	if actions, _ := s.Advance(6*time.Second + testConfig.BackoffMin); count(actions, Start) != 1 {
+		t.Errorf("%v", actions)
 	}
 }
 
-// Where none ever comes up, all end, and the reason is told.
-func TestNeverUp(t *testing.T) {
-	s := New(conf, 0)
+// A mistake in the configuration keeps every worker from starting. The first exit ends all of
+// them, and Done returns its cause, in place of restarts for good.
+func TestFailureToStartEndsAll(t *testing.T) {
+	s := New(testConfig, 0)
 	s.Advance(0)
-	s.Ended(time.Second, 0, errors.New("bad file"))
-	acts, _ := s.Advance(time.Second)
-	if count(acts, Term) != 2 || count(acts, Start) != 0 {
-		t.Errorf("%v", acts)
+	s.Exited(time.Second, 0, errors.New("bad file"))
+	actions, _ := s.Advance(time.Second)
+	if count(actions, Terminate) != 2 || count(actions, Start) != 0 {
+		t.Errorf("%v", actions)
 	}
-	s.Ended(2*time.Second, 1, nil)
-	s.Ended(2*time.Second, 2, nil)
+	s.Exited(2*time.Second, 1, nil)
+	s.Exited(2*time.Second, 2, nil)
 	if done, err := s.Done(); !done || err == nil {
 		t.Errorf("%v %v", done, err)
 	}
 }
 
-// A stop tells each once, kills those that are left when the time is up, starts none.
-func TestStop(t *testing.T) {
-	s := New(conf, 0)
+// A shutdown terminates each running worker once, kills those that are left at its timeout, and
+// starts none, also not the one that waits for its restart.
+func TestShutdown(t *testing.T) {
+	s := New(testConfig, 0)
 	s.Advance(0)
 	for i := range 3 {
-		s.Beat(0, i)
+		s.Heartbeat(0, i)
 	}
-	s.Ended(0, 0, nil) // waits for its start
-	s.Stop(time.Millisecond)
-	acts, next := s.Advance(time.Millisecond)
-	if count(acts, Term) != 2 || next != time.Millisecond+conf.StopTime {
-		t.Errorf("%v %v", acts, next)
+	s.Exited(0, 0, nil) // waits for its restart
+	s.Shutdown(time.Millisecond)
+	actions, next := s.Advance(time.Millisecond)
+	if count(actions, Terminate) != 2 || next != time.Millisecond+testConfig.ShutdownTimeout {
+		t.Errorf("%v %v", actions, next)
 	}
-	s.Ended(time.Second, 1, nil)
-	if acts, _ := s.Advance(time.Second); len(acts) != 0 {
-		t.Errorf("%v", acts)
+	s.Exited(time.Second, 1, nil)
+	if actions, _ := s.Advance(time.Second); len(actions) != 0 {
+		t.Errorf("%v", actions)
 	}
-	if acts, _ := s.Advance(time.Millisecond + conf.StopTime); len(acts) != 1 || acts[0] != (Action{Kill, 2}) {
-		t.Errorf("%v", acts)
+	if actions, _ := s.Advance(time.Millisecond + testConfig.ShutdownTimeout); len(actions) != 1 || actions[0] != (Action{Kill, 2}) {
+		t.Errorf("%v", actions)
 	}
-	s.Ended(5*time.Second, 2, nil)
+	s.Exited(5*time.Second, 2, nil)
 	if done, err := s.Done(); !done || err != nil {
 		t.Errorf("%v %v", done, err)
 	}
 }
 
-// In any history: none is started twice, killed or told while it is not up, left
-// hung, or started after a stop; and what is asked is asked in time.
-func TestAnyHistory(t *testing.T) {
+// In any history: no worker is started while it runs or after a shutdown began, terminated or
+// killed while it does not run, or left hung; and the supervisor asks to be called in time.
+func TestRandomHistories(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := New(conf, 0)
-		up, beat, told := make([]bool, 3), make([]Time, 3), make([]bool, 3)
+		s := New(testConfig, 0)
+		running, lastHeartbeat, terminated := make([]bool, 3), make([]Time, 3), make([]bool, 3)
 		now, stopped := Time(0), Time(-1)
-		ever := false
+		everStarted := false
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
-			acts, next := s.Advance(now)
-			for _, a := range acts {
+			actions, next := s.Advance(now)
+			for _, a := range actions {
 				switch a.Op {
 				case Start:
-					if up[a.Worker] || stopped >= 0 {
-						t.Fatal("started though up or stopped")
+					if running[a.Worker] || stopped >= 0 {
+						t.Fatal("started though running or shutting down")
 					}
-					up[a.Worker], beat[a.Worker] = true, now+conf.Rise-conf.Hung
-				case Term:
-					if !up[a.Worker] || stopped < 0 || told[a.Worker] {
-						t.Fatal("told though not up, not stopped, or twice")
+					running[a.Worker], lastHeartbeat[a.Worker] = true, now+testConfig.StartupTimeout-testConfig.HeartbeatTimeout
+				case Terminate:
+					if !running[a.Worker] || stopped < 0 || terminated[a.Worker] {
+						t.Fatal("terminated though not running, not shutting down, or twice")
 					}
-					told[a.Worker] = true
+					terminated[a.Worker] = true
 				case Kill:
-					if !up[a.Worker] || stopped < 0 && now < beat[a.Worker]+conf.Hung {
-						t.Fatal("killed though alive")
+					if !running[a.Worker] || stopped < 0 && now < lastHeartbeat[a.Worker]+testConfig.HeartbeatTimeout {
+						t.Fatal("killed though responsive")
 					}
-					up[a.Worker] = false
-					s.Ended(now, a.Worker, errors.New("killed"))
+					running[a.Worker] = false
+					s.Exited(now, a.Worker, errors.New("killed"))
 				}
 			}
-			for i := range up {
-				if up[i] && stopped < 0 && now >= beat[i]+conf.Hung {
+			for i := range running {
+				if running[i] && stopped < 0 && now >= lastHeartbeat[i]+testConfig.HeartbeatTimeout {
 					t.Fatalf("worker %d is left hung at %v", i, now)
 				}
 			}
 			if done, err := s.Done(); err != nil || done {
 				return
 			}
-			if next <= now && len(acts) == 0 {
+			if next <= now && len(actions) == 0 {
 				t.Fatalf("it wants to come back at %v, and it is %v", next, now)
 			}
 			now = min(next, now+time.Duration(rapid.IntRange(0, 3000).Draw(t, "ms"))*time.Millisecond)
 			i := rapid.IntRange(0, 2).Draw(t, "worker")
 			switch rapid.IntRange(0, 9).Draw(t, "what") {
 			case 0:
-				if up[i] && ever {
-					up[i] = false
-					s.Ended(now, i, errors.New("gone"))
+				if running[i] && everStarted {
+					running[i] = false
+					s.Exited(now, i, errors.New("gone"))
 				}
 			case 1:
 				if stopped < 0 && rapid.IntRange(0, 9).Draw(t, "stop") == 0 {
-					s.Stop(now)
+					s.Shutdown(now)
 					stopped = now
 				}
 			default:
-				if s.Beat(now, i); up[i] {
-					beat[i], ever = now, true
+				if s.Heartbeat(now, i); running[i] {
+					lastHeartbeat[i], everStarted = now, true
 				}
 			}
 		}
--- a/internal/syscalls/clocks_test.go
+++ b/internal/syscalls/clocks_test.go
@@ -17,7 +17,6 @@
 	"internal/syscalls/syscalls.go": "both clocks, once, for the event loop",
 	"internal/syscalls/faulty.go":   "the age of a fault table, monotonic",
 	"internal/eventloop/loop.go":    "the monotonic clock of the event loop",
-	"internal/daemon/daemon.go":     "how long a stop took, for the log",
 	"internal/supervisor/run.go":    "the supervisor's own pauses, monotonic",
 }
 
