--- a/cmd/maddergap/bench.go
+++ b/cmd/maddergap/bench.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"errors"
 	"fmt"
 	"os"
 	"runtime"
@@ -11,22 +12,23 @@
 )
 
 type benchCmd struct {
-	Clients int           `default:"64" help:"Kept-alive clients."`
+	Clients int           `default:"64" help:"Clients with kept-alive connections."`
 	Turn    time.Duration `default:"3s" help:"Length of one measurement."`
-	Turns   int           `default:"5" help:"Measurements of each."`
-	Size    int           `default:"1024" help:"Bytes of a small answer."`
+	Turns   int           `default:"5" help:"Measurements of each kind."`
+	Size    int           `default:"1024" help:"Bytes of a small response."`
 	Stream  int64         `default:"1024" help:"MiB of the large object."`
 	Only    string        `enum:"all,small,nodes,stream,rush,overload,members" default:"all" help:"all, small, nodes, stream, rush, overload or members."`
-	Proxy   string        `hidden:""`
-	Target  string        `hidden:""`
+	Proxy   string        `hidden:"" help:"Run the reverse proxy that is compared with, on this address."`
+	Target  string        `hidden:"" help:"With --proxy, where it forwards to."`
 }
 
+// Run runs the measurements that --only names.
 func (c *benchCmd) Run(io *streams) error {
 	if c.Proxy != "" {
 		return bench.Proxy(c.Proxy, c.Target)
 	}
 	if c.Clients < 1 || c.Turns < 1 || c.Turn <= 0 || c.Size < 0 || c.Stream < 1 {
-		return usageError{fmt.Errorf("--clients, --turns, --turn and --stream want more than nothing")}
+		return usageError{errors.New("--clients, --turns, --turn and --stream want more than nothing")}
 	}
 	exe, err := os.Executable()
 	if err != nil {
@@ -37,20 +39,32 @@
 		return err
 	}
 	defer os.RemoveAll(dir)
-	o := bench.Options{Exe: exe, Dir: dir, Clients: c.Clients, Turn: c.Turn, Turns: c.Turns, Size: c.Size, Out: io.out}
 	fmt.Fprintf(io.out, "%s, %s/%s, %d CPUs\n", runtime.Version(), runtime.GOOS, runtime.GOARCH, runtime.NumCPU())
-	for _, step := range []struct {
-		name string
-		run  func() error
-	}{{"small", o.Small}, {"nodes", func() error { return o.Nodes(8, 200) }}, {"stream", func() error { return o.Stream(c.Stream << 20) }},
-		{"rush", func() error { return o.Rush(64, 256, 1024, 4096, 8000) }}, {"overload", func() error { return o.Overload(16, 64, 1024, 4096) }},
-		{"members", func() error { return soak.Members([]string{exe}, dir, []int{200, 800, 3200}, io.out) }}} {
-		if c.Only != "all" && c.Only != step.name {
+	for _, m := range c.measurements(exe, dir, io) {
+		if c.Only != "all" && c.Only != m.name {
 			continue
 		}
-		if err := step.run(); err != nil {
-			return fmt.Errorf("%s: %w", step.name, err)
+		if err := m.run(); err != nil {
+			return fmt.Errorf("%s: %w", m.name, err)
 		}
 	}
 	return nil
 }
+
+// measurement is one kind of measurement, by its name in --only.
+type measurement struct {
+	name string
+	run  func() error
+}
+
+func (c *benchCmd) measurements(exe, dir string, io *streams) []measurement {
+	o := bench.Options{Exe: exe, Dir: dir, Clients: c.Clients, Turn: c.Turn, Turns: c.Turns, Size: c.Size, Out: io.out}
+	return []measurement{
+		{"small", o.Small},
+		{"nodes", func() error { return o.Nodes(8, 200) }},
+		{"stream", func() error { return o.Stream(c.Stream << 20) }},
+		{"rush", func() error { return o.Rush(64, 256, 1024, 4096, 8000) }},
+		{"overload", func() error { return o.Overload(16, 64, 1024, 4096) }},
+		{"members", func() error { return soak.Members([]string{exe}, dir, []int{200, 800, 3200}, io.out) }},
+	}
+}
--- a/cmd/maddergap/scenario.go
+++ b/cmd/maddergap/scenario.go
@@ -6,24 +6,62 @@
 	"os"
 	"time"
 
+	"maddergap/internal/audit"
 	"maddergap/internal/scenario"
 )
 
 type scenarioCmd struct {
-	Seed    uint64        `default:"1" help:"Seed of the day."`
+	Seed    uint64        `default:"1" help:"Seed of the scenario."`
 	Long    bool          `help:"The long form, for people: three minutes."`
 	Length  time.Duration `help:"Another length."`
-	Rate    float64       `help:"Another rate, requests a second."`
-	Compare bool          `help:"Run the same day with a pass-through head beside it."`
-	Flood   bool          `help:"Press on every head with connections from 500 addresses all day."`
-	Tries   int           `help:"Connections that the flood tries on each head; 0: 300 for each second."`
+	Rate    float64       `help:"Another rate, in requests a second."`
+	Compare bool          `help:"Run the same scenario again with a pass-through scheduler."`
+	Flood   bool          `help:"Flood every instance with connections from 500 addresses all the time."`
+	Tries   int           `help:"Connections that the flood tries on each instance; 0: 300 for each second."`
 	Keep    string        `type:"path" help:"Folder for the records; without it they are removed."`
-	Story   bool          `help:"Print what the day holds and stop."`
+	Story   bool          `help:"Print the events of the scenario and stop."`
 }
 
-var errRules = errors.New("a rule is broken")
+// The range of scenarios that can be run.
+const (
+	minScenarioLength = 2 * time.Second
+	maxScenarioLength = time.Hour
+	maxScenarioRate   = 1e5 // requests a second
+)
+
+var errRuleViolated = errors.New("a rule is violated")
 
+// Run runs a scenario on processes of this program and reports whether the rules held.
 func (c *scenarioCmd) Run(io *streams) error {
+	size, err := c.size()
+	if err != nil {
+		return err
+	}
+	plan := scenario.Draw(c.Seed, size)
+	fmt.Fprintf(io.out, "day of seed %d: %d heads, %d nodes, %v, %d requests\n", c.Seed, size.Heads, size.Nodes, size.Length, len(plan.Jobs))
+	for _, event := range plan.Story {
+		fmt.Fprintln(io.out, " ", event)
+	}
+	if c.Story {
+		return nil
+	}
+	report, err := c.play(io, plan)
+	if err != nil {
+		return err
+	}
+	if c.Compare {
+		if err := c.compare(io, plan, report); err != nil {
+			return err
+		}
+	}
+	if !report.Good() {
+		return errRuleViolated
+	}
+	return nil
+}
+
+// size is the size of the scenario that the flags choose.
+func (c *scenarioCmd) size() (scenario.Size, error) {
 	size := scenario.Short
 	if c.Long {
 		size = scenario.Long
@@ -34,55 +72,47 @@
 	if c.Rate > 0 {
 		size.Rate = c.Rate
 	}
-	if size.Length < 2*time.Second || size.Length > time.Hour || size.Rate > 1e5 {
-		return usageError{fmt.Errorf("a day of %v at %g a second is out of range (2s to 1h, up to 100000)", size.Length, size.Rate)}
+	if size.Length < minScenarioLength || size.Length > maxScenarioLength || size.Rate > maxScenarioRate {
+		return size, usageError{fmt.Errorf("a day of %v at %g a second is out of range (2s to 1h, up to 100000)", size.Length, size.Rate)}
 	}
-	plan := scenario.Draw(c.Seed, size)
-	fmt.Fprintf(io.out, "day of seed %d: %d heads, %d nodes, %v, %d requests\n", c.Seed, size.Heads, size.Nodes, size.Length, len(plan.Jobs))
-	for _, s := range plan.Story {
-		fmt.Fprintln(io.out, " ", s)
+	return size, nil
+}
+
+// play runs the scenario once and prints the report. headArgs are further arguments of serve.
+func (c *scenarioCmd) play(io *streams, plan *scenario.Plan, headArgs ...string) (*audit.Report, error) {
+	dir, remove, err := recordsDir(c.Keep, "badday-")
+	if err != nil {
+		return nil, err
 	}
-	if c.Story {
-		return nil
+	defer remove()
+	exe, err := os.Executable()
+	if err != nil {
+		return nil, err
 	}
-	run := func(args ...string) (float64, bool, error) {
-		if c.Keep != "" {
-			if err := os.MkdirAll(c.Keep, 0o755); err != nil {
-				return 0, false, err
-			}
-		}
-		dir, err := os.MkdirTemp(c.Keep, "badday-")
-		if err != nil {
-			return 0, false, err
-		}
-		if c.Keep == "" {
-			defer os.RemoveAll(dir)
-		}
-		exe, err := os.Executable()
-		if err != nil {
-			return 0, false, err
-		}
-		report, err := scenario.Run(&scenario.Options{Plan: plan, Dir: dir, Exe: []string{exe}, HeadArgs: args, Flood: c.Flood, Tries: c.Tries, Progress: io.err})
-		if err != nil {
-			return 0, false, err
-		}
-		report.Write(io.out)
-		return report.Earned / report.Due, report.Good(), nil
+	report, err := scenario.Run(&scenario.Options{
+		Plan:     plan,
+		Dir:      dir,
+		Exe:      []string{exe},
+		HeadArgs: headArgs,
+		Flood:    c.Flood,
+		Tries:    c.Tries,
+		Progress: io.err,
+	})
+	if err != nil {
+		return nil, err
 	}
-	worth, good, err := run()
+	report.Write(io.out)
+	return report, nil
+}
+
+// compare runs the same scenario with a pass-through scheduler and prints what both earned.
+func (c *scenarioCmd) compare(io *streams, plan *scenario.Plan, report *audit.Report) error {
+	fmt.Fprintln(io.out, "\nthe same day with a pass-through head:")
+	other, err := c.play(io, plan, "--pass-through")
 	if err != nil {
 		return err
 	}
-	if c.Compare {
-		fmt.Fprintln(io.out, "\nthe same day with a pass-through head:")
-		other, _, err := run("--pass-through")
-		if err != nil {
-			return err
-		}
-		fmt.Fprintf(io.out, "\nworth on time %.3f against %.3f: a ratio of %.2f\n", worth, other, worth/other)
-	}
-	if !good {
-		return errRules
-	}
+	earned, otherEarned := report.Earned/report.Due, other.Earned/other.Due
+	fmt.Fprintf(io.out, "\nworth on time %.3f against %.3f: a ratio of %.2f\n", earned, otherEarned, earned/otherEarned)
 	return nil
 }
--- a/cmd/maddergap/soak.go
+++ b/cmd/maddergap/soak.go
@@ -13,14 +13,15 @@
 	Seed     uint64        `default:"1" help:"Seed of the faults and the deployment."`
 	Seeds    int           `default:"1" help:"How many seeds to run, one after the other."`
 	Duration time.Duration `default:"20s" help:"How long each runs."`
-	Heads    int           `default:"12" help:"Processes."`
+	Heads    int           `default:"12" help:"Gateway instances, each a process."`
 	Nodes    int           `default:"8" help:"Storage nodes, two for each shard."`
 	Keep     string        `type:"path" help:"Folder for configurations and logs; without it they are removed."`
-	Script   bool          `help:"Print what would happen and stop."`
+	Script   bool          `help:"Print the events of each run and stop."`
 }
 
-var errSoak = errors.New("a soak broke a rule")
+var errSoakFailed = errors.New("a soak broke a rule")
 
+// Run runs the seeds one after the other, and reports how many of them violated a rule.
 func (c *soakCmd) Run(io *streams) error {
 	failed := 0
 	for i := range c.Seeds {
@@ -29,12 +30,12 @@
 			return usageError{err}
 		}
 		if c.Script {
-			for _, e := range soak.Draw(o).Events {
-				fmt.Fprintln(io.out, e)
+			for _, event := range soak.Draw(o).Events {
+				fmt.Fprintln(io.out, event)
 			}
 			continue
 		}
-		good, err := c.one(o, io)
+		good, err := c.runSeed(o, io)
 		if err != nil {
 			return err
 		}
@@ -43,33 +44,26 @@
 		}
 	}
 	if failed > 0 {
-		return fmt.Errorf("%w: %d of %d seeds", errSoak, failed, c.Seeds)
+		return fmt.Errorf("%w: %d of %d seeds", errSoakFailed, failed, c.Seeds)
 	}
 	return nil
 }
 
-// one runs one seed.
-func (c *soakCmd) one(o *soak.Options, io *streams) (good bool, err error) {
-	if c.Keep != "" {
-		if err := os.MkdirAll(c.Keep, 0o755); err != nil {
-			return false, err
-		}
-	}
-	dir, err := os.MkdirTemp(c.Keep, fmt.Sprintf("soak-%d-", o.Seed))
+// runSeed runs one seed, prints its report and reports whether every rule held.
+func (c *soakCmd) runSeed(o *soak.Options, io *streams) (good bool, err error) {
+	dir, remove, err := recordsDir(c.Keep, fmt.Sprintf("soak-%d-", o.Seed))
 	if err != nil {
 		return false, err
 	}
-	if c.Keep == "" {
-		defer os.RemoveAll(dir)
-	}
+	defer remove()
 	exe, err := os.Executable()
 	if err != nil {
 		return false, err
 	}
-	r, err := soak.Run(o, []string{exe}, dir)
+	report, err := soak.Run(o, []string{exe}, dir)
 	if err != nil {
 		return false, err
 	}
-	r.Write(io.out, fmt.Sprintf("maddergap soak --seed %d --duration %v --heads %d --nodes %d", o.Seed, o.Duration, o.Heads, o.Nodes))
-	return r.Good(), nil
+	report.Write(io.out, fmt.Sprintf("maddergap soak --seed %d --duration %v --heads %d --nodes %d", o.Seed, o.Duration, o.Heads, o.Nodes))
+	return report.Good(), nil
 }
