--- a/internal/gateway/admission_test.go
+++ b/internal/gateway/admission_test.go
@@ -23,7 +23,7 @@
 	c := h.connectClient("PUT /feed-a/s/x HTTP/1.1\r\nHost: h\r\nContent-Length: 1000\r\n\r\n")
 	for i := 0; h.takeWritten(c) == "" && i < 20; i++ {
 		h.advanceTime(time.Second)
-		h.receive(c, "x")
+		h.deliver(c, "x")
 		if got := h.takeWritten(c); got != "" {
 			if i < 4 || i > 6 {
 				t.Errorf("given up after %d s, want 5", i)
@@ -41,7 +41,7 @@
 	c := h.connectClient("PUT /feed-a/s/x HTTP/1.1\r\nHost: h\r\nContent-Length: 3000\r\n\r\n")
 	for range 20 {
 		h.advanceTime(time.Second)
-		h.receive(c, strings.Repeat("x", 150))
+		h.deliver(c, strings.Repeat("x", 150))
 	}
 	if h.closedBy[c] != 0 || h.takeWritten(c) != "" {
 		t.Error("given up though it moves")
@@ -53,8 +53,8 @@
 	h := newHarness(t, "pace answer 1k after 5s\n")
 	c := h.connectClient(getRequest("/feed-a/s/x"))
 	h.blocked[c] = true
-	h.receive(h.nodeConn(0), "HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n"+strings.Repeat("y", 60000))
-	h.receive(h.nodeConn(0), "y") // more than is held: the node waits
+	h.deliver(h.nodeConn(0), "HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n"+strings.Repeat("y", 60000))
+	h.deliver(h.nodeConn(0), "y") // more than is held: the node waits
 	for range 20 {
 		h.advanceTime(time.Second)
 		if _, gone := h.closedBy[c]; gone {
@@ -73,12 +73,12 @@
 func TestRequestsPerConnectionLimit(t *testing.T) {
 	h := newHarness(t, "requests 2\n")
 	c := h.connectClient(getRequest("/feed-a/s/x"))
-	h.receive(h.nodeConn(0), okResponse("one"))
+	h.deliver(h.nodeConn(0), okResponse("one"))
 	if got := h.takeWritten(c); strings.Contains(got, "Connection: close") {
 		t.Errorf("%q", got)
 	}
-	h.receive(c, getRequest("/feed-a/s/x"))
-	h.receive(h.nodeConn(0), okResponse("two"))
+	h.deliver(c, getRequest("/feed-a/s/x"))
+	h.deliver(h.nodeConn(0), okResponse("two"))
 	h.wantContains("the last answer", h.takeWritten(c), "two", "Connection: close")
 	h.wantLingeringClose(c)
 }
@@ -88,17 +88,17 @@
 func TestPreemption(t *testing.T) {
 	h := newHarness(t, "clients 3\nadmit reserve 1\nknown 10.0.0.0/8\n")
 	slow := h.acceptFrom("1.1.1.1:1")
-	h.receive(slow, "PUT /feed-a/s/x HTTP/1.1\r\nHost: h\r\nContent-Length: 100\r\n\r\nabc")
+	h.deliver(slow, "PUT /feed-a/s/x HTTP/1.1\r\nHost: h\r\nContent-Length: 100\r\n\r\nabc")
 	taken := h.acceptFrom("1.1.1.2:1")
-	h.receive(taken, getRequest("/feed-a/s/x"))
+	h.deliver(taken, getRequest("/feed-a/s/x"))
 	third := h.acceptFrom("10.0.0.1:1")
-	h.receive(third, getRequest("/feed-a/s/x"))
+	h.deliver(third, getRequest("/feed-a/s/x"))
 	h.acceptFrom("10.0.0.2:1")
 	if _, gone := h.closedBy[slow]; !gone {
 		t.Fatal("the request that was not taken did not give way")
 	}
 	h.blocked[taken] = true
-	h.receive(h.nodeConn(0), okResponse("answer"))
+	h.deliver(h.nodeConn(0), okResponse("answer"))
 	if w := h.gateway.Accept(h.now, netip.MustParseAddrPort("10.0.0.3:1"), 0); w.Admitted {
 		t.Error("an answer that is still to be written gave way")
 	}
@@ -121,11 +121,11 @@
 		c := h.acceptFrom("1.1.1.1:1")
 		readers = append(readers, c)
 		h.blocked[c] = true
-		h.receive(c, getRequest("/feed-a/s/x"))
-		h.receive(h.nodeConn(i), "HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n")
+		h.deliver(c, getRequest("/feed-a/s/x"))
+		h.deliver(h.nodeConn(i), "HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n")
 		for range 30 {
 			if !h.paused[h.nodeConn(i)] {
-				h.receive(h.nodeConn(i), strings.Repeat("y", 1000))
+				h.deliver(h.nodeConn(i), strings.Repeat("y", 1000))
 			}
 		}
 	}
@@ -136,7 +136,7 @@
 		t.Error("the second node is read on past the bound")
 	}
 	other := h.acceptFrom("1.1.1.3:1")
-	h.receive(other, getRequest("/feed-a/s/x"))
+	h.deliver(other, getRequest("/feed-a/s/x"))
 	h.wantContains("the answer past the bound", h.takeWritten(other), "503 ", "buffers", "no harm")
 	for i, c := range readers {
 		h.blocked[c] = false
@@ -144,7 +144,7 @@
 			h.flush(c)
 			h.runActions()
 			if !h.paused[h.nodeConn(i)] && h.findNodeConn(h.nodeConn(i)).attempt != nil {
-				h.receive(h.nodeConn(i), strings.Repeat("y", 1000))
+				h.deliver(h.nodeConn(i), strings.Repeat("y", 1000))
 			}
 		}
 		if got := strings.Count(h.takeWritten(c), "y"); got != 100000 {
@@ -155,10 +155,10 @@
 		t.Errorf("%d bytes are still booked", n)
 	}
 	again := h.acceptFrom("1.1.1.4:1")
-	h.receive(again, getRequest("/feed-a/s/x"))
+	h.deliver(again, getRequest("/feed-a/s/x"))
 	for i := range 2 {
 		if n := h.findNodeConn(h.nodeConn(i)); n != nil && n.attempt != nil {
-			h.receive(h.nodeConn(i), okResponse("well"))
+			h.deliver(h.nodeConn(i), okResponse("well"))
 		}
 	}
 	h.wantContains("the answer after it", h.takeWritten(again), "200 OK", "well")
--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -34,24 +34,41 @@
 node-connections 4
 `
 
-// harness runs one head over in-memory pipes with a clock of the test's.
+const (
+	harnessSeed = 7
+	// harnessStart is the time at which a harness begins.
+	harnessStart = 24 * time.Hour
+	// maxAdvances is how often Advance may return actions before the gateway is taken to
+	// spin.
+	maxAdvances = 1000
+)
+
+// harness is the environment of one Gateway: its driver, clients, storage nodes, clock and
+// observer. Clients and nodes are played by the test, which delivers their bytes and takes
+// what was written to them. By default connections to nodes are established at once, and
+// everything is written as soon as the gateway wants it to be.
 type harness struct {
-	t             *testing.T
-	gateway       *Gateway
-	now           Time
-	next          Time
-	written       map[ConnID]*strings.Builder // written to each connection and not taken yet
-	dialed        []ConnID                    // connections to nodes, in order
-	closedBy      map[ConnID]Op               // Close or Abort
-	paused        map[ConnID]bool
-	writeClosed   map[ConnID]bool
-	deferConnects bool            // connections to nodes do not come up until the test says so
-	blocked       map[ConnID]bool // takes nothing
-	refuseDials   bool            // connections to nodes are refused
-	actionLog     strings.Builder // every action, for comparing runs
-	spans         []Span
-	rejections    []string
-	// violations are what the guard withheld or found.
+	t       *testing.T
+	gateway *Gateway
+	now     Time
+	next    Time // by when Advance has to be called
+
+	// Faults.
+	deferConnects bool            // dialed connections stay so until the test calls Connected
+	refuseDials   bool            // dialed connections are refused
+	blocked       map[ConnID]bool // nothing can be written to the connection
+
+	// What the gateway did.
+	dialed      []ConnID                    // connections to nodes, in order
+	written     map[ConnID]*strings.Builder // bytes by connection, up to the last takeWritten
+	paused      map[ConnID]bool
+	writeClosed map[ConnID]bool // the sending side was shut down
+	closedBy    map[ConnID]Op   // Close or Abort
+	actionLog   strings.Builder // every action, a line each
+
+	// What the observer was notified of.
+	spans      []Span
+	rejections []string // reasons of the connections that were not admitted
 	violations []invariant.Violation
 }
 
@@ -62,18 +79,28 @@
 
 func (h *harness) InvariantViolated(v invariant.Violation) { h.violations = append(h.violations, v) }
 
-func (h *harness) ConnectionRejected(_ netip.AddrPort, why admission.Reason, _ bool) {
-	h.rejections = append(h.rejections, why.String())
+func (h *harness) ConnectionRejected(_ netip.AddrPort, reason admission.Reason, _ bool) {
+	h.rejections = append(h.rejections, reason.String())
 }
 
-func newHarness(t *testing.T, more string) *harness {
+// newHarness returns a harness with node n0 of shard 0 and n1 of shard 1. moreConfig is
+// appended to harnessConfig.
+func newHarness(t *testing.T, moreConfig string) *harness {
 	t.Helper()
-	c, err := config.Parse("rig", []byte(harnessConfig+more))
+	c, err := config.Parse("harness", []byte(harnessConfig+moreConfig))
 	if err != nil {
 		t.Fatal(err)
 	}
-	h := &harness{t: t, now: 24 * time.Hour, written: map[ConnID]*strings.Builder{}, closedBy: map[ConnID]Op{}, paused: map[ConnID]bool{}, writeClosed: map[ConnID]bool{}, blocked: map[ConnID]bool{}}
-	if h.gateway, err = New(c, 7, h.now, time.Unix(1e9, 0), h); err != nil {
+	h := &harness{
+		t:           t,
+		now:         harnessStart,
+		blocked:     map[ConnID]bool{},
+		written:     map[ConnID]*strings.Builder{},
+		paused:      map[ConnID]bool{},
+		writeClosed: map[ConnID]bool{},
+		closedBy:    map[ConnID]Op{},
+	}
+	if h.gateway, err = New(c, harnessSeed, h.now, time.Unix(1e9, 0), h); err != nil {
 		t.Fatal(err)
 	}
 	h.gateway.SetNodes(h.now, []nodelist.Node{{Name: "n0", Addr: "node:0"}, {Name: "n1", Addr: "node:1", Shard: 1}})
@@ -81,38 +108,48 @@
 	return h
 }
 
-// runActions carries out what the head asks for.
+// runActions calls Advance and carries out its actions until there are none.
 func (h *harness) runActions() {
-	for range 1000 {
-		acts, next := h.gateway.Advance(h.now)
-		if h.next = next; len(acts) == 0 {
+	for range maxAdvances {
+		actions, next := h.gateway.Advance(h.now)
+		if h.next = next; len(actions) == 0 {
 			return
 		}
-		for _, a := range slices.Clone(acts) {
-			fmt.Fprintf(&h.actionLog, "%v %d %d %s\n", h.now, a.Op, a.Conn, a.Addr)
-			switch a.Op {
-			case Dial:
-				if h.refuseDials {
-					h.gateway.Closed(h.now, a.Conn)
-					continue
-				}
-				if h.dialed = append(h.dialed, a.Conn); !h.deferConnects {
-					h.gateway.Connected(h.now, a.Conn)
-				}
-			case Flush:
-				h.flush(a.Conn)
-			case Pause, Resume:
-				h.paused[a.Conn] = a.Op == Pause
-			case CloseWrite:
-				h.writeClosed[a.Conn] = true
-			case Close, Abort:
-				h.closedBy[a.Conn] = a.Op
-			}
+		for _, a := range slices.Clone(actions) {
+			fmt.Fprintf(&h.actionLog, "%v %v %d %s\n", h.now, a.Op, a.Conn, a.Addr)
+			h.runAction(a)
 		}
 	}
-	h.t.Fatal("the head never comes to rest")
+	h.t.Fatal("the gateway always has more actions")
+}
+
+func (h *harness) runAction(a Action) {
+	switch a.Op {
+	case Dial:
+		h.dial(a.Conn)
+	case Flush:
+		h.flush(a.Conn)
+	case Pause, Resume:
+		h.paused[a.Conn] = a.Op == Pause
+	case CloseWrite:
+		h.writeClosed[a.Conn] = true
+	case Close, Abort:
+		h.closedBy[a.Conn] = a.Op
+	}
+}
+
+func (h *harness) dial(id ConnID) {
+	if h.refuseDials {
+		h.gateway.Closed(h.now, id)
+		return
+	}
+	h.dialed = append(h.dialed, id)
+	if !h.deferConnects {
+		h.gateway.Connected(h.now, id)
+	}
 }
 
+// flush writes what a connection has pending, unless it is blocked.
 func (h *harness) flush(id ConnID) {
 	p := h.gateway.Out(h.now, id)
 	if len(p) == 0 || h.blocked[id] {
@@ -125,7 +162,7 @@
 	h.gateway.Wrote(h.now, id, len(p))
 }
 
-// takeWritten returns what was written to a connection since the last take.
+// takeWritten returns what was written to a connection since the last call.
 func (h *harness) takeWritten(id ConnID) string {
 	b := h.written[id]
 	if b == nil {
@@ -135,7 +172,7 @@
 	return b.String()
 }
 
-// advanceTime lets time go by, stopping wherever the head wants to be called.
+// advanceTime lets time pass, and stops wherever the gateway has to be called.
 func (h *harness) advanceTime(d time.Duration) {
 	end := h.now + d
 	for h.next <= end {
@@ -146,32 +183,20 @@
 	h.runActions()
 }
 
+// connectClient opens a client connection and delivers text on it.
 func (h *harness) connectClient(text string) ConnID {
 	id := h.gateway.Accept(h.now, netip.MustParseAddrPort("127.0.0.1:1000"), 0).ID
-	h.receive(id, text)
+	h.deliver(id, text)
 	return id
 }
 
-func (h *harness) receive(id ConnID, text string) {
+// deliver has the gateway read text from the client or node of a connection.
+func (h *harness) deliver(id ConnID, text string) {
 	h.gateway.Data(h.now, id, []byte(text))
 	h.runActions()
 }
 
-// wantLingeringClose holds that a client's connection was ended without a reset: the head's side
-// first, and the rest when the client has closed too.
-func (h *harness) wantLingeringClose(c ConnID) {
-	h.t.Helper()
-	if op, gone := h.closedBy[c]; gone || !h.writeClosed[c] {
-		h.t.Errorf("closed %v by %v before its client did, its sending side ended %v", gone, op, h.writeClosed[c])
-	}
-	h.gateway.EOF(h.now, c)
-	h.runActions()
-	if h.closedBy[c] != Close {
-		h.t.Error("it goes on after its client closed")
-	}
-}
-
-// nodeConn returns the n-th connection that was made to a node.
+// nodeConn returns the n-th connection that was dialed to a node.
 func (h *harness) nodeConn(n int) ConnID {
 	h.t.Helper()
 	if n >= len(h.dialed) {
@@ -180,33 +205,55 @@
 	return h.dialed[n]
 }
 
-func (h *harness) wantContains(what, got string, parts ...string) {
+// findNodeConn returns an open connection to a node, or nil if it is closed.
+func (h *harness) findNodeConn(id ConnID) *nodeConn {
+	c, _ := h.gateway.conns.find(id).(*nodeConn)
+	return c
+}
+
+// wantContains checks that a text has all the parts.
+func (h *harness) wantContains(what, text string, parts ...string) {
 	h.t.Helper()
-	for _, p := range parts {
-		if !strings.Contains(got, p) {
-			h.t.Errorf("%s is %.300q, want %q in it", what, got, p)
+	for _, part := range parts {
+		if !strings.Contains(text, part) {
+			h.t.Errorf("%s is %.300q, want %q in it", what, text, part)
 		}
 	}
 }
 
-// outcomes counts the requests that got a final answer, by outcome.
+// wantLingeringClose checks that a client connection is ended without a reset: the gateway
+// shuts down its sending side first, and closes when the client has closed too.
+func (h *harness) wantLingeringClose(c ConnID) {
+	h.t.Helper()
+	if op, closed := h.closedBy[c]; closed || !h.writeClosed[c] {
+		h.t.Errorf("closed %v by %v before its client has closed; its sending side is shut down: %v", closed, op, h.writeClosed[c])
+	}
+	h.gateway.EOF(h.now, c)
+	h.runActions()
+	if h.closedBy[c] != Close {
+		h.t.Error("the connection stays open after its client has closed")
+	}
+}
+
+// outcomes counts the submitted requests that have ended, by outcome.
 func (h *harness) outcomes() map[Outcome]int {
-	m := map[Outcome]int{}
+	counts := map[Outcome]int{}
 	for _, s := range h.spans {
 		if s.Node == "" && s.Request != "" {
-			m[s.Outcome]++
+			counts[s.Outcome]++
 		}
 	}
-	return m
+	return counts
 }
 
+// wantOutcomes checks how the submitted requests have ended, and that none is left.
 func (h *harness) wantOutcomes(want map[Outcome]int) {
 	h.t.Helper()
 	if got := h.outcomes(); !maps.Equal(got, want) {
-		h.t.Errorf("final answers %v, want %v", got, want)
+		h.t.Errorf("outcomes %v, want %v", got, want)
 	}
 	if n := len(h.gateway.requests.byID); n != 0 {
-		h.t.Errorf("%d requests are still held", n)
+		h.t.Errorf("%d requests are left", n)
 	}
 }
 
@@ -221,9 +268,3 @@
 func okResponse(body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\nendpoint-load-metrics: TEXT named_metrics.inflight=1\r\n\r\n%s", len(body), body)
 }
-
-// findNodeConn returns an open connection to a node, or nil if it is closed.
-func (h *harness) findNodeConn(id ConnID) *nodeConn {
-	c, _ := h.gateway.conns.find(id).(*nodeConn)
-	return c
-}
--- /dev/null
+++ b/internal/gateway/http_test.go
@@ -0,0 +1,200 @@
+package gateway
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+	"time"
+)
+
+// A client sends three requests at once. They are sent one after the other, and the
+// responses come in the same order.
+func TestPipelinedRequests(t *testing.T) {
+	h := newHarness(t, "")
+	c := h.connectClient(getRequest("/feed-a/s/1") + putRequest("/feed-a/s/2", "two") + getRequest("/feed-a/s/3"))
+	for i, sent := range []struct {
+		text string
+		conn int // the write goes out on a connection of its own, as the other has not rested
+	}{{"GET /feed-a/s/1", 0}, {"PUT /feed-a/s/2", 1}, {"GET /feed-a/s/3", 0}} {
+		n := h.nodeConn(sent.conn)
+		h.wantContains("at the node", h.takeWritten(n), sent.text)
+		h.deliver(n, okResponse(fmt.Sprint("answer", i)))
+	}
+	got := h.takeWritten(c)
+	if a, b := strings.Index(got, "answer0"), strings.Index(got, "answer2"); a < 0 || b < a || strings.Count(got, "200 OK") != 3 {
+		t.Errorf("answers out of order: %q", got)
+	}
+}
+
+// A client that waits for 100 (Continue) is asked for a short body at once, and for a long
+// one only when a node takes it: not before a rejection.
+func TestExpectContinue(t *testing.T) {
+	h := newHarness(t, "")
+	c := h.connectClient("PUT /feed-a/s/x HTTP/1.1\r\nHost: h\r\nContent-Length: 7\r\nExpect: 100-continue\r\n\r\n")
+	h.wantContains("the invitation", h.takeWritten(c), "HTTP/1.1 100 Continue\r\n\r\n")
+	h.deliver(c, "segment")
+	h.deliver(h.nodeConn(0), okResponse(""))
+	h.wantContains("the answer", h.takeWritten(c), "HTTP/1.1 200")
+	// A long body is not invited before a node takes it, and never after a refusal.
+	h = newHarness(t, "")
+	h.refuseDials = true
+	c = h.connectClient("PUT /feed-a/s/x HTTP/1.1\r\nHost: h\r\nContent-Length: 7000000\r\nExpect: 100-continue\r\n\r\n")
+	h.advanceTime(20 * time.Second)
+	got := h.takeWritten(c)
+	h.wantContains("the answer", got, "HTTP/1.1 503")
+	if strings.Contains(got, "100 Continue") {
+		t.Error("a body was invited for nothing")
+	}
+}
+
+// Chunked bodies: a short one is sent on with its length, a long one in chunks as it
+// comes, and a chunked response is passed on in chunks.
+func TestChunkedBodies(t *testing.T) {
+	h := newHarness(t, "")
+	c := h.connectClient("PUT /feed-a/s/x HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n")
+	n := h.nodeConn(0)
+	h.wantContains("a short body at the node", h.takeWritten(n), "Content-Length: 5\r\n", "\r\n\r\nabcde")
+	h.deliver(n, "HTTP/1.1 201 Created\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n")
+	h.wantContains("the answer", h.takeWritten(c), "Transfer-Encoding: chunked", "2\r\nhi\r\n", "0\r\n\r\n")
+	h.advanceTime(reuseDelay) // the connection is used for a write again
+	// A long one streams on in chunks.
+	h.deliver(c, "PUT /feed-a/s/x HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n5000\r\n"+strings.Repeat("y", 0x5000)+"\r\n")
+	h.wantContains("a long body at the node", h.takeWritten(n), "Transfer-Encoding: chunked", "yyy")
+	h.deliver(c, "3\r\nend\r\n0\r\n\r\n")
+	h.wantContains("its end", h.takeWritten(n), "3\r\nend\r\n0\r\n\r\n")
+	h.deliver(n, okResponse(""))
+	h.wantContains("the answer", h.takeWritten(c), "200 OK")
+	h.wantOutcomes(map[Outcome]int{Served: 2})
+}
+
+// The response to HEAD has no body whatever its length says. An HTTP/1.0 client gets no
+// chunks, and its connection ends with the response.
+func TestHeadAndHTTP10(t *testing.T) {
+	h := newHarness(t, "")
+	c := h.connectClient("HEAD /feed-a/s/x HTTP/1.1\r\nHost: h\r\n\r\n")
+	n := h.nodeConn(0)
+	h.deliver(n, "HTTP/1.1 200 OK\r\nContent-Length: 1000\r\n\r\n")
+	if got := h.takeWritten(c); !strings.Contains(got, "Content-Length: 1000") || !strings.HasSuffix(got, "\r\n\r\n") {
+		t.Errorf("%q", got)
+	}
+	c = h.connectClient("GET /feed-a/s/x HTTP/1.0\r\n\r\n")
+	h.wantContains("at the node", h.takeWritten(n), "Host: node:0")
+	h.deliver(n, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n")
+	if got := h.takeWritten(c); strings.Contains(got, "chunked") || !strings.HasSuffix(got, "\r\n\r\nhi") {
+		t.Errorf("%q", got)
+	}
+	h.wantLingeringClose(c)
+}
+
+// Malformed requests are answered as RFC 9112 says, reach no node, and end the connection
+// where it cannot be read on.
+func TestMalformedRequestsReachNoNode(t *testing.T) {
+	for text, status := range map[string]string{
+		"PUT /feed-a/s/x HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n": "400",
+		"GET /feed-a/s/x HTTP/1.1\r\nHost: h\r\n X: folded\r\n\r\n":                                      "400",
+		"GET /feed-a/" + strings.Repeat("x", 5000) + " HTTP/1.1\r\nHost: h\r\n\r\n":                      "414",
+		"GET /feed-a/s HTTP/1.1\r\nHost: h\r\nX: " + strings.Repeat("x", 20000):                          "431",
+		"PUT /feed-a/s/x HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n":                "400",
+		"GET /feed-a/../s HTTP/1.1\r\nHost: h\r\n\r\n":                                                   "400",
+		"GET /nope/s HTTP/1.1\r\nHost: h\r\n\r\n":                                                        "404",
+		"BREW /feed-a/s HTTP/1.1\r\nHost: h\r\n\r\n":                                                     "501",
+	} {
+		h := newHarness(t, "")
+		c := h.connectClient(text)
+		h.wantContains("the answer", h.takeWritten(c), "HTTP/1.1 "+status+" ")
+		if len(h.dialed) > 0 {
+			t.Errorf("%.40q reached a node", text)
+		}
+		if status == "400" && !strings.Contains(text, "..") && h.closedBy[c] != Close {
+			h.advanceTime(3 * time.Second)
+			if _, gone := h.closedBy[c]; !gone {
+				t.Errorf("%.40q: the connection goes on", text)
+			}
+		}
+	}
+	// A chunk that turns bad once the body streams: the node never has it whole.
+	h := newHarness(t, "")
+	c := h.connectClient("PUT /feed-a/s/x HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n5000\r\n" + strings.Repeat("y", 0x5000) + "\r\n")
+	h.deliver(c, "zz\r\n")
+	if h.closedBy[h.nodeConn(0)] != Abort {
+		t.Error("the node's connection goes on")
+	}
+	h.wantContains("the answer", h.takeWritten(c), "HTTP/1.1 400")
+	h.wantOutcomes(map[Outcome]int{ClientDisconnected: 1})
+}
+
+// Clients that send a byte a second, or stop in the middle of a body, are answered 408 in
+// time and hold no connection to a node. A client that does not take its response has the
+// node paused, and is then disconnected.
+func TestSlowClients(t *testing.T) {
+	h := newHarness(t, "")
+	c := h.connectClient("G")
+	for range 4 {
+		h.advanceTime(time.Second)
+		h.deliver(c, "E")
+	}
+	h.wantContains("the answer", h.takeWritten(c), "HTTP/1.1 408 ")
+	c = h.connectClient("PUT /feed-a/s/x HTTP/1.1\r\nHost: h\r\nContent-Length: 7\r\n\r\nseg")
+	h.advanceTime(4 * time.Second)
+	h.wantContains("the answer", h.takeWritten(c), "HTTP/1.1 408 ")
+	if len(h.dialed) > 0 {
+		t.Error("a slow body holds a node")
+	}
+	// One that does not read its answer: the node is paused, then the client dropped.
+	c = h.connectClient(getRequest("/feed-a/s/x"))
+	h.blocked[c] = true
+	n := h.nodeConn(0)
+	h.deliver(n, "HTTP/1.1 200 OK\r\nContent-Length: 1000000\r\n\r\n"+strings.Repeat("x", 40<<10))
+	h.deliver(n, strings.Repeat("x", 10<<10))
+	if !h.paused[n] || len(h.gateway.Out(h.now, c)) > 64<<10 {
+		t.Errorf("the node is not paused; %d bytes are held", len(h.gateway.Out(h.now, c)))
+	}
+	h.advanceTime(4 * time.Second)
+	if h.closedBy[c] != Abort || h.closedBy[n] != Abort {
+		t.Errorf("%v", h.closedBy)
+	}
+	h.wantOutcomes(map[Outcome]int{ClientDisconnected: 1})
+}
+
+// A node takes a long body more slowly than the client sends it. The client is paused at
+// the limit of the buffer, and read again when the node has taken what was sent.
+func TestUploadIsPausedAtBufferLimit(t *testing.T) {
+	h := newHarness(t, "")
+	c := h.connectClient(putRequest("/feed-a/s/x", strings.Repeat("x", 1<<20))[:20<<10])
+	n := h.nodeConn(0)
+	h.blocked[n] = true
+	sent := 20 << 10
+	for range 50 {
+		if h.paused[c] {
+			break
+		}
+		h.deliver(c, strings.Repeat("x", 8<<10))
+		sent += 8 << 10
+	}
+	if !h.paused[c] || sent > 120<<10 {
+		t.Fatalf("%d bytes taken for a node that reads none", sent)
+	}
+	h.blocked[n] = false
+	h.flush(n)
+	h.runActions()
+	for rest := len(putRequest("/feed-a/s/x", strings.Repeat("x", 1<<20))) - sent; rest > 0; rest -= 8 << 10 {
+		h.deliver(c, strings.Repeat("x", min(8<<10, rest)))
+	}
+	if got := h.takeWritten(n); len(got) < 1<<20 {
+		t.Fatalf("%d bytes at the node", len(got))
+	}
+	h.deliver(n, okResponse(""))
+	h.wantContains("the answer", h.takeWritten(c), "200 OK")
+}
+
+// A client lists Host in its Connection field, and so asks for it to be removed. The field
+// is for fields of one connection alone: Host is kept, the others listed are removed.
+func TestConnectionFieldCannotRemoveHost(t *testing.T) {
+	h := newHarness(t, "")
+	h.connectClient(getRequest("/feed-a/s/x", "Connection: Host, X-Own", "X-Own: 1"))
+	got := h.takeWritten(h.nodeConn(0))
+	h.wantContains("at the node", got, "Host: h\r\n")
+	if strings.Contains(got, "X-Own") {
+		t.Error("a field of one connection was passed on")
+	}
+}
--- a/internal/gateway/races_test.go
+++ b/internal/gateway/races_test.go
@@ -63,7 +63,7 @@
 		h.wantOutcomes(map[Outcome]int{ClientDisconnected: 1})
 		c = h.connectClient(requestWithID("b"))
 		h.wantContains(name+": the next on the connection", h.takeWritten(n), "GET /b ")
-		h.receive(n, okResponse("hi"))
+		h.deliver(n, okResponse("hi"))
 		h.wantContains(name+": its answer", h.takeWritten(c), "200 OK")
 		if len(h.dialed) != 1 {
 			t.Errorf("%s: %d connections", name, len(h.dialed))
@@ -96,9 +96,9 @@
 // A request that its node did not take whole when its client left is not brought to its end.
 func TestClientDisconnectsWithRequestHalfWritten(t *testing.T) {
 	h := newProtocolHarness(t)
-	h.receive(h.connectClient(requestWithID("warm")), "")
+	h.deliver(h.connectClient(requestWithID("warm")), "")
 	n := h.nodeConn(0)
-	h.receive(n, okResponse(""))
+	h.deliver(n, okResponse(""))
 	h.takeWritten(n)
 	h.blocked[n] = true
 	c := h.connectClient(requestWithID("a"))
@@ -119,7 +119,7 @@
 		h.gateway.SetNodes(h.now, nil)
 		c := h.connectClient(requestWithID("a"))
 		for range n {
-			h.receive(c, requestWithID("b"))
+			h.deliver(c, requestWithID("b"))
 		}
 		if h.paused[c] {
 			t.Errorf("it is not read on after %d more", n)
@@ -140,14 +140,14 @@
 	// One that stays has its answers in turn; one that sent too much has the first, and the end.
 	h := newProtocolHarness(t)
 	c := h.connectClient(requestWithID("a") + requestWithID("b"))
-	h.receive(h.nodeConn(0), okResponse("one"))
-	h.receive(h.nodeConn(0), okResponse("two"))
+	h.deliver(h.nodeConn(0), okResponse("one"))
+	h.deliver(h.nodeConn(0), okResponse("two"))
 	h.wantContains("the answers", h.takeWritten(c), "one", "two")
 	c = h.connectClient(requestWithID("a"))
 	for range 1000 {
-		h.receive(c, requestWithID("b"))
+		h.deliver(c, requestWithID("b"))
 	}
-	h.receive(h.nodeConn(0), okResponse("one"))
+	h.deliver(h.nodeConn(0), okResponse("one"))
 	h.wantContains("the answer", h.takeWritten(c), "one", "Connection: close")
 	h.wantLingeringClose(c)
 
@@ -170,8 +170,8 @@
 	c := h.connectClient(getRequest("/feed-a/s/1") + getRequest("/feed-a/s/2"))
 	h.gateway.EOF(h.now, c)
 	h.runActions()
-	h.receive(h.nodeConn(0), okResponse("one"))
-	h.receive(h.nodeConn(0), okResponse("two"))
+	h.deliver(h.nodeConn(0), okResponse("one"))
+	h.deliver(h.nodeConn(0), okResponse("two"))
 	h.wantContains("the answers", h.takeWritten(c), "one", "two")
 }
 
@@ -191,7 +191,7 @@
 	h.gateway.Connected(h.now, h.nodeConn(1))
 	h.runActions()
 	h.wantContains("at the other node", h.takeWritten(h.nodeConn(1)), "GET /a ")
-	h.receive(h.nodeConn(1), okResponse("hi"))
+	h.deliver(h.nodeConn(1), okResponse("hi"))
 	h.wantContains("the answer", h.takeWritten(c), "200 OK", "hi")
 
 	h = newProtocolHarness(t)
@@ -244,7 +244,7 @@
 		cl := h.connectClient(requestWithID("a"))
 		n := h.nodeConn(0)
 		h.takeWritten(n)
-		h.receive(n, text)
+		h.deliver(n, text)
 		if got := h.takeWritten(cl); got != "" {
 			t.Errorf("%s: %q before the end", c.name, got)
 		}
@@ -268,29 +268,29 @@
 	h := newProtocolHarness(t)
 	one, two := h.connectClient(requestWithID("a")), h.connectClient(requestWithID("b"))
 	n, m := h.nodeConn(0), h.nodeConn(1)
-	h.receive(m, okResponse("b"))
+	h.deliver(m, okResponse("b"))
 	h.advanceTime(30 * time.Millisecond)
-	h.receive(n, okResponse("a"))
+	h.deliver(n, okResponse("a"))
 	h.takeWritten(one)
 	h.takeWritten(two)
 	h.takeWritten(n)
 	h.takeWritten(m)
 	c := h.connectClient(requestWithID("c"))
 	h.wantContains("on the one that rested", h.takeWritten(m), "GET /c ")
-	h.receive(n, okResponse("a"))
+	h.deliver(n, okResponse("a"))
 	if _, gone := h.closedBy[n]; !gone {
 		t.Error("a connection that brought what was not asked for is kept")
 	}
-	h.receive(m, okResponse("c"))
+	h.deliver(m, okResponse("c"))
 	h.wantContains("the answer", h.takeWritten(c), "c")
 	// Of those that rested the last used goes first, so that the others age.
 	h = newProtocolHarness(t)
 	h.connectClient(requestWithID("a"))
 	h.connectClient(requestWithID("b"))
 	n, m = h.nodeConn(0), h.nodeConn(1)
-	h.receive(n, okResponse("a"))
+	h.deliver(n, okResponse("a"))
 	h.advanceTime(time.Millisecond)
-	h.receive(m, okResponse("b"))
+	h.deliver(m, okResponse("b"))
 	h.takeWritten(n)
 	h.takeWritten(m)
 	h.advanceTime(100 * time.Millisecond)
@@ -306,44 +306,44 @@
 	h := newHarness(t, "")
 	c := h.connectClient(getRequest("/feed-a/s/x"))
 	n := h.nodeConn(0)
-	h.receive(n, okResponse("x"))
+	h.deliver(n, okResponse("x"))
 	h.takeWritten(n)
-	h.receive(c, putRequest("/feed-a/s/x", "segment"))
+	h.deliver(c, putRequest("/feed-a/s/x", "segment"))
 	h.gateway.Closed(h.now, n)
 	h.runActions()
 	m := h.nodeConn(1)
 	h.wantContains("on a new connection", h.takeWritten(m), "PUT /feed-a/s/x", "Maddergap-Attempt: 0")
-	h.receive(m, okResponse("written"))
+	h.deliver(m, okResponse("written"))
 	h.wantContains("the answers", h.takeWritten(c), "x", "written")
-	h.receive(c, getRequest("/feed-a/s/y"))
+	h.deliver(c, getRequest("/feed-a/s/y"))
 	h.wantContains("a read at once", h.takeWritten(m), "GET /feed-a/s/y")
-	h.receive(m, okResponse("y"))
+	h.deliver(m, okResponse("y"))
 	h.takeWritten(c)
 
 	h = newHarness(t, "")
 	c = h.connectClient(getRequest("/feed-a/s/x"))
-	h.receive(h.nodeConn(0), okResponse("x"))
+	h.deliver(h.nodeConn(0), okResponse("x"))
 	h.takeWritten(h.nodeConn(0))
 	h.advanceTime(reuseDelay) // the node keeps connections open
-	h.receive(c, getRequest("/feed-a/s/x"))
-	h.receive(h.nodeConn(0), okResponse("x"))
+	h.deliver(c, getRequest("/feed-a/s/x"))
+	h.deliver(h.nodeConn(0), okResponse("x"))
 	h.takeWritten(h.nodeConn(0))
-	h.receive(c, putRequest("/feed-a/s/x", "one"))
+	h.deliver(c, putRequest("/feed-a/s/x", "one"))
 	h.wantContains("on the same connection", h.takeWritten(h.nodeConn(0)), "PUT /feed-a/s/x")
-	h.receive(h.nodeConn(0), okResponse(""))
+	h.deliver(h.nodeConn(0), okResponse(""))
 	h.gateway.Closed(h.now, h.nodeConn(0)) // right behind its answer: it does not
 	h.runActions()
-	h.receive(c, getRequest("/feed-a/s/x"))
+	h.deliver(c, getRequest("/feed-a/s/x"))
 	h.takeWritten(h.nodeConn(1))
-	h.receive(h.nodeConn(1), okResponse("x"))
-	h.receive(c, putRequest("/feed-a/s/x", "two"))
+	h.deliver(h.nodeConn(1), okResponse("x"))
+	h.deliver(c, putRequest("/feed-a/s/x", "two"))
 	h.wantContains("on a new connection again", h.takeWritten(h.nodeConn(2)), "PUT /feed-a/s/x")
 
 	h = newHarness(t, "")
 	h.gateway.config.Limits.ConnsPerNode = 1
 	h.connectClient(getRequest("/feed-a/s/x"))
 	h.takeWritten(h.nodeConn(0))
-	h.receive(h.nodeConn(0), okResponse("x"))
+	h.deliver(h.nodeConn(0), okResponse("x"))
 	h.connectClient(putRequest("/feed-a/s/x", "segment"))
 	if len(h.dialed) > 1 {
 		t.Errorf("%d connections, want 1", len(h.dialed))
@@ -357,19 +357,19 @@
 	h := newProtocolHarness(t)
 	h.connectClient(requestWithID("warm"))
 	n := h.nodeConn(0)
-	h.receive(n, okResponse(""))
+	h.deliver(n, okResponse(""))
 	h.takeWritten(n)
 	h.advanceTime(reuseDelay) // the write goes out on the same connection
 	h.blocked[n] = true
 	c := h.connectClient(putRequest("/", "payload", "id: a"))
 	h.gateway.Wrote(h.now, n, 10)
-	h.receive(n, okResponse("of another"))
+	h.deliver(n, okResponse("of another"))
 	if got := h.takeWritten(c); got != "" || h.closedBy[n] != Abort {
 		t.Fatalf("%q, %v", got, h.closedBy)
 	}
 	h.advanceTime(50 * time.Millisecond)
 	m := h.nodeConn(1)
 	h.wantContains("sent again", h.takeWritten(m), "PUT /a ", "payload")
-	h.receive(m, okResponse("its own"))
+	h.deliver(m, okResponse("its own"))
 	h.wantContains("the answer", h.takeWritten(c), "200 OK", "its own")
 }
--- a/internal/gateway/random_histories_test.go
+++ b/internal/gateway/random_histories_test.go
@@ -40,7 +40,7 @@
 				if len(clients) > 0 && rapid.Bool().Draw(rt, "again") {
 					c := pick(clients)
 					if sent[c] == "" {
-						h.receive(c, text[:cut])
+						h.deliver(c, text[:cut])
 						sent[c] = text[cut:]
 					}
 					continue
@@ -50,7 +50,7 @@
 			case 3: // the rest of one
 				if len(clients) > 0 {
 					c := pick(clients)
-					h.receive(c, sent[c])
+					h.deliver(c, sent[c])
 					sent[c] = ""
 				}
 			case 4: // a client leaves
@@ -72,7 +72,7 @@
 						"HTTP/1.1 503 Service Unavailable\r\nMaddergap-Ran: no\r\nContent-Length: 0\r\n\r\n",
 						"HTTP/1.1 500 Oops\r\nContent-Length: 2\r\n\r\nno", "HTTP/1.1 200 OK\r\n\r\nuntil the end", "nonsense\r\n\r\n",
 						"HTTP/1.1 207 Multi-Status\r\nContent-Length: 52\r\n\r\n<D:multistatus xmlns:D=\"DAV:\"></D:multistatus>      "}).Draw(rt, "answer")
-					h.receive(n, text[:rapid.SampledFrom([]int{len(text), len(text) / 2}).Draw(rt, "part")])
+					h.deliver(n, text[:rapid.SampledFrom([]int{len(text), len(text) / 2}).Draw(rt, "part")])
 				}
 			case 8: // a node's connection ends
 				if len(h.dialed) > 0 {
@@ -135,11 +135,11 @@
 		h := newHarness(t, "")
 		cut = min(max(cut, 0), len(p))
 		c := h.connectClient(string(p[:cut]))
-		h.receive(c, string(p[cut:]))
+		h.deliver(c, string(p[cut:]))
 		for range 4 {
 			for _, n := range h.dialed {
 				if h.takeWritten(n) != "" {
-					h.receive(n, okResponse("x"))
+					h.deliver(n, okResponse("x"))
 				}
 			}
 		}
@@ -163,8 +163,8 @@
 		c := h.connectClient(getRequest("/feed-a/s/x"))
 		n := h.nodeConn(0)
 		cut = min(max(cut, 0), len(p))
-		h.receive(n, string(p[:cut]))
-		h.receive(n, string(p[cut:]))
+		h.deliver(n, string(p[:cut]))
+		h.deliver(n, string(p[cut:]))
 		h.advanceTime(30 * time.Second)
 		if len(h.gateway.requests.byID) != 0 {
 			t.Fatalf("%d requests are held for good", len(h.gateway.requests.byID))
