--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -27,9 +27,11 @@
 known 127.9.0.0/16
 `
 
-func newLoop(t *testing.T, listeners int, more string) (*Loop, *gateway.Gateway, []string) {
+// newLoop returns a loop around a gateway with 64 clients, 16 of them reserved for the known
+// clients of 127.9.0.0/16, and so many listeners with their addresses.
+func newLoop(t *testing.T, listeners int) (*Loop, *gateway.Gateway, []string) {
 	t.Helper()
-	c, err := config.Parse("m.conf", []byte(testConfig+more))
+	c, err := config.Parse("m.conf", []byte(testConfig))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -38,12 +40,12 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(l.Close)
-	h, err := gateway.New(c, 1, l.Now(), l.Origin(), nil)
+	g, err := gateway.New(c, 1, l.Now(), l.Origin(), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	h.SetNodes(l.Now(), []nodelist.Node{{Name: "n", Addr: "127.0.0.1:1"}})
-	l.Gateway = h
+	g.SetNodes(l.Now(), []nodelist.Node{{Name: "n", Addr: "127.0.0.1:1"}})
+	l.Gateway = g
 	var addrs []string
 	for range listeners {
 		a, err := l.Listen("127.0.0.1:0", c.Admission.KnownClientFilter(admission.NetworkHeader))
@@ -52,9 +54,10 @@
 		}
 		addrs = append(addrs, a)
 	}
-	return l, h, addrs
+	return l, g, addrs
 }
 
+// dial connects from a loopback address.
 func dial(t *testing.T, from, to string) net.Conn {
 	t.Helper()
 	d := net.Dialer{LocalAddr: &net.TCPAddr{IP: net.ParseIP(from)}, Timeout: 5 * time.Second}
@@ -78,7 +81,7 @@
 // While the loop stands still, a burst of unknown clients fills their queue, and a known
 // client connects last. It has a queue of its own, so the first iteration accepts it.
 func TestKnownClientsAreAcceptedFirst(t *testing.T) {
-	l, h, addrs := newLoop(t, 1, "")
+	l, g, addrs := newLoop(t, 1)
 	if len(l.listeners) != 2 {
 		t.Skip("this kernel takes no filter over a listen queue")
 	}
@@ -87,7 +90,7 @@
 	}
 	dial(t, "127.9.0.1", addrs[0])
 	l.runIterations(1)
-	if n := h.Counts().Admitted.Known; n != 1 {
+	if n := g.Counts().Admitted.Known; n != 1 {
 		t.Errorf("%d known clients after the first iteration", n)
 	}
 }
@@ -96,12 +99,12 @@
 // them, and later ones the rest. No more rejected connections are held until they have
 // read their response than the bound allows; the others are closed at once.
 func TestAcceptsOfAnIterationAreBounded(t *testing.T) {
-	l, h, addrs := newLoop(t, 1, "")
+	l, g, addrs := newLoop(t, 1)
 	for i := range 600 {
 		dial(t, fmt.Sprintf("127.20.0.%d", i%200+1), addrs[0])
 	}
 	decided := func() (n uint64) {
-		c := h.Counts()
+		c := g.Counts()
 		for _, x := range c.ConnectionsRejected {
 			n += x
 		}
@@ -128,7 +131,7 @@
 // One of two listeners is flooded. The other's connection does not wait behind the
 // flood, as each round accepts one connection of each queue.
 func TestListenersAreServedInRounds(t *testing.T) {
-	l, h, addrs := newLoop(t, 2, "")
+	l, g, addrs := newLoop(t, 2)
 	for i := range 400 {
 		dial(t, fmt.Sprintf("127.20.0.%d", i%200+1), addrs[0])
 	}
@@ -143,7 +146,7 @@
 			}
 		}
 	}
-	if waiting != 0 || h.Counts().Clients == 0 {
+	if waiting != 0 || g.Counts().Clients == 0 {
 		t.Error("the connection of the other listener still waits, behind 400 of the first")
 	}
 }
@@ -151,12 +154,12 @@
 // A gateway without a free slot rejects a client that has sent its request already. The
 // client reads the complete response, then the end of the connection, and no reset.
 func TestRejectedClientReadsItsResponse(t *testing.T) {
-	l, h, addrs := newLoop(t, 1, "")
+	l, g, addrs := newLoop(t, 1)
 	for i := range 64 {
 		dial(t, fmt.Sprintf("127.20.0.%d", i+1), addrs[0])
 	}
 	until := time.Now().Add(20 * time.Second)
-	for h.Counts().Clients < 64 && time.Now().Before(until) {
+	for g.Counts().Clients < 64 && time.Now().Before(until) {
 		l.runIterations(1)
 	}
 	c := dial(t, "127.21.0.1", addrs[0])
--- a/internal/eventloop/retry_test.go
+++ b/internal/eventloop/retry_test.go
@@ -12,7 +12,7 @@
 // newFaultyLoop returns a loop whose system calls fail as a fault table says.
 func newFaultyLoop(t *testing.T, text string) (*Loop, *syscalls.Faulty, []string) {
 	t.Helper()
-	l, _, addrs := newLoop(t, 1, "")
+	l, _, addrs := newLoop(t, 1)
 	table, err := syscalls.ParseFaultTable(text)
 	if err != nil {
 		t.Fatal(err)
