--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -53,7 +53,7 @@
 		events[e.Head] = append(events[e.Head], e)
 	}
 	for _, id := range order {
-		if text := serve(w, heads, id, settings.Micros(b.Clock), events[id]); text != "" {
+		if text := serve(w, heads, id, settings.Microseconds(b.Clock), events[id]); text != "" {
 			delete(heads, id)
 			fmt.Fprintf(w, "broken %s %s\n", id, strings.ReplaceAll(text, "\n", " "))
 		}
@@ -104,12 +104,12 @@
 		l := scheduler.EndpointUpdate{Full: e.How == "F" || e.How == "C", Failed: e.How == "X"}
 		for _, it := range e.Items {
 			l.Endpoints = append(l.Endpoints, scheduler.Endpoint{Node: it.Shelf, Zone: it.Zone, Shard: it.Cluster,
-				State: states[it.Condition], Started: settings.Micros(it.UpSince)})
+				State: states[it.Condition], Started: settings.Microseconds(it.UpSince)})
 		}
 		return l
 	case "job_in":
 		return scheduler.Arrival{ID: e.Job, Shard: e.Cell, Plan: e.Plan, Class: e.Service, Key: e.Key,
-			Volume: e.User, TimeRemaining: settings.Micros(e.Grace), Units: e.Weight, Instances: e.Writers, ClientRetry: e.Again}
+			Volume: e.User, TimeRemaining: settings.Microseconds(e.Grace), Units: e.Weight, Instances: e.Writers, ClientRetry: e.Again}
 	case "ended":
 		o, known := outcomes[e.How]
 		if !known {
@@ -117,7 +117,7 @@
 		}
 		held, says := e.Telemetry["concurrent"]
 		waiting, saysWaiting := e.Telemetry["depth"]
-		return scheduler.AttemptEnded{ID: e.Job, Attempt: e.N, Node: e.Shelf, Outcome: o, Duration: settings.Micros(e.Took),
+		return scheduler.AttemptEnded{ID: e.Job, Attempt: e.N, Node: e.Shelf, Outcome: o, Duration: settings.Microseconds(e.Took),
 			Responded:    e.Terminal,
 			ReportedLoad: max(held, waiting), HasLoadReport: says || saysWaiting}
 	case "begun":
--- a/internal/platform/config_file.go
+++ b/internal/platform/config_file.go
@@ -140,7 +140,7 @@
 		addError("settings are missing")
 		return seed, bounds, errs
 	}
-	if err := f.Settings.Check(); err != nil {
+	if err := f.Settings.Validate(); err != nil {
 		errs = append(errs, err)
 	}
 	bounds, err = newBounds(f.Limits.Sockets, f.Limits.MemoryMB)
--- a/internal/platform/config_test.go
+++ b/internal/platform/config_test.go
@@ -107,9 +107,9 @@
 		if err := json.Unmarshal([]byte(text), &site); err != nil {
 			t.Fatal(err)
 		}
-		killedAt := settings.Micros(c.countedMicros) + 700*time.Millisecond
+		killedAt := settings.Microseconds(c.countedMicros) + 700*time.Millisecond
 		if end := drainTime + shutdownTime(&site); end != killedAt-finalResponseLead {
-			t.Errorf("deadline %v: ends after %v, killed after %v", settings.Micros(c.deadlineMicros), end, killedAt)
+			t.Errorf("deadline %v: ends after %v, killed after %v", settings.Microseconds(c.deadlineMicros), end, killedAt)
 		}
 	}
 }
--- a/internal/platform/gateway_config.go
+++ b/internal/platform/gateway_config.go
@@ -48,7 +48,7 @@
 		if class.Deadline <= 0 { // not known
 			longest = maxCountedDeadline
 		}
-		longest = max(longest, settings.Micros(class.Deadline))
+		longest = max(longest, settings.Microseconds(class.Deadline))
 	}
 	return min(longest, maxCountedDeadline) + killDelay - drainTime - finalResponseLead
 }
@@ -72,10 +72,10 @@
 			Header: headerTimeout,
 			Idle:   idleTimeout,
 			Stall:  stallTimeout,
-			Dial:   positiveOr(settings.Micros(site.Limits.ConnectTimeout), defaultDialTimeout),
+			Dial:   positiveOr(settings.Microseconds(site.Limits.ConnectTimeout), defaultDialTimeout),
 			// Half of the time after which nodes close idle connections: a request on one that is
 			// about to be closed would end as a reset.
-			NodeIdle: positiveOr(settings.Micros(site.Limits.ConnIdle)/2, defaultNodeIdle),
+			NodeIdle: positiveOr(settings.Microseconds(site.Limits.ConnectionIdle)/2, defaultNodeIdle),
 			Drain:    drainTime,
 			Shutdown: shutdownTime(site),
 		},
--- a/internal/platform/protocol.go
+++ b/internal/platform/protocol.go
@@ -43,13 +43,13 @@
 
 // Protocol returns a new reader and writer of messages by the configuration.
 func (c *Config) Protocol() *Protocol {
-	info := c.Settings.FamilyInfo
+	info := c.Settings.Workload
 	p := &Protocol{
 		classes:                  map[string]int{},
 		plans:                    map[string]int{},
 		classWrites:              info.Writes,
 		ids:                      newRequestIDs(maxEndedIDs),
-		limits:                   requestLimits{units: info.UnitsTop, shards: info.Shards, instances: c.Settings.FleetSize},
+		limits:                   requestLimits{units: info.MaxUnits, shards: info.Shards, instances: c.Settings.Instances},
 		responseStallTimeout:     c.Gateway.Timeouts.Dial,
 		maxResponseBytes:         c.Bounds.MaxResponseBytes,
 		maxBufferedResponseBytes: c.Bounds.MaxBufferedResponseBytes,
