--- a/internal/discovery/agent_test.go
+++ b/internal/discovery/agent_test.go
@@ -32,7 +32,7 @@
 
 const (
 	noFault          callFault = -1
-	rejectedDial     callFault = 0
+	refusedDial      callFault = 0
 	hangingDial      callFault = 1
 	unresponsiveCall callFault = 2
 	closedCall       callFault = 3
@@ -70,7 +70,7 @@
 
 func (r *faultyRun) dial(conn int, fault callFault) {
 	switch fault {
-	case rejectedDial:
+	case refusedDial:
 		r.client.Closed(r.now, conn)
 		r.faults++
 	case hangingDial:
--- a/internal/platform/bounds.go
+++ b/internal/platform/bounds.go
@@ -46,6 +46,14 @@
 	// what the runtime does not count, and for its overshoot: beyond the platform's limit the
 	// process is killed.
 	runtimeMemoryFraction = 0.6
+	// Clients' buffers, all buffered responses and one response have this part of the runtime's
+	// memory each: one in so many. Four of the largest responses fit at a time.
+	clientBufferPart      = 4
+	bufferedResponsesPart = 4
+	oneResponsePart       = 16
+	// idlePressurePart is the part of the descriptors above which idle client connections are
+	// closed soon. The platform lets its clients hold a third, so that it has to be less.
+	idlePressurePart = 4
 	// minConnBufferBytes is the buffer that each client connection can have at any time.
 	minConnBufferBytes = 4 << 10
 )
@@ -63,14 +71,14 @@
 	if connDescriptors < minConnDescriptors || memoryMB < minMemoryMB {
 		return b, fmt.Errorf("limits: %d sockets and %v MB are less than a gateway needs", descriptors, memoryMB)
 	}
+	// Clients have the larger part: a node connection is used only while an attempt is in flight, a
+	// client's also by requests that wait and between requests.
 	b.MaxClientConns = connDescriptors * 3 / 5
 	b.MaxNodeConns = connDescriptors - b.MaxClientConns
-	// The platform lets its clients hold a third of the descriptors, so that the pressure has to
-	// begin below that.
-	b.IdlePressureConns = descriptors / 4
-	b.MaxResponseBytes = b.RuntimeMemoryBytes / 16
-	b.MaxBufferedResponseBytes = b.RuntimeMemoryBytes / 4
-	b.ClientBufferBytes = max(b.RuntimeMemoryBytes/4, int64(b.MaxClientConns)*minConnBufferBytes)
+	b.IdlePressureConns = descriptors / idlePressurePart
+	b.MaxResponseBytes = b.RuntimeMemoryBytes / oneResponsePart
+	b.MaxBufferedResponseBytes = b.RuntimeMemoryBytes / bufferedResponsesPart
+	b.ClientBufferBytes = max(b.RuntimeMemoryBytes/clientBufferPart, int64(b.MaxClientConns)*minConnBufferBytes)
 	return b, nil
 }
 
