--- a/internal/platform/gateway_config.go
+++ b/internal/platform/gateway_config.go
@@ -30,6 +30,21 @@
 	defaultDialTimeout = time.Second
 )
 
+// Bounds of a request's header. Requests of the protocol stay far below them.
+var headerLimits = http1.Limits{HeaderBytes: 8 << 10, TargetBytes: 2 << 10, FieldCount: 64}
+
+const (
+	// unused is for the settings of package route, which have to be above 0 and have no effect
+	// here: a request of the platform states its class, units and deadline itself.
+	unused = 1
+	// rejectionsPerSecond bounds the responses to rejected connections. Beyond it they are closed
+	// without one, so that a flood costs little.
+	rejectionsPerSecond = 50
+	// addressTableEntries is the size of admission's tables of addresses. Nothing is limited by
+	// address, so that a small one does.
+	addressTableEntries = 256
+)
+
 // Times of a shutdown, from SIGTERM on. Clients keep connecting for up to 0.4 s. The platform
 // kills the process after the longest deadline, counted as maxCountedDeadline at most, and
 // killDelay. A request without a response is lost then, so that the last response is sent
@@ -65,9 +80,9 @@
 		Processes:    1,
 		Seed:         seed,
 		Scheduler:    site.Settings(),
-		UnitBytes:    1,
-		Deadlines:    config.Deadlines{UploadRate: 1},
-		HeaderLimits: http1.Limits{HeaderBytes: 8 << 10, TargetBytes: 2 << 10, FieldCount: 64},
+		UnitBytes:    unused,
+		Deadlines:    config.Deadlines{UploadRate: unused},
+		HeaderLimits: headerLimits,
 		Timeouts: config.Timeouts{
 			Header: headerTimeout,
 			Idle:   idleTimeout,
@@ -85,7 +100,7 @@
 			NodeConns:    b.MaxNodeConns,
 			ConnBuffer:   maxBodyBytes * 2,
 			BodyBuffer:   maxBodyBytes,
-			SizeEntries:  1,
+			SizeEntries:  unused,
 		},
 		Admission: admissionConfig(b),
 	}
@@ -96,8 +111,8 @@
 		MaxConns:     b.MaxClientConns,
 		PrefixBits:   admission.PrefixBits{AddressIPv6: 64, IPv4: 24, IPv6: 48},
 		KnownClients: admission.KnownClients{CapMultiple: 1},
-		TableEntries: 256,
-		Rejections:   admission.RateLimit{PerSecond: 50, Burst: b.MaxRejectionConns},
+		TableEntries: addressTableEntries,
+		Rejections:   admission.RateLimit{PerSecond: rejectionsPerSecond, Burst: b.MaxRejectionConns},
 		Buffers:      admission.Buffers{TotalBytes: b.ClientBufferBytes, MinConnBytes: minConnBufferBytes},
 		Preemption: admission.Preemption{
 			MinFreeConns:      b.MaxClientConns - b.IdlePressureConns,
