--- a/internal/simwire/wire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -2,8 +2,12 @@
 
 import (
 	"io"
+	"reflect"
 	"strings"
 	"testing"
+	"time"
+
+	"maddergap/scheduler"
 )
 
 func TestRead(t *testing.T) {
@@ -17,23 +21,30 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if b.Clock != 8412250 || b.Number != "12" || len(b.Events) != 6 {
+	if b.Time != 8412250*time.Microsecond || b.Number != "12" || len(b.Events) != 6 {
 		t.Fatalf("batch %+v", b)
 	}
-	if it := b.Events[0].Items[0]; it.Shelf != "shelf_a" || it.Cluster != 7 || it.UpSince != 6100000 {
-		t.Errorf("item %+v", it)
-	}
-	if e := b.Events[1]; e.Job != 43 || e.Plan != 1 || e.User != "pre-c" || e.Grace != 240000 || e.Writers != 3 {
-		t.Errorf("job_in %+v", e)
+	want := []Event{
+		{"head_3", Report{scheduler.EndpointUpdate{Full: true, Endpoints: []scheduler.Endpoint{
+			{Node: "shelf_a", Shard: 7, State: scheduler.Serving, Started: 6100 * time.Millisecond}}}}},
+		{"head_3", Report{scheduler.Arrival{ID: 43, Plan: 1, Key: "c:k", Volume: "pre-c", TimeRemaining: 240 * time.Millisecond, Units: 2, Instances: 3}}},
+		{"head_3", AttemptReport{UnitsElsewhere: 3, LoadReport: map[string]float64{"concurrent": 7}, Event: scheduler.AttemptEnded{
+			ID: 43, Node: "shelf_a", Duration: 18500 * time.Microsecond, Responded: true, ReportedLoad: 7, HasLoadReport: true}}},
+		{"head_3", AttemptReport{Event: scheduler.AttemptEnded{ID: 43, Attempt: 1, Node: "shelf_a", Outcome: scheduler.Failed}}},
+		{"head_3", Report{scheduler.TimerFired{}}},
+		{"head_3", Stop{}},
 	}
-	if e := b.Events[2]; !e.Terminal || e.Elsewhere != 3 || e.Telemetry["concurrent"] != 7 {
-		t.Errorf("ended %+v", e)
+	for i, event := range b.Events {
+		if !reflect.DeepEqual(event, want[i]) {
+			t.Errorf("event %d: got %+v, want %+v", i, event, want[i])
+		}
 	}
 	if _, err := r.Read(); err != io.EOF {
 		t.Errorf("at the end: %v, want EOF", err)
 	}
 }
 
+// An error names the line, and the value in it.
 func TestMalformed(t *testing.T) {
 	for _, c := range []struct{ name, in, want string }{
 		{"no clock", "hello\n", "line 1: a batch starts with clock"},
