--- a/internal/eventloop/connections.go
+++ b/internal/eventloop/connections.go
@@ -17,8 +17,8 @@
 //   - A node's descriptor (or that of the discovery agent) comes from dial and
 //     enters the connTable while its connect is under way.
 //   - A descriptor in the connTable is closed in one place, closeSocket: for a
-//     Close or Abort action of the gateway, for a connection that failed (the
-//     gateway is then told by Closed), or to begin a failed dial anew.
+//     Close or Abort action of the gateway, for a connection that failed
+//     (Gateway.Closed then reports it), or to begin a failed dial anew.
 //   - Whatever is left is closed by Close.
 //
 // closeSocket takes the descriptor out of the table before the kernel can give
--- a/internal/eventloop/io.go
+++ b/internal/eventloop/io.go
@@ -32,7 +32,7 @@
 		return
 	}
 	s := l.conns.lookup(a.Conn)
-	if s == nil { // it may be a dial that was delayed: whatever is asked, it is over
+	if s == nil { // closed already, or its dial is delayed and is now given up
 		l.dials.remove(a.Conn)
 		return
 	}
--- a/internal/http1/body.go
+++ b/internal/http1/body.go
@@ -10,7 +10,7 @@
 	maxHexDigits = 15
 )
 
-// bodyFraming is how the end of a body is told.
+// bodyFraming is what marks the end of a body.
 type bodyFraming uint8
 
 const (
--- a/internal/route/classify.go
+++ b/internal/route/classify.go
@@ -20,7 +20,7 @@
 	IdempotencyKey string // value of Idempotency-Key, "" for none
 }
 
-// Classification is what the scheduler is told of a request.
+// Classification is what the scheduler needs to know of a request.
 type Classification struct {
 	Class       int           // index of the configuration's classes
 	Units       float64       // of work, 1 at least
