--- a/cmd/maddergap/flood_measure.go
+++ b/cmd/maddergap/flood_measure.go
@@ -84,7 +84,7 @@
 	if err := instance.Stop(); err != nil {
 		return nil, fmt.Errorf("the head: %w", err)
 	}
-	cpu := instance.CPU().Seconds()
+	cpu := instance.CPUTime().Seconds()
 	return &floodMeasurement{Result: result, cpuShare: cpu / elapsed.Seconds(), cpuSeconds: max(cpu, 1e-3)}, nil
 }
 
--- a/cmd/maddergap/serve.go
+++ b/cmd/maddergap/serve.go
@@ -15,14 +15,14 @@
 )
 
 type serveCmd struct {
-	Config      string        `short:"c" type:"path" help:"Configuration file."`
-	Platform    bool          `help:"Serve on a platform, by the configuration that its environment variables name."`
-	Requests    bool          `help:"With --platform, log every request and failed attempt."`
-	Beliefs     time.Duration `help:"With --platform, log at this interval the state that the scheduler holds of each node beside what is on its sockets."`
-	Inject      string        `hidden:"" help:"With --platform, system calls that fail, for rehearsals."`
-	PassThrough bool          `hidden:"" help:"Send everything at once, for comparisons only."`
-	Worker      int           `hidden:"" default:"-1" help:"Index of this worker process; its listen queues and its heartbeat pipe are inherited."`
-	Queues      string        `hidden:"" help:"The listen queues that a worker inherits."`
+	Config            string        `short:"c" type:"path" help:"Configuration file."`
+	Platform          bool          `help:"Serve on a platform, by the configuration that its environment variables name."`
+	Requests          bool          `help:"With --platform, log every request and failed attempt."`
+	NodeStateInterval time.Duration `name:"beliefs" help:"With --platform, log at this interval the state that the scheduler holds of each node beside what is on its sockets."`
+	Inject            string        `hidden:"" help:"With --platform, system calls that fail, for rehearsals."`
+	PassThrough       bool          `hidden:"" help:"Send everything at once, for comparisons only."`
+	Worker            int           `hidden:"" default:"-1" help:"Index of this worker process; its listen queues and its heartbeat pipe are inherited."`
+	Queues            string        `hidden:"" help:"The listen queues that a worker inherits."`
 }
 
 // Run serves until SIGINT or SIGTERM. SIGHUP reloads the configuration.
--- a/internal/config/args.go
+++ b/internal/config/args.go
@@ -39,7 +39,7 @@
 // Err returns the first mistake; arguments left over are one.
 func (a *Args) Err() error {
 	if a.err == nil && len(a.words) > 0 {
-		a.Errorf("%q is one word too many", a.words[0])
+		a.Errorf("%q is an unexpected argument", a.words[0])
 	}
 	return a.err
 }
@@ -70,7 +70,7 @@
 			names := slices.Sorted(maps.Keys(take))
 			a.Errorf("unknown keyword %q, want one of %s", keyword, strings.Join(names, ", "))
 		case seen[keyword]:
-			a.Errorf("%s stands twice", keyword)
+			a.Errorf("%s is given twice", keyword)
 		default:
 			seen[keyword] = true
 			value(keyword)
--- a/internal/config/parse.go
+++ b/internal/config/parse.go
@@ -61,7 +61,7 @@
 // once reports whether an item stands for the first time, and records a mistake if not.
 func (p *parser) once(line int, item string) bool {
 	if first, ok := p.lines[item]; ok {
-		p.errorf(line, "%s stands already in line %d", item, first)
+		p.errorf(line, "%s is already given in line %d", item, first)
 		return false
 	}
 	p.lines[item] = line
--- a/internal/config/scheduling.go
+++ b/internal/config/scheduling.go
@@ -46,7 +46,7 @@
 	case deadline < class.LatencyObjective:
 		a.Errorf("the deadline %v is before the aim %v", deadline, class.LatencyObjective)
 	case class.Effect == scheduler.Idempotent && class.DeduplicationWindow == 0:
-		a.Errorf("a keyed class needs a window: how long its nodes drop repeats")
+		a.Errorf("a keyed class needs a window: how long its nodes deduplicate")
 	case class.Effect != scheduler.Idempotent && class.DeduplicationWindow > 0:
 		a.Errorf("only a keyed class has a window")
 	}
@@ -94,7 +94,7 @@
 	}
 	distinct := slices.Compact(slices.Sorted(slices.Values(volume.Shards)))
 	if len(distinct) < len(volume.Shards) {
-		a.Errorf("a shard stands twice")
+		a.Errorf("a shard is given twice")
 	}
 	i := len(p.c.Volumes)
 	p.c.Volumes = append(p.c.Volumes, volume)
--- a/internal/soak/fleet.go
+++ b/internal/soak/fleet.go
@@ -104,7 +104,7 @@
 func (h *head) terminate() {
 	h.ended = true
 	h.process.Signal(syscall.SIGTERM)
-	if !h.process.EndsWithin(min(h.settings.longest(), longestCounts) + killAfter) {
+	if !h.process.ExitsWithin(min(h.settings.longest(), longestCounts) + killAfter) {
 		h.process.Kill()
 	}
 }
@@ -152,7 +152,7 @@
 
 // crashed notes a process that ended by itself.
 func (h *head) crashed() {
-	if !h.ended && h.process != nil && h.process.Ended() {
+	if !h.ended && h.process != nil && h.process.Exited() {
 		h.fault("the process ended by itself")
 		h.ended = true
 	}
