--- a/internal/gateway/client_disconnect_test.go
+++ b/internal/gateway/client_disconnect_test.go
@@ -22,7 +22,7 @@
 		t.Error("the node's connection stays open")
 	}
 	h.wantOutcomes(map[Outcome]int{ClientDisconnected: 1})
-	for i := range 2 { // windowStart is 2: both slots are there
+	for i := range 2 { // the initial window is 2: both places are free
 		h.connectClient(getRequest(fmt.Sprint("/feed-a/s/", i)))
 	}
 	if len(h.dialed) != 3 {
@@ -38,8 +38,8 @@
 	n := h.nodeConn(0)
 	h.gateway.Closed(h.now, c)
 	h.runActions()
-	if _, gone := h.closedBy[n]; gone {
-		t.Fatal("the attempt was broken off, though the node has it whole")
+	if _, closed := h.closedBy[n]; closed {
+		t.Fatal("the attempt was aborted though the node has the whole request")
 	}
 	if len(h.gateway.requests.byID) != 1 {
 		t.Fatalf("%d requests with an attempt out, want 1", len(h.gateway.requests.byID))
@@ -49,7 +49,7 @@
 	h.wantOutcomes(map[Outcome]int{ClientDisconnected: 1})
 	h.connectClient(getRequest("/feed-a/s/y"))
 	if len(h.dialed) != 1 {
-		t.Error("the connection was not kept")
+		t.Error("the connection is not reused")
 	}
 }
 
@@ -63,7 +63,7 @@
 	h.gateway.Closed(h.now, c)
 	h.runActions()
 	if h.closedBy[n] != Abort {
-		t.Error("the node streams on to nobody")
+		t.Error("the node streams to nobody")
 	}
 	h.wantOutcomes(map[Outcome]int{ClientDisconnected: 1})
 }
@@ -78,9 +78,9 @@
 	n := h.nodeConn(0)
 	h.deliver(n, okResponse("one"))
 	h.deliver(n, okResponse("two"))
-	h.wantContains("the answers", h.takeWritten(c), "one", "two")
-	if _, gone := h.closedBy[c]; !gone {
-		t.Error("the connection stays open after the last answer")
+	h.wantContains("the responses", h.takeWritten(c), "one", "two")
+	if _, closed := h.closedBy[c]; !closed {
+		t.Error("the connection stays open after the last response")
 	}
 	h.wantOutcomes(map[Outcome]int{Served: 2})
 }
--- a/internal/gateway/connection_reuse_test.go
+++ b/internal/gateway/connection_reuse_test.go
@@ -59,7 +59,7 @@
 	h.wantContains("on the one idle longer", h.takeWritten(m), "GET /c ")
 	h.deliver(n, okResponse("a"))
 	if _, closed := h.closedBy[n]; !closed {
-		t.Error("a connection that brought a response nobody has asked for is kept")
+		t.Error("a connection that brought a response nobody has asked for stays open")
 	}
 	h.deliver(m, okResponse("c"))
 	h.wantContains("the response", h.takeWritten(c), "c")
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -28,12 +28,12 @@
 	h.deliver(n, "HTTP/1.1 200 OK\r\nContent-Le")
 	h.deliver(n, "ngth: 6\r\nETag: \"e\"\r\n\r\nabc")
 	h.deliver(n, "def")
-	h.wantContains("the answer", h.takeWritten(c), "HTTP/1.1 200 OK\r\n", "Content-Length: 6\r\n", "ETag: \"e\"", "X-Request-Id: ", "\r\n\r\nabcdef")
+	h.wantContains("the response", h.takeWritten(c), "HTTP/1.1 200 OK\r\n", "Content-Length: 6\r\n", "ETag: \"e\"", "X-Request-Id: ", "\r\n\r\nabcdef")
 	h.wantOutcomes(map[Outcome]int{Served: 1})
 	if s := h.spans[0]; s.Node != "n0" || s.AttemptOutcome != scheduler.OK || s.Parent != h.spans[1].ID || fmt.Sprintf("%x", h.spans[1].Parent) != "b7ad6b7169203331" {
 		t.Errorf("spans %+v", h.spans)
 	}
-	// The kept connections serve the next request.
+	// Both connections are reused for the next request.
 	h.deliver(c, getRequest("/feed-a/s/y"))
 	if len(h.dialed) != 1 {
 		t.Errorf("%d connections, want the first one again", len(h.dialed))
@@ -43,7 +43,7 @@
 // An incident is replayed from its seed and events, which needs the gateway to be
 // deterministic: the same seed and events give the same actions.
 func TestSameEventsSameActions(t *testing.T) {
-	day := func() string {
+	run := func() string {
 		h := newHarness(t, "")
 		for i := range 20 {
 			c := h.connectClient(getRequest(fmt.Sprint("/feed-b/s", i, "/x")))
@@ -60,7 +60,7 @@
 		h.advanceTime(2 * time.Second)
 		return h.actionLog.String()
 	}
-	if a, b := day(), day(); a != b || len(a) < 500 {
+	if a, b := run(), run(); a != b || len(a) < 500 {
 		t.Errorf("two runs differ, or did nothing:\n%.500s\n%.500s", a, b)
 	}
 }
@@ -72,8 +72,8 @@
 	h.gateway.observer = nil
 	c := h.connectClient(getRequest("/feed-a/s/x"))
 	n := h.nodeConn(0)
-	answer, ask := []byte(okResponse("hello")), []byte(getRequest("/feed-a/s/x"))
-	turn := func() {
+	response, request := []byte(okResponse("hello")), []byte(getRequest("/feed-a/s/x"))
+	runActions := func() {
 		for {
 			acts, _ := h.gateway.Advance(h.now)
 			if len(acts) == 0 {
@@ -86,17 +86,17 @@
 			}
 		}
 	}
-	h.gateway.Data(h.now, n, answer)
-	turn()
+	h.gateway.Data(h.now, n, response)
+	runActions()
 	allocs := testing.AllocsPerRun(200, func() {
 		h.now += time.Millisecond
-		h.gateway.Data(h.now, c, ask)
-		turn()
-		h.gateway.Data(h.now, n, answer)
-		turn()
+		h.gateway.Data(h.now, c, request)
+		runActions()
+		h.gateway.Data(h.now, n, response)
+		runActions()
 	})
 	if allocs > 12 {
-		t.Errorf("%v allocations a request, want 12 at most (most are the module's)", allocs)
+		t.Errorf("%v allocations a request, want 12 at most (most are the scheduler's)", allocs)
 	}
 	t.Logf("%v allocations a request", allocs)
 }
@@ -124,14 +124,14 @@
 // set no other.
 func TestSchedulerTimerIsReplaced(t *testing.T) {
 	h := newHarness(t, "")
-	core := &timerScheduler{timers: []time.Duration{10 * time.Millisecond, 20 * time.Millisecond}}
-	h.gateway.scheduler = core
+	timers := &timerScheduler{timers: []time.Duration{10 * time.Millisecond, 20 * time.Millisecond}}
+	h.gateway.scheduler = timers
 	began := h.now
 	h.connectClient(getRequest("/feed-a/s/x"))
 	h.connectClient(getRequest("/feed-a/s/y"))
 	h.advanceTime(100 * time.Millisecond)
-	if len(core.firedAt) != 1 || core.firedAt[0] != began+20*time.Millisecond {
-		t.Errorf("woken at %v, want once after 20ms", core.firedAt)
+	if len(timers.firedAt) != 1 || timers.firedAt[0] != began+20*time.Millisecond {
+		t.Errorf("fired at %v, want once after 20ms", timers.firedAt)
 	}
 }
 
@@ -149,7 +149,7 @@
 	seen := map[*request]bool{}
 	for _, req := range h.gateway.requests.free {
 		if seen[req] {
-			t.Fatal("an exchange is kept twice")
+			t.Fatal("a request is in the free list twice")
 		}
 		seen[req] = true
 	}
@@ -170,14 +170,14 @@
 		t.Fatal(err)
 	}
 	h.deliver(n, okResponse("still"))
-	h.wantContains("the answer", h.takeWritten(c), "200 OK", "still")
+	h.wantContains("the response", h.takeWritten(c), "200 OK", "still")
 	h.deliver(c, getRequest("/feed-b/s/x"))
-	h.wantContains("the answer", h.takeWritten(c), "404 Not Found")
+	h.wantContains("the response", h.takeWritten(c), "404 Not Found")
 	if h.spans[1].Volume != "feed-b" {
 		t.Errorf("%+v", h.spans[1])
 	}
 	if other, _ := config.Parse("harness", []byte(harnessConfig+"heads 3\n")); h.gateway.Reload(other) == nil {
-		t.Error("the number of heads changed under way")
+		t.Error("the number of instances was changed by a reload")
 	}
 }
 
@@ -189,7 +189,7 @@
 	first := h.gateway.Accept(h.now, netip.MustParseAddrPort("127.0.0.1:1"), 0).ID
 	h.gateway.Accept(h.now, netip.MustParseAddrPort("127.0.0.1:2"), 0)
 	h.runActions()
-	known := h.gateway.Accept(h.now, netip.MustParseAddrPort("10.0.0.1:3"), 0).ID // the first gives way, in the same turn
+	known := h.gateway.Accept(h.now, netip.MustParseAddrPort("10.0.0.1:3"), 0).ID // the first is preempted, and its Close is queued
 	if known.Slot() == first.Slot() {
 		t.Error("the driver would close the new connection for the old, or neither")
 	}
@@ -217,7 +217,7 @@
 		h.advanceTime(time.Millisecond)
 	}
 	if len(h.gateway.nodes.byName) > 3 || len(h.gateway.conns.slots) > 16 || len(h.gateway.requests.byID) > 0 || h.gateway.Counts().NodeConns > 2 {
-		t.Errorf("%d nodes, %d slots, %d requests, %d connections are held", len(h.gateway.nodes.byName), len(h.gateway.conns.slots), len(h.gateway.requests.byID), h.gateway.Counts().NodeConns)
+		t.Errorf("%d nodes, %d slots, %d requests, %d connections are left", len(h.gateway.nodes.byName), len(h.gateway.conns.slots), len(h.gateway.requests.byID), h.gateway.Counts().NodeConns)
 	}
 }
 
--- a/internal/gateway/http_test.go
+++ b/internal/gateway/http_test.go
@@ -14,7 +14,7 @@
 	c := h.connectClient(getRequest("/feed-a/s/1") + putRequest("/feed-a/s/2", "two") + getRequest("/feed-a/s/3"))
 	for i, sent := range []struct {
 		text string
-		conn int // the write goes out on a connection of its own, as the other has not rested
+		conn int // the write is sent on a connection of its own, as the other is fresh
 	}{{"GET /feed-a/s/1", 0}, {"PUT /feed-a/s/2", 1}, {"GET /feed-a/s/3", 0}} {
 		n := h.nodeConn(sent.conn)
 		h.wantContains("at the node", h.takeWritten(n), sent.text)
@@ -22,7 +22,7 @@
 	}
 	got := h.takeWritten(c)
 	if a, b := strings.Index(got, "answer0"), strings.Index(got, "answer2"); a < 0 || b < a || strings.Count(got, "200 OK") != 3 {
-		t.Errorf("answers out of order: %q", got)
+		t.Errorf("responses out of order: %q", got)
 	}
 }
 
@@ -31,19 +31,19 @@
 func TestExpectContinue(t *testing.T) {
 	h := newHarness(t, "")
 	c := h.connectClient("PUT /feed-a/s/x HTTP/1.1\r\nHost: h\r\nContent-Length: 7\r\nExpect: 100-continue\r\n\r\n")
-	h.wantContains("the invitation", h.takeWritten(c), "HTTP/1.1 100 Continue\r\n\r\n")
+	h.wantContains("the 100 response", h.takeWritten(c), "HTTP/1.1 100 Continue\r\n\r\n")
 	h.deliver(c, "segment")
 	h.deliver(h.nodeConn(0), okResponse(""))
-	h.wantContains("the answer", h.takeWritten(c), "HTTP/1.1 200")
+	h.wantContains("the response", h.takeWritten(c), "HTTP/1.1 200")
 	// A long body is not invited before a node takes it, and never after a refusal.
 	h = newHarness(t, "")
 	h.refuseDials = true
 	c = h.connectClient("PUT /feed-a/s/x HTTP/1.1\r\nHost: h\r\nContent-Length: 7000000\r\nExpect: 100-continue\r\n\r\n")
 	h.advanceTime(20 * time.Second)
 	got := h.takeWritten(c)
-	h.wantContains("the answer", got, "HTTP/1.1 503")
+	h.wantContains("the response", got, "HTTP/1.1 503")
 	if strings.Contains(got, "100 Continue") {
-		t.Error("a body was invited for nothing")
+		t.Error("a body was asked for in vain")
 	}
 }
 
@@ -55,15 +55,15 @@
 	n := h.nodeConn(0)
 	h.wantContains("a short body at the node", h.takeWritten(n), "Content-Length: 5\r\n", "\r\n\r\nabcde")
 	h.deliver(n, "HTTP/1.1 201 Created\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n")
-	h.wantContains("the answer", h.takeWritten(c), "Transfer-Encoding: chunked", "2\r\nhi\r\n", "0\r\n\r\n")
-	h.advanceTime(reuseDelay) // the connection is used for a write again
+	h.wantContains("the response", h.takeWritten(c), "Transfer-Encoding: chunked", "2\r\nhi\r\n", "0\r\n\r\n")
+	h.advanceTime(reuseDelay) // so that the write reuses the connection
 	// A long one streams on in chunks.
 	h.deliver(c, "PUT /feed-a/s/x HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n5000\r\n"+strings.Repeat("y", 0x5000)+"\r\n")
 	h.wantContains("a long body at the node", h.takeWritten(n), "Transfer-Encoding: chunked", "yyy")
 	h.deliver(c, "3\r\nend\r\n0\r\n\r\n")
 	h.wantContains("its end", h.takeWritten(n), "3\r\nend\r\n0\r\n\r\n")
 	h.deliver(n, okResponse(""))
-	h.wantContains("the answer", h.takeWritten(c), "200 OK")
+	h.wantContains("the response", h.takeWritten(c), "200 OK")
 	h.wantOutcomes(map[Outcome]int{Served: 2})
 }
 
@@ -101,13 +101,13 @@
 	} {
 		h := newHarness(t, "")
 		c := h.connectClient(text)
-		h.wantContains("the answer", h.takeWritten(c), "HTTP/1.1 "+status+" ")
+		h.wantContains("the response", h.takeWritten(c), "HTTP/1.1 "+status+" ")
 		if len(h.dialed) > 0 {
 			t.Errorf("%.40q reached a node", text)
 		}
 		if status == "400" && !strings.Contains(text, "..") && h.closedBy[c] != Close {
 			h.advanceTime(3 * time.Second)
-			if _, gone := h.closedBy[c]; !gone {
+			if _, closed := h.closedBy[c]; !closed {
 				t.Errorf("%.40q: the connection goes on", text)
 			}
 		}
@@ -119,7 +119,7 @@
 	if h.closedBy[h.nodeConn(0)] != Abort {
 		t.Error("the node's connection goes on")
 	}
-	h.wantContains("the answer", h.takeWritten(c), "HTTP/1.1 400")
+	h.wantContains("the response", h.takeWritten(c), "HTTP/1.1 400")
 	h.wantOutcomes(map[Outcome]int{ClientDisconnected: 1})
 }
 
@@ -133,12 +133,12 @@
 		h.advanceTime(time.Second)
 		h.deliver(c, "E")
 	}
-	h.wantContains("the answer", h.takeWritten(c), "HTTP/1.1 408 ")
+	h.wantContains("the response", h.takeWritten(c), "HTTP/1.1 408 ")
 	c = h.connectClient("PUT /feed-a/s/x HTTP/1.1\r\nHost: h\r\nContent-Length: 7\r\n\r\nseg")
 	h.advanceTime(4 * time.Second)
-	h.wantContains("the answer", h.takeWritten(c), "HTTP/1.1 408 ")
+	h.wantContains("the response", h.takeWritten(c), "HTTP/1.1 408 ")
 	if len(h.dialed) > 0 {
-		t.Error("a slow body holds a node")
+		t.Error("a slow body holds a connection to a node")
 	}
 	// One that does not read its answer: the node is paused, then the client dropped.
 	c = h.connectClient(getRequest("/feed-a/s/x"))
@@ -147,7 +147,7 @@
 	h.deliver(n, "HTTP/1.1 200 OK\r\nContent-Length: 1000000\r\n\r\n"+strings.Repeat("x", 40<<10))
 	h.deliver(n, strings.Repeat("x", 10<<10))
 	if !h.paused[n] || len(h.gateway.Out(h.now, c)) > 64<<10 {
-		t.Errorf("the node is not paused; %d bytes are held", len(h.gateway.Out(h.now, c)))
+		t.Errorf("the node is not paused; %d bytes are left", len(h.gateway.Out(h.now, c)))
 	}
 	h.advanceTime(4 * time.Second)
 	if h.closedBy[c] != Abort || h.closedBy[n] != Abort {
@@ -184,7 +184,7 @@
 		t.Fatalf("%d bytes at the node", len(got))
 	}
 	h.deliver(n, okResponse(""))
-	h.wantContains("the answer", h.takeWritten(c), "200 OK")
+	h.wantContains("the response", h.takeWritten(c), "200 OK")
 }
 
 // A client lists Host in its Connection field, and so asks for it to be removed. The field
@@ -195,6 +195,6 @@
 	got := h.takeWritten(h.nodeConn(0))
 	h.wantContains("at the node", got, "Host: h\r\n")
 	if strings.Contains(got, "X-Own") {
-		t.Error("a field of one connection was passed on")
+		t.Error("a field of one connection was forwarded")
 	}
 }
--- a/internal/gateway/invariant_checks_test.go
+++ b/internal/gateway/invariant_checks_test.go
@@ -11,81 +11,100 @@
 	"maddergap/scheduler"
 )
 
-// scriptedScheduler is a core that sends what it is told, in place of the module.
+// scriptedScheduler is a Scheduler that decides what the test says, right or wrong.
 type scriptedScheduler struct{ actions []scheduler.Action }
 
-func (c *scriptedScheduler) Handle(scheduler.Time, []scheduler.Event) []scheduler.Action {
-	actions := c.actions
-	c.actions = nil
+func (s *scriptedScheduler) Handle(scheduler.Time, []scheduler.Event) []scheduler.Action {
+	actions := s.actions
+	s.actions = nil
 	return actions
 }
 
-// newScriptedHarness is a rig with such a core that has taken one write.
-func newScriptedHarness(t *testing.T) (*harness, *scriptedScheduler, ConnID) {
-	h := newHarness(t, "")
-	c := &scriptedScheduler{}
-	h.gateway.scheduler = c
-	client := h.connectClient("PUT /feed-a/x HTTP/1.1\r\nHost: h\r\nContent-Length: 4\r\n\r\nbody")
+// scriptedHarness is a harness with a scriptedScheduler, to which one write of a client is
+// submitted.
+type scriptedHarness struct {
+	*harness
+	scheduler *scriptedScheduler
+	client    ConnID
+}
+
+func newScriptedHarness(t *testing.T) *scriptedHarness {
+	h := &scriptedHarness{harness: newHarness(t, ""), scheduler: &scriptedScheduler{}}
+	h.gateway.scheduler = h.scheduler
+	h.client = h.connectClient("PUT /feed-a/x HTTP/1.1\r\nHost: h\r\nContent-Length: 4\r\n\r\nbody")
 	h.runActions()
-	return h, c, client
+	return h
+}
+
+// decideToSend has the scheduler send the write to n0 at its next call.
+func (h *scriptedHarness) decideToSend() {
+	h.scheduler.actions = []scheduler.Action{scheduler.Send{ID: 1, Node: "n0"}}
+}
+
+// runScheduler has the scheduler called.
+func (h *scriptedHarness) runScheduler() {
+	h.gateway.events = append(h.gateway.events, scheduler.TimerFired{})
+	h.runActions()
+}
+
+func (h *scriptedHarness) drainNode() {
+	h.gateway.updateMembership(membership.Update{Nodes: []nodelist.Node{{Name: "n0", Addr: "node:0", State: scheduler.Draining}}})
 }
 
-func (h *harness) countPUTsToNodes() (n int) {
+// countWritesSent returns how many writes were sent to nodes since the last call.
+func (h *scriptedHarness) countWritesSent() (n int) {
 	for _, id := range h.dialed {
 		n += strings.Count(h.takeWritten(id), "PUT ")
 	}
 	return n
 }
 
-// What the module must never ask for is withheld, counted by its rule and reported.
+// The scheduler decides something that it never must, or time has passed since it decided.
+// The attempt is withheld, counted by the invariant that it would have violated, and
+// reported with the id of its request.
 func TestAttemptViolatingInvariantIsWithheld(t *testing.T) {
-	send := scheduler.Send{ID: 1, Node: "n0"}
 	tests := []struct {
 		name    string
-		arrange func(h *harness, c *scriptedScheduler, client ConnID)
+		arrange func(h *scriptedHarness)
 		want    invariant.Rule
 	}{
-		{"a node that drains", func(h *harness, c *scriptedScheduler, _ ConnID) {
-			h.gateway.updateMembership(membership.Update{Nodes: []nodelist.Node{{Name: "n0", Addr: "node:0", State: scheduler.Draining}}})
-			c.actions = []scheduler.Action{send}
+		{"a node that drains", func(h *scriptedHarness) {
+			h.drainNode()
+			h.decideToSend()
 		}, invariant.NodeServing},
-		{"a node that drains while its connection comes up", func(h *harness, c *scriptedScheduler, _ ConnID) {
+		{"a node that drains while it is dialed", func(h *scriptedHarness) {
 			h.deferConnects = true
-			c.actions = []scheduler.Action{send}
-			h.gateway.events = append(h.gateway.events, scheduler.TimerFired{})
-			h.runActions()
-			h.gateway.updateMembership(membership.Update{Nodes: []nodelist.Node{{Name: "n0", Addr: "node:0", State: scheduler.Draining}}})
+			h.decideToSend()
+			h.runScheduler()
+			h.drainNode()
 			h.runActions()
 			h.gateway.Connected(h.now, h.dialed[0])
 		}, invariant.NodeServing},
-		{"a write that may have run", func(h *harness, c *scriptedScheduler, _ ConnID) {
-			c.actions = []scheduler.Action{send}
-			h.gateway.events = append(h.gateway.events, scheduler.TimerFired{})
-			h.runActions()
-			h.countPUTsToNodes()
+		{"a write that may have been executed", func(h *scriptedHarness) {
+			h.decideToSend()
+			h.runScheduler()
+			h.countWritesSent()
 			h.gateway.Closed(h.now, h.dialed[0])
-			c.actions = []scheduler.Action{send}
+			h.decideToSend()
 		}, invariant.SafeRetry},
-		{"a write that is still out", func(h *harness, c *scriptedScheduler, _ ConnID) {
-			c.actions = []scheduler.Action{send}
-			h.gateway.events = append(h.gateway.events, scheduler.TimerFired{})
-			h.runActions()
-			h.countPUTsToNodes()
-			c.actions = []scheduler.Action{send}
+		{"a write that is in flight", func(h *scriptedHarness) {
+			h.decideToSend()
+			h.runScheduler()
+			h.countWritesSent()
+			h.decideToSend()
 		}, invariant.SafeRetry},
-		{"past its client's time", func(h *harness, c *scriptedScheduler, _ ConnID) {
+		{"past its deadline", func(h *scriptedHarness) {
 			h.advanceTime(2 * time.Second)
-			c.actions = []scheduler.Action{send}
+			h.decideToSend()
 		}, invariant.WithinDeadline},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			h, c, client := newScriptedHarness(t)
-			test.arrange(h, c, client)
-			h.gateway.events = append(h.gateway.events, scheduler.TimerFired{})
-			h.runActions()
-			if n := h.countPUTsToNodes(); n != 0 {
-				t.Errorf("%d requests went out", n)
+			h := newScriptedHarness(t)
+			test.arrange(h)
+			h.runScheduler()
+			if n := h.countWritesSent(); n != 0 {
+				t.Errorf("%d requests were sent", n)
 			}
 			if counts := h.gateway.Counts().Invariants; counts.Withheld[test.want] != 1 || counts.Violated != (invariant.Counts{}).Violated {
 				t.Errorf("counted %+v, want one of %v withheld", counts, test.want)
@@ -97,25 +116,26 @@
 	}
 }
 
-// What went out all the same, and what ended without its answer, is found after the fact.
+// A node drains after Out has handed out the bytes of a request, and the gateway is held up
+// before they are written; a client's connection is closed before its response; a request
+// is reported twice. All three are found after the fact, counted and reported.
 func TestViolationsAreFoundAfterTheFact(t *testing.T) {
-	h, c, client := newScriptedHarness(t)
-	c.actions = []scheduler.Action{scheduler.Send{ID: 1, Node: "n0"}}
-	h.gateway.events = append(h.gateway.events, scheduler.TimerFired{})
+	h := newScriptedHarness(t)
 	h.deferConnects = true
-	h.runActions()
+	h.decideToSend()
+	h.runScheduler()
 	h.gateway.Connected(h.now, h.dialed[0])
-	out := h.gateway.Out(h.now, h.dialed[0]) // the head is held up between this and the write
-	h.gateway.updateMembership(membership.Update{Nodes: []nodelist.Node{{Name: "n0", Addr: "node:0", State: scheduler.Draining}}})
+	out := h.gateway.Out(h.now, h.dialed[0])
+	h.drainNode()
 	h.now += 200 * time.Millisecond
 	h.gateway.Wrote(h.now, h.dialed[0], len(out))
-	h.gateway.closeConn(h.gateway.conns.find(client), Close)
+	h.gateway.closeConn(h.gateway.conns.find(h.client), Close)
 	h.gateway.reportRequestEnd(h.gateway.requests.byID[1], Rejected)
 	h.gateway.reportRequestEnd(h.gateway.requests.byID[1], Rejected)
-	broken := h.gateway.Counts().Invariants.Violated
+	violated := h.gateway.Counts().Invariants.Violated
 	for _, rule := range []invariant.Rule{invariant.NodeServing, invariant.ResponseBeforeClose, invariant.SingleResponse} {
-		if broken[rule] != 1 {
-			t.Errorf("%v: counted %d times", rule, broken[rule])
+		if violated[rule] != 1 {
+			t.Errorf("%v: counted %d times", rule, violated[rule])
 		}
 	}
 	if len(h.violations) != 3 {
@@ -123,15 +143,15 @@
 	}
 }
 
-// A connection that the head's own machine could not begin is not the node's failure, unless
-// others came up meanwhile.
+// Dialing is put off as the machine is out of descriptors or ports. Were the node blamed,
+// a shortage on this machine would eject every node. If other connections are established
+// meanwhile, the machine had what it takes, and it is the node's fault.
 func TestStalledDialIsNotTheNodesFault(t *testing.T) {
 	for _, others := range []bool{false, true} {
-		h, c, _ := newScriptedHarness(t)
+		h := newScriptedHarness(t)
 		h.deferConnects = true
-		c.actions = []scheduler.Action{scheduler.Send{ID: 1, Node: "n0"}}
-		h.gateway.events = append(h.gateway.events, scheduler.TimerFired{})
-		h.runActions()
+		h.decideToSend()
+		h.runScheduler()
 		h.gateway.Stalled(h.now, h.dialed[0])
 		if others {
 			h.now += time.Millisecond
--- a/internal/gateway/listing_test.go
+++ b/internal/gateway/listing_test.go
@@ -21,7 +21,7 @@
 	c := h.connectClient(find)
 	h.deliver(h.nodeConn(0), part("/feed-b/one"))
 	if got := h.takeWritten(c); got != "" {
-		t.Fatalf("half a listing: %q", got)
+		t.Fatalf("a listing without a part: %q", got)
 	}
 	h.deliver(h.nodeConn(1), part("/feed-b/two"))
 	h.wantContains("the listing", h.takeWritten(c), "207 Multi-Status", "/feed-b/one", "/feed-b/two")
@@ -32,23 +32,23 @@
 	h.deliver(h.nodeConn(0), part("/feed-b/one"))
 	h.advanceTime(2 * time.Second)
 	got := h.takeWritten(c)
-	h.wantContains("the answer", got, "HTTP/1.1 503 ", "part of the listing")
+	h.wantContains("the response", got, "HTTP/1.1 503 ", "part of the listing")
 	if strings.Contains(got, "multistatus") || strings.Count(got, "HTTP/1.1") != 1 {
-		t.Errorf("a listing that lacks half: %q", got)
+		t.Errorf("a listing without a part: %q", got)
 	}
 
 	h = newHarness(t, "") // one gives nonsense
 	c = h.connectClient(find)
 	h.deliver(h.nodeConn(0), part("/feed-b/one"))
 	h.deliver(h.nodeConn(1), "HTTP/1.1 207 Multi-Status\r\nContent-Length: 3\r\n\r\n<a>")
-	h.wantContains("the answer", h.takeWritten(c), "HTTP/1.1 502 ", "malformed")
+	h.wantContains("the response", h.takeWritten(c), "HTTP/1.1 502 ", "malformed")
 
 	h = newHarness(t, "listing-max 1k\n")
 	c = h.connectClient(find)
 	h.deliver(h.nodeConn(0), part("/feed-b/"+strings.Repeat("x", 2000)))
 	h.deliver(h.nodeConn(1), part("/feed-b/two"))
 	h.advanceTime(2 * time.Second)
-	h.wantContains("the answer", h.takeWritten(c), "HTTP/1.1 507 ")
+	h.wantContains("the response", h.takeWritten(c), "HTTP/1.1 507 ")
 
 	h = newHarness(t, "") // the client leaves
 	c = h.connectClient(find)
--- a/internal/gateway/membership_bench_test.go
+++ b/internal/gateway/membership_bench_test.go
@@ -10,7 +10,7 @@
 	"maddergap/scheduler"
 )
 
-// memberList is a list of so many nodes, one shard for each four.
+// memberList returns an endpoint list of the size, with four nodes to a shard.
 func memberList(size int) []nodelist.Node {
 	nodes := make([]nodelist.Node, size)
 	for i := range nodes {
@@ -19,8 +19,8 @@
 	return nodes
 }
 
-// BenchmarkMembers is what a list costs the head and the module: the first one, a whole list
-// of which nothing changed, and one node that drains and comes back.
+// BenchmarkMembers is what an endpoint list costs the gateway and the scheduler: the first
+// one, a full list without a change, and a node that drains and comes back.
 func BenchmarkMembers(b *testing.B) {
 	settings := scheduler.Settings{Instances: 300, Classes: []scheduler.Class{{Name: "read", LatencyObjective: 100 * time.Millisecond, PriorityWeight: 1}},
 		Plans: []scheduler.Plan{{Weight: 1, PriorityFactor: 1}}, MaxUnits: 4, MeanUnits: 1}
--- a/internal/gateway/node_failure_test.go
+++ b/internal/gateway/node_failure_test.go
@@ -17,24 +17,24 @@
 	h.wantContains("at the node", h.takeWritten(n), "PUT /feed-a/s/x", "Content-Length: 7", "segment")
 	h.advanceTime(970 * time.Millisecond)
 	if got := h.takeWritten(c); got != "" {
-		t.Fatalf("answered early: %q", got)
+		t.Fatalf("a response before the deadline: %q", got)
 	}
-	h.advanceTime(20 * time.Millisecond) // the deadline less the answer margin
+	h.advanceTime(20 * time.Millisecond) // the deadline less the response margin
 	got := h.takeWritten(c)
-	h.wantContains("the answer", got, "HTTP/1.1 504 ", "not known")
+	h.wantContains("the response", got, "HTTP/1.1 504 ", "not known")
 	if strings.Contains(got, "Retry-After") {
-		t.Error("a failure promises nothing")
+		t.Error("a failure must not promise that a retry is harmless")
 	}
 	h.advanceTime(3 * time.Second)
 	if h.gateway.Counts().Attempts != 1 || h.takeWritten(c) != "" {
 		t.Errorf("%d attempts, want 1 and one answer", h.gateway.Counts().Attempts)
 	}
 	h.wantOutcomes(map[Outcome]int{Failed: 1})
-	// Well again, the node is used again.
+	// The node responds again, and is used again.
 	h.deliver(c, putRequest("/feed-a/s/x", "again"))
 	h.advanceTime(time.Second / 2)
 	h.deliver(h.nodeConn(len(h.dialed)-1), okResponse(""))
-	h.wantContains("the answer", h.takeWritten(c), "200 OK")
+	h.wantContains("the response", h.takeWritten(c), "200 OK")
 }
 
 // A node responds after the deadline of the request. The client has its final response by
@@ -46,11 +46,11 @@
 	h.advanceTime(time.Second)
 	h.takeWritten(c)
 	if h.closedBy[n] != Abort {
-		t.Error("the connection of the late attempt stays open")
+		t.Error("the connection of the late attempt is open")
 	}
 	h.deliver(n, okResponse("late"))
 	if got := h.takeWritten(c); got != "" {
-		t.Errorf("a second answer: %q", got)
+		t.Errorf("a second response: %q", got)
 	}
 }
 
@@ -62,14 +62,14 @@
 	c := h.connectClient(putRequest("/feed-a/s/x", strings.Repeat("x", 400<<10))[:40<<10])
 	n := h.nodeConn(0)
 	h.deliver(n, "HTTP/1.1 423 Locked\r\nContent-Length: 0\r\n\r\n")
-	h.wantContains("the answer", h.takeWritten(c), "HTTP/1.1 423 Locked", "Connection: close")
+	h.wantContains("the response", h.takeWritten(c), "HTTP/1.1 423 Locked", "Connection: close")
 	if h.closedBy[n] != Close {
 		t.Error("the node's connection is kept in the middle of a body")
 	}
-	h.deliver(c, strings.Repeat("x", 100<<10)) // read and dropped, so that no reset takes the answer away
+	h.deliver(c, strings.Repeat("x", 100<<10)) // read and dropped, so that no reset takes the response from the client
 	h.advanceTime(3 * time.Second)
-	if _, gone := h.closedBy[c]; !gone {
-		t.Error("the client's connection lingers for ever")
+	if _, closed := h.closedBy[c]; !closed {
+		t.Error("the client's connection stays open")
 	}
 	h.wantOutcomes(map[Outcome]int{Served: 1})
 }
@@ -86,7 +86,7 @@
 	h.runActions()
 	h.advanceTime(2 * time.Second)
 	if h.closedBy[c] != Abort || strings.Contains(h.takeWritten(c), "0\r\n\r\n") {
-		t.Error("the client may take half an answer for a whole one")
+		t.Error("the client may take half a response for a complete one")
 	}
 	if h.gateway.Counts().Attempts != 1 {
 		t.Errorf("%d attempts", h.gateway.Counts().Attempts)
@@ -103,21 +103,21 @@
 		n := h.nodeConn(0)
 		h.deliver(n, okResponse("x"))
 		h.takeWritten(c)
-		h.advanceTime(reuseDelay) // a connection that has not rested is not used for this
+		h.advanceTime(reuseDelay) // a fresh connection would not be used for the write
 		h.blocked[n] = !written
 		h.deliver(c, putRequest("/feed-a/s/x", "segment"))
 		h.gateway.EOF(h.now, n)
 		h.runActions()
 		h.advanceTime(50 * time.Millisecond)
 		if written {
-			h.wantContains("the answer", h.takeWritten(c), "HTTP/1.1 502 ")
+			h.wantContains("the response", h.takeWritten(c), "HTTP/1.1 502 ")
 			h.wantOutcomes(map[Outcome]int{Served: 1, Failed: 1})
 			continue
 		}
 		n = h.nodeConn(1)
 		h.wantContains("at the node", h.takeWritten(n), "PUT /feed-a/s/x", "Maddergap-Attempt: 1", "segment")
 		h.deliver(n, okResponse(""))
-		h.wantContains("the answer", h.takeWritten(c), "200 OK")
+		h.wantContains("the response", h.takeWritten(c), "200 OK")
 	}
 }
 
@@ -129,7 +129,7 @@
 	h.runActions()
 	h.advanceTime(100 * time.Millisecond)
 	h.deliver(h.nodeConn(1), okResponse("x"))
-	h.wantContains("the answer", h.takeWritten(c), "200 OK")
+	h.wantContains("the response", h.takeWritten(c), "200 OK")
 	if h.spans[0].Trace != h.spans[1].Trace || h.spans[0].ID == h.spans[1].ID || h.spans[1].Attempt != 1 {
 		t.Errorf("%+v", h.spans)
 	}
@@ -145,17 +145,17 @@
 	h.deliver(h.nodeConn(0), full)
 	h.advanceTime(900 * time.Millisecond)
 	if h.gateway.Counts().Attempts < 2 {
-		t.Error("a refused attempt of a held body was not tried again")
+		t.Error("a rejected attempt of a buffered body was not retried")
 	}
 	_ = c
 	h = newHarness(t, "retry-after 2s\n")
 	c = h.connectClient(putRequest("/feed-a/s/x", strings.Repeat("x", 400<<10))[:60<<10])
 	h.deliver(c, "xxx")
 	h.deliver(h.nodeConn(0), full)
-	h.wantContains("the answer", h.takeWritten(c), "HTTP/1.1 503 ", "Retry-After: 2\r\n", "no harm")
+	h.wantContains("the response", h.takeWritten(c), "HTTP/1.1 503 ", "Retry-After: 2\r\n", "no harm")
 	h.advanceTime(time.Second)
 	if h.gateway.Counts().Attempts != 1 {
-		t.Error("half a body was sent again")
+		t.Error("a body that was forwarded was retried")
 	}
 }
 
@@ -165,7 +165,7 @@
 	h := newHarness(t, "")
 	c := h.connectClient(putRequest("/feed-a/s/x", "segment"))
 	h.deliver(h.nodeConn(0), "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
-	h.wantContains("the answer", h.takeWritten(c), "HTTP/1.1 502 ")
+	h.wantContains("the response", h.takeWritten(c), "HTTP/1.1 502 ")
 }
 
 // No node can be reached. The request was not executed and is rejected, at the end of its
@@ -175,7 +175,7 @@
 	h.refuseDials = true
 	c := h.connectClient(putRequest("/feed-a/s/x", "segment"))
 	h.advanceTime(time.Second)
-	h.wantContains("the answer", h.takeWritten(c), "HTTP/1.1 503 ")
+	h.wantContains("the response", h.takeWritten(c), "HTTP/1.1 503 ")
 	h.wantOutcomes(map[Outcome]int{Rejected: 1})
 }
 
--- a/internal/gateway/races_test.go
+++ b/internal/gateway/races_test.go
@@ -94,7 +94,7 @@
 			t.Errorf("it is not read on after %d more", n)
 		}
 		if in := len(h.gateway.conns.findClient(c).unread); in > maxPipelinedBytes {
-			t.Errorf("%d bytes are held", in)
+			t.Errorf("%d bytes are left", in)
 		}
 		h.gateway.EOF(h.now, c)
 		h.runActions()
--- a/internal/gateway/shutdown_test.go
+++ b/internal/gateway/shutdown_test.go
@@ -26,16 +26,16 @@
 	h.deliver(idle, getRequest("/feed-a/s/9")) // crosses the shutdown
 	h.wantLingeringClose(idle)
 	h.deliver(h.nodeConn(0), okResponse("one"))
-	h.wantContains("the answer", h.takeWritten(c), "200 OK", "Connection: close")
+	h.wantContains("the response", h.takeWritten(c), "200 OK", "Connection: close")
 	h.wantLingeringClose(c)
-	// What was accepted, or begun to be read, before the end still has its answer.
+	// A connection just accepted, and a request whose header has begun, are answered.
 	for _, late := range []struct {
 		c    ConnID
 		text string
 	}{{fresh, getRequest("/feed-a/s/3")}, {half, getRequest("/feed-a/s/4")[19:]}} {
 		h.deliver(late.c, late.text)
 		h.deliver(h.nodeConn(0), okResponse("late"))
-		h.wantContains("the answer", h.takeWritten(late.c), "200 OK", "Connection: close")
+		h.wantContains("the response", h.takeWritten(late.c), "200 OK", "Connection: close")
 		h.wantLingeringClose(late.c)
 	}
 	h.advanceTime(firstRequestGrace)
@@ -57,11 +57,11 @@
 	h.advanceTime(100 * time.Millisecond)
 	h.gateway.AbortRemaining(h.now)
 	h.runActions()
-	h.wantContains("of what was sent", h.takeWritten(out), "HTTP/1.1 502 ", "Connection: close")
-	h.wantContains("of what waited", h.takeWritten(waits), "HTTP/1.1 503 ", "Connection: close")
+	h.wantContains("of the request that was sent", h.takeWritten(out), "HTTP/1.1 502 ", "Connection: close")
+	h.wantContains("of the request that waited", h.takeWritten(waits), "HTTP/1.1 503 ", "Connection: close")
 	h.deliver(h.nodeConn(0), okResponse("too late"))
 	if got := h.takeWritten(out); got != "" {
-		t.Errorf("answered twice: %q", got)
+		t.Errorf("a second response: %q", got)
 	}
 	h.wantOutcomes(map[Outcome]int{Failed: 1, Rejected: 1})
 }
