--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -66,7 +66,7 @@
 	d.loop.Gateway = d.gateway
 	d.loop.OnWake = d.onWake
 	d.loop.OnIteration = func(it *eventloop.Iteration) { d.iterations.observe(d.loop.Now(), it) }
-	if err := d.members.start(d.gateway); err != nil {
+	if err := d.members.start(d.loop, d.gateway); err != nil {
 		return err
 	}
 	if addr := d.config.Telemetry.MetricsAddr; addr != "" {
--- a/internal/daemon/discovery_source.go
+++ b/internal/daemon/discovery_source.go
@@ -35,12 +35,12 @@
 }
 
 // newDiscoverySource returns a source that logs the state of the nodes at an interval, 0 for never.
-func newDiscoverySource(c *platform.Config, loop *eventloop.Loop, log *slog.Logger, nodeStateInterval time.Duration) *discoverySource {
-	return &discoverySource{config: c, log: log, loop: loop, nodeStates: nodeStateLog{log: log, interval: nodeStateInterval}}
+func newDiscoverySource(c *platform.Config, log *slog.Logger, nodeStateInterval time.Duration) *discoverySource {
+	return &discoverySource{config: c, log: log, nodeStates: nodeStateLog{log: log, interval: nodeStateInterval}}
 }
 
-func (s *discoverySource) start(g *gateway.Gateway) error {
-	s.gateway = g
+func (s *discoverySource) start(loop *eventloop.Loop, g *gateway.Gateway) error {
+	s.loop, s.gateway = loop, g
 	s.outages = outageLog{log: s.log, startedAt: s.loop.Now()}
 	s.client = discovery.New(s.config.DiscoveryAddr, s.config.Settings.Zones, s.config.Gateway.Scheduler.PollDiscovery, s.config.Gateway.Seed)
 	protocol := s.config.Protocol()
--- a/internal/daemon/node_list_source.go
+++ b/internal/daemon/node_list_source.go
@@ -32,7 +32,7 @@
 	pollDue atomic.Bool     // set by background
 }
 
-// newNodeListSource reads the first list, which has to be good. Its loop is still to be set.
+// newNodeListSource reads the first list, which has to be good.
 func newNodeListSource(path string, log *slog.Logger) (*nodeListSource, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -45,8 +45,8 @@
 	return &nodeListSource{path: path, log: log, text: text, initial: nodes}, nil
 }
 
-func (s *nodeListSource) start(g *gateway.Gateway) error {
-	s.gateway = g
+func (s *nodeListSource) start(loop *eventloop.Loop, g *gateway.Gateway) error {
+	s.loop, s.gateway = loop, g
 	s.gateway.SetNodes(s.loop.Now(), s.initial)
 	s.initial = nil
 	s.loop.OnFileChange = s.refresh
--- a/internal/daemon/platform_role.go
+++ b/internal/daemon/platform_role.go
@@ -30,7 +30,7 @@
 		return nil, err
 	}
 	o := newOptions(opts)
-	source := newDiscoverySource(c, loop, log, o.nodeStateInterval)
+	source := newDiscoverySource(c, log, o.nodeStateInterval)
 	r := &platformRole{config: c, load: load, source: source}
 	d := &Daemon{config: c.Gateway, log: log, loop: loop, iterations: newIterationStats(log), role: r, members: source}
 	if err := d.open(o, c.Gateway.Seed); err != nil {
--- a/internal/daemon/role.go
+++ b/internal/daemon/role.go
@@ -52,7 +52,6 @@
 	if err != nil {
 		return nil, err
 	}
-	source.loop = loop
 	d := &Daemon{config: c, log: log, loop: loop, iterations: newIterationStats(log), role: r, members: source}
 	seed := c.Seed
 	if seed == 0 {
--- a/internal/supervisor/seed_test.go
+++ b/internal/supervisor/seed_test.go
@@ -2,5 +2,5 @@
 
 import "flag"
 
-// Drawn histories are the same in every run; -rapid.seed=0 draws new ones.
+// init makes the random histories of rapid the same in every run; -rapid.seed=0 draws new ones.
 func init() { flag.Set("rapid.seed", "20261201") }
--- a/internal/supervisor/supervisor_test.go
+++ b/internal/supervisor/supervisor_test.go
@@ -144,61 +144,95 @@
 // killed while it does not run, or left hung; and the supervisor asks to be called in time.
 func TestRandomHistories(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := New(testConfig, 0)
-		running, lastHeartbeat, terminated := make([]bool, 3), make([]Time, 3), make([]bool, 3)
-		now, stopped := Time(0), Time(-1)
-		everStarted := false
+		m := newModel(t)
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
-			actions, next := s.Advance(now)
+			actions, next := m.s.Advance(m.now)
 			for _, a := range actions {
-				switch a.Op {
-				case Start:
-					if running[a.Worker] || stopped >= 0 {
-						t.Fatal("started though running or shutting down")
-					}
-					running[a.Worker], lastHeartbeat[a.Worker] = true, now+testConfig.StartupTimeout-testConfig.HeartbeatTimeout
-				case Terminate:
-					if !running[a.Worker] || stopped < 0 || terminated[a.Worker] {
-						t.Fatal("terminated though not running, not shutting down, or twice")
-					}
-					terminated[a.Worker] = true
-				case Kill:
-					if !running[a.Worker] || stopped < 0 && now < lastHeartbeat[a.Worker]+testConfig.HeartbeatTimeout {
-						t.Fatal("killed though responsive")
-					}
-					running[a.Worker] = false
-					s.Exited(now, a.Worker, errors.New("killed"))
-				}
+				m.apply(a)
 			}
-			for i := range running {
-				if running[i] && stopped < 0 && now >= lastHeartbeat[i]+testConfig.HeartbeatTimeout {
-					t.Fatalf("worker %d is left hung at %v", i, now)
-				}
-			}
-			if done, err := s.Done(); err != nil || done {
+			m.checkNoneHung()
+			if done, err := m.s.Done(); err != nil || done {
 				return
 			}
-			if next <= now && len(actions) == 0 {
-				t.Fatalf("it wants to come back at %v, and it is %v", next, now)
-			}
-			now = min(next, now+time.Duration(rapid.IntRange(0, 3000).Draw(t, "ms"))*time.Millisecond)
-			i := rapid.IntRange(0, 2).Draw(t, "worker")
-			switch rapid.IntRange(0, 9).Draw(t, "what") {
-			case 0:
-				if running[i] && everStarted {
-					running[i] = false
-					s.Exited(now, i, errors.New("gone"))
-				}
-			case 1:
-				if stopped < 0 && rapid.IntRange(0, 9).Draw(t, "stop") == 0 {
-					s.Shutdown(now)
-					stopped = now
-				}
-			default:
-				if s.Heartbeat(now, i); running[i] {
-					lastHeartbeat[i], everStarted = now, true
-				}
+			if next <= m.now && len(actions) == 0 {
+				t.Fatalf("it wants to come back at %v, and it is %v", next, m.now)
 			}
+			m.now = min(next, m.now+time.Duration(rapid.IntRange(0, 3000).Draw(t, "ms"))*time.Millisecond)
+			m.drawEvent()
 		}
 	})
 }
+
+// model is what is expected of a supervisor and its workers.
+type model struct {
+	t           *rapid.T
+	s           *Supervisor
+	now         Time
+	stopped     Time // when a shutdown began, negative before that
+	everStarted bool // a worker has sent a heartbeat
+	running     []bool
+	terminated  []bool
+	// lastHeartbeat is of a running worker; before the first one it is set so that
+	// HeartbeatTimeout after it StartupTimeout is over.
+	lastHeartbeat []Time
+}
+
+func newModel(t *rapid.T) *model {
+	n := testConfig.Workers
+	return &model{t: t, s: New(testConfig, 0), stopped: -1, running: make([]bool, n), terminated: make([]bool, n), lastHeartbeat: make([]Time, n)}
+}
+
+// apply checks an action and carries it out.
+func (m *model) apply(a Action) {
+	i := a.Worker
+	switch a.Op {
+	case Start:
+		if m.running[i] || m.stopped >= 0 {
+			m.t.Fatal("started though running or shutting down")
+		}
+		m.running[i] = true
+		m.lastHeartbeat[i] = m.now + testConfig.StartupTimeout - testConfig.HeartbeatTimeout
+	case Terminate:
+		if !m.running[i] || m.stopped < 0 || m.terminated[i] {
+			m.t.Fatal("terminated though not running, not shutting down, or twice")
+		}
+		m.terminated[i] = true
+	case Kill:
+		if !m.running[i] || m.stopped < 0 && m.now < m.lastHeartbeat[i]+testConfig.HeartbeatTimeout {
+			m.t.Fatal("killed though responsive")
+		}
+		m.running[i] = false
+		m.s.Exited(m.now, i, errors.New("killed"))
+	}
+}
+
+func (m *model) checkNoneHung() {
+	for i := range m.running {
+		if m.running[i] && m.stopped < 0 && m.now >= m.lastHeartbeat[i]+testConfig.HeartbeatTimeout {
+			m.t.Fatalf("worker %d is left hung at %v", i, m.now)
+		}
+	}
+}
+
+// drawEvent has a worker exit or send a heartbeat, or begins a shutdown.
+func (m *model) drawEvent() {
+	i := rapid.IntRange(0, 2).Draw(m.t, "worker")
+	switch rapid.IntRange(0, 9).Draw(m.t, "what") {
+	case 0:
+		if m.running[i] && m.everStarted {
+			m.running[i] = false
+			m.s.Exited(m.now, i, errors.New("gone"))
+		}
+	case 1:
+		if m.stopped < 0 && rapid.IntRange(0, 9).Draw(m.t, "stop") == 0 {
+			m.s.Shutdown(m.now)
+			m.stopped = m.now
+		}
+	default:
+		m.s.Heartbeat(m.now, i)
+		if m.running[i] {
+			m.lastHeartbeat[i] = m.now
+			m.everStarted = true
+		}
+	}
+}
