--- a/internal/gateway/admission_test.go
+++ b/internal/gateway/admission_test.go
@@ -218,14 +218,14 @@
 		t.Fatal("no response")
 		return 0
 	}
-	onTime, late, immediate, later := last(0, 0), last(60*time.Millisecond, 0), last(5*time.Second, 0), last(60*time.Millisecond, 30*time.Second)
+	onTime, late, veryLate, recovered := last(0, 0), last(60*time.Millisecond, 0), last(5*time.Second, 0), last(60*time.Millisecond, 30*time.Second)
 	if d := onTime - late; d < 100*time.Millisecond || d > 130*time.Millisecond {
 		t.Errorf("rejected after %v, %v when called 60 ms late: want 120 ms sooner", onTime, late)
 	}
-	if immediate < onTime/3 {
-		t.Errorf("rejected after %v: half of %v is left in any case", immediate, onTime)
+	if veryLate < onTime/3 {
+		t.Errorf("rejected after %v: half of %v is left in any case", veryLate, onTime)
 	}
-	if d := onTime - later; d > 5*time.Millisecond || d < -5*time.Millisecond {
-		t.Errorf("rejected after %v long after a delay, %v without one", later, onTime)
+	if d := onTime - recovered; d > 5*time.Millisecond || d < -5*time.Millisecond {
+		t.Errorf("rejected after %v long after a delay, %v without one", recovered, onTime)
 	}
 }
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -85,7 +85,7 @@
 	if req.attempts.uploading == attempt {
 		req.attempts.uploading = nil
 	}
-	g.events = append(g.events, scheduler.AttemptEnded{
+	g.scheduler.notify(scheduler.AttemptEnded{
 		ID:            req.id,
 		Attempt:       attempt.number,
 		Node:          attempt.nodeName,
--- a/internal/gateway/client_conn.go
+++ b/internal/gateway/client_conn.go
@@ -72,23 +72,6 @@
 	accountedBytes int              // its part of bufferPool.clientBytes
 }
 
-// transferProgress is how far a body or a response has come.
-type transferProgress struct {
-	since Time // when it began; 0: it has not
-	bytes int64
-}
-
-// deadline returns when a transfer is given up: when it has made no progress for stall,
-// and when it is slower than rate bytes a second after grace. The rate guards against
-// peers that move a byte now and then, which no timeout between bytes ends. A rate of 0
-// allows any.
-func (p *transferProgress) deadline(now Time, stall, grace time.Duration, rate int64) Time {
-	if rate <= 0 {
-		return now + stall
-	}
-	return min(now+stall, p.since+grace+Time(float64(p.bytes)/float64(rate)*float64(time.Second)))
-}
-
 // enter moves the connection on to a phase, unless it is further already.
 func (c *clientConn) enter(phase clientPhase) { c.phase = max(c.phase, phase) }
 
@@ -203,63 +186,6 @@
 	g.writeLocalResponse(req, 408, []byte(reason+"\n"), nil)
 }
 
-// uploadDeadline and downloadDeadline return when a client is given up that sends its
-// body, or takes its response, too slowly.
-func (g *Gateway) uploadDeadline(c *clientConn) Time {
-	return c.upload.deadline(g.clock.now, g.config.Timeouts.Stall, g.config.MinRates.Grace, g.config.MinRates.Body)
-}
-
-func (g *Gateway) downloadDeadline(c *clientConn) Time {
-	return c.download.deadline(g.clock.now, g.config.Timeouts.Stall, g.config.MinRates.Grace, g.config.MinRates.Response)
-}
-
-// bufferAllowance returns how many bytes of a response or a body a connection may hold
-// now. A transfer is paused above it and goes on below half of it.
-func (g *Gateway) bufferAllowance() int {
-	return g.admission.BufferAllowance(g.buffers.clientBytes, g.config.Limits.ConnBuffer)
-}
-
-// accountClientBytes updates the account of the bytes that are held for clients.
-func (g *Gateway) accountClientBytes(c *clientConn) {
-	n := len(c.unread) + len(c.out)
-	if req := c.req; req != nil {
-		n += len(req.body.data)
-		if req.listing != nil {
-			n += req.listing.bytes
-		}
-	}
-	g.buffers.clientBytes += int64(n - c.accountedBytes)
-	c.accountedBytes = n
-}
-
-// flushClient has what is pending written to a client, which has to take it in time.
-func (g *Gateway) flushClient(c *clientConn) {
-	if c.closed {
-		return
-	}
-	g.accountClientBytes(c)
-	if !c.flushPending && len(c.pending()) > 0 {
-		if c.download.since == 0 {
-			c.download = transferProgress{since: g.clock.now}
-		}
-		if c.timer.deadline == never {
-			g.setDeadline(&c.bufferedConn, g.downloadDeadline(c))
-		}
-	}
-	g.flush(&c.bufferedConn)
-}
-
-// resumeClient reads a paused client again, and uses what it sent before.
-func (g *Gateway) resumeClient(c *clientConn) {
-	if !c.paused {
-		return
-	}
-	g.resume(&c.bufferedConn)
-	if len(c.unread) > 0 {
-		g.storeUnread(&c.bufferedConn, g.consumeClientData(c, c.unread))
-	}
-}
-
 // disconnectClient closes a client connection by op, and ends what it had under way.
 func (g *Gateway) disconnectClient(c *clientConn, op Op) {
 	if !c.closed {
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -36,20 +36,12 @@
 // a restart can change.
 var ErrRestartRequired = errors.New("classes, plans, heads, cold, budget, units and attempts change with a restart only")
 
-// Scheduler decides what is sent where and when: scheduler.Scheduler, or what a test or a
-// comparison puts in its place.
-type Scheduler interface {
-	// Handle takes the events since the last call, in their order, and returns what is to
-	// be done. The gateway does not keep the actions.
-	Handle(now Time, events []scheduler.Event) []scheduler.Action
-}
-
 // Gateway is one instance. It is not safe for concurrent use.
 type Gateway struct {
 	config     *config.Config
 	routes     *route.Table
 	admission  *admission.Admission
-	scheduler  Scheduler
+	scheduler  schedulerClient
 	protocol   protocol
 	observer   Observer // nil: there is none
 	invariants invariant.Checker
@@ -61,9 +53,6 @@
 	actions actionQueue
 	phase   shutdownPhase
 
-	events []scheduler.Event // for the next call of the scheduler
-	wakeAt Time              // when the scheduler's timer fires
-
 	conns        connTable
 	timers       timerQueue
 	readyClients []*clientConn // whose next request may be looked at
@@ -99,12 +88,11 @@
 		config:    c,
 		routes:    route.NewTable(c, nil),
 		admission: admission,
-		scheduler: s,
+		scheduler: newSchedulerClient(s),
 		protocol:  webdavProtocol{},
 		observer:  observer,
 		clock:     clock{now: now, origin: origin},
 		ids:       newIDGenerator(seed),
-		wakeAt:    never,
 		nodes:     newNodeTable(origin),
 		requests:  newRequestTable(),
 	}
@@ -137,12 +125,12 @@
 	g.conns.beginAdvance()
 	g.runTimers()
 	sourceNext := g.advanceMembershipSource()
-	for len(g.events) > 0 || len(g.readyClients) > 0 {
+	for g.scheduler.hasEvents() || len(g.readyClients) > 0 {
 		g.startNextRequests()
 		g.runScheduler()
 	}
 	g.conns.endAdvance()
-	next := min(g.wakeAt, sourceNext, g.timers.next())
+	next := min(g.scheduler.wakeAt, sourceNext, g.timers.next())
 	g.stall.nextAdvance = next
 	return g.actions.take(), next
 }
@@ -152,10 +140,7 @@
 	for c := g.timers.popExpired(g.clock.now); c != nil; c = g.timers.popExpired(g.clock.now) {
 		c.handleTimer(g)
 	}
-	if g.clock.now >= g.wakeAt {
-		g.wakeAt = never
-		g.events = append(g.events, scheduler.TimerFired{})
-	}
+	g.scheduler.runTimer(g.clock.now)
 }
 
 // startNextRequests looks at what clients have sent ahead of a response that is complete
@@ -169,20 +154,15 @@
 	}
 }
 
-// runScheduler hands the events to the scheduler and carries its decisions out, which may
-// lead to further events.
+// runScheduler has the scheduler handle the events, and carries its decisions out, which
+// may lead to further events.
 func (g *Gateway) runScheduler() {
-	if len(g.events) == 0 {
+	if !g.scheduler.hasEvents() {
 		return
 	}
-	events := g.events
-	g.events = nil
-	for _, action := range g.scheduler.Handle(g.clock.now, events) {
+	for _, action := range g.scheduler.decide(g.clock.now) {
 		g.applyDecision(action)
 	}
-	if g.events == nil { // the buffer is free for the next events
-		g.events = events[:0]
-	}
 }
 
 // applyDecision carries out a decision of the scheduler.
@@ -194,7 +174,7 @@
 		g.reject(g.requests.byID[a.ID], a.RetryAfter)
 	case scheduler.Fail:
 		g.fail(g.requests.byID[a.ID])
-	case scheduler.SetTimer: // replaces the timer before, also by a later one
-		g.wakeAt = g.clock.now + a.After
+	case scheduler.SetTimer:
+		g.scheduler.setTimer(g.clock.now + a.After)
 	}
 }
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -1,6 +1,7 @@
 package gateway
 
 import (
+	"errors"
 	"fmt"
 	"net/netip"
 	"strings"
@@ -125,7 +126,7 @@
 func TestSchedulerTimerIsReplaced(t *testing.T) {
 	h := newHarness(t, "")
 	timers := &timerScheduler{timers: []time.Duration{10 * time.Millisecond, 20 * time.Millisecond}}
-	h.gateway.scheduler = timers
+	h.gateway.scheduler.impl = timers
 	began := h.now
 	h.connectClient(getRequest("/feed-a/s/x"))
 	h.connectClient(getRequest("/feed-a/s/y"))
@@ -176,8 +177,12 @@
 	if h.spans[1].Volume != "feed-b" {
 		t.Errorf("%+v", h.spans[1])
 	}
-	if other, _ := config.Parse("harness", []byte(harnessConfig+"heads 3\n")); h.gateway.Reload(other) == nil {
-		t.Error("the number of instances was changed by a reload")
+	other, err := config.Parse("harness", []byte(harnessConfig+"heads 3\n"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := h.gateway.Reload(other); !errors.Is(err, ErrRestartRequired) {
+		t.Errorf("a reload that changes the number of instances gives %v", err)
 	}
 }
 
--- a/internal/gateway/invariant_checks_test.go
+++ b/internal/gateway/invariant_checks_test.go
@@ -30,7 +30,7 @@
 
 func newScriptedHarness(t *testing.T) *scriptedHarness {
 	h := &scriptedHarness{harness: newHarness(t, ""), scheduler: &scriptedScheduler{}}
-	h.gateway.scheduler = h.scheduler
+	h.gateway.scheduler.impl = h.scheduler
 	h.client = h.connectClient("PUT /feed-a/x HTTP/1.1\r\nHost: h\r\nContent-Length: 4\r\n\r\nbody")
 	h.runActions()
 	return h
@@ -43,7 +43,7 @@
 
 // runScheduler has the scheduler called.
 func (h *scriptedHarness) runScheduler() {
-	h.gateway.events = append(h.gateway.events, scheduler.TimerFired{})
+	h.gateway.scheduler.notify(scheduler.TimerFired{})
 	h.runActions()
 }
 
--- a/internal/gateway/membership_bench_test.go
+++ b/internal/gateway/membership_bench_test.go
@@ -27,38 +27,38 @@
 	for _, size := range []int{200, 800, 3200} {
 		nodes := memberList(size)
 		fresh := func() *Gateway {
-			core, err := scheduler.New(settings, 1, 0)
+			s, err := scheduler.New(settings, 1, 0)
 			if err != nil {
 				b.Fatal(err)
 			}
-			return &Gateway{scheduler: core, nodes: newNodeTable(time.Time{}), wakeAt: never}
+			return &Gateway{scheduler: newSchedulerClient(s), nodes: newNodeTable(time.Time{})}
 		}
 		b.Run(fmt.Sprint("first/", size), func(b *testing.B) {
 			for range b.N {
-				h := fresh()
-				h.SetNodes(time.Second, nodes)
-				h.Advance(time.Second)
+				g := fresh()
+				g.SetNodes(time.Second, nodes)
+				g.Advance(time.Second)
 			}
 		})
 		b.Run(fmt.Sprint("unchanged/", size), func(b *testing.B) {
-			h := fresh()
-			h.SetNodes(time.Second, nodes)
-			h.Advance(time.Second)
+			g := fresh()
+			g.SetNodes(time.Second, nodes)
+			g.Advance(time.Second)
 			for range b.N {
-				h.SetNodes(time.Second, nodes)
-				h.Advance(time.Second)
+				g.SetNodes(time.Second, nodes)
+				g.Advance(time.Second)
 			}
 		})
 		b.Run(fmt.Sprint("one/", size), func(b *testing.B) {
-			h := fresh()
-			h.SetNodes(time.Second, nodes)
-			h.Advance(time.Second)
+			g := fresh()
+			g.SetNodes(time.Second, nodes)
+			g.Advance(time.Second)
 			one := nodes[size/2 : size/2+1]
 			for i := range b.N {
 				change := []nodelist.Node{one[0]}
 				change[0].State = scheduler.NodeState(i % 2)
-				h.updateMembership(membership.Update{Nodes: change})
-				h.Advance(time.Second)
+				g.updateMembership(membership.Update{Nodes: change})
+				g.Advance(time.Second)
 			}
 		})
 	}
--- a/internal/gateway/node_conn.go
+++ b/internal/gateway/node_conn.go
@@ -196,7 +196,7 @@
 	}
 	if attempt := c.attempt; attempt != nil && !attempt.stalled {
 		attempt.stalled = true
-		g.events = append(g.events, scheduler.AttemptStalled{ID: attempt.req.id, Attempt: attempt.number})
+		g.scheduler.notify(scheduler.AttemptStalled{ID: attempt.req.id, Attempt: attempt.number})
 	}
 }
 
@@ -204,7 +204,7 @@
 func (g *Gateway) attemptResumed(attempt *nodeAttempt) {
 	if attempt != nil && attempt.stalled {
 		attempt.stalled = false
-		g.events = append(g.events, scheduler.AttemptResumed{ID: attempt.req.id, Attempt: attempt.number})
+		g.scheduler.notify(scheduler.AttemptResumed{ID: attempt.req.id, Attempt: attempt.number})
 	}
 }
 
--- a/internal/gateway/node_response.go
+++ b/internal/gateway/node_response.go
@@ -128,7 +128,7 @@
 	}
 	if !attempt.responseStarted {
 		attempt.responseStarted = true
-		g.events = append(g.events, scheduler.ResponseStarted{ID: attempt.req.id, Attempt: attempt.number})
+		g.scheduler.notify(scheduler.ResponseStarted{ID: attempt.req.id, Attempt: attempt.number})
 	}
 	if !c.paused {
 		g.setDeadline(&c.bufferedConn, g.clock.now+g.config.Timeouts.Stall)
--- a/internal/gateway/node_table.go
+++ b/internal/gateway/node_table.go
@@ -102,7 +102,7 @@
 	if g.observer != nil {
 		g.observer.MembersChanged(changes)
 	}
-	g.events = append(g.events, scheduler.EndpointUpdate{Endpoints: endpoints})
+	g.scheduler.notify(scheduler.EndpointUpdate{Endpoints: endpoints})
 }
 
 // updateNode applies a change of one node. Its idle connections are closed if they
--- a/internal/gateway/random_histories_test.go
+++ b/internal/gateway/random_histories_test.go
@@ -148,7 +148,7 @@
 	}
 	for id, req := range g.requests.byID {
 		x.rt.Logf("%d: %s, %d attempts in flight of %d, final %v, deadline %v; now %v, scheduler's timer %v, next %v, %d timers",
-			id, req.method, req.attempts.inFlight, req.attempts.count, req.response.final, req.deadline, x.now, g.wakeAt, x.next, len(g.timers.heap))
+			id, req.method, req.attempts.inFlight, req.attempts.count, req.response.final, req.deadline, x.now, g.scheduler.wakeAt, x.next, len(g.timers.heap))
 	}
 	x.rt.Log(x.actionLog.String())
 	x.rt.Fatalf("%d requests are left", len(g.requests.byID))
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -137,7 +137,7 @@
 	if req.client != nil {
 		g.admission.RequestAccepted(g.clock.now, uint64(req.client.id))
 	}
-	g.events = append(g.events, *arrival)
+	g.scheduler.notify(*arrival)
 }
 
 // abandonRequest notifies the scheduler that the client of a request has left before its
@@ -153,7 +153,7 @@
 	}
 	req.response.final, req.disconnectedAt = true, g.clock.now
 	g.counts.Disconnected++
-	g.events = append(g.events, scheduler.ClientDisconnected{ID: req.id})
+	g.scheduler.notify(scheduler.ClientDisconnected{ID: req.id})
 	g.reportRequestEnd(req, ClientDisconnected)
 	switch attempts := &req.attempts; {
 	case attempts.uploading != nil && !req.body.complete:
--- a/internal/gateway/shutdown.go
+++ b/internal/gateway/shutdown.go
@@ -53,7 +53,7 @@
 		if req.response.final {
 			continue
 		}
-		g.events = append(g.events, scheduler.ClientDisconnected{ID: req.id})
+		g.scheduler.notify(scheduler.ClientDisconnected{ID: req.id})
 		if req.attempts.latest != nil {
 			g.cancelAttempt(req.attempts.latest)
 		}
--- a/internal/gateway/status.go
+++ b/internal/gateway/status.go
@@ -23,7 +23,7 @@
 func (g *Gateway) Status() []NodeStatus {
 	connections := g.nodeConnections()
 	var all []NodeStatus
-	if reporter, ok := g.scheduler.(statusReporter); ok {
+	if reporter, ok := g.scheduler.impl.(statusReporter); ok {
 		for _, status := range reporter.Status() {
 			all = append(all, NodeStatus{status, connections[status.Node]})
 			delete(connections, status.Node)
