--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -8,24 +8,27 @@
 const bootSite = `{"fleetSize":1,"classes":[{"target":150000,"effect":"retryable","gain":2}],` +
 	`"grades":[{"shares":1,"valueFactor":1}],"unknown":{"x":1}}`
 
-func play(t *testing.T, in string) string {
+// play returns the answer to the batches of an input.
+func play(t *testing.T, input string) string {
 	t.Helper()
-	var out strings.Builder
-	if err := run(strings.NewReader(in), &out); err != nil {
+	var output strings.Builder
+	if err := run(strings.NewReader(input), &output); err != nil {
 		t.Fatal(err)
 	}
-	return out.String()
+	return output.String()
 }
 
+// Each instance gets its events, and its actions follow; start, stop and settings that are out of range
+// end what was before.
 func TestRun(t *testing.T) {
 	const boot = "boot head_0 5 " + bootSite + "\nregistry head_0 C 1 1\nitem s 0 0 0 SERVING 1 -\n"
-	const job = " 0 0 k 0 vol 1000000 2 1 0\n"
+	const arrival = " 0 0 k 0 vol 1000000 2 1 0\n"
 	for _, c := range []struct{ name, in, want string }{
 		{"empty batch", "clock 5 1\nover_to_you\n", "next 1\n"},
-		{"a request is sent", "clock 5 1\n" + boot + "job_in head_0 7" + job + "over_to_you\n",
+		{"a request is sent", "clock 5 1\n" + boot + "job_in head_0 7" + arrival + "over_to_you\n",
 			"dispatch head_0 7 s 0\n"},
-		{"stopped and started in one batch", "clock 5 1\n" + boot + "over_to_you\nclock 9 2\njob_in head_0 7" + job +
-			"shutdown head_0\n" + boot + "job_in head_0 8" + job + "over_to_you\n", "dispatch head_0 8 s 0\n"},
+		{"stopped and started in one batch", "clock 5 1\n" + boot + "over_to_you\nclock 9 2\njob_in head_0 7" + arrival +
+			"shutdown head_0\n" + boot + "job_in head_0 8" + arrival + "over_to_you\n", "dispatch head_0 8 s 0\n"},
 		{"unusable settings", "clock 5 1\nboot head_0 5 {}\nover_to_you\n", "broken head_0 settings: Instances"},
 		{"nothing after a stop", "clock 5 1\n" + boot + "shutdown head_0\nbell head_0 w\nover_to_you\n", "next 1\n"},
 	} {
@@ -38,13 +41,14 @@
 	}
 }
 
+// A line that is not of the protocol ends the run with its number, and nothing is answered.
 func TestMalformedInputIsAnError(t *testing.T) {
-	var out strings.Builder
-	err := run(strings.NewReader("clock 1 1\nnonsense head_0\n"), &out)
+	var output strings.Builder
+	err := run(strings.NewReader("clock 1 1\nnonsense head_0\n"), &output)
 	if err == nil || !strings.Contains(err.Error(), "line 2") {
 		t.Errorf("error %v does not name the line", err)
 	}
-	if out.Len() > 0 {
-		t.Errorf("wrote %q", out.String())
+	if output.Len() > 0 {
+		t.Errorf("wrote %q", output.String())
 	}
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -70,7 +70,7 @@
 // Limits bound attempts and connections.
 type Limits struct {
 	MaxAttempts int `json:"maxAttempts"` // 0 for no bound
-	// MaxRetryAfter is told to rejected clients where SendRetryAfter is set.
+	// MaxRetryAfter is the Retry-After of rejections, sent where SendRetryAfter is set.
 	MaxRetryAfter  int64 `json:"maxRetryAfter"`
 	SendRetryAfter bool  `json:"retryAfter"`
 	ConnectionIdle int64 `json:"connIdle"`       // after which nodes close a connection
--- a/scheduler/actions.go
+++ b/scheduler/actions.go
@@ -22,7 +22,7 @@
 // Reject gives a request a final response which says that the client may safely try again.
 type Reject struct {
 	ID uint64
-	// RetryAfter is what the client is told to wait before it tries again, 0 for no such advice.
+	// RetryAfter is how long the client should wait before it retries, 0 to leave that open.
 	RetryAfter time.Duration
 }
 
--- a/scheduler/attempts.go
+++ b/scheduler/attempts.go
@@ -9,9 +9,9 @@
 type attempt struct {
 	request *request
 	node    *node
-	// sentAt is when it was sent, later by the time that this instance's machine held it up.
+	// sentAt is when it was sent, later by the time that it was stalled.
 	sentAt    Time
-	stalledAt Time // since when the machine holds it up, 0 if it does not
+	stalledAt Time // since when it is stalled (see AttemptStalled), 0 if it is not
 	// filledWindow is set where the attempt left no room for another one in the node's window.
 	filledWindow bool
 }
--- a/scheduler/circuit_breaker.go
+++ b/scheduler/circuit_breaker.go
@@ -3,12 +3,12 @@
 import "time"
 
 const (
-	// maxSilence is how long a node with requests in flight may be silent before its circuit
-	// breaker opens, in shortest latency objectives of all classes.
-	maxSilence = 2.0
-	// maxSilenceLatencies is the same in estimated latencies of the node. The longer of both
+	// unresponsiveObjectives is how long a node with requests in flight may take to respond before
+	// its circuit breaker opens, in shortest latency objectives of all classes.
+	unresponsiveObjectives = 2.0
+	// unresponsiveLatencies is the same in estimated latencies of the node. The longer of both
 	// counts, so that a node that is merely slow keeps its requests.
-	maxSilenceLatencies = 4.0
+	unresponsiveLatencies = 4.0
 	// maxConsecutiveFailures is how many failed or reset connections in a row open the breaker.
 	maxConsecutiveFailures = 3
 	// maxTrialInterval is the longest time between the trial requests of an open breaker. The
@@ -44,15 +44,15 @@
 	}
 }
 
-// checkSilence opens the breaker of a node that has requests in flight and has not responded for
-// too long.
-func (s *Scheduler) checkSilence(n *node) {
+// checkResponsiveness opens the breaker of a node that has requests in flight and has not responded
+// for too long.
+func (s *Scheduler) checkResponsiveness(n *node) {
 	if len(n.inFlight) == 0 {
 		return
 	}
-	longest := max(maxSilence*s.shortestObjective.Seconds(), maxSilenceLatencies*n.latency)
-	silence := s.now - max(n.lastResponseAt, n.inFlight[0].inFlightSince(s.now))
-	if silence.Seconds() >= longest {
+	longest := max(unresponsiveObjectives*s.shortestObjective.Seconds(), unresponsiveLatencies*n.latency)
+	sinceResponse := s.now - max(n.lastResponseAt, n.inFlight[0].inFlightSince(s.now))
+	if sinceResponse.Seconds() >= longest {
 		s.openBreaker(n)
 	}
 }
--- a/scheduler/dispatch.go
+++ b/scheduler/dispatch.go
@@ -7,7 +7,7 @@
 	n.dirty = false
 	s.boundWindow(n)
 	s.updateEstimate(n)
-	s.checkSilence(n)
+	s.checkResponsiveness(n)
 	s.rejectExpired(n.queue)
 	for n.queue.Len() > 0 {
 		if n.breaker.trialDue(s.now) {
--- a/scheduler/events.go
+++ b/scheduler/events.go
@@ -139,8 +139,8 @@
 	Attempt int
 }
 
-// AttemptStalled reports that a failure of the instance's own machine, such as a lack of
-// descriptors or memory, holds an attempt up. The time until AttemptResumed is not held against
+// AttemptStalled reports that an attempt cannot go on for a failure of the instance's own machine,
+// such as a lack of descriptors or memory. The time until AttemptResumed does not count against
 // the node.
 type AttemptStalled struct {
 	ID      uint64
--- a/scheduler/golden_test.go
+++ b/scheduler/golden_test.go
@@ -96,10 +96,10 @@
 // The actions of whole fleets are those recorded.
 func TestGoldenFleets(t *testing.T) {
 	sums := map[string]string{}
-	for _, heads := range []int{4, 30, 140} {
+	for _, instances := range []int{4, 30, 140} {
 		for _, load := range []float64{0.6, 1.3} {
 			for seed := range uint64(3) {
-				s := slowStartSettings(heads, 120)
+				s := slowStartSettings(instances, 120)
 				f := newFleet(s, seed)
 				f.digest = NewDigest()
 				f.updateEndpoints("A", 0)
@@ -108,7 +108,7 @@
 				f.queueFullRate = 0.1
 				f.updateEndpoints("B", started)
 				f.run(5*time.Second, load*120/s.MeanUnits)
-				key := fmt.Sprintf("%d heads/%v/%d", heads, load, seed)
+				key := fmt.Sprintf("%d heads/%v/%d", instances, load, seed)
 				sums[key] = f.digest.Sum()
 			}
 		}
--- a/scheduler/outcomes.go
+++ b/scheduler/outcomes.go
@@ -44,7 +44,7 @@
 
 func (s *Scheduler) recordTimeout(n *node, a *attempt, latency float64) {
 	if a.stalledAt > 0 {
-		return // this instance's own machine held it up until its deadline
+		return // it was stalled until its deadline
 	}
 	s.observeAtNode(n, observation{latency: latency, waitingFraction: 1})
 	s.collapseWindow(n)
--- a/scheduler/requests.go
+++ b/scheduler/requests.go
@@ -91,7 +91,7 @@
 	}
 }
 
-// priorityWeight is what a unit is worth if it is served in time and within the reserve.
+// priorityWeight is what a unit earns if it is served in time and within the reserve.
 func (p *profile) priorityWeight() float64 { return p.class.PriorityWeight * p.plan.PriorityFactor }
 
 // Orders of the requests of a subqueue.
--- a/scheduler/settings.go
+++ b/scheduler/settings.go
@@ -77,8 +77,8 @@
 	DeduplicationWindow time.Duration
 	// Ordered has requests with the same non-empty key run one at a time, in order of arrival.
 	Ordered bool
-	// PriorityWeight is what one unit served in time is worth; only its ratio to the weights of
-	// other classes matters.
+	// PriorityWeight is what one unit served in time earns; only its ratio to the weights of other
+	// classes matters.
 	PriorityWeight float64
 	// LateWeightFactor is the fraction of PriorityWeight that a response earns after the
 	// latency objective.
@@ -149,7 +149,7 @@
 
 	// MaxAttempts bounds the attempts of one request, 0 for no bound.
 	MaxAttempts int
-	// MaxRetryAfter is what a rejected client is told as Retry-After, 0 to tell nothing.
+	// MaxRetryAfter is the Retry-After of rejections, 0 to send none.
 	MaxRetryAfter time.Duration
 	// KeyCooldown is how long the next request of an ordered key waits after an attempt that
 	// may still run at its node, 0 for not at all.
--- a/scheduler/timers.go
+++ b/scheduler/timers.go
@@ -16,8 +16,8 @@
 	// queueChecksPerObjective is how often a node with queued requests is looked at within the
 	// shortest latency objective: pressure, buckets and expected latencies change with time alone.
 	queueChecksPerObjective = 12
-	// silenceChecksPerObjective is the same for a node with attempts in flight, for checkSilence.
-	silenceChecksPerObjective = 4
+	// responseChecksPerObjective is the same for a node with attempts in flight, for checkResponsiveness.
+	responseChecksPerObjective = 4
 	// timerResolution is the unit of timers. The caller may round a timer down to its own unit; one
 	// that fires a fraction early would be taken for the one that was set, and nothing would be due.
 	timerResolution = time.Millisecond
@@ -97,7 +97,7 @@
 func (s *Scheduler) setWakeTime(n *node) {
 	n.wakeAt = never
 	if len(n.inFlight) > 0 {
-		n.wakeAt = s.now + s.shortestObjective/silenceChecksPerObjective
+		n.wakeAt = s.now + s.shortestObjective/responseChecksPerObjective
 	}
 	if n.queue.Len() > 0 {
 		checkAt := max(n.nextSendAt(), s.now+s.shortestObjective/queueChecksPerObjective)
