--- a/internal/gateway/actions.go
+++ b/internal/gateway/actions.go
@@ -3,7 +3,7 @@
 // Op is what the driver has to do with a connection.
 type Op uint8
 
-// Operations.
+// Operations on connections.
 const (
 	Dial       Op = iota // connect to Addr, then call Connected or Closed
 	Flush                // write the bytes that Out returns and call Wrote
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -7,9 +7,9 @@
 )
 
 // nodeAttempt is one sending of a request to a node. It begins when the scheduler decides
-// to send, and ends once, with an outcome that the scheduler is notified of. conn is nil
-// if it ended before it had a connection; a connection that is not its any more has
-// another attempt or none.
+// to send, and ends exactly once, with an outcome that the scheduler is notified of. conn
+// is nil if the attempt ended before it had a connection. While it is in flight,
+// conn.attempt is this attempt; afterwards the connection may carry another one.
 type nodeAttempt struct {
 	req         *request
 	number      int // of the request's attempts, from 0
@@ -34,17 +34,17 @@
 	bufferResponse  bool          // the response is buffered until it is complete
 	status          int           // 0: there is none
 	reportedLoad    float64       // requests that the node said it has, if hasLoadReport
-	discardedBytes  int64         // of a response that nobody is given
+	discardedBytes  int64         // of a response that is not passed on
 	responseBody    []byte        // of a buffered response
 	stallTimeout    time.Duration // of a buffered response
 }
 
-// requestWritten tells whether the whole request was written.
+// requestWritten reports whether the whole request was written.
 func (a *nodeAttempt) requestWritten() bool {
 	return a.fullyQueued && len(a.conn.pending()) == 0
 }
 
-// responseWanted tells whether the body of its response is for a client or a listing.
+// responseWanted reports whether the body of its response is for a client or a listing.
 func (a *nodeAttempt) responseWanted() bool {
 	if a.bufferResponse {
 		return true
--- a/internal/gateway/buffers.go
+++ b/internal/gateway/buffers.go
@@ -1,15 +1,15 @@
 package gateway
 
-// Released buffers and requests are kept for reuse up to these bounds, so that the
-// memory of a surge is given back to the garbage collector.
+// Free buffers and requests are kept for reuse up to these limits. What is above them is
+// left to the garbage collector, so that the memory of a surge is not kept for good.
 const (
 	maxPooled          = 256      // buffers, and requests
 	maxPooledBuffer    = 64 << 10 // bytes; a larger buffer is not kept
 	initialBufferBytes = 2 << 10
 )
 
-// bufferPool has the buffers for reuse, and the account of the bytes in use that
-// are limited over all connections.
+// bufferPool has the free buffers, and counts the bytes in use that are limited over all
+// connections.
 type bufferPool struct {
 	free [][]byte
 
--- a/internal/gateway/client_conn.go
+++ b/internal/gateway/client_conn.go
@@ -9,19 +9,19 @@
 	// firstRequestGrace is how long a connection that may have a request on its way has
 	// to deliver it when the instance is stopping.
 	firstRequestGrace = 200 * time.Millisecond
-	// lingerTimeout is how long a client that still sends is listened to after the last
-	// response, so that a reset does not take the response from it.
+	// lingerTimeout is how long a client that does not close is still read after the last
+	// response; see lingeringClose.
 	lingerTimeout = 2 * time.Second
 )
 
-// clientPhase is the life of a client connection. It only moves on.
+// clientPhase is the phase of a client connection. It only advances.
 type clientPhase uint8
 
 const (
 	clientOpen       clientPhase = iota // requests are read
-	clientClosing                       // the connection ends after the present response
-	clientOverflowed                    // closing, and the client has pipelined too much: it is read and dropped
-	clientDiscarding                    // closing, and what the client still sends cannot be read as requests
+	clientClosing                       // the connection ends after the response to the current request
+	clientOverflowed                    // closing, and the client has pipelined too much: its input is dropped
+	clientDiscarding                    // closing, and the input cannot be parsed as requests any more
 	clientLingering                     // the sending side is shut down; input is dropped until the client closes
 )
 
@@ -42,8 +42,9 @@
 	return [...]string{"connected", "half-closed", "disconnected"}[s]
 }
 
-// clientConn is a connection of a client. It has one request at a time; the next one
-// is looked at when the response to it was queued whole.
+// clientConn is a connection of a client. It carries one request at a time: what the
+// client pipelines is left in unread until the whole response to the request is in the
+// write buffer.
 type clientConn struct {
 	bufferedConn
 	remote netip.AddrPort
@@ -51,7 +52,7 @@
 	peer   peerState
 
 	req             *request // under way; nil: none
-	requestCount    int      // requests it had
+	requestCount    int      // requests read so far
 	headerStartedAt Time     // when the first byte of a header arrived; 0: none
 	queued          bool     // it is in Gateway.readyClients
 	acceptDelay     Time     // how long it may have waited to be accepted
@@ -61,8 +62,8 @@
 	// the response was written. requestServed tells how it ended.
 	requestEndDue, requestServed bool
 
-	// mayHaveUnreadRequest: a system call on it was put off for want of the machine's
-	// own resources, and nothing was read since, so a request may wait in the socket.
+	// mayHaveUnreadRequest: a system call on it was deferred for lack of local
+	// resources, and nothing was read since, so a request may wait in the socket.
 	// The driver reports reads and writes alike; after a write that was put off the
 	// only consequence is that a stopping instance waits firstRequestGrace for it.
 	mayHaveUnreadRequest bool
@@ -75,8 +76,8 @@
 // enter moves the connection on to a phase, unless it is further already.
 func (c *clientConn) enter(phase clientPhase) { c.phase = max(c.phase, phase) }
 
-// responseDue tells whether the connection has a submitted request that is owed its
-// final response.
+// responseDue reports whether the connection has a submitted request without a final
+// response, and a client that waits for it.
 func (c *clientConn) responseDue() bool {
 	return c.req != nil && c.req.id != 0 && !c.req.response.final && c.peer != peerDisconnected
 }
@@ -89,7 +90,8 @@
 	}
 }
 
-// handleWritten goes on with what waited for the client to take the response.
+// handleWritten resumes the node if it was paused for the client, and detects that a
+// response was written whole.
 func (c *clientConn) handleWritten(g *Gateway, n int) {
 	c.download.bytes += int64(n)
 	g.accountClientBytes(c)
@@ -134,7 +136,7 @@
 func (c *clientConn) handleTimer(g *Gateway) {
 	req := c.req
 	switch {
-	case c.phase >= clientDiscarding, len(c.pending()) > 0: // it does not take its response
+	case c.phase >= clientDiscarding, len(c.pending()) > 0: // the client does not read its response
 		g.disconnectClient(c, Abort)
 	case req != nil && !req.body.complete && !req.response.final:
 		g.uploadTimedOut(c, req)
@@ -174,8 +176,8 @@
 	g.writeLocalResponse(req, 408, []byte("the body did not come in time\n"), nil)
 }
 
-// respondHeaderTimeout answers a client whose request's header does not come, which has
-// no request yet, and ends with it.
+// respondHeaderTimeout answers a client that has not sent the header of its request in
+// time, and ends the connection. As there is no request yet, one is made for the response.
 func (g *Gateway) respondHeaderTimeout(c *clientConn) {
 	const reason = "the header did not come in time"
 	req := g.requests.create()
@@ -186,7 +188,7 @@
 	g.writeLocalResponse(req, 408, []byte(reason+"\n"), nil)
 }
 
-// disconnectClient closes a client connection by op, and ends what it had under way.
+// disconnectClient closes a client connection by op, and ends its request.
 func (g *Gateway) disconnectClient(c *clientConn, op Op) {
 	if !c.closed {
 		g.closeConn(c, op)
@@ -233,7 +235,7 @@
 	}
 }
 
-// startNextRequest looks at what a client sent while its last request was under way.
+// startNextRequest parses what a client has pipelined behind its last request.
 func (g *Gateway) startNextRequest(c *clientConn) {
 	c.queued = false
 	if c.closed || c.req != nil {
--- a/internal/gateway/client_input.go
+++ b/internal/gateway/client_input.go
@@ -1,10 +1,10 @@
 package gateway
 
-// maxPipelinedBytes is how much a client may send ahead of its response where its EOF
-// means that it has left. Such a client is read on while its request is under way, as
-// the EOF is behind what it sent ahead: unread, a client that has left would go
-// unnoticed, and its request would be sent for nobody. A client that sends more is
-// read on, what it sends is dropped, and the connection ends with the response.
+// maxPipelinedBytes limits what a client may pipeline if its EOF means that it has left.
+// Such a client is not paused while its request is under way, as the EOF is behind what
+// it has pipelined: unread, a client that has left would go unnoticed, and its request
+// would be sent for nobody. Beyond the limit its input is dropped, and the connection
+// ends with the response.
 const maxPipelinedBytes = 16 << 10
 
 // clientInput is what the next bytes of a client connection are.
@@ -14,7 +14,7 @@
 	inputDiscarded clientInput = iota // not to be used
 	inputHeader                       // the header of a request
 	inputBody                         // the body of the request under way
-	inputPipelined                    // requests sent ahead of the response
+	inputPipelined                    // requests behind the request under way
 )
 
 func (i clientInput) String() string {
@@ -91,7 +91,7 @@
 	return rest, true
 }
 
-// uploadBlocked tells whether there is no room for more of a request body: a submitted
+// uploadBlocked reports whether there is no room for more of a request body: a submitted
 // request has filled its buffer, or the node takes the body more slowly than it comes.
 func (g *Gateway) uploadBlocked(req *request) bool {
 	if uploading := req.attempts.uploading; uploading != nil {
@@ -100,7 +100,7 @@
 	return req.id != 0 && len(req.body.data) >= g.config.Limits.BodyBuffer
 }
 
-// holdPipelined keeps what a client has sent ahead of its response.
+// holdPipelined keeps what a client has pipelined, or drops what is beyond the limit.
 func (g *Gateway) holdPipelined(c *clientConn, data []byte) (rest []byte) {
 	switch {
 	case !g.protocol.eofMeansDisconnect():
--- a/internal/gateway/conn.go
+++ b/internal/gateway/conn.go
@@ -16,18 +16,18 @@
 	handleClosed(g *Gateway)
 	// handleTimer is called when the connection's timer has expired.
 	handleTimer(g *Gateway)
-	// handleRemoved gives back what the connection counted for. It is called once,
-	// when the connection is closed, and must not close connections itself.
+	// handleRemoved takes the connection out of the counts of its role. It is called
+	// once, when the connection is closed, and must not close connections itself.
 	handleRemoved(g *Gateway)
 }
 
-// bufferedConn is what connections of all roles have: the bytes that were read and
-// written, flow control, and a timer. Once closed is set, the connection is in no table,
+// bufferedConn is what connections of all roles have: buffers for reading and writing,
+// flow control, and a timer. Once closed is set, the connection is in no table,
 // has no buffers and no timer, and no action is requested for it.
 type bufferedConn struct {
 	id            ConnID
 	unread        []byte // received and not consumed yet
-	headerScanned int    // bytes of unread that are known to hold no end of a header
+	headerScanned int    // bytes of unread that were searched for the end of a header
 	out           []byte // to be written
 	written       int    // bytes of out that are written
 	paused        bool   // the driver was asked to read no more
@@ -64,8 +64,8 @@
 	}
 }
 
-// wrote takes n written bytes from what is pending. Written bytes are moved out of the
-// buffer only when there are more than maxWritten of them.
+// wrote removes n written bytes from what is pending. The rest is moved to the front of
+// the buffer only if more than maxWritten bytes are free there.
 func (g *Gateway) wrote(c *bufferedConn, n, maxWritten int) {
 	if c.written += n; c.written == len(c.out) {
 		g.buffers.put(c.out)
--- a/internal/gateway/conn_events.go
+++ b/internal/gateway/conn_events.go
@@ -65,9 +65,9 @@
 	}
 }
 
-// Stalled is called when a system call on a connection failed for want of the machine's
-// own resources and is retried later: dialing, reading or writing. The peer is not to
-// blame for the delay.
+// Stalled is called when a system call on a connection (dialing, reading or writing)
+// failed for lack of local resources, such as descriptors, ports or memory, and is retried
+// later. The peer is not to blame for the delay.
 func (g *Gateway) Stalled(now Time, id ConnID) {
 	g.clock.advance(now)
 	switch c := g.conns.find(id).(type) {
--- a/internal/gateway/conn_table.go
+++ b/internal/gateway/conn_table.go
@@ -8,7 +8,7 @@
 // Slot returns a small number that is unique among the open connections.
 func (id ConnID) Slot() int { return int(uint32(id)) }
 
-// connTable has the open connections by slot.
+// connTable holds the open connections, indexed by slot.
 //
 // A slot whose connection the gateway closes is free again only after the driver has
 // carried out the Close or Abort. Otherwise the driver would get actions on the new
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -26,14 +26,14 @@
 	"maddergap/scheduler"
 )
 
-// Time is a reading of the driver's monotonic clock, as the scheduler's.
+// Time is a reading of the driver's monotonic clock, as in the scheduler.
 type Time = scheduler.Time
 
 // never is a time that does not come.
 const never = Time(math.MaxInt64)
 
-// ErrRestartRequired is returned by Reload for a configuration that differs in what only
-// a restart can change.
+// ErrRestartRequired is returned by Reload if the new configuration changes settings of
+// the scheduler, which take effect at a restart only.
 var ErrRestartRequired = errors.New("classes, plans, heads, cold, budget, units and attempts change with a restart only")
 
 // Gateway is one instance. It is not safe for concurrent use.
@@ -55,7 +55,7 @@
 
 	conns        connTable
 	timers       timerQueue
-	readyClients []*clientConn // whose next request may be looked at
+	readyClients []*clientConn // whose response is complete, and whose next request may be parsed
 	clientConns  int           // open connections of clients
 	nodes        nodeTable
 	requests     requestTable
@@ -81,7 +81,8 @@
 func NewWithScheduler(s Scheduler, c *config.Config, seed uint64, now Time, origin time.Time, observer Observer) *Gateway {
 	admission, err := admission.New(c.Admission, seed)
 	if err != nil {
-		// Reading a configuration checks that of admission, so it was made by hand.
+		// Parsing a configuration validates its admission part, so this one was not parsed.
+		// It is a fault of the caller.
 		panic(err)
 	}
 	g := &Gateway{
@@ -102,8 +103,8 @@
 	return g
 }
 
-// Reload takes a new configuration. Requests under way go on by the old one. On an error,
-// for instance ErrRestartRequired, nothing of it is applied.
+// Reload replaces the configuration. Requests under way keep the volume and the class they
+// were given. On an error, for instance ErrRestartRequired, nothing is changed.
 func (g *Gateway) Reload(c *config.Config) error {
 	if !reflect.DeepEqual(c.Scheduler, g.config.Scheduler) {
 		return ErrRestartRequired
@@ -143,7 +144,7 @@
 	g.scheduler.runTimer(g.clock.now)
 }
 
-// startNextRequests looks at what clients have sent ahead of a response that is complete
+// startNextRequests parses what clients have pipelined behind a response that is complete
 // now.
 func (g *Gateway) startNextRequests() {
 	for len(g.readyClients) > 0 {
--- a/internal/gateway/idle_conns.go
+++ b/internal/gateway/idle_conns.go
@@ -8,8 +8,8 @@
 	"maddergap/scheduler"
 )
 
-// reuseDelay is how long a connection is idle before it is reused, if another one can be
-// used. It guards against nodes that respond twice, the second time some milliseconds
+// reuseDelay is how long a connection is left idle before it is reused, as long as
+// another one can be used. It guards against nodes that respond twice, the second time some milliseconds
 // later: the second response would be taken for that of the next request. On an idle
 // connection it is seen to be one that nobody has asked for.
 const reuseDelay = 20 * time.Millisecond
@@ -47,19 +47,19 @@
 	}
 }
 
-// canAddConn tells whether a connection to a node may be added without closing another.
+// canAddConn reports whether a connection to a node may be added without closing another.
 func (g *Gateway) canAddConn(n *node) bool {
 	return n.conns < g.config.Limits.ConnsPerNode && g.belowNodeConnLimit()
 }
 
-// belowNodeConnLimit tells whether one more connection fits into the limit over all
+// belowNodeConnLimit reports whether one more connection fits into the limit over all
 // nodes; a limit of 0 is none.
 func (g *Gateway) belowNodeConnLimit() bool {
 	limit := g.config.Limits.NodeConns
 	return limit == 0 || g.nodes.conns < limit
 }
 
-// makeRoomForNodeConn tells whether one more connection to any node may be opened. At the
+// makeRoomForNodeConn reports whether one more connection to any node may be opened. At the
 // limit the connection that was idle longest is closed for it.
 func (g *Gateway) makeRoomForNodeConn() bool {
 	if g.belowNodeConnLimit() {
--- a/internal/gateway/invariant_checks.go
+++ b/internal/gateway/invariant_checks.go
@@ -86,13 +86,13 @@
 	return g.ids.requestID(req.id)
 }
 
-// mayStartAttempt tells whether an attempt may start, when the scheduler has decided it.
+// mayStartAttempt reports whether an attempt may start, when the scheduler has decided it.
 func (g *Gateway) mayStartAttempt(attempt *nodeAttempt) bool {
 	a := g.invariantAttempt(attempt)
 	return g.invariants.CheckBeforeWrite(g.clock.now, &a) == invariant.None
 }
 
-// mayWrite tells whether bytes may be written to a node's connection. Before the first
+// mayWrite reports whether bytes may be written to a node's connection. Before the first
 // byte of an attempt the invariants are checked again, as time has passed since the
 // scheduler decided: the connection was dialed, or its socket was full. An attempt that
 // may not start any more is withheld.
@@ -113,7 +113,7 @@
 	return false
 }
 
-// announcedTimeoutOutdated tells whether an attempt would tell its node more time than
+// announcedTimeoutOutdated reports whether an attempt would tell its node more time than
 // there is left, so that it has to be encoded anew.
 func (g *Gateway) announcedTimeoutOutdated(attempt *nodeAttempt) bool {
 	timeout, deadline := attempt.announcedTimeout, attempt.req.deadline
--- a/internal/gateway/invariant_checks_test.go
+++ b/internal/gateway/invariant_checks_test.go
@@ -59,7 +59,7 @@
 	return n
 }
 
-// The scheduler decides something that it never must, or time has passed since it decided.
+// The scheduler decides what it must not, or the situation has changed since it decided.
 // The attempt is withheld, counted by the invariant that it would have violated, and
 // reported with the id of its request.
 func TestAttemptViolatingInvariantIsWithheld(t *testing.T) {
--- a/internal/gateway/node_conn.go
+++ b/internal/gateway/node_conn.go
@@ -7,13 +7,13 @@
 	"maddergap/scheduler"
 )
 
-// nodeConnState is what a connection to a node is doing.
+// nodeConnState is the state of a connection to a node.
 type nodeConnState uint8
 
 const (
 	nodeDialing          nodeConnState = iota // it is not established yet
 	nodeIdle                                  // it has no attempt
-	nodeAwaitingResponse                      // an attempt is sent; the header of its response has not come
+	nodeAwaitingResponse                      // an attempt is sent, and the header of its response is not complete
 	nodeReadingBody                           // the body of a response is read
 )
 
@@ -31,7 +31,7 @@
 	incarnation Time   // of the node that it leads to; see node.started
 	state       nodeConnState
 	attempt     *nodeAttempt // nil: none
-	dialStalled bool         // dialing was put off for want of the machine's own resources
+	dialStalled bool         // dialing was deferred for lack of local resources
 
 	idleSince   Time          // when it was last made idle; 0: never
 	idleElement *list.Element // in nodeTable.idle; nil: it is not idle
@@ -41,7 +41,7 @@
 	interimResponses int // 1xx responses to the attempt
 }
 
-// current tells whether the connection leads to the present address and incarnation of
+// current reports whether the connection leads to the present address and incarnation of
 // its node.
 func (c *nodeConn) current() bool {
 	return c.addr == c.node.addr && c.incarnation == c.node.started
@@ -92,8 +92,8 @@
 	g.storeUnread(&c.bufferedConn, g.consumeNodeData(c, c.withUnread(data)))
 }
 
-// handleWritten notes that an attempt has begun, and goes on with an upload that waited
-// for the node.
+// handleWritten notes that an attempt has begun, and resumes a client whose upload was
+// paused for the node.
 func (c *nodeConn) handleWritten(g *Gateway, _ int) {
 	attempt := c.attempt
 	if attempt == nil {
@@ -153,10 +153,9 @@
 }
 
 // dialFailureOutcome returns the outcome of an attempt whose connection was not
-// established. That is a fault of the node, unless dialing was put off for want of the
-// machine's own resources. If other connections were established meanwhile, the machine
-// had them, and it is the node's fault all the same, for instance because there is no
-// route to it.
+// established. That is a fault of the node, unless dialing was deferred for lack of local
+// resources. If other connections were established meanwhile, the resources were there,
+// and it is the node's fault all the same, for instance because there is no route to it.
 func (g *Gateway) dialFailureOutcome(c *nodeConn, attempt *nodeAttempt) scheduler.Outcome {
 	if c.dialStalled && g.nodes.lastConnected <= attempt.startedAt {
 		return scheduler.Superseded
@@ -188,7 +187,7 @@
 
 func (c *nodeConn) handleRemoved(g *Gateway) { g.nodes.connClosed(c.node) }
 
-// nodeStalled notes that a system call on a connection was put off, and notifies the
+// nodeStalled notes that a system call on a connection was deferred, and notifies the
 // scheduler, which does not blame the node for the delay.
 func (g *Gateway) nodeStalled(c *nodeConn) {
 	if c.state == nodeDialing {
--- a/internal/gateway/node_response.go
+++ b/internal/gateway/node_response.go
@@ -5,8 +5,8 @@
 	"maddergap/scheduler"
 )
 
-// maxDiscardedBytes is how much of a response that nobody is given is read, so that its
-// connection can be reused. A longer one ends the connection.
+// maxDiscardedBytes is how much of a response that is not passed on is read, so that its
+// connection can be reused. A longer response ends the connection.
 const maxDiscardedBytes = 64 << 10
 
 // consumeNodeData uses the bytes of a node and returns those that cannot be used yet.
--- a/internal/gateway/node_table.go
+++ b/internal/gateway/node_table.go
@@ -25,7 +25,7 @@
 	keepsConnsOpen bool
 }
 
-// nodeTable has the storage nodes, the connections to which are counted over all nodes.
+// nodeTable holds the storage nodes, and what is counted or ordered over all of them.
 type nodeTable struct {
 	membership    *membership.Table
 	known         bool // an endpoint list was received
--- a/internal/gateway/observer.go
+++ b/internal/gateway/observer.go
@@ -57,7 +57,7 @@
 	// been by an attempt that was withheld.
 	InvariantViolated(invariant.Violation)
 	// ConnectionRejected is called with a connection or request that was not admitted;
-	// responseSent tells whether the client gets a response.
+	// responseSent reports whether the client gets a response.
 	ConnectionRejected(client netip.AddrPort, reason admission.Reason, responseSent bool)
 }
 
--- a/internal/gateway/protocol.go
+++ b/internal/gateway/protocol.go
@@ -33,9 +33,9 @@
 	truncatedRequestOutcome() scheduler.Outcome
 	// malformedResponseOutcome is the outcome of an attempt whose response cannot be read.
 	malformedResponseOutcome() scheduler.Outcome
-	// allowsEarlyResponse tells whether a node may respond before it has the whole request.
+	// allowsEarlyResponse reports whether a node may respond before it has the whole request.
 	allowsEarlyResponse() bool
-	// eofMeansDisconnect tells whether a client that sends no more has left.
+	// eofMeansDisconnect reports whether a client that sends no more has left.
 	eofMeansDisconnect() bool
 	// appendRetryAfter appends the fields that tell a client when to retry.
 	appendRetryAfter(b []byte, after time.Duration) []byte
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -1,200 +1,110 @@
 package gateway
 
 import (
-	"errors"
+	"time"
 
+	"maddergap/internal/config"
 	"maddergap/internal/http1"
 	"maddergap/internal/route"
-	"maddergap/scheduler"
 )
 
-// beginRequest takes the header of a request.
-func (g *Gateway) beginRequest(c *clientConn, header []byte) {
-	req := g.requests.create()
-	req.client, c.req, req.headerReceivedAt = c, req, g.clock.now
-	req.rawHeader = append(g.buffers.get(), header...)
-	g.setDeadline(&c.bufferedConn, never)
-	if err := http1.ParseRequest(req.rawHeader, &req.header, g.config.HeaderLimits); err != nil {
-		g.rejectMalformedHeader(c, req, err)
-		return
-	}
-	req.method = internMethod(req.header.Method)
-	req.body.decoder.Reset(&req.header.Message)
-	req.body.complete = req.body.decoder.Done()
-	req.body.continueHandled = !req.header.ExpectContinue
-	c.requestCount++
-	if g.isLastRequest(c, req) {
-		c.enter(clientClosing)
-	}
-	g.reportAdmittedRequestEnd(c)
-	if ok, reason := g.admission.BeginRequest(g.clock.now, uint64(c.id), g.buffers.clientBytes, req.body.complete); !ok {
-		c.enter(clientClosing)
-		g.recordRejection(c.remote, reason, true)
-		g.respondLocally(req, 503, rejectionText(reason))
-		return
-	}
-	g.protocol.beginRequest(g, c, req)
-}
+// request is a request of a client and what becomes of it. It has an id, and is in the
+// request table, from when it is submitted to the scheduler; from then on it is owed one
+// final response. It is reused once neither a client, nor an attempt, nor the scheduler
+// refers to it; see inUse.
+type request struct {
+	id     uint64      // 0: not submitted
+	client *clientConn // nil: it has left, or has the whole response in its buffers
+	method string
 
-// isLastRequest tells whether a client connection ends with the response to a request.
-func (g *Gateway) isLastRequest(c *clientConn, req *request) bool {
-	limit := g.config.Limits.RequestsPerConn
-	return g.phase >= draining || req.header.Close || limit > 0 && c.requestCount >= limit
-}
+	rawHeader      []byte // that header points into
+	header         http1.Request
+	location       route.Location
+	classification route.Classification
+	volume         *config.Volume // of the configuration that was in force when it arrived
+	info           RequestInfo    // of the protocol; its Arrival is what the scheduler is told
 
-// internMethod returns a method; a known one does not allocate.
-func internMethod(method []byte) string {
-	for _, m := range [...]string{"GET", "HEAD", "PUT", "PROPFIND", "OPTIONS", "DELETE", "MKCOL", "COPY", "MOVE", "PROPPATCH", "LOCK", "UNLOCK"} {
-		if string(method) == m {
-			return m
-		}
-	}
-	return string(method)
-}
+	headerReceivedAt Time
+	submittedAt      Time
+	deadline         Time // of the final response
+	disconnectedAt   Time // when its client was seen to have left; 0: it has not
+
+	body     requestBody
+	attempts requestAttempts
+	response clientResponse
+	trace    traceContext
 
-// classify finds the class, key, deadline and cost of a request whose body has the length
-// in bytes; -1: the length is not known.
-func (g *Gateway) classify(req *request, length int64) route.Classification {
-	return g.routes.Classify(route.RequestHeader{
-		Method:         req.method,
-		Location:       req.location,
-		ContentLength:  length,
-		Range:          string(req.header.Get("range")),
-		Prefer:         string(req.header.Get("prefer")),
-		IdempotencyKey: string(req.header.Get("idempotency-key")),
-	})
+	listing     *listing // that the request begins, or is a part of; nil: none
+	listingPart int      // its index in listing.parts
+
+	recycled bool // it is in requestTable.free, or left to the garbage collector
 }
 
-// sendContinue asks a client that waits for it to send the body (RFC 9110 section
-// 10.1.1).
-func (g *Gateway) sendContinue(c *clientConn, req *request) {
-	if !req.body.continueHandled && !req.body.complete {
-		c.out = append(c.out, "HTTP/1.1 100 Continue\r\n\r\n"...)
-		g.flushClient(c)
-	}
-	req.body.continueHandled = true
-	if !req.body.complete {
-		g.restartUploadTimer(c)
-	}
+// requestBody is the body of a request, as far as it was received. Its data is sent again
+// with each attempt, unless consumed is set.
+type requestBody struct {
+	decoder         http1.BodyDecoder
+	data            []byte // the beginning of the body, at most Limits.BodyBuffer and one read
+	received        int64  // bytes
+	complete        bool   // all of it was received
+	consumed        bool   // more of it was forwarded than is in data: no retry is possible
+	continueHandled bool   // the client was sent 100 (Continue), or does not wait for it
+	bufferFully     bool   // the request is submitted when all of it is in data
 }
 
-// restartUploadTimer begins to wait for the body of a client, or goes on with that after
-// the client has waited for the gateway.
-func (g *Gateway) restartUploadTimer(c *clientConn) {
-	c.upload = transferProgress{since: g.clock.now}
-	g.setDeadline(&c.bufferedConn, g.uploadDeadline(c))
+// requestAttempts describes the attempts of a request.
+type requestAttempts struct {
+	count           int
+	inFlight        int          // without an outcome
+	latest          *nodeAttempt // nil: none
+	uploading       *nodeAttempt // that the body is forwarded to as it comes; nil: none
+	mayHaveExecuted possibleExecution
+	timedOut        bool // one had no response by the request's deadline
 }
 
-// receiveBody takes a piece of the body of a request.
-func (g *Gateway) receiveBody(c *clientConn, req *request, data []byte) {
-	req.body.received += int64(len(data))
-	req.body.complete = req.body.decoder.Done()
-	req.body.continueHandled = true
-	if req.body.complete {
-		g.setDeadline(&c.bufferedConn, never)
-	}
-	if req.listing != nil && req.id == 0 {
-		g.receiveListingBody(req, data)
-		return
-	}
-	if req.attempts.uploading == nil {
-		req.body.data = append(req.body.data, data...)
-	} else {
-		req.body.consumed = true
-		g.forwardBody(req.attempts.uploading, data)
-	}
-	limit := g.config.Limits.BodyBuffer
-	switch {
-	case req.id != 0 || req.response.final:
-	case req.body.bufferFully && len(req.body.data) > limit:
-		g.rejectLongBody(c, req)
-	case req.body.complete || !req.body.bufferFully && len(req.body.data) >= limit:
-		g.submit(req)
-	}
+// possibleExecution describes the first attempt of a request that may have been executed.
+// A retry of an idempotent request has to reach a node that still deduplicates it.
+type possibleExecution struct {
+	known       bool // there is one
+	zone, shard int  // of its node
+	startedAt   Time
 }
 
-// rejectLongBody answers a request whose body has to be buffered and is too long for it.
-func (g *Gateway) rejectLongBody(c *clientConn, req *request) {
-	c.enter(clientClosing)
-	g.respondLocally(req, 413, "the body is longer than any may be")
+// clientResponse is a request's final response.
+type clientResponse struct {
+	final    bool         // it is decided; no other may be given
+	reported bool         // the request's end was reported
+	source   *nodeAttempt // whose response it is; nil: the gateway's own, or none yet
+	chunked  bool         // it is sent in chunks
+	status   int
+	reason   string // why the gateway itself responded; empty: it did not
 }
 
-// submit hands a request to the scheduler. From here on it is owed one final response.
-func (g *Gateway) submit(req *request) {
-	if err := g.protocol.prepareArrival(g, req); err != nil {
-		g.respondLocally(req, err.Status, err.Reason)
-		return
-	}
-	g.requests.assignID(req)
-	req.submittedAt = g.clock.now
-	arrival := &req.info.Arrival
-	arrival.ID, arrival.TimeRemaining = req.id, g.clientTimeRemaining(arrival.TimeRemaining)
-	if c := req.client; c != nil && c.requestCount == 1 {
-		arrival.TimeRemaining = max(arrival.TimeRemaining-c.acceptDelay, 0)
-	}
-	req.deadline = g.clock.now + arrival.TimeRemaining
-	g.counts.Received++
-	if req.client != nil {
-		g.admission.RequestAccepted(g.clock.now, uint64(req.client.id))
-	}
-	g.scheduler.notify(*arrival)
+// traceContext is a request's part of a trace (W3C Trace Context).
+type traceContext struct {
+	id      [16]byte
+	span    [8]byte // of the request at the gateway
+	parent  [8]byte // of the client; zero: the gateway began the trace
+	sampled bool
 }
 
-// abandonRequest notifies the scheduler that the client of a request has left before its
-// final response. An attempt that a node may be executing goes on, and the node's
-// capacity stays in use with it. It is ended if the node cannot execute it, as a part of
-// its body is missing, or would stream its response to nobody.
-func (g *Gateway) abandonRequest(req *request) {
-	if req.id == 0 {
-		if req.listing != nil {
-			g.abandonListing(req)
-		}
-		return
-	}
-	req.response.final, req.disconnectedAt = true, g.clock.now
-	g.counts.Disconnected++
-	g.scheduler.notify(scheduler.ClientDisconnected{ID: req.id})
-	g.reportRequestEnd(req, ClientDisconnected)
-	switch attempts := &req.attempts; {
-	case attempts.uploading != nil && !req.body.complete:
-		g.abortAttempt(attempts.uploading)
-	case req.response.source != nil:
-		g.abortAttempt(req.response.source)
-	case attempts.latest != nil:
-		g.cancelAttempt(attempts.latest)
-	}
+// inUse reports whether a client, an attempt or the scheduler still refers to the request.
+func (r *request) inUse() bool {
+	responseDue := !r.response.final && (r.id != 0 || r.listing != nil)
+	return r.client != nil || r.attempts.inFlight > 0 || responseDue
 }
 
-// rejectMalformedBody ends a request whose body is malformed, so that none of it is
-// executed.
-func (g *Gateway) rejectMalformedBody(c *clientConn, req *request, err error) {
-	g.counts.Malformed++
-	if req.id != 0 && !req.response.final {
-		g.abandonRequest(req)
-	}
-	c.enter(clientClosing)
-	req.body.complete = true
-	var malformed *http1.Error
-	if errors.As(err, &malformed) && req.response.source == nil {
-		req.response.reason = malformed.Reason
-		g.writeLocalResponse(req, malformed.Status, []byte(malformed.Reason+"\n"), nil)
-		return
-	}
-	g.disconnectClient(c, Abort)
+// timeRemaining returns for how long the gateway waits for an attempt that is sent now.
+func (r *request) timeRemaining(now Time) time.Duration {
+	return max(r.deadline-now, time.Millisecond)
 }
 
-// rejectMalformedHeader answers a request whose header is malformed. What follows it
-// cannot be read.
-func (g *Gateway) rejectMalformedHeader(c *clientConn, req *request, err error) {
-	g.counts.Malformed++
-	c.enter(clientDiscarding)
-	req.body.complete = true
-	req.method, req.header.MinorVersion = "", 1
-	status, reason := 400, err.Error()
-	var malformed *http1.Error
-	if errors.As(err, &malformed) {
-		status, reason = malformed.Status, malformed.Reason
+// recycle takes back a request if it is no longer in use. It may be called more than once.
+func (g *Gateway) recycle(req *request) {
+	if req.recycled || req.inUse() {
+		return
 	}
-	req.response.reason = reason
-	g.writeLocalResponse(req, status, []byte(reason+"\n"), nil)
+	g.buffers.put(req.rawHeader)
+	g.buffers.put(req.body.data)
+	g.requests.recycle(req)
 }
--- /dev/null
+++ b/internal/gateway/request_lifecycle.go
@@ -0,0 +1,202 @@
+package gateway
+
+import (
+	"errors"
+
+	"maddergap/internal/http1"
+	"maddergap/internal/route"
+	"maddergap/scheduler"
+)
+
+// beginRequest takes the header of a request.
+func (g *Gateway) beginRequest(c *clientConn, header []byte) {
+	req := g.requests.create()
+	req.client, c.req, req.headerReceivedAt = c, req, g.clock.now
+	req.rawHeader = append(g.buffers.get(), header...)
+	g.setDeadline(&c.bufferedConn, never)
+	if err := http1.ParseRequest(req.rawHeader, &req.header, g.config.HeaderLimits); err != nil {
+		g.rejectMalformedHeader(c, req, err)
+		return
+	}
+	req.method = internMethod(req.header.Method)
+	req.body.decoder.Reset(&req.header.Message)
+	req.body.complete = req.body.decoder.Done()
+	req.body.continueHandled = !req.header.ExpectContinue
+	c.requestCount++
+	if g.isLastRequest(c, req) {
+		c.enter(clientClosing)
+	}
+	g.reportAdmittedRequestEnd(c)
+	if ok, reason := g.admission.BeginRequest(g.clock.now, uint64(c.id), g.buffers.clientBytes, req.body.complete); !ok {
+		c.enter(clientClosing)
+		g.recordRejection(c.remote, reason, true)
+		g.respondLocally(req, 503, rejectionText(reason))
+		return
+	}
+	g.protocol.beginRequest(g, c, req)
+}
+
+// isLastRequest reports whether a client connection is closed after the response to a
+// request: the instance drains, the client asks for it, or the connection has had its
+// number of requests.
+func (g *Gateway) isLastRequest(c *clientConn, req *request) bool {
+	limit := g.config.Limits.RequestsPerConn
+	return g.phase >= draining || req.header.Close || limit > 0 && c.requestCount >= limit
+}
+
+// internMethod returns a method; a known one does not allocate.
+func internMethod(method []byte) string {
+	for _, m := range [...]string{"GET", "HEAD", "PUT", "PROPFIND", "OPTIONS", "DELETE", "MKCOL", "COPY", "MOVE", "PROPPATCH", "LOCK", "UNLOCK"} {
+		if string(method) == m {
+			return m
+		}
+	}
+	return string(method)
+}
+
+// classify finds the class, key, deadline and cost of a request whose body has the length
+// in bytes; -1: the length is not known.
+func (g *Gateway) classify(req *request, length int64) route.Classification {
+	return g.routes.Classify(route.RequestHeader{
+		Method:         req.method,
+		Location:       req.location,
+		ContentLength:  length,
+		Range:          string(req.header.Get("range")),
+		Prefer:         string(req.header.Get("prefer")),
+		IdempotencyKey: string(req.header.Get("idempotency-key")),
+	})
+}
+
+// sendContinue asks a client that waits for it to send the body (RFC 9110 section
+// 10.1.1).
+func (g *Gateway) sendContinue(c *clientConn, req *request) {
+	if !req.body.continueHandled && !req.body.complete {
+		c.out = append(c.out, "HTTP/1.1 100 Continue\r\n\r\n"...)
+		g.flushClient(c)
+	}
+	req.body.continueHandled = true
+	if !req.body.complete {
+		g.restartUploadTimer(c)
+	}
+}
+
+// restartUploadTimer begins to wait for the body of a client, or goes on with that after
+// the client has waited for the gateway.
+func (g *Gateway) restartUploadTimer(c *clientConn) {
+	c.upload = transferProgress{since: g.clock.now}
+	g.setDeadline(&c.bufferedConn, g.uploadDeadline(c))
+}
+
+// receiveBody takes a piece of the body of a request.
+func (g *Gateway) receiveBody(c *clientConn, req *request, data []byte) {
+	req.body.received += int64(len(data))
+	req.body.complete = req.body.decoder.Done()
+	req.body.continueHandled = true
+	if req.body.complete {
+		g.setDeadline(&c.bufferedConn, never)
+	}
+	if req.listing != nil && req.id == 0 {
+		g.receiveListingBody(req, data)
+		return
+	}
+	if req.attempts.uploading == nil {
+		req.body.data = append(req.body.data, data...)
+	} else {
+		req.body.consumed = true
+		g.forwardBody(req.attempts.uploading, data)
+	}
+	limit := g.config.Limits.BodyBuffer
+	switch {
+	case req.id != 0 || req.response.final:
+	case req.body.bufferFully && len(req.body.data) > limit:
+		g.rejectLongBody(c, req)
+	case req.body.complete || !req.body.bufferFully && len(req.body.data) >= limit:
+		g.submit(req)
+	}
+}
+
+// rejectLongBody answers a request whose body has to be buffered and is too long for it.
+func (g *Gateway) rejectLongBody(c *clientConn, req *request) {
+	c.enter(clientClosing)
+	g.respondLocally(req, 413, "the body is longer than any may be")
+}
+
+// submit hands a request to the scheduler. From here on it is owed one final response.
+func (g *Gateway) submit(req *request) {
+	if err := g.protocol.prepareArrival(g, req); err != nil {
+		g.respondLocally(req, err.Status, err.Reason)
+		return
+	}
+	g.requests.assignID(req)
+	req.submittedAt = g.clock.now
+	arrival := &req.info.Arrival
+	arrival.ID, arrival.TimeRemaining = req.id, g.clientTimeRemaining(arrival.TimeRemaining)
+	if c := req.client; c != nil && c.requestCount == 1 {
+		arrival.TimeRemaining = max(arrival.TimeRemaining-c.acceptDelay, 0)
+	}
+	req.deadline = g.clock.now + arrival.TimeRemaining
+	g.counts.Received++
+	if req.client != nil {
+		g.admission.RequestAccepted(g.clock.now, uint64(req.client.id))
+	}
+	g.scheduler.notify(*arrival)
+}
+
+// abandonRequest notifies the scheduler that the client of a request has left before its
+// final response. An attempt that a node may be executing goes on, and the node's
+// capacity stays in use with it. It is ended if the node cannot execute it, as a part of
+// its body is missing, or would stream its response to nobody.
+func (g *Gateway) abandonRequest(req *request) {
+	if req.id == 0 {
+		if req.listing != nil {
+			g.abandonListing(req)
+		}
+		return
+	}
+	req.response.final, req.disconnectedAt = true, g.clock.now
+	g.counts.Disconnected++
+	g.scheduler.notify(scheduler.ClientDisconnected{ID: req.id})
+	g.reportRequestEnd(req, ClientDisconnected)
+	switch attempts := &req.attempts; {
+	case attempts.uploading != nil && !req.body.complete:
+		g.abortAttempt(attempts.uploading)
+	case req.response.source != nil:
+		g.abortAttempt(req.response.source)
+	case attempts.latest != nil:
+		g.cancelAttempt(attempts.latest)
+	}
+}
+
+// rejectMalformedBody ends a request whose body is malformed, so that none of it is
+// executed.
+func (g *Gateway) rejectMalformedBody(c *clientConn, req *request, err error) {
+	g.counts.Malformed++
+	if req.id != 0 && !req.response.final {
+		g.abandonRequest(req)
+	}
+	c.enter(clientClosing)
+	req.body.complete = true
+	var malformed *http1.Error
+	if errors.As(err, &malformed) && req.response.source == nil {
+		req.response.reason = malformed.Reason
+		g.writeLocalResponse(req, malformed.Status, []byte(malformed.Reason+"\n"), nil)
+		return
+	}
+	g.disconnectClient(c, Abort)
+}
+
+// rejectMalformedHeader answers a request whose header is malformed. What follows it
+// cannot be read.
+func (g *Gateway) rejectMalformedHeader(c *clientConn, req *request, err error) {
+	g.counts.Malformed++
+	c.enter(clientDiscarding)
+	req.body.complete = true
+	req.method, req.header.MinorVersion = "", 1
+	status, reason := 400, err.Error()
+	var malformed *http1.Error
+	if errors.As(err, &malformed) {
+		status, reason = malformed.Status, malformed.Reason
+	}
+	req.response.reason = reason
+	g.writeLocalResponse(req, status, []byte(reason+"\n"), nil)
+}
--- a/internal/gateway/request_table.go
+++ b/internal/gateway/request_table.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// requestTable has the requests that were submitted to the scheduler and are still
-// in use, and those that are done with for reuse. The ids are consecutive from 1.
+// requestTable holds the requests that were submitted to the scheduler and are still in
+// use, and free request objects for reuse. Ids are consecutive from 1.
 type requestTable struct {
 	byID   map[uint64]*request
 	lastID uint64
@@ -27,7 +27,7 @@
 	return req
 }
 
-// assignID gives a request its id and makes it known under it.
+// assignID gives a request its id and adds it to the table.
 func (t *requestTable) assignID(req *request) {
 	t.lastID++
 	req.id = t.lastID
--- a/internal/gateway/scheduler_client.go
+++ b/internal/gateway/scheduler_client.go
@@ -40,7 +40,7 @@
 	}
 }
 
-// hasEvents tells whether decide has to be called.
+// hasEvents reports whether decide has to be called.
 func (s *schedulerClient) hasEvents() bool { return len(s.pending) > 0 }
 
 // decide hands the events to the scheduler and returns its decisions, which are valid
--- a/internal/gateway/shutdown.go
+++ b/internal/gateway/shutdown.go
@@ -6,8 +6,8 @@
 	"maddergap/scheduler"
 )
 
-// shutdownPhase is how far the graceful shutdown of an instance has come. It only moves
-// on: by Drain, and by Shutdown.
+// shutdownPhase is the phase of an instance's graceful shutdown. It only advances: by
+// Drain, and by Shutdown.
 type shutdownPhase uint8
 
 const (
@@ -26,7 +26,7 @@
 	g.phase = max(g.phase, draining)
 }
 
-// Shutdown ends the taking of requests. Requests under way are answered, and connections
+// Shutdown stops reading requests. Requests under way are answered, and connections
 // without one are closed. A connection that may have a request on its way, or unread in
 // its socket, has firstRequestGrace to deliver it.
 func (g *Gateway) Shutdown(now Time) {
@@ -65,7 +65,7 @@
 	}
 }
 
-// Idle tells whether nothing is under way: there is no request and no client connection.
+// Idle reports whether nothing is under way: there is no request and no client connection.
 func (g *Gateway) Idle() bool { return len(g.requests.byID) == 0 && g.clientConns == 0 }
 
 // EachPendingRequest calls report with the id and age of each request that has no final
--- a/internal/gateway/stall_estimate.go
+++ b/internal/gateway/stall_estimate.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// stallEstimate is how much later than asked Advance was called lately: the most of it,
-// fading by half in stallHalfLife. On a machine that is too busy to run the gateway in
-// time a request is read so much later than it arrived, and its response is written so
-// much later than it is due; clientTimeRemaining allows for both.
+// stallEstimate estimates how late the driver calls Advance: the recent maximum of the
+// delay, which decays by half every stallHalfLife. On a machine that is too busy to run
+// the gateway in time, a request is read that much later than it arrived, and its response
+// is written that much later than it is due; clientTimeRemaining allows for both.
 type stallEstimate struct {
 	nextAdvance Time // when Advance has to be called at the latest; 0: not known
 	peak        Time // of the delay, at measuredAt
--- a/internal/gateway/status.go
+++ b/internal/gateway/status.go
@@ -9,7 +9,7 @@
 	Idle   int // connections without an attempt
 }
 
-// NodeStatus is the scheduler's status of a node, and the connections to it.
+// NodeStatus is what the scheduler knows of a node, and the connections to it.
 type NodeStatus struct {
 	scheduler.NodeStatus
 	NodeConnections
