--- a/internal/scenario/badday_test.go
+++ b/internal/scenario/badday_test.go
@@ -262,7 +262,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			o := &Options{Plan: Draw(3, proof), Dir: t.TempDir(), Core: c.core, Block: 210 + i, Late: time.Second}
+			o := &Options{Plan: Draw(3, proof), Dir: t.TempDir(), NewScheduler: c.core, Block: 210 + i, Late: time.Second}
 			if c.name == "sends to a draining node" {
 				o.Listed = withoutDrains
 			}
--- a/internal/scenario/day.go
+++ b/internal/scenario/day.go
@@ -308,7 +308,7 @@
 // collect stops heads and nodes and takes their records.
 func (d *day) collect() error {
 	for i, h := range d.running {
-		if err := h.stop(); err != nil && d.o.Core == nil { // a core of a test's may well leave requests
+		if err := h.stop(); err != nil && d.o.NewScheduler == nil { // a test's scheduler may leave requests
 			return fmt.Errorf("head %d: %w", i, err)
 		}
 	}
--- a/internal/scenario/run.go
+++ b/internal/scenario/run.go
@@ -32,10 +32,10 @@
 	Dir  string // for files; records stay there
 	// Exe is the program and its first arguments; with none, heads and nodes run
 	// in this process, and heads are stopped where they would be killed.
-	Exe      []string
-	HeadArgs []string                // further arguments of serve
-	Core     daemon.SchedulerFactory // in this process only
-	Progress io.Writer               // nil: none
+	Exe          []string
+	HeadArgs     []string                // further arguments of serve
+	NewScheduler daemon.SchedulerFactory // in this process only
+	Progress     io.Writer               // nil: none
 	// Flood presses on every head with connections from many addresses all day; the
 	// day's own clients are listed as known.
 	Flood bool
@@ -81,7 +81,7 @@
 		if err != nil {
 			return nil, err
 		}
-		d, err := daemon.New(c, slog.New(slog.DiscardHandler), daemon.WithScheduler(o.Core))
+		d, err := daemon.New(c, slog.New(slog.DiscardHandler), daemon.WithScheduler(o.NewScheduler))
 		if err != nil {
 			return nil, err
 		}
