--- a/scheduler/circuit_breaker.go
+++ b/scheduler/circuit_breaker.go
@@ -16,9 +16,9 @@
 	maxTrialInterval = time.Second
 )
 
-// breaker is a node's circuit breaker. Closed, it lets all requests pass. Open, it lets none pass
-// before trialAt, and then one trial request (half-open) at a time, at growing intervals. Any
-// response closes it.
+// breaker is a node's circuit breaker: open, it ejects the node. Closed, it lets all requests pass.
+// Open, it lets none pass before trialAt, and then one trial request at a time (half-open), at
+// growing intervals. Any response closes it, which readmits the node.
 type breaker struct {
 	open bool
 	// trialAt and trialInterval are valid while it is open.
--- a/scheduler/send_rules_test.go
+++ b/scheduler/send_rules_test.go
@@ -28,7 +28,7 @@
 			h.handleAfter(0, newArrival(1, withKey("k")), newArrival(2, withKey("k")))
 			return 2
 		}},
-		{"its key cools down", ReasonKeyOrder, func(h *harness) uint64 {
+		{"behind a retry of its key", ReasonKeyOrder, func(h *harness) uint64 {
 			h.handleAfter(0, newArrival(1, withKey("k")), newArrival(2, withKey("k")))
 			h.endAttempt(1, Reset)
 			return 2
