--- a/scheduler/events.go
+++ b/scheduler/events.go
@@ -87,13 +87,13 @@
 	ID uint64
 	// Shard is the one that holds the request's data, -1 for a new object, which any may take.
 	Shard int
-	// Plan and Class are indexes into Settings. A class out of range is rejected; a plan out of
-	// range counts as the nearest.
+	// Plan and Class are indexes into Settings. A request with a class out of range is rejected; a
+	// plan out of range counts as the nearest. A volume keeps the plan that it first came with.
 	Plan  int
 	Class int
 	// Key orders the requests of an ordered class; empty for none.
 	Key string
-	// Volume is the volume that the request is for, whose plan is Plan.
+	// Volume is the name of the volume that the request is for.
 	Volume string
 	// TimeRemaining is how long the client still waits.
 	TimeRemaining time.Duration
--- a/scheduler/send_rules.go
+++ b/scheduler/send_rules.go
@@ -8,7 +8,7 @@
 
 // The reasons, in the order in which they are looked for.
 const (
-	// ReasonAllowed is none.
+	// ReasonAllowed: nothing keeps it from being sent.
 	ReasonAllowed Reason = iota
 	// ReasonNoNode: no node of the list may take it.
 	ReasonNoNode
