--- a/internal/gateway/client_conn.go
+++ b/internal/gateway/client_conn.go
@@ -62,10 +62,11 @@
 	// the response was written. requestServed tells how it ended.
 	requestEndDue, requestServed bool
 
-	// mayHaveUnreadRequest: a system call on it was deferred for lack of local
-	// resources, and nothing was read since, so a request may wait in the socket.
-	// The driver reports reads and writes alike; after a write that was put off the
-	// only consequence is that a stopping instance waits firstRequestGrace for it.
+	// mayHaveUnreadRequest: a system call on the connection was deferred for lack of
+	// local resources, and nothing was read since, so that a request may be waiting in
+	// the socket. The driver does not say whether the call was a read or a write. After
+	// a write the flag is set without need; the only consequence is that a stopping
+	// instance gives the connection firstRequestGrace before it closes it.
 	mayHaveUnreadRequest bool
 
 	upload         transferProgress // of the request body
--- a/internal/gateway/invariant_checks_test.go
+++ b/internal/gateway/invariant_checks_test.go
@@ -143,7 +143,7 @@
 	}
 }
 
-// Dialing is put off as the machine is out of descriptors or ports. Were the node blamed,
+// Dialing is deferred as the machine is out of descriptors or ports. Were the node blamed,
 // a shortage on this machine would eject every node. If other connections are established
 // meanwhile, the machine had what it takes, and it is the node's fault.
 func TestStalledDialIsNotTheNodesFault(t *testing.T) {
--- a/internal/gateway/listing.go
+++ b/internal/gateway/listing.go
@@ -140,7 +140,7 @@
 		l.parts[part.listingPart] = nil
 	}
 	l.count(part)
-	if l.pending--; l.pending == 0 && l.parent != nil {
+	if l.pending--; l.pending <= 0 && l.parent != nil {
 		g.respondWithListing(l)
 	}
 }
