--- a/internal/gateway/accept.go
+++ b/internal/gateway/accept.go
@@ -8,7 +8,7 @@
 	"maddergap/internal/http1"
 )
 
-// AcceptResult says what becomes of a new connection.
+// AcceptResult is the decision on a new connection.
 type AcceptResult struct {
 	ID       ConnID // of a connection that is admitted
 	Admitted bool
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -25,7 +25,7 @@
 	firstByteWritten bool
 	chunked          bool          // the request body is sent in chunks
 	stalled          bool          // the scheduler was notified that the machine holds it up
-	announcedTimeout time.Duration // that the node was told; 0: none
+	announcedTimeout time.Duration // the timeout sent to the node with the request; 0: none
 
 	// The response.
 	outcome         scheduler.Outcome // by its header
@@ -107,9 +107,10 @@
 	}
 }
 
-// cancelAttempt ends an attempt whose client has left, unless the whole request was
-// written: then it goes on to its outcome. A request of which a part is missing is never
-// executed. A connection that is still dialed is kept for the next request.
+// cancelAttempt ends an attempt whose client has left, unless the complete request was
+// written: then the node may be executing it, and its outcome is awaited. An incomplete
+// request is never executed. A connection that is still being dialed is kept for the next
+// request.
 func (g *Gateway) cancelAttempt(attempt *nodeAttempt) {
 	c := attempt.conn
 	switch {
--- a/internal/gateway/client_conn.go
+++ b/internal/gateway/client_conn.go
@@ -29,7 +29,7 @@
 	return [...]string{"open", "closing", "overflowed", "discarding", "lingering"}[p]
 }
 
-// peerState is what is known of the client's end of a connection.
+// peerState is the state of the client's end of a connection.
 type peerState uint8
 
 const (
@@ -43,7 +43,7 @@
 }
 
 // clientConn is a connection of a client. It carries one request at a time: what the
-// client pipelines is left in unread until the whole response to the request is in the
+// client pipelines is left in unread until the complete response to the request is in the
 // write buffer.
 type clientConn struct {
 	bufferedConn
@@ -59,7 +59,7 @@
 
 	admitted bool // admission counts it
 	// requestEndDue: admission is to be notified of the end of its request as soon as
-	// the response was written. requestServed tells how it ended.
+	// the response was written; requestServed is its result.
 	requestEndDue, requestServed bool
 
 	// mayHaveUnreadRequest: a system call on the connection was deferred for lack of
@@ -92,7 +92,7 @@
 }
 
 // handleWritten resumes the node if it was paused for the client, and detects that a
-// response was written whole.
+// response was written completely.
 func (c *clientConn) handleWritten(g *Gateway, n int) {
 	c.download.bytes += int64(n)
 	g.accountClientBytes(c)
@@ -217,7 +217,7 @@
 		g.recycle(req)
 		return
 	}
-	if !req.body.complete { // RFC 9112 section 9.3: the rest of the body cannot be told from a request
+	if !req.body.complete { // RFC 9112 section 9.3: the rest of the body cannot be distinguished from a request
 		c.enter(clientDiscarding)
 	}
 	c.requestEndDue = true
--- a/internal/gateway/client_flow.go
+++ b/internal/gateway/client_flow.go
@@ -8,10 +8,10 @@
 	bytes int64
 }
 
-// deadline returns when a transfer is given up: when it has made no progress for stall,
-// and when it is slower than rate bytes a second after grace. The rate guards against
-// peers that move a byte now and then, which no timeout between bytes ends. A rate of 0
-// allows any.
+// deadline returns when a transfer times out: when it has made no progress for stall, or
+// when it is slower than rate bytes a second after grace. The rate guards against peers
+// that transfer a byte now and then, which never reach a timeout between bytes, and would
+// occupy a connection for ever. A rate of 0 sets no minimum.
 func (p *transferProgress) deadline(now Time, stall, grace time.Duration, rate int64) Time {
 	if rate <= 0 {
 		return now + stall
@@ -19,8 +19,8 @@
 	return min(now+stall, p.since+grace+Time(float64(p.bytes)/float64(rate)*float64(time.Second)))
 }
 
-// uploadDeadline and downloadDeadline return when a client is given up that sends its
-// body, or takes its response, too slowly.
+// uploadDeadline and downloadDeadline return when the transfer of a request body, or of a
+// response, times out.
 func (g *Gateway) uploadDeadline(c *clientConn) Time {
 	return c.upload.deadline(g.clock.now, g.config.Timeouts.Stall, g.config.MinRates.Grace, g.config.MinRates.Body)
 }
@@ -30,7 +30,7 @@
 }
 
 // bufferAllowance returns how many bytes of a response or a body a connection may hold
-// now. A transfer is paused above it and goes on below half of it.
+// now. A transfer is paused above it and resumed below half of it.
 func (g *Gateway) bufferAllowance() int {
 	return g.admission.BufferAllowance(g.buffers.clientBytes, g.config.Limits.ConnBuffer)
 }
--- a/internal/gateway/client_input.go
+++ b/internal/gateway/client_input.go
@@ -3,7 +3,7 @@
 // maxPipelinedBytes limits what a client may pipeline if its EOF means that it has left.
 // Such a client is not paused while its request is under way, as the EOF is behind what
 // it has pipelined: unread, a client that has left would go unnoticed, and its request
-// would be sent for nobody. Beyond the limit its input is dropped, and the connection
+// would be sent all the same. Beyond the limit its input is dropped, and the connection
 // ends with the response.
 const maxPipelinedBytes = 16 << 10
 
--- a/internal/gateway/idle_conns.go
+++ b/internal/gateway/idle_conns.go
@@ -11,7 +11,7 @@
 // reuseDelay is how long a connection is left idle before it is reused, as long as
 // another one can be used. It guards against nodes that respond twice, the second time some milliseconds
 // later: the second response would be taken for that of the next request. On an idle
-// connection it is seen to be one that nobody has asked for.
+// connection it is recognized as unsolicited.
 const reuseDelay = 20 * time.Millisecond
 
 // reusableConn returns the idle connection to a node that a request is sent on, or nil if
@@ -22,7 +22,7 @@
 // A non-idempotent request gets a new connection rather than one that was not idle for
 // reuseDelay, until the node is known to keep connections open. That guards against a
 // node that closes a connection right behind a response: the next request meets the
-// reset, and nobody can tell whether it was executed.
+// reset, and it is unknown whether it was executed.
 func (g *Gateway) reusableConn(req *request, n *node) *nodeConn {
 	if n == nil || len(n.idle) == 0 {
 		return nil
--- a/internal/gateway/invariant_checks.go
+++ b/internal/gateway/invariant_checks.go
@@ -120,8 +120,8 @@
 	return timeout > 0 && g.clock.now < deadline && invariant.TimeoutOutdated(g.clock.now, deadline, timeout)
 }
 
-// withholdAttempt takes an attempt of which nothing was written back from its connection,
-// which is kept for the next one.
+// withholdAttempt ends an attempt of which nothing was written. Its connection is kept for
+// the next one.
 func (g *Gateway) withholdAttempt(c *nodeConn) {
 	attempt := c.attempt
 	c.attempt = nil
@@ -131,7 +131,7 @@
 }
 
 // checkFirstByteWritten checks the invariants again when the first byte of an attempt was
-// written, which finds what came to pass between mayWrite and the write.
+// written, which finds violations by what happened between mayWrite and the write.
 func (g *Gateway) checkFirstByteWritten(attempt *nodeAttempt) {
 	a := g.invariantAttempt(attempt)
 	g.invariants.CheckAfterWrite(g.clock.now, &a)
--- a/internal/gateway/local_response.go
+++ b/internal/gateway/local_response.go
@@ -14,8 +14,8 @@
 	reasonTimedOut = "no answer in time; whether the request took effect is not known"
 )
 
-// reject gives a request the final response that it was not executed and may be retried,
-// after the time if that is not 0.
+// reject ends a request with 503: it was not executed and may be retried, after retryAfter
+// if that is not 0.
 func (g *Gateway) reject(req *request, retryAfter time.Duration) {
 	if req == nil || req.response.final {
 		return
@@ -25,7 +25,7 @@
 	g.finishRequest(req, Rejected, retryAfter)
 }
 
-// fail gives a request the final response that it is not known whether it was executed.
+// fail ends a request with 502 or 504: it is unknown whether it was executed.
 func (g *Gateway) fail(req *request) {
 	if req == nil || req.response.final {
 		return
@@ -48,7 +48,7 @@
 		g.recycle(req)
 	case req.client == nil:
 		g.recycle(req)
-	case req.response.source != nil: // the header of a node's response is out, which can only be cut short
+	case req.response.source != nil: // the header of a node's response was sent; only a reset can tell the client that the rest is missing
 		g.disconnectClient(req.client, Abort)
 	default:
 		g.writeLocalResponse(req, req.response.status, []byte(req.response.reason+"\n"), func(b []byte) []byte {
@@ -124,8 +124,8 @@
 	return append(g.ids.appendRequestID(b, req.id), "\r\n"...)
 }
 
-// appendHeaderEnd ends the header of a client's response, which says whether it is the
-// last one on the connection.
+// appendHeaderEnd ends the header of a client's response with the field that announces
+// whether the connection stays open.
 func (g *Gateway) appendHeaderEnd(b []byte, c *clientConn, req *request) []byte {
 	if g.phase >= draining || !req.body.complete {
 		c.enter(clientClosing)
--- a/internal/gateway/node_conn.go
+++ b/internal/gateway/node_conn.go
@@ -144,7 +144,7 @@
 		return attempt.outcome
 	case c.state == nodeDialing:
 		return g.dialFailureOutcome(c, attempt)
-	case !attempt.firstByteWritten: // an idle connection was closed just then: it is proven not to have run
+	case !attempt.firstByteWritten: // an idle connection was closed just then: the request was not executed
 		return scheduler.Superseded
 	case !attempt.requestWritten():
 		return g.protocol.truncatedRequestOutcome()
@@ -173,13 +173,13 @@
 		c.attempt = nil
 		g.closeConn(c, Abort)
 		g.endAttempt(attempt, g.dialFailureOutcome(c, attempt))
-	case !attempt.firstByteWritten: // the machine was too busy to write it: it never ran
+	case !attempt.firstByteWritten: // the machine was too busy to write it: the request was not executed
 		c.attempt = nil
 		g.closeConn(c, Abort)
 		g.endAttempt(attempt, scheduler.Superseded)
 	case attempt.req.response.source == attempt, attempt.bufferResponse && g.clock.now < attempt.req.deadline: // the response stalled
 		g.abortNodeConn(c, g.protocol.malformedResponseOutcome())
-	default: // the deadline of the request has passed; a later response would reach nobody
+	default: // the deadline of the request has passed; a later response would be of no use
 		attempt.req.attempts.timedOut = true
 		g.abortNodeConn(c, scheduler.TimedOut)
 	}
@@ -199,7 +199,7 @@
 	}
 }
 
-// attemptResumed notifies the scheduler that a stalled attempt goes on.
+// attemptResumed notifies the scheduler that a stalled attempt has made progress.
 func (g *Gateway) attemptResumed(attempt *nodeAttempt) {
 	if attempt != nil && attempt.stalled {
 		attempt.stalled = false
@@ -208,7 +208,7 @@
 }
 
 // abortNodeConn resets a connection that cannot be used any more, and ends its attempt
-// with the outcome, unless the header of the response has told a fault already.
+// with the outcome, unless the header of the response has reported a fault already.
 func (g *Gateway) abortNodeConn(c *nodeConn, outcome scheduler.Outcome) {
 	attempt := c.attempt
 	c.attempt = nil
--- a/internal/gateway/node_response.go
+++ b/internal/gateway/node_response.go
@@ -14,7 +14,7 @@
 	g.attemptResumed(c.attempt)
 	for more := true; more && len(data) > 0 && !c.closed; {
 		switch {
-		case c.attempt == nil: // a response that nobody has asked for
+		case c.attempt == nil: // an unsolicited response
 			g.nodes.removeIdle(c)
 			g.closeConn(c, Close)
 			return nil
@@ -45,8 +45,8 @@
 		g.abortNodeConn(c, scheduler.Failed)
 		return nil, false
 	}
-	// A response that comes before the request was written whole is one to an earlier
-	// request, of a node that responds twice.
+	// A response that arrives before the complete request was written belongs to an earlier
+	// request: the node has responded twice.
 	if !g.protocol.allowsEarlyResponse() && !attempt.requestWritten() {
 		g.abortNodeConn(c, g.protocol.truncatedRequestOutcome())
 		return nil, false
@@ -67,8 +67,8 @@
 	return data[n:], true
 }
 
-// beginResponse reads the header of a response. A response that tells a fault is for the
-// scheduler alone; any other becomes the client's. It returns false if the response
+// beginResponse reads the header of a response. A response that reports a fault is for the
+// scheduler alone; any other is passed on to the client. It returns false if the response
 // cannot be used.
 func (g *Gateway) beginResponse(attempt *nodeAttempt) bool {
 	response := &attempt.conn.response
--- a/internal/gateway/observer.go
+++ b/internal/gateway/observer.go
@@ -24,7 +24,7 @@
 // String returns the outcome as it stands in metric labels.
 func (o Outcome) String() string { return [...]string{"served", "refused", "failed", "left"}[o] }
 
-// Span describes an attempt or a whole request.
+// Span describes an attempt or a request.
 type Span struct {
 	Request        string // the request id that clients and nodes see; empty: the request was not submitted
 	Trace          [16]byte
--- a/internal/gateway/protocol.go
+++ b/internal/gateway/protocol.go
@@ -11,9 +11,10 @@
 // messages are buffered: how requests are read and sent, and how responses are passed on.
 // Connections, limits, timers and the scheduler's part are the same for all.
 type protocol interface {
-	// beginRequest decides what becomes of a request whose header was read.
+	// beginRequest handles a request whose header was read: it responds, waits for the
+	// body, or submits it.
 	beginRequest(g *Gateway, c *clientConn, req *request)
-	// prepareArrival fills in what the scheduler is told of a request. A request with an
+	// prepareArrival fills in the Arrival event of a request. A request with an
 	// error is answered with it, and not submitted.
 	prepareArrival(g *Gateway, req *request) *http1.Error
 	// appendRequest appends the request line and the fields of an attempt, without those
@@ -33,7 +34,7 @@
 	truncatedRequestOutcome() scheduler.Outcome
 	// malformedResponseOutcome is the outcome of an attempt whose response cannot be read.
 	malformedResponseOutcome() scheduler.Outcome
-	// allowsEarlyResponse reports whether a node may respond before it has the whole request.
+	// allowsEarlyResponse reports whether a node may respond before it has the complete request.
 	allowsEarlyResponse() bool
 	// eofMeansDisconnect reports whether a client that sends no more has left.
 	eofMeansDisconnect() bool
@@ -43,7 +44,7 @@
 	requestEnded(req *request, outcome Outcome)
 }
 
-// ResponseInfo is what the header of a response says of its attempt.
+// ResponseInfo is what a protocol reads out of the header of a response.
 type ResponseInfo struct {
 	Outcome       scheduler.Outcome
 	ReportedLoad  float64 // requests that the node said it holds or has waiting, if HasLoadReport
@@ -57,7 +58,7 @@
 	Reason string
 	Close  bool   // the client's connection ends with that response
 	ID     string // the client's id of the request; empty: none
-	// Arrival is what the scheduler is told of the request; the gateway sets its ID.
+	// Arrival is the event for the scheduler; the gateway sets its ID.
 	// TimeRemaining counts from the last byte of the request.
 	Arrival scheduler.Arrival
 }
@@ -70,7 +71,7 @@
 	// BeginRequest takes the id of a complete request. It returns the error with which a
 	// request is answered whose id is taken already.
 	BeginRequest(a *RequestInfo) *http1.Error
-	// EndRequest releases the id of a request, and tells how the request ended.
+	// EndRequest releases the id of a request that has ended with the outcome.
 	EndRequest(id string, o Outcome)
 	// AppendRequest appends the request line and the fields of an attempt, without those
 	// that give the length of the body. left is for how long the gateway will wait.
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -8,13 +8,13 @@
 	"maddergap/internal/route"
 )
 
-// request is a request of a client and what becomes of it. It has an id, and is in the
-// request table, from when it is submitted to the scheduler; from then on it is owed one
-// final response. It is reused once neither a client, nor an attempt, nor the scheduler
+// request is a request of a client, from its header to its final response. When it is
+// submitted to the scheduler it gets an id and enters the request table; from then on it
+// has to get exactly one final response. The object is reused once neither a client, nor an attempt, nor the scheduler
 // refers to it; see inUse.
 type request struct {
 	id     uint64      // 0: not submitted
-	client *clientConn // nil: it has left, or has the whole response in its buffers
+	client *clientConn // nil: it has left, or has the complete response in its buffers
 	method string
 
 	rawHeader      []byte // that header points into
@@ -22,7 +22,7 @@
 	location       route.Location
 	classification route.Classification
 	volume         *config.Volume // of the configuration that was in force when it arrived
-	info           RequestInfo    // of the protocol; its Arrival is what the scheduler is told
+	info           RequestInfo    // of the protocol; info.Arrival is the event for the scheduler
 
 	headerReceivedAt Time
 	submittedAt      Time
--- a/internal/gateway/request_lifecycle.go
+++ b/internal/gateway/request_lifecycle.go
@@ -80,8 +80,8 @@
 	}
 }
 
-// restartUploadTimer begins to wait for the body of a client, or goes on with that after
-// the client has waited for the gateway.
+// restartUploadTimer begins to wait for the body of a client, or does so anew after the
+// client was paused.
 func (g *Gateway) restartUploadTimer(c *clientConn) {
 	c.upload = transferProgress{since: g.clock.now}
 	g.setDeadline(&c.bufferedConn, g.uploadDeadline(c))
@@ -143,9 +143,9 @@
 }
 
 // abandonRequest notifies the scheduler that the client of a request has left before its
-// final response. An attempt that a node may be executing goes on, and the node's
-// capacity stays in use with it. It is ended if the node cannot execute it, as a part of
-// its body is missing, or would stream its response to nobody.
+// final response. An attempt that a node may be executing is left to its outcome, as it
+// occupies the node's capacity until then. It is ended if the node cannot execute it,
+// because the body is incomplete, or if its response was being streamed to the client.
 func (g *Gateway) abandonRequest(req *request) {
 	if req.id == 0 {
 		if req.listing != nil {
--- a/internal/gateway/status.go
+++ b/internal/gateway/status.go
@@ -5,7 +5,7 @@
 // NodeConnections counts the connections to a node.
 type NodeConnections struct {
 	Active int // connections with an attempt, those being dialed included
-	Unsent int // of these, those whose request was not written whole
+	Unsent int // of these, those whose request was not written completely
 	Idle   int // connections without an attempt
 }
 
--- a/internal/gateway/webdav_protocol.go
+++ b/internal/gateway/webdav_protocol.go
@@ -12,9 +12,9 @@
 	"maddergap/scheduler"
 )
 
-// executedHeader is the field by which a node says, with the value "no" in a 503
-// response, that it rejected the request before executing it. A 503 without it leaves
-// that open.
+// executedHeader is the field with which a node states, by the value "no" in a 503
+// response, that it has rejected the request without executing it. After a 503 without the
+// field it is unknown whether the request was executed.
 const executedHeader = "Maddergap-Ran"
 
 // webdavProtocol is WebDAV: bodies and responses stream, and a listing may be merged from
@@ -124,8 +124,8 @@
 	return append(appendTraceparent(b, req.trace.id, attempt.spanID, req.trace.sampled), "\r\n"...)
 }
 
-// parseResponse reads a status that tells a fault of the node. Any other is a response
-// for the client.
+// parseResponse takes 500, 502, 503 and 504 for faults of the node. Any other status is a
+// response for the client.
 func (webdavProtocol) parseResponse(r *http1.Response) (info ResponseInfo) {
 	info.ReportedLoad, info.HasLoadReport = parseLoadReport(r.Get("endpoint-load-metrics"))
 	switch r.Status {
