--- a/internal/gateway/accept.go
+++ b/internal/gateway/accept.go
@@ -45,7 +45,7 @@
 	if g.phase == stopping {
 		firstRequestTimeout = firstRequestGrace
 	}
-	g.setDeadline(&c.bufferedConn, g.clock.now+firstRequestTimeout)
+	g.setDeadline(c, g.clock.now+firstRequestTimeout)
 	for id, ok := g.admission.NextToPreempt(g.clock.now); ok; id, ok = g.admission.NextToPreempt(g.clock.now) {
 		g.preempt(g.conns.findClient(ConnID(id)))
 	}
--- a/internal/gateway/client_conn.go
+++ b/internal/gateway/client_conn.go
@@ -85,7 +85,7 @@
 
 func (c *clientConn) handleData(g *Gateway, data []byte) {
 	c.mayHaveUnreadRequest = false
-	g.storeUnread(&c.bufferedConn, g.consumeClientData(c, c.withUnread(data)))
+	g.storeUnread(c, g.consumeClientData(c, c.withUnread(data)))
 	if !c.closed {
 		g.accountClientBytes(c)
 	}
@@ -101,14 +101,14 @@
 		c.download = transferProgress{}
 		g.reportAdmittedRequestEnd(c)
 	} else {
-		g.setDeadline(&c.bufferedConn, g.downloadDeadline(c))
+		g.setDeadline(c, g.downloadDeadline(c))
 	}
 	if req := c.req; req != nil {
 		if req.response.source != nil && len(c.pending()) <= g.bufferAllowance()/2 {
 			g.resumeNode(req.response.source.conn)
 		}
 		if len(c.pending()) == 0 && !req.response.final && req.body.complete {
-			g.setDeadline(&c.bufferedConn, never)
+			g.setDeadline(c, never)
 		}
 	} else if allWritten {
 		g.clientIdle(c)
@@ -226,7 +226,7 @@
 	g.recycle(req)
 	g.flushClient(c)
 	if len(c.pending()) > 0 {
-		g.setDeadline(&c.bufferedConn, g.downloadDeadline(c))
+		g.setDeadline(c, g.downloadDeadline(c))
 	} else {
 		g.reportAdmittedRequestEnd(c)
 	}
@@ -246,10 +246,10 @@
 		c.unread = c.unread[:0]
 	}
 	if c.phase < clientDiscarding {
-		g.resume(&c.bufferedConn)
+		g.resume(c)
 	}
 	if len(c.unread) > 0 {
-		g.storeUnread(&c.bufferedConn, g.consumeClientData(c, c.unread))
+		g.storeUnread(c, g.consumeClientData(c, c.unread))
 	}
 	if !c.closed && c.req == nil && len(c.pending()) == 0 {
 		g.clientIdle(c)
@@ -263,7 +263,7 @@
 	case c.phase >= clientClosing, g.phase == stopping, c.peer != peerConnected:
 		g.lingeringClose(c)
 	default:
-		g.setDeadline(&c.bufferedConn, g.clock.now+g.config.Timeouts.Idle)
+		g.setDeadline(c, g.clock.now+g.config.Timeouts.Idle)
 	}
 }
 
@@ -278,7 +278,7 @@
 	case c.phase != clientLingering:
 		c.enter(clientLingering)
 		g.actions.add(CloseWrite, c.id)
-		g.resume(&c.bufferedConn)
-		g.setDeadline(&c.bufferedConn, g.clock.now+lingerTimeout)
+		g.resume(c)
+		g.setDeadline(c, g.clock.now+lingerTimeout)
 	}
 }
--- a/internal/gateway/client_flow.go
+++ b/internal/gateway/client_flow.go
@@ -59,10 +59,10 @@
 			c.download = transferProgress{since: g.clock.now}
 		}
 		if c.timer.deadline == never {
-			g.setDeadline(&c.bufferedConn, g.downloadDeadline(c))
+			g.setDeadline(c, g.downloadDeadline(c))
 		}
 	}
-	g.flush(&c.bufferedConn)
+	g.flush(c)
 }
 
 // resumeClient reads a paused client again, and uses what it sent before.
@@ -70,8 +70,8 @@
 	if !c.paused {
 		return
 	}
-	g.resume(&c.bufferedConn)
+	g.resume(c)
 	if len(c.unread) > 0 {
-		g.storeUnread(&c.bufferedConn, g.consumeClientData(c, c.unread))
+		g.storeUnread(c, g.consumeClientData(c, c.unread))
 	}
 }
--- a/internal/gateway/client_input.go
+++ b/internal/gateway/client_input.go
@@ -60,7 +60,7 @@
 	}
 	if c.headerStartedAt == 0 {
 		c.headerStartedAt = g.clock.now
-		g.setDeadline(&c.bufferedConn, g.clock.now+g.config.Timeouts.Header)
+		g.setDeadline(c, g.clock.now+g.config.Timeouts.Header)
 	}
 	n := g.config.HeaderLimits.HeaderBlock(data, &c.headerScanned)
 	if n == 0 {
@@ -76,12 +76,12 @@
 func (g *Gateway) consumeBody(c *clientConn, data []byte) (rest []byte, more bool) {
 	req := c.req
 	if g.uploadBlocked(req) {
-		g.pause(&c.bufferedConn)
-		g.setDeadline(&c.bufferedConn, never) // the client waits for the gateway
+		g.pause(c)
+		g.setDeadline(c, never) // the client waits for the gateway
 		return data, false
 	}
 	c.upload.bytes += int64(len(data))
-	g.setDeadline(&c.bufferedConn, g.uploadDeadline(c))
+	g.setDeadline(c, g.uploadDeadline(c))
 	piece, rest, err := req.body.decoder.Next(data)
 	if err != nil {
 		g.rejectMalformedBody(c, req, err)
@@ -104,7 +104,7 @@
 func (g *Gateway) holdPipelined(c *clientConn, data []byte) (rest []byte) {
 	switch {
 	case !g.protocol.eofMeansDisconnect():
-		g.pause(&c.bufferedConn)
+		g.pause(c)
 		return data
 	case len(data) <= maxPipelinedBytes:
 		return data
--- a/internal/gateway/conn.go
+++ b/internal/gateway/conn.go
@@ -51,63 +51,71 @@
 }
 
 // storeUnread keeps what was not consumed of withUnread's bytes; rest is their end.
-func (g *Gateway) storeUnread(c *bufferedConn, rest []byte) {
+func (g *Gateway) storeUnread(c connection, rest []byte) {
+	base := c.base()
 	switch {
-	case c.closed:
+	case base.closed:
 	case len(rest) == 0:
-		g.buffers.put(c.unread)
-		c.unread = nil
-	case len(c.unread) > 0:
-		c.unread = c.unread[:copy(c.unread, rest)]
+		g.buffers.put(base.unread)
+		base.unread = nil
+	case len(base.unread) > 0:
+		base.unread = base.unread[:copy(base.unread, rest)]
 	default:
-		c.unread = append(g.buffers.get(), rest...)
+		base.unread = append(g.buffers.get(), rest...)
 	}
 }
 
-// wrote removes n written bytes from what is pending. The rest is moved to the front of
-// the buffer only if more than maxWritten bytes are free there.
-func (g *Gateway) wrote(c *bufferedConn, n, maxWritten int) {
-	if c.written += n; c.written == len(c.out) {
-		g.buffers.put(c.out)
-		c.out, c.written = nil, 0
-	} else if c.written > maxWritten {
-		c.out = append(c.out[:0], c.out[c.written:]...)
-		c.written = 0
+// removeWritten removes n written bytes from what is pending. The rest is moved to the
+// front of the buffer only if more than ConnBuffer bytes are free there.
+func (g *Gateway) removeWritten(c connection, n int) {
+	base := c.base()
+	if base.written += n; base.written == len(base.out) {
+		g.discardOutput(c)
+	} else if base.written > g.config.Limits.ConnBuffer {
+		base.out = append(base.out[:0], base.pending()...)
+		base.written = 0
 	}
 }
 
 // discardOutput drops what was to be written.
-func (g *Gateway) discardOutput(c *bufferedConn) {
-	g.buffers.put(c.out)
-	c.out, c.written = nil, 0
+func (g *Gateway) discardOutput(c connection) {
+	base := c.base()
+	g.buffers.put(base.out)
+	base.out, base.written = nil, 0
 }
 
 // flush asks the driver to write what is pending.
-func (g *Gateway) flush(c *bufferedConn) {
-	if !c.flushPending && !c.closed && len(c.pending()) > 0 {
-		c.flushPending = true
-		g.actions.add(Flush, c.id)
+func (g *Gateway) flush(c connection) {
+	base := c.base()
+	if !base.flushPending && !base.closed && len(base.pending()) > 0 {
+		base.flushPending = true
+		g.actions.add(Flush, base.id)
 	}
 }
 
-func (g *Gateway) pause(c *bufferedConn) {
-	if !c.paused && !c.closed {
-		c.paused = true
-		g.actions.add(Pause, c.id)
+// pause asks the driver to stop reading.
+func (g *Gateway) pause(c connection) {
+	base := c.base()
+	if !base.paused && !base.closed {
+		base.paused = true
+		g.actions.add(Pause, base.id)
 	}
 }
 
-func (g *Gateway) resume(c *bufferedConn) {
-	if c.paused && !c.closed {
-		c.paused = false
-		g.actions.add(Resume, c.id)
+// resume asks the driver to read again.
+func (g *Gateway) resume(c connection) {
+	base := c.base()
+	if base.paused && !base.closed {
+		base.paused = false
+		g.actions.add(Resume, base.id)
 	}
 }
 
 // setDeadline sets when the timer of a connection expires; never stops it.
-func (g *Gateway) setDeadline(c *bufferedConn, deadline Time) {
-	if !c.closed {
-		g.timers.set(&c.timer, deadline)
+func (g *Gateway) setDeadline(c connection, deadline Time) {
+	base := c.base()
+	if !base.closed {
+		g.timers.set(&base.timer, deadline)
 	}
 }
 
--- a/internal/gateway/conn_events.go
+++ b/internal/gateway/conn_events.go
@@ -44,7 +44,7 @@
 	if c == nil || n <= 0 {
 		return
 	}
-	g.wrote(c.base(), n, g.config.Limits.ConnBuffer)
+	g.removeWritten(c, n)
 	c.handleWritten(g, n)
 }
 
--- a/internal/gateway/idle_conns.go
+++ b/internal/gateway/idle_conns.go
@@ -81,10 +81,10 @@
 		g.closeConn(c, Close)
 		return
 	}
-	g.resume(&c.bufferedConn)
+	g.resume(c)
 	c.state = nodeIdle
 	g.nodes.addIdle(g.clock.now, c)
-	g.setDeadline(&c.bufferedConn, g.clock.now+g.config.Timeouts.NodeIdle)
+	g.setDeadline(c, g.clock.now+g.config.Timeouts.NodeIdle)
 }
 
 func (t *nodeTable) addIdle(now Time, c *nodeConn) {
--- a/internal/gateway/invariant_checks.go
+++ b/internal/gateway/invariant_checks.go
@@ -125,7 +125,7 @@
 func (g *Gateway) withholdAttempt(c *nodeConn) {
 	attempt := c.attempt
 	c.attempt = nil
-	g.discardOutput(&c.bufferedConn)
+	g.discardOutput(c)
 	g.endAttempt(attempt, scheduler.Superseded)
 	g.makeIdle(c)
 }
--- a/internal/gateway/membership_source.go
+++ b/internal/gateway/membership_source.go
@@ -91,7 +91,7 @@
 
 func (g *Gateway) writeToDiscovery(c *discoveryConn, data []byte) {
 	c.out = append(g.buffers.orNew(c.out), data...)
-	g.flush(&c.bufferedConn)
+	g.flush(c)
 }
 
 // discoveryConnLost notifies the source that a connection was ended by discovery.
--- a/internal/gateway/node_conn.go
+++ b/internal/gateway/node_conn.go
@@ -54,7 +54,7 @@
 	attempt.conn = c
 	g.nodes.connOpened(n)
 	g.actions.dial(c.id, n.addr)
-	g.setDeadline(&c.bufferedConn, min(g.clock.now+g.config.Timeouts.Dial, attempt.req.deadline))
+	g.setDeadline(c, min(g.clock.now+g.config.Timeouts.Dial, attempt.req.deadline))
 }
 
 // nodeConnected is called when a connection is established. Its attempt is sent, unless
@@ -73,7 +73,7 @@
 		g.withholdAttempt(c)
 		return
 	}
-	g.setDeadline(&c.bufferedConn, c.attempt.req.deadline)
+	g.setDeadline(c, c.attempt.req.deadline)
 	g.sendRequest(c)
 }
 
@@ -82,14 +82,14 @@
 	if !c.paused {
 		return
 	}
-	g.resume(&c.bufferedConn)
+	g.resume(c)
 	if len(c.unread) > 0 {
-		g.storeUnread(&c.bufferedConn, g.consumeNodeData(c, c.unread))
+		g.storeUnread(c, g.consumeNodeData(c, c.unread))
 	}
 }
 
 func (c *nodeConn) handleData(g *Gateway, data []byte) {
-	g.storeUnread(&c.bufferedConn, g.consumeNodeData(c, c.withUnread(data)))
+	g.storeUnread(c, g.consumeNodeData(c, c.withUnread(data)))
 }
 
 // handleWritten notes that an attempt has begun, and resumes a client whose upload was
--- a/internal/gateway/node_response.go
+++ b/internal/gateway/node_response.go
@@ -87,8 +87,8 @@
 	attempt := c.attempt
 	client := attempt.req.client
 	if attempt.req.response.source == attempt && client != nil && len(client.pending()) > g.bufferAllowance() {
-		g.pause(&c.bufferedConn)
-		g.setDeadline(&c.bufferedConn, never) // the node waits for the client
+		g.pause(c)
+		g.setDeadline(c, never) // the node waits for the client
 		return data, false
 	}
 	piece, rest, err := c.responseBody.Next(data)
@@ -120,7 +120,7 @@
 func (g *Gateway) responseProgressed(c *nodeConn) {
 	attempt := c.attempt
 	if attempt.bufferResponse {
-		g.setDeadline(&c.bufferedConn, min(attempt.req.deadline, g.clock.now+attempt.stallTimeout))
+		g.setDeadline(c, min(attempt.req.deadline, g.clock.now+attempt.stallTimeout))
 		return
 	}
 	if attempt.req.response.source != attempt {
@@ -131,7 +131,7 @@
 		g.scheduler.notify(scheduler.ResponseStarted{ID: attempt.req.id, Attempt: attempt.number})
 	}
 	if !c.paused {
-		g.setDeadline(&c.bufferedConn, g.clock.now+g.config.Timeouts.Stall)
+		g.setDeadline(c, g.clock.now+g.config.Timeouts.Stall)
 	}
 }
 
--- a/internal/gateway/request_lifecycle.go
+++ b/internal/gateway/request_lifecycle.go
@@ -13,7 +13,7 @@
 	req := g.requests.create()
 	req.client, c.req, req.headerReceivedAt = c, req, g.clock.now
 	req.rawHeader = append(g.buffers.get(), header...)
-	g.setDeadline(&c.bufferedConn, never)
+	g.setDeadline(c, never)
 	if err := http1.ParseRequest(req.rawHeader, &req.header, g.config.HeaderLimits); err != nil {
 		g.rejectMalformedHeader(c, req, err)
 		return
@@ -84,7 +84,7 @@
 // client was paused.
 func (g *Gateway) restartUploadTimer(c *clientConn) {
 	c.upload = transferProgress{since: g.clock.now}
-	g.setDeadline(&c.bufferedConn, g.uploadDeadline(c))
+	g.setDeadline(c, g.uploadDeadline(c))
 }
 
 // receiveBody takes a piece of the body of a request.
@@ -93,7 +93,7 @@
 	req.body.complete = req.body.decoder.Done()
 	req.body.continueHandled = true
 	if req.body.complete {
-		g.setDeadline(&c.bufferedConn, never)
+		g.setDeadline(c, never)
 	}
 	if req.listing != nil && req.id == 0 {
 		g.receiveListingBody(req, data)
--- a/internal/gateway/send.go
+++ b/internal/gateway/send.go
@@ -23,7 +23,7 @@
 	case idle != nil:
 		g.nodes.removeIdle(idle)
 		idle.attempt, attempt.conn = attempt, idle
-		g.setDeadline(&idle.bufferedConn, req.deadline)
+		g.setDeadline(idle, req.deadline)
 		g.sendRequest(idle)
 	case n.conns >= g.config.Limits.ConnsPerNode || !g.makeRoomForNodeConn():
 		g.endAttempt(attempt, scheduler.ConnectFailed)
@@ -46,7 +46,7 @@
 		}
 	}
 	c.state, c.interimResponses = nodeAwaitingResponse, 0
-	g.flush(&c.bufferedConn)
+	g.flush(c)
 }
 
 // encodeRequest encodes the header of a connection's attempt, and as much of the body as
@@ -102,5 +102,5 @@
 		attempt.fullyQueued = true
 		req.attempts.uploading = nil
 	}
-	g.flush(&c.bufferedConn)
+	g.flush(c)
 }
--- a/internal/gateway/shutdown.go
+++ b/internal/gateway/shutdown.go
@@ -37,7 +37,7 @@
 		switch {
 		case !ok || c.req != nil || len(c.pending()) > 0 || c.headerStartedAt > 0:
 		case c.requestCount == 0 || c.mayHaveUnreadRequest:
-			g.setDeadline(&c.bufferedConn, min(c.timer.deadline, g.clock.now+firstRequestGrace))
+			g.setDeadline(c, min(c.timer.deadline, g.clock.now+firstRequestGrace))
 		default:
 			g.lingeringClose(c)
 		}
