--- a/internal/nodelist/nodelist.go
+++ b/internal/nodelist/nodelist.go
@@ -10,11 +10,10 @@
 	"errors"
 	"fmt"
 	"net/netip"
-	"os"
-	"path/filepath"
 	"strings"
 	"time"
 
+	"maddergap/internal/atomicfile"
 	"maddergap/internal/config"
 	"maddergap/scheduler"
 )
@@ -130,17 +129,5 @@
 // Replace writes a list in place of a file, by a rename: a reader sees the old list or the new
 // one, never a part. The errors are those of package os.
 func Replace(file string, nodes []Node) error {
-	tmp, err := os.CreateTemp(filepath.Dir(file), ".nodes-*")
-	if err != nil {
-		return err
-	}
-	_, err = tmp.Write(Format(nodes))
-	err = errors.Join(err, tmp.Close())
-	if err == nil {
-		err = os.Rename(tmp.Name(), file)
-	}
-	if err != nil {
-		os.Remove(tmp.Name())
-	}
-	return err
+	return atomicfile.Replace(file, Format(nodes))
 }
--- a/internal/soak/fleet.go
+++ b/internal/soak/fleet.go
@@ -12,6 +12,7 @@
 	"syscall"
 	"time"
 
+	"maddergap/internal/atomicfile"
 	"maddergap/internal/audit"
 	"maddergap/internal/discoverytest"
 	"maddergap/internal/subprocess"
@@ -61,7 +62,7 @@
 	if err != nil {
 		return err
 	}
-	return h.settings.write(h.file(), text)
+	return atomicfile.Replace(h.file(), text)
 }
 
 // start runs the process and waits until it is ready.
--- a/internal/soak/settings.go
+++ b/internal/soak/settings.go
@@ -119,14 +119,6 @@
 			"limits": map[string]any{"maxAttempts": 4, "maxRetryAfter": 500000, "retryAfter": true, "connIdle": 4000000, "connectTimeout": 250000}}})
 }
 
-// write puts a configuration in place of the one before, at once and whole.
-func (s *settings) write(path string, text []byte) error {
-	if err := os.WriteFile(path+".new", text, 0o644); err != nil {
-		return err
-	}
-	return os.Rename(path+".new", path)
-}
-
 // audited is what the audit goes by.
 func (s *settings) audited(dir string, text []byte) (*config.Config, error) {
 	c, err := platform.Parse(filepath.Join(dir, "audit"), text, os.Getenv)
