--- a/cmd/maddergap/demo.go
+++ b/cmd/maddergap/demo.go
@@ -74,11 +74,11 @@
 
 func startDemoNode(shard int) (*fakenode.Node, error) {
 	return fakenode.Start(fakenode.Options{
-		Listen:   "127.0.0.1:0",
-		Name:     demoNodeName(shard),
-		Cores:    4,
-		Queue:    256,
-		UnitTime: 100 * time.Microsecond,
+		Listen:     "127.0.0.1:0",
+		Name:       demoNodeName(shard),
+		Cores:      4,
+		QueueLimit: 256,
+		UnitTime:   100 * time.Microsecond,
 	})
 }
 
--- a/cmd/maddergap/descriptors_test.go
+++ b/cmd/maddergap/descriptors_test.go
@@ -19,7 +19,7 @@
 // open. Each request that was received gets one response, the instance neither ends nor spins on
 // the failing accept, and it recovers by itself once the limit is raised.
 func TestDescriptorsRunOut(t *testing.T) {
-	node := startNode(t, fakenode.Options{Cores: 8, Queue: 64, UnitTime: 150 * time.Millisecond})
+	node := startNode(t, fakenode.Options{Cores: 8, QueueLimit: 64, UnitTime: 150 * time.Millisecond})
 	addr := loopback.Addr(99, 2, 18099)
 	pid := startInstance(t, addr, writeDemoConf(t, addr, node, nil)).Process.Pid
 	var early []net.Conn // connected before the limit was lowered, without a request yet
--- a/cmd/maddergap/flood.go
+++ b/cmd/maddergap/flood.go
@@ -111,7 +111,7 @@
 // measureAll measures instances of its own and prints how known clients fare, by the 99th
 // percentile of their latency, against a calm one and against one beside a flooded one.
 func (c *floodCmd) measureAll(io *streams) error {
-	node, err := fakenode.Start(fakenode.Options{Listen: "127.0.0.1:0", Name: "n0", Cores: 16, Queue: 1024, UnitTime: 2 * time.Millisecond, Forget: true})
+	node, err := fakenode.Start(fakenode.Options{Listen: "127.0.0.1:0", Name: "n0", Cores: 16, QueueLimit: 1024, UnitTime: 2 * time.Millisecond, DiscardRecord: true})
 	if err != nil {
 		return err
 	}
--- a/cmd/maddergap/node.go
+++ b/cmd/maddergap/node.go
@@ -45,17 +45,17 @@
 
 func (c *nodeCmd) options() (o fakenode.Options, err error) {
 	o = fakenode.Options{
-		Listen:   c.Listen,
-		Name:     c.Name,
-		Record:   c.Record,
-		Cores:    c.Cores,
-		Queue:    c.Queue,
-		Unit:     c.Unit,
-		UnitTime: c.UnitTime,
-		Cold:     c.Cold,
-		From:     c.From,
-		Multiple: c.Multiple,
-		Window:   c.Window,
+		Listen:          c.Listen,
+		Name:            c.Name,
+		RecordFile:      c.Record,
+		Cores:           c.Cores,
+		QueueLimit:      c.Queue,
+		UnitBytes:       c.Unit,
+		UnitTime:        c.UnitTime,
+		WarmupDuration:  c.Cold,
+		InitialFraction: c.From,
+		OverloadFactor:  c.Multiple,
+		OverloadWindow:  c.Window,
 	}
 	if c.Epoch > 0 {
 		o.Epoch = time.UnixMilli(c.Epoch)
--- a/cmd/maddergap/restart_test.go
+++ b/cmd/maddergap/restart_test.go
@@ -20,7 +20,7 @@
 // state. Listed clients are served from its first second on, and none of their writes is
 // executed twice.
 func TestRestartInFlood(t *testing.T) {
-	node := startNode(t, fakenode.Options{Cores: 8, Queue: 64, UnitTime: 5 * time.Millisecond})
+	node := startNode(t, fakenode.Options{Cores: 8, QueueLimit: 64, UnitTime: 5 * time.Millisecond})
 	addr := loopback.Addr(99, 3, 18099)
 	conf := writeDemoConf(t, addr, node, func(text string) string {
 		return strings.Replace(text, "clients 512", "clients 200", 1) + "admit address 8 reserve 50 answers 20 answers-burst 20\nknown 127.9.0.0/16\n"
@@ -82,7 +82,7 @@
 // An instance is killed with writes pending and is restarted without any state. It serves, it has
 // sent no write twice, and SIGTERM ends it with exit code 0.
 func TestRestartWithPendingRequests(t *testing.T) {
-	node := startNode(t, fakenode.Options{Cores: 2, Queue: 64, UnitTime: 50 * time.Millisecond})
+	node := startNode(t, fakenode.Options{Cores: 2, QueueLimit: 64, UnitTime: 50 * time.Millisecond})
 	addr := loopback.Addr(99, 1, 18099)
 	conf := writeDemoConf(t, addr, node, nil)
 	cmd := startInstance(t, addr, conf)
--- a/cmd/maddergap/scenario.go
+++ b/cmd/maddergap/scenario.go
@@ -54,7 +54,7 @@
 			return err
 		}
 	}
-	if !report.Good() {
+	if !report.Passed() {
 		return errRuleViolated
 	}
 	return nil
@@ -112,7 +112,7 @@
 	if err != nil {
 		return err
 	}
-	earned, otherEarned := report.Earned/report.Due, other.Earned/other.Due
+	earned, otherEarned := report.EarnedWeight/report.OfferedWeight, other.EarnedWeight/other.OfferedWeight
 	fmt.Fprintf(io.out, "\nworth on time %.3f against %.3f: a ratio of %.2f\n", earned, otherEarned, earned/otherEarned)
 	return nil
 }
--- a/cmd/maddergap/scenario_test.go
+++ b/cmd/maddergap/scenario_test.go
@@ -25,10 +25,10 @@
 	}
 	var text bytes.Buffer
 	report.Write(&text)
-	if !report.Good() {
+	if !report.Passed() {
 		t.Errorf("%s", text.String())
 	}
-	if share := report.Earned / report.Due; share < 0.5 || report.Served < 1000 {
+	if share := report.EarnedWeight / report.OfferedWeight; share < 0.5 || report.Served < 1000 {
 		t.Errorf("too little was served:\n%s", text.String())
 	}
 	t.Log("\n" + text.String())
--- a/cmd/maddergap/serve_workers_test.go
+++ b/cmd/maddergap/serve_workers_test.go
@@ -105,7 +105,7 @@
 func newWorkersRig(t *testing.T) *workersRig {
 	t.Helper()
 	r := &workersRig{t: t, addr: loopback.Addr(99, 4, 18099), log: &lockedBuffer{}}
-	r.node = startNode(t, fakenode.Options{Cores: 8, Queue: 256, UnitTime: 2 * time.Millisecond})
+	r.node = startNode(t, fakenode.Options{Cores: 8, QueueLimit: 256, UnitTime: 2 * time.Millisecond})
 	conf := writeDemoConf(t, r.addr, r.node, func(text string) string {
 		text = strings.ReplaceAll(text, "shards 0-0", "shards 0 heads 2")
 		return text + "heads 2\nprocesses 2\nadmit reserve 10\nknown 127.9.0.0/16\n"
--- a/internal/audit/budgets.go
+++ b/internal/audit/budgets.go
@@ -6,9 +6,9 @@
 
 // budget is rule 6, for each head: further attempts in any window against a few
 // and a share of the requests taken in it.
-func (j *judge) budget() Rule {
+func (j *judge) budget() Verdict {
 	s := j.in.Config.Scheduler
-	r := Rule{Number: 6, Name: "attempt budget", Unit: "x the budget, in any window", Bound: 1}
+	r := Verdict{Number: 6, Name: "attempt budget", Unit: "x the budget, in any window", Bound: 1}
 	if s.RetryBudget == nil {
 		return r
 	}
@@ -16,13 +16,13 @@
 	for t, list := range j.attempts {
 		if c := j.clients[t]; c != nil {
 			for _, e := range list[1:] {
-				further[c.Head] = append(further[c.Head], e.In)
+				further[c.Instance] = append(further[c.Instance], e.ReceivedAt)
 			}
 		}
 	}
 	for _, c := range j.clients {
-		if !c.Unsent {
-			taken[c.Head] = append(taken[c.Head], c.Sent)
+		if !c.Incomplete {
+			taken[c.Instance] = append(taken[c.Instance], c.SentAt)
 		}
 	}
 	over := s.RetryBudget.Window.Microseconds()
@@ -50,8 +50,8 @@
 
 // limits is rule 7, over all heads: a bucket of the limit's rate and burst, both
 // with their slack, takes every first send.
-func (j *judge) limits() Rule {
-	r := Rule{Number: 7, Name: "limits with their slack", Unit: "x the bucket with its slack, at the fullest", Bound: 1}
+func (j *judge) limits() Verdict {
+	r := Verdict{Number: 7, Name: "limits with their slack", Unit: "x the bucket with its slack, at the fullest", Bound: 1}
 	for _, v := range j.in.Config.Volumes {
 		p := j.in.Config.Scheduler.Plans[v.Plan]
 		if p.Limit <= 0 {
@@ -61,17 +61,17 @@
 		rate, room := 1.1*p.Limit, p.LimitBurst+most
 		level, last := 0.0, int64(0)
 		for _, e := range j.all {
-			c := j.clients[traceID(e.Trace)]
-			if c == nil || c.Volume != v.Name || j.attempts[c.Trace][0] != e {
+			c := j.clients[traceID(e.Traceparent)]
+			if c == nil || c.Volume != v.Name || j.attempts[c.TraceID][0] != e {
 				continue
 			}
 			if last > 0 {
-				level = max(0, level-rate*float64(e.In-last)/1e6)
+				level = max(0, level-rate*float64(e.ReceivedAt-last)/1e6)
 			}
-			last, level = e.In, level+c.Units
+			last, level = e.ReceivedAt, level+c.Units
 			r.Figure = max(r.Figure, level/room)
-			if level > room+rate*j.in.Blur.Seconds() {
-				r.breach("volume %s is %.1f units over its limit at %s", v.Name, level-room, c.Trace)
+			if level > room+rate*j.in.ClockTolerance.Seconds() {
+				r.breach("volume %s is %.1f units over its limit at %s", v.Name, level-room, c.TraceID)
 			}
 		}
 	}
--- a/internal/audit/report.go
+++ b/internal/audit/report.go
@@ -12,42 +12,42 @@
 
 // Report is a judged run.
 type Report struct {
-	Rules    []Rule
-	Due      float64 // worth
-	Earned   float64
-	Requests int
-	Served   int
-	Refused  int
-	Failed   int
-	GaveUp   int
-	Lost     int // with a head that was killed
-	Attempts int
-	Late     int
-	Took     []time.Duration // of answers served, sorted
-	Past     Past
-	First    Opening
+	Verdicts        []Verdict
+	OfferedWeight   float64 // worth
+	EarnedWeight    float64
+	Requests        int
+	Served          int
+	Rejected        int
+	Failed          int
+	Disconnected    int
+	Unanswered      int // with a head that was killed
+	Attempts        int
+	MissedObjective int
+	Latencies       []time.Duration // of answers served, sorted
+	DeadlineMisses  DeadlineMisses
+	Startup         StartupStats
 }
 
-// Opening is the day's first seconds, in which heads know nobody.
-type Opening struct {
-	Due, Earned   float64
-	Refused, Lost int
+// StartupStats is the day's first seconds, in which heads know nobody.
+type StartupStats struct {
+	OfferedWeight, EarnedWeight float64
+	Rejected, Unanswered        int
 }
 
-// Good tells whether no rule is broken.
-func (r *Report) Good() bool {
-	for _, x := range r.Rules {
-		if x.Broken > 0 {
+// Passed tells whether no rule is broken.
+func (r *Report) Passed() bool {
+	for _, x := range r.Verdicts {
+		if x.Violations > 0 {
 			return false
 		}
 	}
 	return true
 }
 
-// BrokenRules lists their numbers.
-func (r *Report) BrokenRules() (out []int) {
-	for _, x := range r.Rules {
-		if x.Broken > 0 {
+// ViolatedRules lists their numbers.
+func (r *Report) ViolatedRules() (out []int) {
+	for _, x := range r.Verdicts {
+		if x.Violations > 0 {
 			out = append(out, x.Number)
 		}
 	}
@@ -58,23 +58,23 @@
 func (r *Report) Write(w io.Writer) {
 	tw := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(tw, "rule\t\tfigure\tbound\tverdict\tof")
-	for _, x := range r.Rules {
+	for _, x := range r.Verdicts {
 		verdict := "kept"
-		if x.Broken > 0 {
-			verdict = fmt.Sprintf("BROKEN %d times", x.Broken)
+		if x.Violations > 0 {
+			verdict = fmt.Sprintf("BROKEN %d times", x.Violations)
 		}
 		fmt.Fprintf(tw, "%d\t%s\t%.4g\t%.4g\t%s\t%s\n", x.Number, x.Name, x.Figure, x.Bound, verdict, x.Unit)
 	}
 	tw.Flush()
-	for _, x := range r.Rules {
+	for _, x := range r.Verdicts {
 		for _, e := range x.Examples {
 			fmt.Fprintf(w, "rule %d: %s\n", x.Number, strings.TrimSpace(e))
 		}
 	}
 	ms := func(d time.Duration) time.Duration { return d.Round(100 * time.Microsecond) }
 	fmt.Fprintf(w, "answers after their deadline: %d (p50 %v, p99 %v, most %v); %d in the first %v; %d while the rig was held up (most %v)\n",
-		len(r.Past.By), ms(quantile(r.Past.By, 0.5)), ms(quantile(r.Past.By, 0.99)), ms(quantile(r.Past.By, 1)), r.Past.Opening, opening,
-		r.Past.Rig, ms(r.Past.RigMost))
+		len(r.DeadlineMisses.Delays), ms(quantile(r.DeadlineMisses.Delays, 0.5)), ms(quantile(r.DeadlineMisses.Delays, 0.99)), ms(quantile(r.DeadlineMisses.Delays, 1)), r.DeadlineMisses.DuringStartup, opening,
+		r.DeadlineMisses.DuringStalls, ms(r.DeadlineMisses.LongestStall))
 	part := func(earned, due float64) float64 {
 		if due == 0 {
 			return 0
@@ -82,12 +82,12 @@
 		return earned / due
 	}
 	fmt.Fprintf(w, "the first %v: worth on time %.3f of what was due, refused %d, without answer %d\n", opening,
-		part(r.First.Earned, r.First.Due), r.First.Refused, r.First.Lost)
-	share := part(r.Earned, r.Due)
+		part(r.Startup.EarnedWeight, r.Startup.OfferedWeight), r.Startup.Rejected, r.Startup.Unanswered)
+	share := part(r.EarnedWeight, r.OfferedWeight)
 	fmt.Fprintf(w, "requests %d: served %d (late %d), refused %d, failed %d, gave up %d, lost with a killed head %d; attempts %d\n",
-		r.Requests, r.Served, r.Late, r.Refused, r.Failed, r.GaveUp, r.Lost, r.Attempts)
-	fmt.Fprintf(w, "served: p50 %v, p99 %v\n", r.Quantile(0.5).Round(100*time.Microsecond), r.Quantile(0.99).Round(100*time.Microsecond))
-	fmt.Fprintf(w, "worth served on time %.0f of %.0f due: %.3f\n", r.Earned, r.Due, share)
+		r.Requests, r.Served, r.MissedObjective, r.Rejected, r.Failed, r.Disconnected, r.Unanswered, r.Attempts)
+	fmt.Fprintf(w, "served: p50 %v, p99 %v\n", r.LatencyQuantile(0.5).Round(100*time.Microsecond), r.LatencyQuantile(0.99).Round(100*time.Microsecond))
+	fmt.Fprintf(w, "worth served on time %.0f of %.0f due: %.3f\n", r.EarnedWeight, r.OfferedWeight, share)
 }
 
 // worth sums what was due and what was earned.
@@ -103,51 +103,51 @@
 		}
 		worth := class.PriorityWeight * price * c.Units
 		early := j.early(c)
-		if c.GaveUp == 0 {
-			r.Due += worth
+		if c.DisconnectedAt == 0 {
+			r.OfferedWeight += worth
 			if early {
-				r.First.Due += worth
+				r.Startup.OfferedWeight += worth
 			}
 		}
 		if early && c.Status == 503 {
-			r.First.Refused++
+			r.Startup.Rejected++
 		}
-		if early && c.Answers == 0 && c.GaveUp == 0 {
-			r.First.Lost++
+		if early && c.Responses == 0 && c.DisconnectedAt == 0 {
+			r.Startup.Unanswered++
 		}
 		earn := func(part float64) {
-			r.Earned += worth * part
+			r.EarnedWeight += worth * part
 			if early {
-				r.First.Earned += worth * part
+				r.Startup.EarnedWeight += worth * part
 			}
 		}
-		took := time.Duration(c.Answered-c.Sent) * time.Microsecond
+		took := time.Duration(c.RespondedAt-c.SentAt) * time.Microsecond
 		switch {
-		case c.GaveUp > 0:
-			r.GaveUp++
-		case c.Answers == 0:
-			r.Lost++
-		case c.Cut || c.Status == 502 || c.Status == 504:
+		case c.DisconnectedAt > 0:
+			r.Disconnected++
+		case c.Responses == 0:
+			r.Unanswered++
+		case c.Truncated || c.Status == 502 || c.Status == 504:
 			r.Failed++
 		case c.Status == 503:
-			r.Refused++
+			r.Rejected++
 		default:
 			r.Served++
-			r.Took = append(r.Took, took)
+			r.Latencies = append(r.Latencies, took)
 			if took <= class.LatencyObjective {
 				earn(1)
 			} else {
-				r.Late++
+				r.MissedObjective++
 				earn(class.LateWeightFactor)
 			}
 		}
 	}
-	slices.Sort(r.Took)
+	slices.Sort(r.Latencies)
 	r.Attempts = len(j.all)
 }
 
-// Quantile of the answers served.
-func (r *Report) Quantile(q float64) time.Duration { return quantile(r.Took, q) }
+// LatencyQuantile of the answers served.
+func (r *Report) LatencyQuantile(q float64) time.Duration { return quantile(r.Latencies, q) }
 
 func quantile(sorted []time.Duration, q float64) time.Duration {
 	if len(sorted) == 0 {
--- a/internal/bench/bench.go
+++ b/internal/bench/bench.go
@@ -194,7 +194,7 @@
 	var out []*fakenode.Node
 	var list []nodelist.Node
 	for i := range n {
-		s, err := fakenode.Start(fakenode.Options{Listen: "127.0.0.1:0", Name: fmt.Sprint("n", i), Cores: 64, Queue: 4096, Forget: true})
+		s, err := fakenode.Start(fakenode.Options{Listen: "127.0.0.1:0", Name: fmt.Sprint("n", i), Cores: 64, QueueLimit: 4096, DiscardRecord: true})
 		if err != nil {
 			return out, err
 		}
--- a/internal/bench/rush.go
+++ b/internal/bench/rush.go
@@ -43,7 +43,7 @@
 // against what the node does where it is asked directly by as many as it has room for.
 func (o *Options) Overload(clients ...int) error {
 	const cores, queue = 4, 256
-	n, err := fakenode.Start(fakenode.Options{Listen: "127.0.0.1:0", Name: "n0", Cores: cores, Queue: queue, UnitTime: 2 * time.Millisecond, Forget: true})
+	n, err := fakenode.Start(fakenode.Options{Listen: "127.0.0.1:0", Name: "n0", Cores: cores, QueueLimit: queue, UnitTime: 2 * time.Millisecond, DiscardRecord: true})
 	if err != nil {
 		return err
 	}
--- a/internal/discoverytest/agent_test.go
+++ b/internal/discoverytest/agent_test.go
@@ -37,7 +37,7 @@
 	}
 	for _, notice := range drains {
 		after := time.Duration(notice.From-before) * time.Microsecond
-		switch notice.Head {
+		switch notice.Instance {
 		case well:
 			if after > 15*time.Millisecond {
 				t.Errorf("counts %v after it was sent", after)
--- a/internal/discoverytest/notices.go
+++ b/internal/discoverytest/notices.go
@@ -53,11 +53,11 @@
 	for name, endpoint := range endpoints {
 		isUp, wasUp := endpoint.Status == "up", previous[name].Status == "up"
 		if previous != nil && endpoint.Since != previous[name].Since {
-			l.starts = append(l.starts, audit.Notice{Head: l.instance, Node: name, From: now.UnixMicro()})
+			l.starts = append(l.starts, audit.Notice{Instance: l.instance, Node: name, From: now.UnixMicro()})
 		}
 		switch {
 		case wasUp && !isUp:
-			l.drains = append(l.drains, audit.Notice{Head: l.instance, Node: name, From: countsAt.UnixMicro()})
+			l.drains = append(l.drains, audit.Notice{Instance: l.instance, Node: name, From: countsAt.UnixMicro()})
 		case !wasUp && isUp:
 			l.endDrain(name)
 		}
--- a/internal/e2e/e2e_test.go
+++ b/internal/e2e/e2e_test.go
@@ -127,8 +127,8 @@
 	var addrs []string
 	for i := range n {
 		o.Listen, o.Name = "127.0.0.1:0", fmt.Sprint("n", i)
-		if o.Queue == 0 {
-			o.Queue, o.Cores = 64, 4
+		if o.QueueLimit == 0 {
+			o.QueueLimit, o.Cores = 64, 4
 		}
 		node, err := fakenode.Start(o)
 		if err != nil {
@@ -503,7 +503,7 @@
 		t.Errorf("half a body is there: %d", status)
 	}
 	for _, e := range nodes[0].Entries() {
-		if e.Method == "PUT" && e.Ran != 0 {
+		if e.Method == "PUT" && e.ExecutedAt != 0 {
 			t.Errorf("half a body ran: %+v", e)
 		}
 	}
@@ -615,7 +615,7 @@
 
 // SIGTERM's path: listeners close, what was taken is answered, then the end.
 func TestStopUnderWay(t *testing.T) {
-	_, addrs := standins(t, 1, fakenode.Options{UnitTime: 300 * time.Millisecond, Cores: 4, Queue: 10})
+	_, addrs := standins(t, 1, fakenode.Options{UnitTime: 300 * time.Millisecond, Cores: 4, QueueLimit: 10})
 	s := start(t, "", addrs[0], addrs[0])
 	type result struct {
 		status int
--- a/internal/e2e/flood_test.go
+++ b/internal/e2e/flood_test.go
@@ -222,7 +222,7 @@
 // Connections that come while a head stops are refused by the kernel, or closed
 // unanswered without a request taken; those with one get their answer.
 func TestFloodWhileStopping(t *testing.T) {
-	nodes, addrs := standins(t, 1, fakenode.Options{UnitTime: 200 * time.Millisecond, Cores: 4, Queue: 64})
+	nodes, addrs := standins(t, 1, fakenode.Options{UnitTime: 200 * time.Millisecond, Cores: 4, QueueLimit: 64})
 	s := start(t, floodConf, addrs[0], addrs[0])
 	c, r := s.from("127.9.0.1")
 	io.WriteString(c, put("/feed-a/taken", "x"))
@@ -376,7 +376,7 @@
 
 // A peer that half-closes behind its request, in a flood, still gets the answer.
 func TestHalfCloseInFlood(t *testing.T) {
-	_, addrs := standins(t, 1, fakenode.Options{UnitTime: 50 * time.Millisecond, Cores: 16, Queue: 64})
+	_, addrs := standins(t, 1, fakenode.Options{UnitTime: 50 * time.Millisecond, Cores: 16, QueueLimit: 64})
 	s := start(t, floodConf, addrs[0], addrs[0])
 	s.flood(200, func(i int) string { return fmt.Sprintf("127.20.0.%d", i%200+1) })
 	for i := range 10 {
--- a/internal/fakenode/node.go
+++ b/internal/fakenode/node.go
@@ -18,45 +18,45 @@
 
 // Options of a node.
 type Options struct {
-	Listen   string
-	Name     string
-	Record   string // file of the record, "" for none
-	Epoch    time.Time
-	Script   []Step
-	Cores    int
-	Queue    int           // requests held at once, running or waiting
-	Unit     int64         // bytes that count one unit
-	UnitTime time.Duration // that a unit takes a core
-	MaxBody  int64
-	Forget   bool // keep no record
+	Listen        string
+	Name          string
+	RecordFile    string // file of the record, "" for none
+	Epoch         time.Time
+	Script        []Step
+	Cores         int
+	QueueLimit    int           // requests held at once, running or waiting
+	UnitBytes     int64         // bytes that count one unit
+	UnitTime      time.Duration // that a unit takes a core
+	MaxBodyBytes  int64
+	DiscardRecord bool // keep no record
 	// A node that restarted bears From of its capacity at first and all of it
 	// after Cold; sent more than Multiple times that over Window, it falls.
-	Cold     time.Duration
-	From     float64
-	Multiple float64
-	Window   time.Duration
+	WarmupDuration  time.Duration
+	InitialFraction float64
+	OverloadFactor  float64
+	OverloadWindow  time.Duration
 }
 
 // Entry is a record's line; times are microseconds of Unix time, 0: never.
 type Entry struct {
-	Node     string  `json:"node"`
-	Request  string  `json:"request"`
-	Attempt  int     `json:"attempt"`
-	Trace    string  `json:"trace,omitempty"`
-	Method   string  `json:"method"`
-	Path     string  `json:"path"`
-	Key      string  `json:"key,omitempty"` // Idempotency-Key
-	Units    float64 `json:"units"`
-	In       int64   `json:"in"`              // its header was read
-	Ran      int64   `json:"ran,omitempty"`   // its effect took place
-	Start    int64   `json:"start,omitempty"` // a core took it up
-	Out      int64   `json:"out,omitempty"`   // it was answered
-	Status   int     `json:"status,omitempty"`
-	Half     bool    `json:"half,omitempty"` // its body did not come whole
-	Cold     bool    `json:"cold,omitempty"`
-	Fell     bool    `json:"fell,omitempty"` // the node fell over with it
-	Told     int64   `json:"told,omitempty"` // for how long it is waited for, by its own word
-	Sequence uint64  `json:"sequence"`
+	Node           string  `json:"node"`
+	RequestID      string  `json:"request"`
+	Attempt        int     `json:"attempt"`
+	Traceparent    string  `json:"trace,omitempty"`
+	Method         string  `json:"method"`
+	Path           string  `json:"path"`
+	IdempotencyKey string  `json:"key,omitempty"` // Idempotency-Key
+	Units          float64 `json:"units"`
+	ReceivedAt     int64   `json:"in"`              // its header was read
+	ExecutedAt     int64   `json:"ran,omitempty"`   // its effect took place
+	StartedAt      int64   `json:"start,omitempty"` // a core took it up
+	RespondedAt    int64   `json:"out,omitempty"`   // it was answered
+	Status         int     `json:"status,omitempty"`
+	BodyIncomplete bool    `json:"half,omitempty"` // its body did not come whole
+	WarmingUp      bool    `json:"cold,omitempty"`
+	Overloaded     bool    `json:"fell,omitempty"` // the node fell over with it
+	Timeout        int64   `json:"told,omitempty"` // for how long it is waited for, by its own word
+	Sequence       uint64  `json:"sequence"`
 }
 
 // Node is a running stand-in.
@@ -91,20 +91,20 @@
 
 // Start starts a node.
 func Start(o Options) (*Node, error) {
-	o.Cores, o.Queue = max(o.Cores, 1), max(o.Queue, 1)
-	if o.Unit <= 0 {
-		o.Unit = 64 << 10
+	o.Cores, o.QueueLimit = max(o.Cores, 1), max(o.QueueLimit, 1)
+	if o.UnitBytes <= 0 {
+		o.UnitBytes = 64 << 10
 	}
-	if o.MaxBody <= 0 {
-		o.MaxBody = 2 << 30
+	if o.MaxBodyBytes <= 0 {
+		o.MaxBodyBytes = 2 << 30
 	}
 	if o.Epoch.IsZero() {
 		o.Epoch = time.Now()
 	}
 	n := &Node{o: o, store: newStore(), held: map[*Entry]bool{}, started: -1, quit: make(chan struct{}), followed: make(chan struct{}),
 		turn: make(chan struct{}, o.Cores)}
-	if o.Record != "" {
-		f, err := os.Create(o.Record)
+	if o.RecordFile != "" {
+		f, err := os.Create(o.RecordFile)
 		if err != nil {
 			return nil, err
 		}
@@ -212,7 +212,7 @@
 
 // write adds a line to the record; n.mu is held.
 func (n *Node) write(e Entry) {
-	if n.o.Forget {
+	if n.o.DiscardRecord {
 		return
 	}
 	if n.record == nil {
@@ -225,39 +225,39 @@
 
 // capacity is what it does of a unit's work in a second, at a time.
 func (n *Node) capacity(at time.Duration) (share float64, cold bool) {
-	if n.started < 0 || at < n.started || n.o.Cold <= 0 || at >= n.started+n.o.Cold {
+	if n.started < 0 || at < n.started || n.o.WarmupDuration <= 0 || at >= n.started+n.o.WarmupDuration {
 		return 1, false
 	}
-	return n.o.From + (1-n.o.From)*float64(at-n.started)/float64(n.o.Cold), true
+	return n.o.InitialFraction + (1-n.o.InitialFraction)*float64(at-n.started)/float64(n.o.WarmupDuration), true
 }
 
 // pushed books units sent to a cold node and tells whether it falls over.
 func (n *Node) pushed(at time.Duration, units float64) (cold, fell bool) {
 	share, cold := n.capacity(at)
-	if !cold || n.o.Multiple <= 0 || n.o.UnitTime <= 0 {
+	if !cold || n.o.OverloadFactor <= 0 || n.o.UnitTime <= 0 {
 		return cold, false
 	}
 	n.recent = append(n.recent, sent{at, units})
-	for len(n.recent) > 0 && n.recent[0].at < at-n.o.Window {
+	for len(n.recent) > 0 && n.recent[0].at < at-n.o.OverloadWindow {
 		n.recent = n.recent[1:]
 	}
 	sum := 0.0
 	for _, s := range n.recent {
 		sum += s.units
 	}
-	able := share * float64(n.o.Cores) / n.o.UnitTime.Seconds() * n.o.Window.Seconds()
-	return true, sum > n.o.Multiple*able
+	able := share * float64(n.o.Cores) / n.o.UnitTime.Seconds() * n.o.OverloadWindow.Seconds()
+	return true, sum > n.o.OverloadFactor*able
 }
 
 // serve takes a request through queue, faults and store.
 func (n *Node) serve(w http.ResponseWriter, r *http.Request) {
-	e := &Entry{Node: n.o.Name, Request: r.Header.Get("X-Request-Id"), Trace: r.Header.Get("Traceparent"), Method: r.Method,
-		Path: r.URL.Path, Key: r.Header.Get("Idempotency-Key"), In: time.Now().UnixMicro()}
+	e := &Entry{Node: n.o.Name, RequestID: r.Header.Get("X-Request-Id"), Traceparent: r.Header.Get("Traceparent"), Method: r.Method,
+		Path: r.URL.Path, IdempotencyKey: r.Header.Get("Idempotency-Key"), ReceivedAt: time.Now().UnixMicro()}
 	e.Attempt, _ = strconv.Atoi(r.Header.Get("Maddergap-Attempt"))
 	n.mu.Lock()
 	n.sequence++
 	e.Sequence = n.sequence
-	full := n.inflight >= n.o.Queue
+	full := n.inflight >= n.o.QueueLimit
 	if !full {
 		n.inflight++
 	}
@@ -278,28 +278,28 @@
 		n.answer(w, e, 503, http.Header{"Maddergap-Ran": {"no"}}, []byte("the queue is full\n"))
 		return
 	}
-	body, err := io.ReadAll(io.LimitReader(r.Body, n.o.MaxBody+1))
+	body, err := io.ReadAll(io.LimitReader(r.Body, n.o.MaxBodyBytes+1))
 	switch {
 	case err != nil:
-		n.set(func() { e.Half = true })
+		n.set(func() { e.BodyIncomplete = true })
 		panic(http.ErrAbortHandler) // what is half there is never run
-	case int64(len(body)) > n.o.MaxBody:
+	case int64(len(body)) > n.o.MaxBodyBytes:
 		n.answer(w, e, 413, nil, []byte("the body is too large\n"))
 		return
 	}
 	units := n.units(r, len(body))
 	n.mu.Lock()
 	e.Units = units
-	e.Cold, e.Fell = n.pushed(n.now(), units)
-	n.fallen = n.fallen || e.Fell
+	e.WarmingUp, e.Overloaded = n.pushed(n.now(), units)
+	n.fallen = n.fallen || e.Overloaded
 	n.mu.Unlock()
 	n.turn <- struct{}{}
-	n.set(func() { e.Start = time.Now().UnixMicro() })
+	n.set(func() { e.StartedAt = time.Now().UnixMicro() })
 	n.work(units)
 	rec := &answer{header: http.Header{}}
 	r.Body = io.NopCloser(bytes.NewReader(body))
 	n.store.ServeHTTP(rec, r)
-	n.set(func() { e.Ran = time.Now().UnixMicro() })
+	n.set(func() { e.ExecutedAt = time.Now().UnixMicro() })
 	<-n.turn
 	at := n.now()
 	if s := active(n.o.Script, Silent, at); s != nil {
@@ -369,7 +369,7 @@
 			size = min(size, to-from+1)
 		}
 	}
-	return max(1, math.Ceil(float64(size)/float64(n.o.Unit)))
+	return max(1, math.Ceil(float64(size)/float64(n.o.UnitBytes)))
 }
 
 // answer writes an answer with the load report and ends the entry.
@@ -389,7 +389,7 @@
 	_, err := w.Write(body)
 	n.set(func() {
 		if err == nil || errors.Is(err, http.ErrBodyNotAllowed) {
-			e.Out = time.Now().UnixMicro()
+			e.RespondedAt = time.Now().UnixMicro()
 		}
 	})
 }
--- a/internal/scenario/badday_test.go
+++ b/internal/scenario/badday_test.go
@@ -270,8 +270,8 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if got := report.BrokenRules(); !slices.Equal(got, c.want) {
-				for _, r := range report.Rules {
+			if got := report.ViolatedRules(); !slices.Equal(got, c.want) {
+				for _, r := range report.Verdicts {
 					t.Log(fmt.Sprint(r))
 				}
 				t.Errorf("rules %v are broken, want %v", got, c.want)
--- a/internal/scenario/clients.go
+++ b/internal/scenario/clients.go
@@ -21,7 +21,7 @@
 	c     *config.Config
 	mu    sync.Mutex
 	idle  [][]*link // by head
-	done  []audit.Client
+	done  []audit.RequestRecord
 	wg    sync.WaitGroup
 }
 
@@ -80,12 +80,12 @@
 
 func micro() int64 { return time.Now().UnixMicro() }
 
-func (cs *clients) do(j Job) (audit.Client, *link) {
-	rec := audit.Client{Trace: j.Trace, Head: j.Head, Volume: j.Volume, Class: j.Class, Key: j.Key, Sequence: j.Sequence, Units: float64(j.Units)}
+func (cs *clients) do(j Job) (audit.RequestRecord, *link) {
+	rec := audit.RequestRecord{TraceID: j.Trace, Instance: j.Head, Volume: j.Volume, Class: j.Class, OrderKey: j.Key, Sequence: j.Sequence, Units: float64(j.Units)}
 	l, err := cs.get(j.Head)
-	rec.Sent = micro()
+	rec.SentAt = micro()
 	if err != nil {
-		rec.Unsent, rec.Lost = true, micro()
+		rec.Incomplete, rec.ConnectionLostAt = true, micro()
 		return rec, nil
 	}
 	var b bytes.Buffer
@@ -101,16 +101,16 @@
 		l.Write(text[:len(text)-unitBytes/2])
 		time.Sleep(j.GiveUp)
 		l.Close()
-		rec.Unsent, rec.GaveUp = true, micro()
+		rec.Incomplete, rec.DisconnectedAt = true, micro()
 		return rec, nil
 	}
 	limit := cs.c.Deadlines.ByClass[j.Class]
 	_, err = l.Write(text)
-	rec.Sent = micro()
-	rec.Deadline = rec.Sent + limit.Microseconds()
+	rec.SentAt = micro()
+	rec.Deadline = rec.SentAt + limit.Microseconds()
 	if err != nil {
 		l.Close()
-		rec.Lost = micro()
+		rec.ConnectionLostAt = micro()
 		return rec, nil
 	}
 	patience := limit + 2*time.Second
@@ -120,27 +120,27 @@
 	l.SetReadDeadline(time.Now().Add(patience))
 	resp, err := http.ReadResponse(l.r, &http.Request{Method: j.Method})
 	if err == nil {
-		rec.Status, rec.Answers = resp.StatusCode, 1
+		rec.Status, rec.Responses = resp.StatusCode, 1
 		if _, err = io.Copy(io.Discard, resp.Body); err != nil {
-			rec.Cut = true
+			rec.Truncated = true
 		}
 	}
 	if err != nil {
 		l.Close()
 		if e, ok := err.(net.Error); j.GiveUp > 0 && ok && e.Timeout() {
-			rec.GaveUp, rec.Answers, rec.Cut = micro(), 0, false
-		} else if rec.Cut {
-			rec.Answered = micro()
+			rec.DisconnectedAt, rec.Responses, rec.Truncated = micro(), 0, false
+		} else if rec.Truncated {
+			rec.RespondedAt = micro()
 		} else {
-			rec.Lost = micro()
+			rec.ConnectionLostAt = micro()
 		}
 		return rec, nil
 	}
-	rec.Answered = micro()
+	rec.RespondedAt = micro()
 	if l.r.Buffered() > 0 { // bytes after the answer
-		rec.Answers++
+		rec.Responses++
 	}
-	if resp.Close || rec.Answers > 1 {
+	if resp.Close || rec.Responses > 1 {
 		l.Close()
 		return rec, nil
 	}
@@ -148,13 +148,13 @@
 }
 
 // finish waits for all and looks for answers that nobody asked for.
-func (cs *clients) finish() []audit.Client {
+func (cs *clients) finish() []audit.RequestRecord {
 	cs.wg.Wait()
 	for _, list := range cs.idle {
 		for _, l := range list {
 			l.SetReadDeadline(time.Now().Add(2 * time.Millisecond))
 			if n, _ := l.r.Read(make([]byte, 1)); n > 0 {
-				cs.done[l.last].Answers++
+				cs.done[l.last].Responses++
 			}
 			l.Close()
 		}
--- a/internal/scenario/day.go
+++ b/internal/scenario/day.go
@@ -159,10 +159,10 @@
 		}
 		d.parts, d.running = append(d.parts, h), append(d.running, h)
 	}
-	d.in = audit.Input{Config: d.config, Began: d.epoch.UnixMicro(), Grace: grace, Blur: 100 * time.Millisecond, Late: d.o.Late,
-		Cold: audit.Cold{Rate: cores / unitTime.Seconds(), From: coldFrom, For: d.plan.Cold, Multiple: coldTimes, Window: coldWindow}}
+	d.in = audit.Input{Config: d.config, StartedAt: d.epoch.UnixMicro(), DrainGrace: grace, ClockTolerance: 100 * time.Millisecond, LateTolerance: d.o.Late,
+		SlowStart: audit.SlowStart{Capacity: cores / unitTime.Seconds(), InitialFraction: coldFrom, WarmupDuration: d.plan.Cold, OverloadFactor: coldTimes, OverloadWindow: coldWindow}}
 	for n, at := range d.plan.Starts {
-		d.in.Starts = append(d.in.Starts, audit.Span{Name: fmt.Sprint("n", n), From: d.epoch.Add(at).UnixMicro()})
+		d.in.NodeStarts = append(d.in.NodeStarts, audit.Interval{Name: fmt.Sprint("n", n), From: d.epoch.Add(at).UnixMicro()})
 	}
 	d.clients = newClients(d.config, d.heads)
 	d.watch = stallwatch.Start()
@@ -213,7 +213,7 @@
 		last := len(d.in.Drains) - 1
 		switch {
 		case listed && state != 0:
-			d.in.Drains = append(d.in.Drains, audit.Span{Name: fmt.Sprint("n", n), From: micro()})
+			d.in.Drains = append(d.in.Drains, audit.Interval{Name: fmt.Sprint("n", n), From: micro()})
 		case listed && last >= 0 && d.in.Drains[last].To == 0:
 			d.in.Drains[last].To = micro()
 		}
@@ -225,7 +225,7 @@
 func (d *day) kill(head int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.in.Down = append(d.in.Down, audit.Span{Name: fmt.Sprint(head), From: micro()})
+	d.in.Outages = append(d.in.Outages, audit.Interval{Name: fmt.Sprint(head), From: micro()})
 	d.running[head].kill()
 	d.clients.forget(head)
 }
@@ -243,8 +243,8 @@
 		}
 		d.running[head], d.parts = h, append(d.parts, h)
 		d.clients.forget(head)
-		for i := range d.in.Down {
-			if down := &d.in.Down[i]; down.Name == fmt.Sprint(head) && down.To == 0 {
+		for i := range d.in.Outages {
+			if down := &d.in.Outages[i]; down.Name == fmt.Sprint(head) && down.To == 0 {
 				down.To = micro()
 			}
 		}
@@ -270,12 +270,12 @@
 		fmt.Fprintf(d.o.Progress, "\r%v of %v", events[0].at.Round(time.Second), d.plan.Length)
 		events = events[1:]
 	}
-	d.in.Clients = d.clients.finish()
+	d.in.Requests = d.clients.finish()
 	d.starting.Wait()
 	if d.failed != nil {
 		return d.failed
 	}
-	d.in.Lags = d.lags()
+	d.in.Stalls = d.lags()
 	d.floods.Wait()
 	for i, fate := range d.fates {
 		if fate != "" {
@@ -297,10 +297,10 @@
 }
 
 // lags tells when this process itself was held up, so that a late rig is told from a late head.
-func (d *day) lags() (lags []audit.Span) {
+func (d *day) lags() (lags []audit.Interval) {
 	d.watch.Stop()
 	for _, late := range d.watch.Spans() {
-		lags = append(lags, audit.Span{From: late.From.UnixMicro(), To: late.To.UnixMicro()})
+		lags = append(lags, audit.Interval{From: late.From.UnixMicro(), To: late.To.UnixMicro()})
 	}
 	return lags
 }
@@ -320,7 +320,7 @@
 		if err != nil {
 			return err
 		}
-		d.in.Nodes = append(d.in.Nodes, entries...)
+		d.in.Attempts = append(d.in.Attempts, entries...)
 	}
-	return writeClients(filepath.Join(d.o.Dir, "clients.jsonl"), d.in.Clients)
+	return writeClients(filepath.Join(d.o.Dir, "clients.jsonl"), d.in.Requests)
 }
--- a/internal/scenario/run.go
+++ b/internal/scenario/run.go
@@ -54,8 +54,8 @@
 	name, record := fmt.Sprint("n", i), filepath.Join(o.Dir, fmt.Sprintf("node%d.jsonl", i))
 	steps := o.Plan.Scripts[i]
 	if len(o.Exe) == 0 {
-		n, err := fakenode.Start(fakenode.Options{Listen: addr, Name: name, Record: record, Epoch: epoch, Script: steps, Cores: cores,
-			Queue: queueLength, Unit: unitBytes, UnitTime: unitTime, Cold: o.Plan.Cold, From: coldFrom, Multiple: coldTimes, Window: coldWindow})
+		n, err := fakenode.Start(fakenode.Options{Listen: addr, Name: name, RecordFile: record, Epoch: epoch, Script: steps, Cores: cores,
+			QueueLimit: queueLength, UnitBytes: unitBytes, UnitTime: unitTime, WarmupDuration: o.Plan.Cold, InitialFraction: coldFrom, OverloadFactor: coldTimes, OverloadWindow: coldWindow})
 		if err != nil {
 			return nil, err
 		}
@@ -234,14 +234,14 @@
 		if err := json.Unmarshal(s.Bytes(), &e); err != nil {
 			return nil, fmt.Errorf("%s:%d: %w", file, line, err)
 		}
-		if e.Trace != preloadTrace {
+		if e.Traceparent != preloadTrace {
 			out = append(out, e)
 		}
 	}
 	return out, s.Err()
 }
 
-func writeClients(file string, list []audit.Client) error {
+func writeClients(file string, list []audit.RequestRecord) error {
 	f, err := os.Create(file)
 	if err != nil {
 		return err
--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -24,7 +24,7 @@
 	nextID  *atomic.Uint64
 	leaving atomic.Bool // they give up early
 	mu      sync.Mutex
-	done    []audit.Client
+	done    []audit.RequestRecord
 	running sync.WaitGroup
 }
 
@@ -95,7 +95,7 @@
 		return
 	}
 	a := c.config.draw(c.rand, fmt.Sprintf("%016x", c.nextID.Add(1)))
-	record := audit.Client{Trace: a.id, Head: c.head, Class: a.class, Key: fmt.Sprint(a.key), Units: 1, Volume: a.volume.name}
+	record := audit.RequestRecord{TraceID: a.id, Instance: c.head, Class: a.class, OrderKey: fmt.Sprint(a.key), Units: 1, Volume: a.volume.name}
 	c.exchange(&record, c.config.request(a), a.wait)
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -105,16 +105,16 @@
 
 // exchange sends a request, once more on a new connection if its end crossed the end of a
 // kept one.
-func (c *client) exchange(record *audit.Client, text string, wait time.Duration) {
+func (c *client) exchange(record *audit.RequestRecord, text string, wait time.Duration) {
 	for {
 		kept := c.kept
 		if _, err := io.WriteString(c.conn, text); err != nil && !kept {
-			record.Unsent = true
+			record.Incomplete = true
 			c.drop()
 			return
 		}
-		record.Sent = micro()
-		record.Deadline = record.Sent + wait.Microseconds()
+		record.SentAt = micro()
+		record.Deadline = record.SentAt + wait.Microseconds()
 		if c.leaving.Load() && c.rand.IntN(2) == 0 {
 			c.leave(record, wait)
 			return
@@ -125,49 +125,49 @@
 		}
 		c.drop()
 		if !kept { // a request that was read has to be answered
-			record.Lost = micro()
+			record.ConnectionLostAt = micro()
 			return
 		}
 		if !c.connect() {
-			record.Unsent = true
+			record.Incomplete = true
 			return
 		}
 	}
 }
 
 // leave closes the connection before the answer, in one of the ways in which clients do.
-func (c *client) leave(record *audit.Client, wait time.Duration) {
+func (c *client) leave(record *audit.RequestRecord, wait time.Duration) {
 	time.Sleep(time.Duration(c.rand.Int64N(int64(wait / 2))))
 	if c.rand.IntN(2) == 0 {
 		c.conn.(*net.TCPConn).SetLinger(0)
 	}
 	c.drop()
-	record.GaveUp = micro()
+	record.DisconnectedAt = micro()
 }
 
 // receive reads the answer, and tells whether the connection ended without one.
-func (c *client) receive(record *audit.Client, wait time.Duration) (ended bool) {
+func (c *client) receive(record *audit.RequestRecord, wait time.Duration) (ended bool) {
 	c.conn.SetReadDeadline(time.Now().Add(wait + answerWithin))
 	r, err := http.ReadResponse(c.in, nil)
 	if err != nil {
 		var timeout net.Error
 		if errors.As(err, &timeout) && timeout.Timeout() {
 			c.drop()
-			record.Lost = micro()
+			record.ConnectionLostAt = micro()
 			return false
 		}
 		return true
 	}
 	body, err := io.ReadAll(r.Body)
-	record.Answers, record.Status = 1, r.StatusCode
+	record.Responses, record.Status = 1, r.StatusCode
 	if err != nil {
-		record.Cut = true
+		record.Truncated = true
 		c.drop()
 		return false
 	}
-	record.Answered = micro()
-	if r.StatusCode == 200 && string(body) != bodyOf(record.Trace) {
-		record.Answers = 2 // another's answer
+	record.RespondedAt = micro()
+	if r.StatusCode == 200 && string(body) != bodyOf(record.TraceID) {
+		record.Responses = 2 // another's answer
 	}
 	if c.kept = true; r.Close {
 		c.drop()
@@ -209,8 +209,8 @@
 	}
 }
 
-func (cs *clients) records() []audit.Client {
+func (cs *clients) records() []audit.RequestRecord {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
-	return append([]audit.Client(nil), cs.done...)
+	return append([]audit.RequestRecord(nil), cs.done...)
 }
--- a/internal/soak/fleet.go
+++ b/internal/soak/fleet.go
@@ -42,7 +42,7 @@
 	log     *os.File
 	started time.Time
 	ended   bool // on purpose
-	down    []audit.Span
+	down    []audit.Interval
 	faults  []string
 }
 
@@ -113,7 +113,7 @@
 // kill ends the process without a word.
 func (h *head) kill() {
 	h.ended = true
-	h.down = append(h.down, audit.Span{Name: fmt.Sprint(h.number), From: micro()})
+	h.down = append(h.down, audit.Interval{Name: fmt.Sprint(h.number), From: micro()})
 	h.process.Kill()
 }
 
@@ -165,8 +165,8 @@
 	settings *settings
 	registry *discoverytest.Registry
 	nodes    []*node
-	starts   []audit.Span // cold ones
-	mu       sync.Mutex   // of starts and faults
+	starts   []audit.Interval // cold ones
+	mu       sync.Mutex       // of starts and faults
 	faults   []string
 	heads    []*head
 	ids      atomic.Uint64
--- a/internal/soak/node.go
+++ b/internal/soak/node.go
@@ -223,8 +223,8 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.serial++
-	n.entries = append(n.entries, fakenode.Entry{Node: n.name, Trace: r.Header.Get("X-Txn"), Method: r.Method, Path: r.URL.Path,
-		Key: r.Header.Get("Piece"), Units: 1, In: micro(), Told: told, Sequence: n.serial})
+	n.entries = append(n.entries, fakenode.Entry{Node: n.name, Traceparent: r.Header.Get("X-Txn"), Method: r.Method, Path: r.URL.Path,
+		IdempotencyKey: r.Header.Get("Piece"), Units: 1, ReceivedAt: micro(), Timeout: told, Sequence: n.serial})
 	return len(n.entries) - 1, n.mode, n.turning, time.Duration(n.rand.ExpFloat64() * float64(serviceTime))
 }
 
@@ -235,10 +235,10 @@
 	e := &n.entries[i]
 	e.Status = status
 	if status > 0 {
-		e.Out = micro()
+		e.RespondedAt = micro()
 	}
 	if ran {
-		e.Ran = micro()
+		e.ExecutedAt = micro()
 	}
 }
 
--- a/internal/soak/settings.go
+++ b/internal/soak/settings.go
@@ -131,8 +131,8 @@
 	return c.Gateway, nil
 }
 
-func (s *settings) cold() audit.Cold {
-	return audit.Cold{Mean: meanUnits, Units: coldUnits, Rate: nodeRate, From: coldFrom, For: coldFor, Multiple: coldMultiple, Window: coldWindow}
+func (s *settings) cold() audit.SlowStart {
+	return audit.SlowStart{MeanUnits: meanUnits, MinUnits: coldUnits, Capacity: nodeRate, InitialFraction: coldFrom, WarmupDuration: coldFor, OverloadFactor: coldMultiple, OverloadWindow: coldWindow}
 }
 
 // asked is what a client asks for.
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -41,7 +41,7 @@
 }
 
 // Good tells whether nothing was broken.
-func (r *Report) Good() bool { return r.Audit.Good() && len(r.Broken)+len(r.Faults) == 0 }
+func (r *Report) Good() bool { return r.Audit.Passed() && len(r.Broken)+len(r.Faults) == 0 }
 
 // Run runs a fleet of the program under the script of a seed and judges it. dir keeps the
 // heads' configurations and logs.
@@ -249,7 +249,7 @@
 			return
 		}
 		f.mu.Lock()
-		f.starts = append(f.starts, audit.Span{Name: n.name, From: micro()})
+		f.starts = append(f.starts, audit.Interval{Name: n.name, From: micro()})
 		f.mu.Unlock()
 		f.registry.UpdateEndpoint(func(e *discovery.Endpoint) { e.Since = float64(time.Now().UnixMilli()) }, n.name)
 	case NodeLate:
@@ -291,11 +291,11 @@
 	}
 	r := &Report{Options: f.o, Script: script, Lag: lag.Longest(), Faults: f.faults}
 	drains, starts := f.registry.Notices()
-	in := audit.Input{Config: config, Notices: drains, Told: starts, Grace: drainGrace, CancelGrace: cancelGrace, ToldSlack: toldSlack,
-		Late: lateAnswers, Blur: blur + r.Lag, Starts: f.starts, Cold: f.settings.cold()}
+	in := audit.Input{Config: config, DrainNotices: drains, StartNotices: starts, DrainGrace: drainGrace, DisconnectGrace: cancelGrace, TimeoutTolerance: toldSlack,
+		LateTolerance: lateAnswers, ClockTolerance: blur + r.Lag, NodeStarts: f.starts, SlowStart: f.settings.cold()}
 	for _, h := range f.heads {
-		in.Clients = append(in.Clients, h.clients.records()...)
-		in.Down = append(in.Down, h.down...)
+		in.Requests = append(in.Requests, h.clients.records()...)
+		in.Outages = append(in.Outages, h.down...)
 		r.Faults = append(r.Faults, h.faults...)
 		broken, err := brokenLines(h.log.Name())
 		if err != nil {
@@ -304,7 +304,7 @@
 		r.Broken = append(r.Broken, broken...)
 	}
 	for _, n := range f.nodes {
-		in.Nodes = append(in.Nodes, n.records()...)
+		in.Attempts = append(in.Attempts, n.records()...)
 	}
 	r.Audit = audit.Judge(in)
 	return r, nil
