--- a/internal/discoverytest/notices.go
+++ b/internal/discoverytest/notices.go
@@ -1,6 +1,7 @@
 package discoverytest
 
 import (
+	"maps"
 	"slices"
 	"time"
 
@@ -73,21 +74,25 @@
 	}
 }
 
-// retractSince takes back what was recorded since a time. It is recorded again with the next
+// retractSince takes back the notices recorded since a time. They are recorded again with the next
 // list. The failure guarded against is an audit that blames a gateway for a change which it could
-// not have asked for: the agent had it only just before an outage.
+// not be sure to hear of: the agent had it only just before an outage. The end of a drain stands,
+// as a gateway with an open watch did hear that the node is up; if the node is not up in the next
+// list, that counts as a new drain.
 func (l *noticeLog) retractSince(since time.Time) {
 	first := slices.IndexFunc(l.history, func(r noticeRevision) bool { return r.at.After(since) })
 	if first < 0 {
 		return
 	}
-	l.noted = l.history[first].previous
+	l.noted = maps.Clone(l.history[first].previous)
 	from := l.history[first].at.UnixMicro()
 	l.history = l.history[:first]
 	l.drains = slices.DeleteFunc(l.drains, func(n audit.Notice) bool { return n.From >= from })
-	for i := range l.drains {
-		if l.drains[i].To >= from { // ended by what is taken back
-			l.drains[i].To = 0
+	for _, notice := range l.drains {
+		if notice.To >= from { // ended by what is taken back
+			endpoint := l.noted[notice.Node]
+			endpoint.Status = "up"
+			l.noted[notice.Node] = endpoint
 		}
 	}
 }
