--- /dev/null
+++ b/internal/scriptednode/scriptednode_test.go
@@ -0,0 +1,124 @@
+package scriptednode
+
+import (
+	"bufio"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"syscall"
+	"testing"
+	"time"
+)
+
+const request = "PUT /a HTTP/1.1\r\nHost: h\r\nContent-Length: 4\r\n\r\nbody"
+
+func start(t *testing.T, handler Handler) *Node {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	n := Serve(listener, handler)
+	t.Cleanup(n.Close)
+	return n
+}
+
+// dial connects to a node and sends a request. Reads fail after a second.
+func dial(t *testing.T, n *Node) net.Conn {
+	t.Helper()
+	c, err := net.Dial("tcp", n.Addr())
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { c.Close() })
+	c.SetDeadline(time.Now().Add(time.Second))
+	if _, err := io.WriteString(c, request); err != nil {
+		t.Fatal(err)
+	}
+	return c
+}
+
+func TestKeepAlive(t *testing.T) {
+	n := start(t, func(r *http.Request) Response {
+		body, err := io.ReadAll(r.Body)
+		return OK(fmt.Sprint(r.Method, r.URL.Path, string(body), err))
+	})
+	c := dial(t, n)
+	in := bufio.NewReader(c)
+	for range 2 {
+		r, err := http.ReadResponse(in, nil)
+		if err != nil {
+			t.Fatal(err)
+		}
+		if body, err := io.ReadAll(r.Body); err != nil || string(body) != "PUT/abody<nil>" {
+			t.Errorf("body %q, %v", body, err)
+		}
+		if _, err := io.WriteString(c, request); err != nil {
+			t.Fatal(err)
+		}
+	}
+}
+
+func TestEndings(t *testing.T) {
+	const text = "malformed"
+	for _, c := range []struct {
+		ending  Ending
+		want    string
+		wantErr func(error) bool
+	}{
+		{Close, text, func(err error) bool { return err == nil }},
+		{Reset, text, func(err error) bool { return errors.Is(err, syscall.ECONNRESET) }},
+		{Hang, "", isTimeout},
+		{KeepAlive, text, isTimeout},
+	} {
+		t.Run(c.ending.String(), func(t *testing.T) {
+			n := start(t, func(*http.Request) Response { return Response{Text: text, Ending: c.ending} })
+			conn := dial(t, n)
+			conn.SetDeadline(time.Now().Add(300 * time.Millisecond))
+			got, err := io.ReadAll(conn)
+			if string(got) != c.want || !c.wantErr(err) {
+				t.Errorf("read %q, %v, want %q", got, err, c.want)
+			}
+		})
+	}
+}
+
+func isTimeout(err error) bool {
+	var netErr net.Error
+	return errors.As(err, &netErr) && netErr.Timeout()
+}
+
+// A node that is killed resets the connections of requests that it has read, and refuses new ones.
+func TestKill(t *testing.T) {
+	read := make(chan struct{})
+	n := start(t, func(*http.Request) Response {
+		close(read)
+		return Response{Ending: Hang}
+	})
+	c := dial(t, n)
+	<-read
+	n.Kill()
+	if _, err := c.Read(make([]byte, 1)); !errors.Is(err, syscall.ECONNRESET) {
+		t.Errorf("read: %v, want a reset", err)
+	}
+	if _, err := net.Dial("tcp", n.Addr()); !errors.Is(err, syscall.ECONNREFUSED) {
+		t.Errorf("dial: %v, want it refused", err)
+	}
+}
+
+// Close ends connections that hang, and returns after their handlers.
+func TestCloseEndsHungConnections(t *testing.T) {
+	read := make(chan struct{})
+	n := start(t, func(*http.Request) Response {
+		close(read)
+		return Response{Ending: Hang}
+	})
+	c := dial(t, n)
+	<-read
+	n.Close()
+	if _, err := io.ReadAll(c); err != nil {
+		t.Errorf("read: %v, want the end", err)
+	}
+}
--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -113,7 +113,7 @@
 			c.drop()
 			return
 		}
-		record.SentAt = micro()
+		record.SentAt = unixMicros()
 		record.Deadline = record.SentAt + wait.Microseconds()
 		if c.leaving.Load() && c.rand.IntN(2) == 0 {
 			c.leave(record, wait)
@@ -125,7 +125,7 @@
 		}
 		c.drop()
 		if !kept { // a request that was read has to be answered
-			record.ConnectionLostAt = micro()
+			record.ConnectionLostAt = unixMicros()
 			return
 		}
 		if !c.connect() {
@@ -142,7 +142,7 @@
 		c.conn.(*net.TCPConn).SetLinger(0)
 	}
 	c.drop()
-	record.DisconnectedAt = micro()
+	record.DisconnectedAt = unixMicros()
 }
 
 // receive reads the answer, and tells whether the connection ended without one.
@@ -153,7 +153,7 @@
 		var timeout net.Error
 		if errors.As(err, &timeout) && timeout.Timeout() {
 			c.drop()
-			record.ConnectionLostAt = micro()
+			record.ConnectionLostAt = unixMicros()
 			return false
 		}
 		return true
@@ -165,8 +165,8 @@
 		c.drop()
 		return false
 	}
-	record.RespondedAt = micro()
-	if r.StatusCode == 200 && string(body) != bodyOf(record.TraceID) {
+	record.RespondedAt = unixMicros()
+	if r.StatusCode == 200 && string(body) != responseBody(record.TraceID) {
 		record.Responses = 2 // another's answer
 	}
 	if c.kept = true; r.Close {
--- a/internal/soak/fleet.go
+++ b/internal/soak/fleet.go
@@ -113,7 +113,7 @@
 // kill ends the process without a word.
 func (h *head) kill() {
 	h.ended = true
-	h.down = append(h.down, audit.Interval{Name: fmt.Sprint(h.number), From: micro()})
+	h.down = append(h.down, audit.Interval{Name: fmt.Sprint(h.number), From: unixMicros()})
 	h.process.Kill()
 }
 
@@ -121,7 +121,7 @@
 func (h *head) back() {
 	err := h.start()
 	if n := len(h.down); n > 0 && h.down[n-1].To == 0 {
-		h.down[n-1].To = micro()
+		h.down[n-1].To = unixMicros()
 	}
 	if err != nil {
 		h.fault("does not come back: %v", err)
@@ -181,6 +181,3 @@
 	defer f.mu.Unlock()
 	f.faults = append(f.faults, err.Error())
 }
-
-// micro is the time of the records.
-func micro() int64 { return time.Now().UnixMicro() }
--- a/internal/soak/node.go
+++ b/internal/soak/node.go
@@ -1,249 +1,177 @@
 package soak
 
 import (
-	"bufio"
-	"fmt"
-	"io"
 	"math/rand/v2"
-	"net"
 	"net/http"
+	"slices"
 	"strconv"
 	"strings"
 	"sync"
-	"syscall"
+	"sync/atomic"
 	"time"
 
 	"maddergap/internal/fakenode"
+	"maddergap/internal/scriptednode"
 )
 
-// mode is how a node behaves.
-type mode int
+// meanServiceTime is the mean time that a node takes for a request; the times are exponentially
+// distributed.
+const meanServiceTime = 4 * time.Millisecond
+
+// responseFault is how a node fails to respond.
+type responseFault int
 
 const (
-	well mode = iota
-	hanging
-	resetting
-	noisy
+	respondsWell responseFault = iota
+	respondsNever
+	respondsByReset
+	respondsMalformed
 )
 
-// node is a storage node on the platform's protocol. It records each request that came whole.
+// node is a fake storage node on the platform's protocol. What it is, its records and its faults
+// outlive a restart.
 type node struct {
-	name    string
-	shard   int
-	life    sync.Mutex // held while it is down
-	mu      sync.Mutex
-	rand    *rand.Rand
-	ln      net.Listener
-	conns   map[net.Conn]bool
-	mode    mode
-	paused  bool // takes no connections
-	turning bool // turns everything away, as it drains
-	entries []fakenode.Entry
-	serial  uint64
+	name  string
+	shard int
+	addr  string // host:port
+
+	restart sync.Mutex  // held while the node is down
+	paused  atomic.Bool // no connections are accepted
+
+	mu       sync.Mutex
+	rand     *rand.Rand
+	listener *pausableListener
+	server   *scriptednode.Node
+	fault    responseFault
+	entries  []fakenode.Entry // of each request that was read in full
 }
 
-func newNode(name string, shard int, seed uint64) *node {
-	return &node{name: name, shard: shard, rand: rand.New(rand.NewPCG(seed, uint64(len(name)))), conns: map[net.Conn]bool{}}
+func newNode(name string, shard int, addr string, seed uint64) *node {
+	return &node{name: name, shard: shard, addr: addr, rand: rand.New(rand.NewPCG(seed, uint64(len(name))))}
 }
 
-// open listens at an address.
-func (n *node) open(addr string) error {
-	ln, err := net.Listen("tcp", addr)
+// start serves at the node's address.
+func (n *node) start() error {
+	listener, err := listen(n.addr, &n.paused)
 	if err != nil {
 		return err
 	}
 	n.mu.Lock()
-	n.ln = ln
-	n.mu.Unlock()
-	go n.accept(ln)
+	defer n.mu.Unlock()
+	n.listener = listener
+	n.server = scriptednode.Serve(listener, n.respond)
 	return nil
 }
 
-func (n *node) addr() string {
+// kill ends the node as the death of its process does.
+func (n *node) kill() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.ln.Addr().String()
+	n.server.Kill()
 }
 
-// vanish closes the node as the death of its process does.
-func (n *node) vanish() {
+func (n *node) setFault(fault responseFault) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.ln.Close()
-	for c := range n.conns {
-		c.(*net.TCPConn).SetLinger(0)
-		c.Close()
-	}
-	clear(n.conns)
+	n.fault = fault
 }
 
-func (n *node) set(change func(n *node)) {
+// pauseAccept stops accepting connections.
+func (n *node) pauseAccept() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	change(n)
+	n.listener.pause()
 }
 
-// backlogLate is the listen queue of a node that takes no connections: those behind it come up
-// late, when the system tries again.
-const (
-	backlogLate = 1
-	backlogWell = 512
-)
-
-// pause has the node take no connections, or take them again. What stands in its queue then is
-// reset: it has waited all the while, and what came on it was not read in time.
-func (n *node) pause(on bool) {
+// resumeAccept accepts connections again.
+func (n *node) resumeAccept() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	raw, err := n.ln.(*net.TCPListener).SyscallConn()
-	if err != nil {
-		return
-	}
-	raw.Control(func(fd uintptr) {
-		if on {
-			syscall.Listen(int(fd), backlogLate)
-			return
-		}
-		resetQueue(int(fd))
-		syscall.Listen(int(fd), backlogWell)
-	})
-	n.paused = on
+	n.listener.resume()
 }
 
-// resetQueue resets all connections that wait to be accepted.
-func resetQueue(listener int) {
-	for {
-		fd, _, err := syscall.Accept4(listener, syscall.SOCK_CLOEXEC)
-		if err != nil {
-			return
-		}
-		syscall.SetsockoptLinger(fd, syscall.SOL_SOCKET, syscall.SO_LINGER, &syscall.Linger{Onoff: 1})
-		syscall.Close(fd)
+// respond records a request and handles it as the node's fault says. A request for another shard
+// is rejected before it has an effect.
+func (n *node) respond(r *http.Request) scriptednode.Response {
+	entry, fault, serviceTime := n.recordArrival(r)
+	if shard, ok := requestedShard(r.Header); ok && shard != n.shard {
+		n.recordRejection(entry)
+		return scriptednode.Response{Text: "HTTP/1.1 503 Busy\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n"}
 	}
-}
-
-func (n *node) accept(ln net.Listener) {
-	for {
-		c, err := ln.Accept()
-		if err != nil {
-			return
-		}
-		if n.isPaused() { // it stands already: what comes on it is lost, those behind it come up late
-			for n.isPaused() {
-				time.Sleep(5 * time.Millisecond)
-			}
-			c.(*net.TCPConn).SetLinger(0)
-			c.Close()
-			continue
-		}
-		n.mu.Lock()
-		if n.ln != ln {
-			n.mu.Unlock()
-			c.Close()
-			continue
-		}
-		n.conns[c] = true
-		n.mu.Unlock()
-		go n.serve(c)
+	time.Sleep(serviceTime)
+	n.recordEffect(entry, fault == respondsWell)
+	switch fault {
+	case respondsNever:
+		return scriptednode.Response{Ending: scriptednode.Hang}
+	case respondsByReset:
+		return scriptednode.Response{Ending: scriptednode.Reset}
+	case respondsMalformed:
+		return scriptednode.Response{Text: "\x00\xffnoise\r\n\r\n"}
 	}
+	return scriptednode.OK(responseBody(r.Header.Get("X-Txn")))
 }
 
-func (n *node) isPaused() bool {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	return n.paused
-}
+// responseBody is the body of the response to the request of an ID. It tells the client that the
+// response is to its request and not to another one.
+func responseBody(id string) string { return "answer to " + id }
 
-func (n *node) serve(c net.Conn) {
-	defer func() {
-		n.mu.Lock()
-		delete(n.conns, c)
-		n.mu.Unlock()
-		c.Close()
-	}()
-	in := bufio.NewReader(c)
-	for {
-		r, err := http.ReadRequest(in)
-		if err != nil {
-			return
-		}
-		if _, err := io.Copy(io.Discard, r.Body); err != nil {
-			return
-		}
-		if !n.answer(c, r) {
-			return
+// requestedShard is the shard that a request names, if it names one.
+func requestedShard(header http.Header) (shard int, ok bool) {
+	for member := range strings.SplitSeq(header.Get("IO-Info"), ",") {
+		if text, found := strings.CutPrefix(member, "shard="); found {
+			shard, err := strconv.Atoi(text)
+			return shard, err == nil
 		}
 	}
+	return 0, false
 }
 
-// serviceTime is the mean of what a request takes.
-const serviceTime = 4 * time.Millisecond
-
-// answer takes a request and tells whether the connection goes on.
-func (n *node) answer(c net.Conn, r *http.Request) bool {
-	i, mode, turning, took := n.take(r)
-	shard := -1
-	for part := range strings.SplitSeq(r.Header.Get("IO-Info"), ",") {
-		if text, ok := strings.CutPrefix(part, "shard="); ok {
-			shard, _ = strconv.Atoi(text)
-		}
-	}
-	if turning || shard >= 0 && shard != n.shard {
-		n.end(i, 503, false)
-		fmt.Fprint(c, "HTTP/1.1 503 Busy\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n")
-		return true
-	}
-	time.Sleep(took)
-	switch mode {
-	case hanging:
-		n.end(i, 0, true)
-		io.Copy(io.Discard, c) // until the head gives up
-		return false
-	case resetting:
-		n.end(i, 0, true)
-		c.(*net.TCPConn).SetLinger(0)
-		return false
-	case noisy:
-		n.end(i, 0, true)
-		fmt.Fprint(c, "\x00\xffnoise\r\n\r\n")
-		return true
-	}
-	n.end(i, 200, true)
-	body := bodyOf(r.Header.Get("X-Txn"))
-	_, err := fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
-	return err == nil
+// recordArrival records a request. It returns the record's index, and how the request is handled.
+func (n *node) recordArrival(r *http.Request) (entry int, fault responseFault, serviceTime time.Duration) {
+	timeout, _ := strconv.ParseInt(strings.TrimSuffix(r.Header.Get("X-Remaining"), "u"), 10, 64)
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	entry = len(n.entries)
+	n.entries = append(n.entries, fakenode.Entry{
+		Node:           n.name,
+		Traceparent:    r.Header.Get("X-Txn"),
+		Method:         r.Method,
+		Path:           r.URL.Path,
+		IdempotencyKey: r.Header.Get("Piece"),
+		Units:          1,
+		ReceivedAt:     unixMicros(),
+		Timeout:        timeout,
+		Sequence:       uint64(entry + 1),
+	})
+	return entry, n.fault, time.Duration(n.rand.ExpFloat64() * float64(meanServiceTime))
 }
 
-// bodyOf is the answer that belongs to a request.
-func bodyOf(id string) string { return "answer to " + id }
-
-// take records a request that came whole.
-func (n *node) take(r *http.Request) (i int, m mode, turning bool, took time.Duration) {
-	told, _ := strconv.ParseInt(strings.TrimSuffix(r.Header.Get("X-Remaining"), "u"), 10, 64)
+// recordRejection records that a request was rejected.
+func (n *node) recordRejection(entry int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.serial++
-	n.entries = append(n.entries, fakenode.Entry{Node: n.name, Traceparent: r.Header.Get("X-Txn"), Method: r.Method, Path: r.URL.Path,
-		IdempotencyKey: r.Header.Get("Piece"), Units: 1, ReceivedAt: micro(), Timeout: told, Sequence: n.serial})
-	return len(n.entries) - 1, n.mode, n.turning, time.Duration(n.rand.ExpFloat64() * float64(serviceTime))
+	n.entries[entry].Status = http.StatusServiceUnavailable
+	n.entries[entry].RespondedAt = unixMicros()
 }
 
-// end records what became of it.
-func (n *node) end(i, status int, ran bool) {
+// recordEffect records that a request took effect, and whether a response follows.
+func (n *node) recordEffect(entry int, responds bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	e := &n.entries[i]
-	e.Status = status
-	if status > 0 {
-		e.RespondedAt = micro()
-	}
-	if ran {
-		e.ExecutedAt = micro()
+	now := unixMicros()
+	n.entries[entry].ExecutedAt = now
+	if responds {
+		n.entries[entry].Status = http.StatusOK
+		n.entries[entry].RespondedAt = now
 	}
 }
 
+// records returns the records of all requests so far.
 func (n *node) records() []fakenode.Entry {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return append([]fakenode.Entry(nil), n.entries...)
+	return slices.Clone(n.entries)
 }
+
+// unixMicros is the time as records have it.
+func unixMicros() int64 { return time.Now().UnixMicro() }
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -86,13 +86,13 @@
 
 func (f *fleet) openNodes() error {
 	for i := range f.o.Nodes {
-		n := newNode(fmt.Sprintf("s-%02d", i), i/2, f.o.Seed)
-		if err := n.open(f.address(i, nodePort)); err != nil {
+		n := newNode(fmt.Sprintf("s-%02d", i), i/2, f.address(i, nodePort), f.o.Seed)
+		if err := n.start(); err != nil {
 			return err
 		}
 		f.nodes = append(f.nodes, n)
 		f.registry.UpdateEndpoint(func(e *discovery.Endpoint) {
-			*e = discovery.Endpoint{Name: n.name, Address: n.addr(), Zone: fmt.Sprint("z", i%2), Group: n.shard, Status: "up"}
+			*e = discovery.Endpoint{Name: n.name, Address: n.addr, Zone: fmt.Sprint("z", i%2), Group: n.shard, Status: "up"}
 		}, n.name)
 	}
 	return nil
@@ -237,30 +237,28 @@
 		time.Sleep(e.For)
 		f.registry.UpdateEndpoint(func(e *discovery.Endpoint) { e.Status = "up" }, n.name)
 	case NodeRestart:
-		if !n.life.TryLock() { // it is down already
+		if !n.restart.TryLock() { // it is down already
 			return
 		}
-		defer n.life.Unlock()
-		address := n.addr()
-		n.vanish()
+		defer n.restart.Unlock()
+		n.kill()
 		time.Sleep(e.For)
-		if err := n.open(address); err != nil {
+		if err := n.start(); err != nil {
 			f.fault(err)
 			return
 		}
 		f.mu.Lock()
-		f.starts = append(f.starts, audit.Interval{Name: n.name, From: micro()})
+		f.starts = append(f.starts, audit.Interval{Name: n.name, From: unixMicros()})
 		f.mu.Unlock()
 		f.registry.UpdateEndpoint(func(e *discovery.Endpoint) { e.Since = float64(time.Now().UnixMilli()) }, n.name)
 	case NodeLate:
-		n.pause(true)
+		n.pauseAccept()
 		time.Sleep(e.For)
-		n.pause(false)
+		n.resumeAccept()
 	default:
-		as := map[Kind]mode{NodeHang: hanging, NodeReset: resetting, NodeSpoilt: noisy}[e.Kind]
-		n.set(func(n *node) { n.mode = as })
+		n.setFault(map[Kind]responseFault{NodeHang: respondsNever, NodeReset: respondsByReset, NodeSpoilt: respondsMalformed}[e.Kind])
 		time.Sleep(e.For)
-		n.set(func(n *node) { n.mode = well })
+		n.setFault(respondsWell)
 	}
 }
 
@@ -275,7 +273,7 @@
 		h.log.Close()
 	}
 	for _, n := range f.nodes {
-		n.vanish()
+		n.kill()
 	}
 }
 
