--- a/cmd/maddergap/flood.go
+++ b/cmd/maddergap/flood.go
@@ -9,6 +9,7 @@
 
 	"maddergap/internal/fakenode"
 	"maddergap/internal/flood"
+	"maddergap/internal/loopback"
 )
 
 type floodCmd struct {
@@ -30,6 +31,9 @@
 	maxFloodClients = 1000 // of known clients, and of others
 	// addressesPerByte are the values of an address byte that sources take, from 1 on.
 	addressesPerByte = 250
+	// Instances of its own listen on this network of the process's loopback addresses.
+	floodNetwork = 97
+	floodPort    = 18000
 )
 
 // Run floods the target, or measures instances of its own.
@@ -54,22 +58,22 @@
 // options are those of a flood of c.Target.
 func (c *floodCmd) options() flood.Options {
 	o := flood.Options{
-		Target:   c.Target,
-		Path:     c.Path,
-		Pattern:  c.Pattern,
-		Tries:    c.Tries,
-		AtOnce:   c.AtOnce,
-		Length:   c.Length,
-		KnownGap: c.Gap,
+		Target:         c.Target,
+		Path:           c.Path,
+		Pattern:        flood.Pattern(c.Pattern),
+		Attempts:       c.Tries,
+		Concurrency:    c.AtOnce,
+		Duration:       c.Length,
+		ClientInterval: c.Gap,
 	}
 	for i := range c.Sources {
 		o.Sources = append(o.Sources, netip.AddrFrom4([4]byte{127, 20, byte(i / addressesPerByte), byte(i%addressesPerByte + 1)}))
 	}
 	for i := range c.Known {
-		o.Known = append(o.Known, netip.AddrFrom4([4]byte{127, 9, byte(i / addressesPerByte), byte(i%addressesPerByte + 1)}))
+		o.KnownClients = append(o.KnownClients, netip.AddrFrom4([4]byte{127, 9, byte(i / addressesPerByte), byte(i%addressesPerByte + 1)}))
 	}
 	for i := range c.Others { // each in a prefix of its own
-		o.Others = append(o.Others, netip.AddrFrom4([4]byte{127, 10, byte(i%addressesPerByte + 1), byte(i/addressesPerByte + 1)}))
+		o.OtherClients = append(o.OtherClients, netip.AddrFrom4([4]byte{127, 10, byte(i%addressesPerByte + 1), byte(i/addressesPerByte + 1)}))
 	}
 	return o
 }
@@ -91,9 +95,9 @@
 
 // floodRun is one measurement of an instance of its own.
 type floodRun struct {
-	name  string
-	admit string // the admission directives of its configuration
-	tries int    // connections of the flood; 0 for none
+	name     string
+	admit    string // the admission directives of its configuration
+	attempts int    // connections of the flood; 0 for none
 	// aside floods a second instance, which shows what a flood takes from the machine and not
 	// from the instance that is measured.
 	aside bool
@@ -119,13 +123,12 @@
 	fmt.Fprintf(io.out, "%s from %d addresses, %d tries, %d at once, %v; %d known clients\n", c.Pattern, c.Sources, c.Tries, c.AtOnce, c.Length, c.Known)
 	var calm, aside int64
 	for i, run := range c.runs() {
-		addr := fmt.Sprintf("127.0.97.%d:18000", i+1)
-		m, err := c.measure(addr, run, node.Addr())
+		m, err := c.measure(loopback.Addr(floodNetwork, i+1, floodPort), run, node.Addr())
 		if err != nil {
 			return err
 		}
 		switch {
-		case run.tries == 0:
+		case run.attempts == 0:
 			calm = max(m.knownP99(), 1)
 		case run.aside:
 			aside = max(m.knownP99(), 1)
@@ -138,7 +141,7 @@
 // printRun prints a measurement beside the latencies of the calm one and of the one aside.
 func (c *floodCmd) printRun(io *streams, run floodRun, m *floodMeasurement, calm, aside int64) {
 	fmt.Fprintln(io.out, run.name+":")
-	if run.tries > 0 {
+	if run.attempts > 0 {
 		m.Flood.Write(io.out, "flood")
 	}
 	m.Known.Write(io.out, "known")
@@ -146,9 +149,9 @@
 		m.Others.Write(io.out, "others")
 	}
 	fmt.Fprintf(io.out, "  known served %.1f%%, p99 of connect and answer %.2f times calm; head: %.0f%% of a CPU",
-		100*float64(m.Known.Served)/float64(max(m.Known.Tries, 1)), float64(m.knownP99())/float64(calm), 100*m.cpuShare)
-	if run.tries > 0 && !run.aside {
-		rejected := m.Flood.Refused + m.Flood.Closed
+		100*float64(m.Known.Served)/float64(max(m.Known.Attempts, 1)), float64(m.knownP99())/float64(calm), 100*m.cpuShare)
+	if run.attempts > 0 && !run.aside {
+		rejected := m.Flood.Rejected + m.Flood.Closed
 		fmt.Fprintf(io.out, ", %.2f times as beside a flood of another", float64(m.knownP99())/float64(aside))
 		fmt.Fprintf(io.out, ", %.0f turned away a CPU second, known clients' answers with it", float64(rejected)/m.cpuSeconds)
 	}
--- a/cmd/maddergap/flood_measure.go
+++ b/cmd/maddergap/flood_measure.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"maddergap/internal/flood"
+	"maddergap/internal/loopback"
 	"maddergap/internal/nodelist"
 	"maddergap/internal/subprocess"
 )
@@ -29,8 +30,9 @@
 known 127.9.0.0/16
 `
 
-// asideAddr is where the second instance of a floodRun listens.
-const asideAddr = "127.0.97.9:18000"
+// asideHost is the last byte of the address where the second instance of a floodRun listens. It is
+// none of the addresses of the runs.
+const asideHost = 9
 
 // floodMeasurement is what a floodRun measured.
 type floodMeasurement struct {
@@ -42,7 +44,7 @@
 // knownP99 is the 99th percentile of the time that a known client took to connect and to get its
 // response, in microseconds.
 func (m *floodMeasurement) knownP99() int64 {
-	return m.Known.Answer.ValueAtQuantile(99) + m.Known.Connect.ValueAtQuantile(99)
+	return m.Known.ResponseTime.ValueAtQuantile(99) + m.Known.ConnectTime.ValueAtQuantile(99)
 }
 
 // measure runs an instance at addr, floods it or one beside it, and measures its known clients.
@@ -65,10 +67,10 @@
 	}
 	defer instance.Kill()
 	options := c.options()
-	options.Target, options.Tries = addr, run.tries
+	options.Target, options.Attempts = addr, run.attempts
 	flooded := options
 	if run.aside {
-		flooded.Target = asideAddr
+		flooded.Target = loopback.Addr(floodNetwork, asideHost, floodPort)
 		second, err := startFloodInstance(exe, filepath.Join(dir, "other.conf"), flooded.Target, run.admit)
 		if err != nil {
 			return nil, err
@@ -97,22 +99,22 @@
 	return subprocess.Start(addr, nil, exe, "serve", "--config", file)
 }
 
-// runFlood runs the clients of options and, beside them, the flood of flooded, if it has tries.
+// runFlood runs the clients of options and, beside them, the flood of flooded, if it has attempts.
 // The flood is a process of its own: its goroutines would delay the clients that are measured.
 func runFlood(options, flooded flood.Options, exe string) (*flood.Result, error) {
 	result := &flood.Result{}
 	floodDone := make(chan error, 1)
 	go func() {
-		if flooded.Tries == 0 {
+		if flooded.Attempts == 0 {
 			floodDone <- nil
 			return
 		}
 		var err error
-		result.Flood, err = flood.Press(flooded, exe)
+		result.Flood, err = flood.RunProcess(flooded, exe)
 		floodDone <- err
 	}()
 	clientsOnly := options
-	clientsOnly.Tries = 0
+	clientsOnly.Attempts = 0
 	clients, err := flood.Run(clientsOnly)
 	if err := errors.Join(err, <-floodDone); err != nil {
 		return nil, err
--- a/cmd/maddergap/restart_test.go
+++ b/cmd/maddergap/restart_test.go
@@ -47,7 +47,7 @@
 		}
 	}
 	result := <-floodDone
-	if result.Flood.Refused+result.Flood.Closed < 1000 {
+	if result.Flood.Rejected+result.Flood.Closed < 1000 {
 		t.Errorf("too few connections for a flood: %+v", result.Flood)
 	}
 	if paths := checkExecutedOnce(t, node); paths != 21 {
@@ -57,7 +57,7 @@
 
 // floodOfManySources holds connections from 500 addresses.
 func floodOfManySources(addr string) flood.Options {
-	o := flood.Options{Target: addr, Path: "/", Pattern: "hold", Tries: 200_000, AtOnce: 300, Length: 6 * time.Second}
+	o := flood.Options{Target: addr, Path: "/", Pattern: flood.Hold, Attempts: 200_000, Concurrency: 300, Duration: 6 * time.Second}
 	for i := range 500 {
 		o.Sources = append(o.Sources, netip.AddrFrom4([4]byte{127, 20, byte(i / 250), byte(i%250 + 1)}))
 	}
--- a/internal/scenario/plan.go
+++ b/internal/scenario/plan.go
@@ -258,7 +258,7 @@
 	if tries == 0 {
 		tries = 300 * int(p.Length/time.Second)
 	}
-	o := flood.Options{Target: head, Path: "/", Pattern: "hold", Tries: tries, AtOnce: 600, Length: p.Length}
+	o := flood.Options{Target: head, Path: "/", Pattern: flood.Hold, Attempts: tries, Concurrency: 600, Duration: p.Length}
 	for i := range 500 {
 		o.Sources = append(o.Sources, netip.AddrFrom4([4]byte{127, 20, byte(i / 250), byte(i%250 + 1)}))
 	}
--- a/internal/scenario/run.go
+++ b/internal/scenario/run.go
@@ -104,7 +104,7 @@
 		r.Flood.Write(&b, "")
 		return strings.TrimSpace(b.String()), nil
 	}
-	r, err := flood.Press(f, o.Exe...)
+	r, err := flood.RunProcess(f, o.Exe...)
 	if err != nil {
 		return "", err
 	}
