--- a/cmd/maddergap/bench.go
+++ b/cmd/maddergap/bench.go
@@ -65,6 +65,6 @@
 		{"stream", func() error { return o.Stream(c.Stream << 20) }},
 		{"rush", func() error { return o.Rush(64, 256, 1024, 4096, 8000) }},
 		{"overload", func() error { return o.Overload(16, 64, 1024, 4096) }},
-		{"members", func() error { return soak.Members([]string{exe}, dir, []int{200, 800, 3200}, io.out) }},
+		{"members", func() error { return soak.MeasureNodeLists([]string{exe}, dir, []int{200, 800, 3200}, io.out) }},
 	}
 }
--- a/cmd/maddergap/soak.go
+++ b/cmd/maddergap/soak.go
@@ -25,13 +25,13 @@
 func (c *soakCmd) Run(io *streams) error {
 	failed := 0
 	for i := range c.Seeds {
-		o := &soak.Options{Seed: c.Seed + uint64(i), Duration: c.Duration, Heads: c.Heads, Nodes: c.Nodes}
-		if err := o.Check(); err != nil {
+		o := &soak.Options{Seed: c.Seed + uint64(i), Duration: c.Duration, Instances: c.Heads, Nodes: c.Nodes}
+		if err := o.Validate(); err != nil {
 			return usageError{err}
 		}
 		if c.Script {
-			for _, event := range soak.Draw(o).Events {
-				fmt.Fprintln(io.out, event)
+			for _, fault := range soak.DrawPlan(o).Faults {
+				fmt.Fprintln(io.out, fault)
 			}
 			continue
 		}
@@ -64,6 +64,6 @@
 	if err != nil {
 		return false, err
 	}
-	report.Write(io.out, fmt.Sprintf("maddergap soak --seed %d --duration %v --heads %d --nodes %d", o.Seed, o.Duration, o.Heads, o.Nodes))
-	return report.Good(), nil
+	report.Write(io.out, fmt.Sprintf("maddergap soak --seed %d --duration %v --heads %d --nodes %d", o.Seed, o.Duration, o.Instances, o.Nodes))
+	return report.Passed(), nil
 }
--- a/cmd/maddergap/soak_test.go
+++ b/cmd/maddergap/soak_test.go
@@ -15,14 +15,14 @@
 		t.Skip("whole runs are left out")
 	}
 	t.Setenv(asProgram, "1")
-	o := &soak.Options{Seed: 3, Duration: 10 * time.Second, Heads: 5, Nodes: 6}
+	o := &soak.Options{Seed: 3, Duration: 10 * time.Second, Instances: 5, Nodes: 6}
 	r, err := soak.Run(o, []string{os.Args[0]}, t.TempDir())
 	if err != nil {
 		t.Fatal(err)
 	}
 	var text bytes.Buffer
 	r.Write(&text, "maddergap soak --seed 3 --duration 10s --heads 5 --nodes 6")
-	if !r.Good() {
+	if !r.Passed() {
 		t.Error(text.String())
 	}
 	if r.Audit.Served < 200 {
--- a/internal/soak/members.go
+++ b/internal/soak/members.go
@@ -22,9 +22,9 @@
 	clockTicks      = 100 // a second, of /proc/PID/stat
 )
 
-// Members measures what one head needs for node lists of each size, with no clients, while
+// MeasureNodeLists measures what one head needs for node lists of each size, with no clients, while
 // discovery falls silent and comes back with one node changed.
-func Members(exe []string, dir string, sizes []int, out io.Writer) error {
+func MeasureNodeLists(exe []string, dir string, sizes []int, out io.Writer) error {
 	fmt.Fprintf(out, "members: %d outages of %v with one change each\n", roundsOfMembers, downForMembers)
 	for _, size := range sizes {
 		if err := membersOf(exe, dir, size, out); err != nil {
@@ -47,7 +47,7 @@
 		return err
 	}
 	defer log.Close()
-	o := &Options{Seed: 1, Heads: 1, Nodes: 4}
+	o := &Options{Seed: 1, Instances: 1, Nodes: 4}
 	h := &head{listen: loopback.Addr(250, 1, headPort), agent: registry.NewAgent(0), settings: drawSettings(o), dir: dir, exe: exe, log: log}
 	if err := h.start(); err != nil {
 		return err
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -14,10 +14,10 @@
 
 // Options say what is run.
 type Options struct {
-	Seed     uint64
-	Duration time.Duration
-	Heads    int
-	Nodes    int // two for each shard
+	Seed      uint64
+	Duration  time.Duration
+	Instances int
+	Nodes     int // two for each shard
 }
 
 // Limits of options.
@@ -28,66 +28,66 @@
 	maxNodes    = 64
 )
 
-// Check names an option that is out of range.
-func (o *Options) Check() error {
+// Validate names an option that is out of range.
+func (o *Options) Validate() error {
 	switch {
 	case o.Duration < minDuration || o.Duration > maxDuration:
 		return fmt.Errorf("a duration of %v is out of range (%v to %v)", o.Duration, minDuration, maxDuration)
-	case o.Heads < 1 || o.Heads > maxHeads:
-		return fmt.Errorf("%d heads are out of range (1 to %d)", o.Heads, maxHeads)
+	case o.Instances < 1 || o.Instances > maxHeads:
+		return fmt.Errorf("%d heads are out of range (1 to %d)", o.Instances, maxHeads)
 	case o.Nodes < 4 || o.Nodes > maxNodes || o.Nodes%2 != 0:
 		return fmt.Errorf("%d nodes are out of range (4 to %d, even)", o.Nodes, maxNodes)
 	}
 	return nil
 }
 
-// Kind is a kind of fault.
-type Kind int
+// FaultKind is a kind of fault.
+type FaultKind int
 
 // Faults.
 const (
-	DiscoveryDown Kind = iota // agents of all heads, or of one, are silent
-	WatchesSilent             // what is open at agents stays silent
-	DiscoverySlow             // agents take a while to answer
-	Drain                     // a node drains, and serves again later
-	NodeRestart               // a node vanishes and comes back cold
-	NodeHang                  // a node answers nothing
-	NodeLate                  // a node takes no connections for a while
-	NodeReset                 // a node resets connections under requests
-	NodeSpoilt                // a node answers noise
-	HeadTerminate             // SIGTERM, SIGKILL at the earliest, a new process
-	HeadKill                  // SIGKILL, a new process
-	HeadReload                // discovery moves, SIGHUP
-	HeadStop                  // SIGSTOP for up to 150 ms
-	ClientsLeave              // clients give up early
-	ClientsStall              // clients stop in the middle of a request
-	ClientsCrowd              // idle connections
-	kinds
+	AgentOutage            FaultKind = iota // agents of all heads, or of one, are silent
+	AgentHangWatches                        // what is open at agents stays silent
+	AgentDelayResponses                     // agents take a while to answer
+	NodeDrain                               // a node drains, and serves again later
+	NodeRestart                             // a node vanishes and comes back cold
+	NodeHang                                // a node answers nothing
+	NodePauseAccept                         // a node takes no connections for a while
+	NodeResetConns                          // a node resets connections under requests
+	NodeMalformedResponses                  // a node answers noise
+	InstanceTerminate                       // SIGTERM, SIGKILL at the earliest, a new process
+	InstanceKill                            // SIGKILL, a new process
+	InstanceReload                          // discovery moves, SIGHUP
+	InstanceSuspend                         // SIGSTOP for up to 150 ms
+	ClientsDisconnect                       // clients give up early
+	ClientsStall                            // clients stop in the middle of a request
+	ClientsIdleConns                        // idle connections
+	faultKinds
 )
 
-func (k Kind) String() string {
+func (k FaultKind) String() string {
 	return [...]string{"discovery down", "watches fall silent", "discovery slow", "node drains", "node restarts cold", "node hangs",
 		"node takes no connections", "node resets", "node answers noise", "head is terminated", "head is killed", "discovery moves",
 		"head is held up", "clients leave", "clients stall", "clients crowd"}[k]
 }
 
-// Event is a fault of the script.
-type Event struct {
-	At   time.Duration
-	For  time.Duration
-	Kind Kind
-	Who  int // a head or a node, -1: all heads
+// Fault is a fault of the script.
+type Fault struct {
+	Start    time.Duration
+	Duration time.Duration
+	Kind     FaultKind
+	Target   int // a head or a node, -1: all heads
 }
 
-func (e Event) String() string {
-	return fmt.Sprintf("%7.3f %v, %d, for %v", e.At.Seconds(), e.Kind, e.Who, e.For.Round(time.Millisecond))
+func (e Fault) String() string {
+	return fmt.Sprintf("%7.3f %v, %d, for %v", e.Start.Seconds(), e.Kind, e.Target, e.Duration.Round(time.Millisecond))
 }
 
-// Script is what happens in a run.
-type Script struct {
-	Events []Event
-	// Inject is the table of failing system calls of each head's process, "" for none.
-	Inject []string
+// Plan is what happens in a run.
+type Plan struct {
+	Faults []Fault
+	// SyscallFaults is the table of failing system calls of each head's process, "" for none.
+	SyscallFaults []string
 }
 
 // Shares of a run: faults begin after the first and end before the last of it.
@@ -103,37 +103,37 @@
 	outageEvery = 6
 )
 
-// Draw draws a script. Faults are drawn one by one; some come in pairs that cross: drains in
+// DrawPlan draws a script. Faults are drawn one by one; some come in pairs that cross: drains in
 // the moment in which discovery returns, reloads in series, a drain behind a stop.
-func Draw(o *Options) *Script {
+func DrawPlan(o *Options) *Plan {
 	r := rand.New(rand.NewPCG(o.Seed, 0x736f616b))
-	s := &Script{}
+	s := &Plan{}
 	end := o.Duration - quietAtLast
 	for at := quietAtFirst; at < end; at += time.Duration(r.ExpFloat64() * float64(eachEvery)) {
 		s.draw(r, o, at, end)
 	}
-	slices.SortStableFunc(s.Events, func(a, b Event) int { return cmp.Compare(a.At, b.At) })
-	for range o.Heads {
-		s.Inject = append(s.Inject, injection(r))
+	slices.SortStableFunc(s.Faults, func(a, b Fault) int { return cmp.Compare(a.Start, b.Start) })
+	for range o.Instances {
+		s.SyscallFaults = append(s.SyscallFaults, injection(r))
 	}
 	return s
 }
 
-func (s *Script) add(at, length time.Duration, kind Kind, who int) {
-	s.Events = append(s.Events, Event{At: at, For: length, Kind: kind, Who: who})
+func (s *Plan) add(at, length time.Duration, kind FaultKind, who int) {
+	s.Faults = append(s.Faults, Fault{Start: at, Duration: length, Kind: kind, Target: who})
 }
 
-func (s *Script) draw(r *rand.Rand, o *Options, at, end time.Duration) {
+func (s *Plan) draw(r *rand.Rand, o *Options, at, end time.Duration) {
 	span := func(from, to time.Duration) time.Duration {
 		return min(from+time.Duration(r.Int64N(int64(to-from))), max(end-at, from))
 	}
-	head, node := r.IntN(o.Heads), r.IntN(o.Nodes)
-	kind := Kind(r.IntN(int(kinds)))
+	head, node := r.IntN(o.Instances), r.IntN(o.Nodes)
+	kind := FaultKind(r.IntN(int(faultKinds)))
 	if r.IntN(outageEvery) == 0 {
-		kind = DiscoveryDown
+		kind = AgentOutage
 	}
 	switch kind {
-	case DiscoveryDown:
+	case AgentOutage:
 		who := head
 		if r.IntN(2) == 0 {
 			who = -1
@@ -142,30 +142,30 @@
 		s.add(at, length, kind, who)
 		for range 1 + r.IntN(2) { // nodes drain while it is down, beyond the return, at which that counts
 			after := time.Duration(r.Int64N(int64(length)))
-			s.add(at+after, length-after+span(time.Second, 3*time.Second), Drain, r.IntN(o.Nodes))
+			s.add(at+after, length-after+span(time.Second, 3*time.Second), NodeDrain, r.IntN(o.Nodes))
 		}
-	case WatchesSilent, DiscoverySlow:
+	case AgentHangWatches, AgentDelayResponses:
 		s.add(at, span(100*time.Millisecond, 2*time.Second), kind, head)
-	case Drain:
+	case NodeDrain:
 		s.add(at, span(time.Second, 4*time.Second), kind, node)
 	case NodeRestart:
 		s.add(at, span(300*time.Millisecond, 2*time.Second), kind, node)
-	case NodeHang, NodeLate, NodeReset, NodeSpoilt:
+	case NodeHang, NodePauseAccept, NodeResetConns, NodeMalformedResponses:
 		s.add(at, span(100*time.Millisecond, 1500*time.Millisecond), kind, node)
-	case HeadTerminate:
+	case InstanceTerminate:
 		s.add(at, span(100*time.Millisecond, time.Second), kind, head)
 		if r.IntN(2) == 0 { // signals in series
-			s.add(at+time.Duration(r.IntN(400))*time.Millisecond, 0, HeadReload, head)
-			s.add(at+time.Duration(r.IntN(900))*time.Millisecond, 2*time.Second, Drain, node)
+			s.add(at+time.Duration(r.IntN(400))*time.Millisecond, 0, InstanceReload, head)
+			s.add(at+time.Duration(r.IntN(900))*time.Millisecond, 2*time.Second, NodeDrain, node)
 		}
-	case HeadKill:
+	case InstanceKill:
 		s.add(at, span(100*time.Millisecond, time.Second), kind, head)
-	case HeadReload:
+	case InstanceReload:
 		for n := 1 + r.IntN(3); n > 0; n-- {
 			s.add(at+time.Duration(r.IntN(500))*time.Millisecond, 0, kind, head)
 		}
-		s.add(at+time.Duration(r.IntN(500))*time.Millisecond, span(time.Second, 3*time.Second), Drain, node)
-	case HeadStop:
+		s.add(at+time.Duration(r.IntN(500))*time.Millisecond, span(time.Second, 3*time.Second), NodeDrain, node)
+	case InstanceSuspend:
 		s.add(at, span(20*time.Millisecond, 150*time.Millisecond), kind, head)
 	default:
 		s.add(at, span(200*time.Millisecond, 2*time.Second), kind, head)
--- a/internal/soak/settings.go
+++ b/internal/soak/settings.go
@@ -75,7 +75,7 @@
 func drawSettings(o *Options) *settings {
 	r := rand.New(rand.NewPCG(o.Seed, 0x73657474))
 	span := func(from, to int) time.Duration { return time.Duration(from+r.IntN(to-from)) * time.Millisecond }
-	s := &settings{shards: o.Nodes / 2, heads: o.Heads, sockets: 256}
+	s := &settings{shards: o.Nodes / 2, heads: o.Instances, sockets: 256}
 	s.classes = []class{
 		{name: "read", effect: "retryable", group: "all", target: span(60, 150), deadline: span(500, 1600)},
 		{name: "write", effect: "fragile", group: "all", write: true, target: span(80, 200), deadline: span(500, 1600)},
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -30,27 +30,27 @@
 // Report is a judged run.
 type Report struct {
 	Options *Options
-	Script  *Script
+	Plan    *Plan
 	Audit   *audit.Report
-	// Broken are the invariants that heads found broken themselves, as they logged them.
-	Broken []string
-	// Faults are crashes, heads that did not come back, and clients that were owed an end.
-	Faults []string
-	// Lag is the longest that the soak itself was held up.
-	Lag time.Duration
+	// Violations are the invariants that heads found broken themselves, as they logged them.
+	Violations []string
+	// Failures are crashes, heads that did not come back, and clients that were owed an end.
+	Failures []string
+	// MaxStall is the longest that the soak itself was held up.
+	MaxStall time.Duration
 }
 
-// Good tells whether nothing was broken.
-func (r *Report) Good() bool { return r.Audit.Passed() && len(r.Broken)+len(r.Faults) == 0 }
+// Passed tells whether nothing was broken.
+func (r *Report) Passed() bool { return r.Audit.Passed() && len(r.Violations)+len(r.Failures) == 0 }
 
 // Run runs a fleet of the program under the script of a seed and judges it. dir keeps the
 // heads' configurations and logs.
 func Run(o *Options, exe []string, dir string) (*Report, error) {
-	if err := o.Check(); err != nil {
+	if err := o.Validate(); err != nil {
 		return nil, err
 	}
 	f := &fleet{o: o, settings: drawSettings(o), registry: discoverytest.NewRegistry()}
-	script := Draw(o)
+	script := DrawPlan(o)
 	lag := stallwatch.Start()
 	defer lag.Stop()
 	defer f.close()
@@ -98,15 +98,15 @@
 	return nil
 }
 
-func (f *fleet) openHeads(script *Script, exe []string, dir string) error {
-	for i := range f.o.Heads {
+func (f *fleet) openHeads(script *Plan, exe []string, dir string) error {
+	for i := range f.o.Instances {
 		log, err := os.Create(filepath.Join(dir, fmt.Sprintf("head%d.log", i)))
 		if err != nil {
 			return err
 		}
 		listen := f.address(i, headPort)
 		h := &head{number: i, listen: listen, agent: f.registry.NewAgent(i), settings: f.settings, dir: dir, exe: exe,
-			inject: script.Inject[i], log: log}
+			inject: script.SyscallFaults[i], log: log}
 		h.clients = &clients{head: i, addr: listen, config: f.settings, nextID: &f.ids}
 		f.heads = append(f.heads, h)
 	}
@@ -130,10 +130,10 @@
 
 // play carries the script out, each event aside, and ends with a planned stop of all heads
 // while clients still ask.
-func (f *fleet) play(script *Script) {
+func (f *fleet) play(script *Plan) {
 	began := time.Now()
-	for _, e := range script.Events {
-		time.Sleep(time.Until(began.Add(e.At)))
+	for _, e := range script.Faults {
+		time.Sleep(time.Until(began.Add(e.Start)))
 		for _, h := range f.heads {
 			if h.mu.TryLock() {
 				h.crashed()
@@ -157,27 +157,27 @@
 }
 
 // happen carries one event out, from its beginning to its end.
-func (f *fleet) happen(e Event) {
-	if e.Kind <= DiscoverySlow {
+func (f *fleet) happen(e Fault) {
+	if e.Kind <= AgentDelayResponses {
 		f.discovery(e)
 		return
 	}
-	if e.Kind <= NodeSpoilt {
+	if e.Kind <= NodeMalformedResponses {
 		f.node(e)
 		return
 	}
-	h := f.heads[e.Who]
+	h := f.heads[e.Target]
 	switch e.Kind {
-	case ClientsLeave:
+	case ClientsDisconnect:
 		h.clients.leaving.Store(true)
-		time.Sleep(e.For)
+		time.Sleep(e.Duration)
 		h.clients.leaving.Store(false)
 		return
 	case ClientsStall:
 		f.fault(h.clients.stall())
 		return
-	case ClientsCrowd:
-		h.clients.crowd(f.settings.sockets/2, e.For)
+	case ClientsIdleConns:
+		h.clients.crowd(f.settings.sockets/2, e.Duration)
 		return
 	}
 	if !h.mu.TryLock() { // something else happens to it
@@ -188,53 +188,53 @@
 		return
 	}
 	switch e.Kind {
-	case HeadTerminate:
+	case InstanceTerminate:
 		h.terminate()
-		time.Sleep(e.For)
+		time.Sleep(e.Duration)
 		h.back()
-	case HeadKill:
+	case InstanceKill:
 		h.kill()
-		time.Sleep(e.For)
+		time.Sleep(e.Duration)
 		h.back()
-	case HeadReload:
+	case InstanceReload:
 		h.reload()
-	case HeadStop:
-		h.holdUp(e.For)
+	case InstanceSuspend:
+		h.holdUp(e.Duration)
 	}
 }
 
-func (f *fleet) discovery(e Event) {
+func (f *fleet) discovery(e Fault) {
 	agents := f.registry.Agents()
-	if e.Who >= 0 {
-		agents = agents[e.Who : e.Who+1]
+	if e.Target >= 0 {
+		agents = agents[e.Target : e.Target+1]
 	}
 	for _, a := range agents {
 		switch e.Kind {
-		case DiscoveryDown:
+		case AgentOutage:
 			a.StartOutage()
-		case WatchesSilent:
+		case AgentHangWatches:
 			a.HangWatches()
-		case DiscoverySlow:
-			a.SetResponseDelay(e.For / 10)
+		case AgentDelayResponses:
+			a.SetResponseDelay(e.Duration / 10)
 		}
 	}
-	time.Sleep(e.For)
+	time.Sleep(e.Duration)
 	for _, a := range agents {
 		switch e.Kind {
-		case DiscoveryDown:
+		case AgentOutage:
 			a.EndOutage()
-		case DiscoverySlow:
+		case AgentDelayResponses:
 			a.SetResponseDelay(0)
 		}
 	}
 }
 
-func (f *fleet) node(e Event) {
-	n := f.nodes[e.Who]
+func (f *fleet) node(e Fault) {
+	n := f.nodes[e.Target]
 	switch e.Kind {
-	case Drain:
+	case NodeDrain:
 		f.registry.UpdateEndpoint(func(e *discovery.Endpoint) { e.Status = "draining" }, n.name)
-		time.Sleep(e.For)
+		time.Sleep(e.Duration)
 		f.registry.UpdateEndpoint(func(e *discovery.Endpoint) { e.Status = "up" }, n.name)
 	case NodeRestart:
 		if !n.restart.TryLock() { // it is down already
@@ -242,7 +242,7 @@
 		}
 		defer n.restart.Unlock()
 		n.kill()
-		time.Sleep(e.For)
+		time.Sleep(e.Duration)
 		if err := n.start(); err != nil {
 			f.fault(err)
 			return
@@ -251,13 +251,13 @@
 		f.starts = append(f.starts, audit.Interval{Name: n.name, From: unixMicros()})
 		f.mu.Unlock()
 		f.registry.UpdateEndpoint(func(e *discovery.Endpoint) { e.Since = float64(time.Now().UnixMilli()) }, n.name)
-	case NodeLate:
+	case NodePauseAccept:
 		n.pauseAccept()
-		time.Sleep(e.For)
+		time.Sleep(e.Duration)
 		n.resumeAccept()
 	default:
-		n.setFault(map[Kind]responseFault{NodeHang: respondsNever, NodeReset: respondsByReset, NodeSpoilt: respondsMalformed}[e.Kind])
-		time.Sleep(e.For)
+		n.setFault(map[FaultKind]responseFault{NodeHang: respondsNever, NodeResetConns: respondsByReset, NodeMalformedResponses: respondsMalformed}[e.Kind])
+		time.Sleep(e.Duration)
 		n.setFault(respondsWell)
 	}
 }
@@ -278,7 +278,7 @@
 }
 
 // judge joins the records.
-func (f *fleet) judge(script *Script, dir string, lag *stallwatch.Watch) (*Report, error) {
+func (f *fleet) judge(script *Plan, dir string, lag *stallwatch.Watch) (*Report, error) {
 	text, err := f.settings.file(0, "127.0.0.1:1", "127.0.0.1:1", discovery.EndpointList{})
 	if err != nil {
 		return nil, err
@@ -287,19 +287,19 @@
 	if err != nil {
 		return nil, err
 	}
-	r := &Report{Options: f.o, Script: script, Lag: lag.Longest(), Faults: f.faults}
+	r := &Report{Options: f.o, Plan: script, MaxStall: lag.Longest(), Failures: f.faults}
 	drains, starts := f.registry.Notices()
 	in := audit.Input{Config: config, DrainNotices: drains, StartNotices: starts, DrainGrace: drainGrace, DisconnectGrace: cancelGrace, TimeoutTolerance: toldSlack,
-		LateTolerance: lateAnswers, ClockTolerance: blur + r.Lag, NodeStarts: f.starts, SlowStart: f.settings.cold()}
+		LateTolerance: lateAnswers, ClockTolerance: blur + r.MaxStall, NodeStarts: f.starts, SlowStart: f.settings.cold()}
 	for _, h := range f.heads {
 		in.Requests = append(in.Requests, h.clients.records()...)
 		in.Outages = append(in.Outages, h.down...)
-		r.Faults = append(r.Faults, h.faults...)
+		r.Failures = append(r.Failures, h.faults...)
 		broken, err := brokenLines(h.log.Name())
 		if err != nil {
 			return nil, err
 		}
-		r.Broken = append(r.Broken, broken...)
+		r.Violations = append(r.Violations, broken...)
 	}
 	for _, n := range f.nodes {
 		in.Attempts = append(in.Attempts, n.records()...)
@@ -326,30 +326,30 @@
 	return lines, scan.Err()
 }
 
-// linesShown bounds what a report shows of each kind.
-const linesShown = 10
+// maxReportedLines bounds what a report shows of each kind.
+const maxReportedLines = 10
 
 // Write prints the report; where something was broken, with the timeline and what to run to
 // see it again.
 func (r *Report) Write(w io.Writer, command string) {
 	r.Audit.Write(w)
-	fmt.Fprintf(w, "the soak was held up %v at most\n", r.Lag.Round(time.Millisecond))
-	if r.Good() {
+	fmt.Fprintf(w, "the soak was held up %v at most\n", r.MaxStall.Round(time.Millisecond))
+	if r.Passed() {
 		fmt.Fprintf(w, "seed %d: everything held\n", r.Options.Seed)
 		return
 	}
 	show := func(title string, lines []string) {
 		for i, line := range lines {
-			if i == linesShown {
+			if i == maxReportedLines {
 				fmt.Fprintf(w, "%s: %d more\n", title, len(lines)-i)
 				return
 			}
 			fmt.Fprintf(w, "%s: %s\n", title, line)
 		}
 	}
-	show("fault", r.Faults)
-	show("found broken by a head", r.Broken)
-	for _, e := range r.Script.Events {
+	show("fault", r.Failures)
+	show("found broken by a head", r.Violations)
+	for _, e := range r.Plan.Faults {
 		fmt.Fprintln(w, e)
 	}
 	fmt.Fprintf(w, "seed %d: BROKEN; again with: %s\n", r.Options.Seed, command)
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -10,12 +10,12 @@
 	"maddergap/internal/syscalls"
 )
 
-var options = Options{Seed: 5, Duration: 20 * time.Second, Heads: 8, Nodes: 8}
+var options = Options{Seed: 5, Duration: 20 * time.Second, Instances: 8, Nodes: 8}
 
 func TestSameSeedSameScript(t *testing.T) {
 	other := options
 	other.Seed++
-	one, two, three := Draw(&options), Draw(&options), Draw(&other)
+	one, two, three := DrawPlan(&options), DrawPlan(&options), DrawPlan(&other)
 	if !reflect.DeepEqual(one, two) || reflect.DeepEqual(one, three) {
 		t.Error("a script does not follow from its seed")
 	}
@@ -24,28 +24,28 @@
 // Every kind of fault is drawn, within the run, against somebody who is there; and every
 // table of failing calls can be read.
 func TestScripts(t *testing.T) {
-	seen := map[Kind]int{}
+	seen := map[FaultKind]int{}
 	for seed := range uint64(50) {
 		o := options
 		o.Seed = seed
-		s := Draw(&o)
-		for _, e := range s.Events {
+		s := DrawPlan(&o)
+		for _, e := range s.Faults {
 			seen[e.Kind]++
 			who := o.Nodes
-			if e.Kind < Drain || e.Kind > NodeSpoilt {
-				who = o.Heads
+			if e.Kind < NodeDrain || e.Kind > NodeMalformedResponses {
+				who = o.Instances
 			}
-			if e.At < quietAtFirst || e.At > o.Duration || e.Who >= who || e.String() == "" {
+			if e.Start < quietAtFirst || e.Start > o.Duration || e.Target >= who || e.String() == "" {
 				t.Fatalf("seed %d: %+v", seed, e)
 			}
 		}
-		for _, text := range s.Inject {
+		for _, text := range s.SyscallFaults {
 			if _, err := syscalls.ParseFaultTable(text); err != nil {
 				t.Fatalf("seed %d: %v", seed, err)
 			}
 		}
 	}
-	for k := range kinds {
+	for k := range faultKinds {
 		if seen[k] == 0 {
 			t.Errorf("%v is never drawn", k)
 		}
@@ -53,9 +53,9 @@
 }
 
 func TestOptions(t *testing.T) {
-	for _, o := range []Options{{Duration: time.Second, Heads: 4, Nodes: 8}, {Duration: time.Hour, Heads: 4, Nodes: 8},
-		{Duration: 10 * time.Second, Nodes: 8}, {Duration: 10 * time.Second, Heads: 4, Nodes: 5}} {
-		if o.Check() == nil {
+	for _, o := range []Options{{Duration: time.Second, Instances: 4, Nodes: 8}, {Duration: time.Hour, Instances: 4, Nodes: 8},
+		{Duration: 10 * time.Second, Nodes: 8}, {Duration: 10 * time.Second, Instances: 4, Nodes: 5}} {
+		if o.Validate() == nil {
 			t.Errorf("%+v is taken", o)
 		}
 	}
