--- a/cmd/maddergap/serve_workers_test.go
+++ b/cmd/maddergap/serve_workers_test.go
@@ -18,6 +18,7 @@
 
 	"maddergap/internal/fakenode"
 	"maddergap/internal/loopback"
+	"maddergap/internal/supervisor"
 )
 
 // lockedBuffer is the log of processes that write at the same time.
@@ -61,6 +62,9 @@
 		}
 		clients = append(clients, c)
 	}
+	// A worker that exits before any worker's first heartbeat ends them all, as its configuration
+	// is at fault then. A heartbeat is late by an interval if the loop had not iterated at the first.
+	time.Sleep(2 * supervisor.HeartbeatInterval)
 	pids := r.log.pids()
 	syscall.Kill(pids[0], syscall.SIGKILL)
 	if lost := r.countLost(clients); lost < 10 || lost > 90 {
