--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -1,186 +1,154 @@
-// Package soak runs a fleet of real heads on the platform's protocol under drawn faults that
-// overlap in time, and judges it from the records of clients and nodes (internal/audit) and by
-// what the heads count themselves (internal/guard). Discovery, nodes and clients are stand-ins
-// of its own on loopback addresses; heads are processes of the program.
 package soak
 
 import (
 	"cmp"
-	"fmt"
 	"math/rand/v2"
 	"slices"
 	"time"
 )
 
-// Options say what is run.
-type Options struct {
-	Seed      uint64
-	Duration  time.Duration
-	Instances int
-	Nodes     int // two for each shard
+// Plan is the faults of a run.
+type Plan struct {
+	Faults []Fault // by start
+	// SyscallFaults is the table of failing system calls of each instance's process, in the form
+	// that syscalls.ParseFaultTable reads.
+	SyscallFaults []string
 }
 
-// Limits of options.
+// Times without new faults at the beginning and at the end of a run: the fleet starts without
+// any, and recovers from all of them before it shuts down.
 const (
-	minDuration = 4 * time.Second
-	maxDuration = 30 * time.Minute
-	maxHeads    = 64
-	maxNodes    = 64
+	quietStart = 1500 * time.Millisecond
+	quietEnd   = 2500 * time.Millisecond
 )
 
-// Validate names an option that is out of range.
-func (o *Options) Validate() error {
-	switch {
-	case o.Duration < minDuration || o.Duration > maxDuration:
-		return fmt.Errorf("a duration of %v is out of range (%v to %v)", o.Duration, minDuration, maxDuration)
-	case o.Instances < 1 || o.Instances > maxHeads:
-		return fmt.Errorf("%d heads are out of range (1 to %d)", o.Instances, maxHeads)
-	case o.Nodes < 4 || o.Nodes > maxNodes || o.Nodes%2 != 0:
-		return fmt.Errorf("%d nodes are out of range (4 to %d, even)", o.Nodes, maxNodes)
-	}
-	return nil
-}
-
-// FaultKind is a kind of fault.
-type FaultKind int
-
-// Faults.
 const (
-	AgentOutage            FaultKind = iota // agents of all heads, or of one, are silent
-	AgentHangWatches                        // what is open at agents stays silent
-	AgentDelayResponses                     // agents take a while to answer
-	NodeDrain                               // a node drains, and serves again later
-	NodeRestart                             // a node vanishes and comes back cold
-	NodeHang                                // a node answers nothing
-	NodePauseAccept                         // a node takes no connections for a while
-	NodeResetConns                          // a node resets connections under requests
-	NodeMalformedResponses                  // a node answers noise
-	InstanceTerminate                       // SIGTERM, SIGKILL at the earliest, a new process
-	InstanceKill                            // SIGKILL, a new process
-	InstanceReload                          // discovery moves, SIGHUP
-	InstanceSuspend                         // SIGSTOP for up to 150 ms
-	ClientsDisconnect                       // clients give up early
-	ClientsStall                            // clients stop in the middle of a request
-	ClientsIdleConns                        // idle connections
-	faultKinds
+	// meanFaultInterval is the mean time between the starts of two faults; the intervals are
+	// exponentially distributed.
+	meanFaultInterval = 350 * time.Millisecond
+	// extraOutageEvery: one fault in so many is an outage of discovery, beside those that are drawn
+	// as often as other kinds. Changes that an instance misses in an outage are the rarest to meet.
+	extraOutageEvery = 6
 )
 
-func (k FaultKind) String() string {
-	return [...]string{"discovery down", "watches fall silent", "discovery slow", "node drains", "node restarts cold", "node hangs",
-		"node takes no connections", "node resets", "node answers noise", "head is terminated", "head is killed", "discovery moves",
-		"head is held up", "clients leave", "clients stall", "clients crowd"}[k]
-}
+// planStream is the stream of random numbers, at a seed, that plans are drawn from.
+const planStream = 0x736f616b
 
-// Fault is a fault of the script.
-type Fault struct {
-	Start    time.Duration
-	Duration time.Duration
-	Kind     FaultKind
-	Target   int // a head or a node, -1: all heads
+// planner draws a plan.
+type planner struct {
+	plan    *Plan
+	options *Options
+	rand    *rand.Rand
+	end     time.Duration // of faults
 }
 
-func (e Fault) String() string {
-	return fmt.Sprintf("%7.3f %v, %d, for %v", e.Start.Seconds(), e.Kind, e.Target, e.Duration.Round(time.Millisecond))
+// DrawPlan returns the plan that follows from the options' seed. Faults are independent, except for
+// some that are made to coincide: drains with the end of an outage of discovery, reloads in series,
+// a drain with a shutdown.
+func DrawPlan(o *Options) *Plan {
+	p := &planner{
+		plan:    &Plan{},
+		options: o,
+		rand:    rand.New(rand.NewPCG(o.Seed, planStream)),
+		end:     o.Duration - quietEnd,
+	}
+	for start := quietStart; start < p.end; start += p.interval() {
+		p.drawFault(start)
+	}
+	slices.SortStableFunc(p.plan.Faults, func(a, b Fault) int { return cmp.Compare(a.Start, b.Start) })
+	for range o.Instances {
+		p.plan.SyscallFaults = append(p.plan.SyscallFaults, drawSyscallFaults(p.rand))
+	}
+	return p.plan
 }
 
-// Plan is what happens in a run.
-type Plan struct {
-	Faults []Fault
-	// SyscallFaults is the table of failing system calls of each head's process, "" for none.
-	SyscallFaults []string
+func (p *planner) interval() time.Duration {
+	return time.Duration(p.rand.ExpFloat64() * float64(meanFaultInterval))
 }
 
-// Shares of a run: faults begin after the first and end before the last of it.
-const (
-	quietAtFirst = 1500 * time.Millisecond
-	quietAtLast  = 2500 * time.Millisecond
-)
-
-// eachEvery is how often a fault begins, in the mean; one of outageEvery is an outage of
-// discovery, beside those that are drawn with the others.
-const (
-	eachEvery   = 350 * time.Millisecond
-	outageEvery = 6
-)
+func (p *planner) add(start, duration time.Duration, kind FaultKind, target int) {
+	p.plan.Faults = append(p.plan.Faults, Fault{Start: start, Duration: duration, Kind: kind, Target: target})
+}
 
-// DrawPlan draws a script. Faults are drawn one by one; some come in pairs that cross: drains in
-// the moment in which discovery returns, reloads in series, a drain behind a stop.
-func DrawPlan(o *Options) *Plan {
-	r := rand.New(rand.NewPCG(o.Seed, 0x736f616b))
-	s := &Plan{}
-	end := o.Duration - quietAtLast
-	for at := quietAtFirst; at < end; at += time.Duration(r.ExpFloat64() * float64(eachEvery)) {
-		s.draw(r, o, at, end)
+// drawFault draws a fault that starts at a time, and those that are to coincide with it.
+func (p *planner) drawFault(start time.Duration) {
+	instance := p.rand.IntN(p.options.Instances)
+	node := p.rand.IntN(p.options.Nodes)
+	kind := FaultKind(p.rand.IntN(int(faultKinds)))
+	if p.rand.IntN(extraOutageEvery) == 0 {
+		kind = AgentOutage
 	}
-	slices.SortStableFunc(s.Faults, func(a, b Fault) int { return cmp.Compare(a.Start, b.Start) })
-	for range o.Instances {
-		s.SyscallFaults = append(s.SyscallFaults, injection(r))
+	switch {
+	case kind == AgentOutage:
+		p.drawOutage(start, instance)
+	case kind == InstanceTerminate:
+		p.drawShutdown(start, instance, node)
+	case kind == InstanceReload:
+		p.drawReloads(start, instance, node)
+	case kind.component() == nodeComponent:
+		p.add(start, p.duration(kind, start), kind, node)
+	default:
+		p.add(start, p.duration(kind, start), kind, instance)
 	}
-	return s
 }
 
-func (s *Plan) add(at, length time.Duration, kind FaultKind, who int) {
-	s.Faults = append(s.Faults, Fault{Start: at, Duration: length, Kind: kind, Target: who})
+// duration draws the duration of a fault.
+func (p *planner) duration(kind FaultKind, start time.Duration) time.Duration {
+	info := &faultInfos[kind]
+	return p.durationBetween(info.minDuration, info.maxDuration, start)
+}
+
+// durationBetween draws a duration from shortest up to longest. A fault that starts at start lasts
+// beyond the end of faults only where its shortest duration does.
+func (p *planner) durationBetween(shortest, longest, start time.Duration) time.Duration {
+	duration := shortest + time.Duration(p.rand.Int64N(int64(longest-shortest)))
+	return min(duration, max(p.end-start, shortest))
+}
+
+// coincidingDrain draws the duration of a drain that is to coincide with another fault.
+func (p *planner) coincidingDrain(start time.Duration) time.Duration {
+	return p.durationBetween(time.Second, 3*time.Second, start)
+}
+
+// within draws a delay of whole milliseconds, shorter than limit.
+func (p *planner) within(limit time.Duration) time.Duration {
+	return time.Duration(p.rand.IntN(int(limit.Milliseconds()))) * time.Millisecond
 }
 
-func (s *Plan) draw(r *rand.Rand, o *Options, at, end time.Duration) {
-	span := func(from, to time.Duration) time.Duration {
-		return min(from+time.Duration(r.Int64N(int64(to-from))), max(end-at, from))
+// drawOutage draws an outage of discovery, for one instance or for all. In it one or two nodes
+// begin to drain, which instances learn when it ends: from then on the drains have to be kept.
+func (p *planner) drawOutage(start time.Duration, instance int) {
+	target := instance
+	if p.rand.IntN(2) == 0 {
+		target = allAgents
 	}
-	head, node := r.IntN(o.Instances), r.IntN(o.Nodes)
-	kind := FaultKind(r.IntN(int(faultKinds)))
-	if r.IntN(outageEvery) == 0 {
-		kind = AgentOutage
+	outage := p.duration(AgentOutage, start)
+	p.add(start, outage, AgentOutage, target)
+	for range 1 + p.rand.IntN(2) {
+		delay := time.Duration(p.rand.Int64N(int64(outage)))
+		drain := outage - delay + p.coincidingDrain(start)
+		p.add(start+delay, drain, NodeDrain, p.rand.IntN(p.options.Nodes))
 	}
-	switch kind {
-	case AgentOutage:
-		who := head
-		if r.IntN(2) == 0 {
-			who = -1
-		}
-		length := span(100*time.Millisecond, 5*time.Second)
-		s.add(at, length, kind, who)
-		for range 1 + r.IntN(2) { // nodes drain while it is down, beyond the return, at which that counts
-			after := time.Duration(r.Int64N(int64(length)))
-			s.add(at+after, length-after+span(time.Second, 3*time.Second), NodeDrain, r.IntN(o.Nodes))
-		}
-	case AgentHangWatches, AgentDelayResponses:
-		s.add(at, span(100*time.Millisecond, 2*time.Second), kind, head)
-	case NodeDrain:
-		s.add(at, span(time.Second, 4*time.Second), kind, node)
-	case NodeRestart:
-		s.add(at, span(300*time.Millisecond, 2*time.Second), kind, node)
-	case NodeHang, NodePauseAccept, NodeResetConns, NodeMalformedResponses:
-		s.add(at, span(100*time.Millisecond, 1500*time.Millisecond), kind, node)
-	case InstanceTerminate:
-		s.add(at, span(100*time.Millisecond, time.Second), kind, head)
-		if r.IntN(2) == 0 { // signals in series
-			s.add(at+time.Duration(r.IntN(400))*time.Millisecond, 0, InstanceReload, head)
-			s.add(at+time.Duration(r.IntN(900))*time.Millisecond, 2*time.Second, NodeDrain, node)
-		}
-	case InstanceKill:
-		s.add(at, span(100*time.Millisecond, time.Second), kind, head)
-	case InstanceReload:
-		for n := 1 + r.IntN(3); n > 0; n-- {
-			s.add(at+time.Duration(r.IntN(500))*time.Millisecond, 0, kind, head)
-		}
-		s.add(at+time.Duration(r.IntN(500))*time.Millisecond, span(time.Second, 3*time.Second), NodeDrain, node)
-	case InstanceSuspend:
-		s.add(at, span(20*time.Millisecond, 150*time.Millisecond), kind, head)
-	default:
-		s.add(at, span(200*time.Millisecond, 2*time.Second), kind, head)
+}
+
+// drawShutdown draws a planned restart of an instance. Half of them come with a SIGHUP and with a
+// node that drains while the instance shuts down.
+func (p *planner) drawShutdown(start time.Duration, instance, node int) {
+	const drain = 2 * time.Second
+	p.add(start, p.duration(InstanceTerminate, start), InstanceTerminate, instance)
+	if p.rand.IntN(2) == 0 {
+		p.add(start+p.within(400*time.Millisecond), 0, InstanceReload, instance)
+		p.add(start+p.within(900*time.Millisecond), drain, NodeDrain, node)
 	}
 }
 
-// injection draws the table of failing system calls of one process.
-func injection(r *rand.Rand) string {
-	faults := []string{"read SHORT chance 0.02", "write SHORT chance 0.02", "read EINTR chance 0.05; write EINTR chance 0.05; epoll_wait EINTR chance 0.05",
-		"accept ECONNABORTED chance 0.05", "accept ENFILE from 3s for 300ms", "socket ENFILE from 4s for 300ms", "connect EADDRNOTAVAIL chance 0.05",
-		"connect ENETUNREACH from 5s for 200ms", "epoll_ctl ENOMEM chance 0.02 from 1s", "write ENOBUFS chance 0.02", "shutdown ENOBUFS chance 0.1",
-		"step 1h", "step -1h", "step 3s", "step -3s"}
-	text := fmt.Sprintf("seed %d", r.Uint64()%1000)
-	for range r.IntN(4) {
-		text += "; " + faults[r.IntN(len(faults))]
+// drawReloads draws one to three reloads in short succession, and a drain that the instance is told
+// of by either address of discovery.
+func (p *planner) drawReloads(start time.Duration, instance, node int) {
+	const delayLimit = 500 * time.Millisecond
+	for range 1 + p.rand.IntN(3) {
+		p.add(start+p.within(delayLimit), 0, InstanceReload, instance)
 	}
-	return text
+	delay := p.within(delayLimit)
+	p.add(start+delay, p.coincidingDrain(start), NodeDrain, node)
 }
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -1,3 +1,10 @@
+// Package soak runs a fleet of gateway processes in service, on the platform's protocol, under
+// random faults that overlap in time. It judges the run by the audit, from what clients and nodes
+// recorded on their sockets, and by the violated invariants that the instances log. Discovery, nodes
+// and clients are fakes in the process of the soak, on loopback addresses.
+//
+// options.go, fault.go, plan.go and syscall_faults.go are what happens in a run; it all follows from
+// a seed.
 package soak
 
 import (
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -32,10 +32,10 @@
 		for _, e := range s.Faults {
 			seen[e.Kind]++
 			who := o.Nodes
-			if e.Kind < NodeDrain || e.Kind > NodeMalformedResponses {
+			if e.Kind.component() != nodeComponent {
 				who = o.Instances
 			}
-			if e.Start < quietAtFirst || e.Start > o.Duration || e.Target >= who || e.String() == "" {
+			if e.Start < quietStart || e.Start > o.Duration || e.Target >= who || e.String() == "" {
 				t.Fatalf("seed %d: %+v", seed, e)
 			}
 		}
