--- a/cmd/maddergap/serve_workers_test.go
+++ b/cmd/maddergap/serve_workers_test.go
@@ -71,12 +71,15 @@
 		t.Errorf("%d of 100 connections were the killed worker's: they are not spread", lost)
 	}
 	r.checkNewConns(50, "after the kill")
+	r.waitForExit(pids[0])
 	r.waitForLines("the killed worker is back", servingLine, 3)
 	syscall.Kill(pids[1], syscall.SIGSTOP) // the worker hangs
 	// A signal stops a process some time after it was sent: what it accepts until then ends with it.
 	r.wait("each of its threads is stopped", func() bool { return stopped(pids[1]) })
 	r.checkNewConns(20, "while one hangs")
-	r.waitForLines("the hung worker is killed and back", servingLine, 4)
+	r.waitForLines("the hung worker is killed", killedLine, 1)
+	r.waitForExit(pids[1])
+	r.waitForLines("the hung worker is back", servingLine, 4)
 	r.checkNewConns(50, "after the hang")
 	r.cmd.Process.Signal(syscall.SIGHUP)
 	r.waitForLines("both workers reload", reloadedLine, 2)
@@ -94,6 +97,7 @@
 const (
 	servingLine  = `"msg":"serving"`
 	reloadedLine = `"msg":"reloaded"`
+	killedLine   = `"msg":"worker killed: no heartbeat, or no exit in time"`
 )
 
 // workersRig is a supervisor with two workers and a fake node.
@@ -185,17 +189,41 @@
 	}
 }
 
+// waitForExit waits until the kernel has ended a killed process, as the supervisor cannot see its
+// exit before. A busy kernel can take longer for that than a restart may: the last thread waits in
+// the release of its inotify descriptor (fsnotify_destroy_group), and with it the heartbeat pipe.
+func (r *workersRig) waitForExit(pid int) {
+	r.t.Helper()
+	const kernelTime = 2 * time.Minute
+	for deadline := time.Now().Add(kernelTime); ; time.Sleep(10 * time.Millisecond) {
+		if states := threadStates(pid); strings.Trim(states, "ZX") == "" {
+			return
+		}
+		if time.Now().After(deadline) {
+			r.t.Fatalf("the kernel has not ended process %d within %v: its threads are %q\n%s", pid, kernelTime, threadStates(pid), r.log.String())
+		}
+	}
+}
+
 // stopped reports whether every thread of a process is stopped by a signal.
 func stopped(pid int) bool {
+	states := threadStates(pid)
+	return states != "" && strings.Trim(states, "T") == ""
+}
+
+// threadStates has a letter for the state of each thread of a process, as in proc(5); '?' stands
+// for a thread that ended meanwhile. It is empty if there is no such process.
+func threadStates(pid int) string {
+	var states []byte
 	threads, _ := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/stat", pid))
 	for _, stat := range threads {
-		b, err := os.ReadFile(stat)
-		if err != nil {
-			return false
-		}
-		if _, rest, ok := bytes.Cut(b, []byte(") ")); !ok || len(rest) == 0 || rest[0] != 'T' {
-			return false
+		state := byte('?')
+		if b, err := os.ReadFile(stat); err == nil {
+			if _, rest, ok := bytes.Cut(b, []byte(") ")); ok && len(rest) > 0 {
+				state = rest[0]
+			}
 		}
+		states = append(states, state)
 	}
-	return len(threads) > 0
+	return string(states)
 }
