--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -8,6 +8,7 @@
 	"math/rand/v2"
 	"net"
 	"net/http"
+	"slices"
 	"sync"
 	"sync/atomic"
 	"time"
@@ -15,116 +16,141 @@
 	"maddergap/internal/audit"
 )
 
-// clients ask one head, each over a connection of its own that it keeps for as long as it
-// stays open.
-type clients struct {
-	head    int
-	addr    string
-	config  *settings
-	nextID  *atomic.Uint64
-	leaving atomic.Bool // they give up early
-	mu      sync.Mutex
-	done    []audit.RequestRecord
-	running sync.WaitGroup
-}
-
 const (
-	clientsEach  = 4
-	clientPause  = 40 * time.Millisecond // in the mean, between two requests
-	answerWithin = 500 * time.Millisecond
-	stallOwed    = 3 * time.Second
+	clientsPerInstance = 4
+	// meanThinkTime is the mean time between the requests of a client; the times are exponentially
+	// distributed.
+	meanThinkTime = 40 * time.Millisecond
+	// responseGrace is how much longer than a request's timeout a client waits for its response, so
+	// that a late response is recorded as such.
+	responseGrace     = 500 * time.Millisecond
+	clientDialTimeout = 300 * time.Millisecond
+	// redialDelay is the time after a connection that failed.
+	redialDelay = 20 * time.Millisecond
 )
 
-// start has the clients ask until end is closed.
-func (cs *clients) start(seed uint64, end chan struct{}) {
-	for n := range clientsEach {
-		cs.running.Go(func() {
-			c := client{clients: cs, rand: rand.New(rand.NewPCG(seed, uint64(cs.head*clientsEach+n))), end: end}
-			c.run()
-		})
+// clientGroup is the clients of one instance. It is safe for concurrent use.
+type clientGroup struct {
+	instance   int
+	addr       string // of the instance
+	deployment *deployment
+	nextID     *atomic.Uint64 // of requests, for the whole fleet
+	// disconnecting is set while clients disconnect before their response.
+	disconnecting atomic.Bool
+	running       sync.WaitGroup
+
+	mu      sync.Mutex
+	records []audit.RequestRecord
+}
+
+// start starts the clients. They send requests until stop is closed.
+func (g *clientGroup) start(seed uint64, stop <-chan struct{}) {
+	for n := range clientsPerInstance {
+		c := &client{clientGroup: g, rand: rand.New(rand.NewPCG(seed, uint64(g.instance*clientsPerInstance+n)))}
+		g.running.Go(func() { c.run(stop) })
 	}
 }
 
-// client asks one request at a time.
+// record keeps the record of a request that has ended.
+func (g *clientGroup) record(record *audit.RequestRecord) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	record.Sequence = len(g.records)
+	g.records = append(g.records, *record)
+}
+
+// allRecords returns the records of all requests so far.
+func (g *clientGroup) allRecords() []audit.RequestRecord {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	return slices.Clone(g.records)
+}
+
+// client sends one request at a time, over a connection that it keeps alive.
 type client struct {
-	*clients
+	*clientGroup
 	rand *rand.Rand
-	end  chan struct{}
-	conn net.Conn
+	conn net.Conn // nil: none
 	in   *bufio.Reader
-	kept bool // it had an answer on this connection
+	// reused is set once a response was received on conn. From then on the instance may close it at
+	// any time, also while a request is on its way.
+	reused bool
 }
 
-func (c *client) run() {
-	defer c.drop()
+func (c *client) run(stop <-chan struct{}) {
+	defer c.disconnect()
 	for {
-		pause := time.Duration(c.rand.ExpFloat64() * float64(clientPause))
+		thinkTime := time.Duration(c.rand.ExpFloat64() * float64(meanThinkTime))
 		select {
-		case <-c.end:
+		case <-stop:
 			return
-		case <-time.After(pause):
+		case <-time.After(thinkTime):
+		}
+		if c.connect() {
+			c.request()
 		}
-		c.ask()
-	}
-}
-
-func (c *client) drop() {
-	if c.conn != nil {
-		c.conn.Close()
 	}
-	c.conn, c.kept = nil, false
 }
 
-// connect makes sure of a connection and tells whether there is one.
+// connect opens a connection if there is none, and reports whether there is one.
 func (c *client) connect() bool {
 	if c.conn != nil {
 		return true
 	}
-	conn, err := net.DialTimeout("tcp", c.addr, 300*time.Millisecond)
+	conn, err := net.DialTimeout("tcp", c.addr, clientDialTimeout)
 	if err != nil {
-		time.Sleep(20 * time.Millisecond)
+		time.Sleep(redialDelay)
 		return false
 	}
-	c.conn, c.in, c.kept = conn, bufio.NewReader(conn), false
+	c.conn, c.in, c.reused = conn, bufio.NewReader(conn), false
 	return true
 }
 
-// ask sends a request and records what became of it.
-func (c *client) ask() {
-	if !c.connect() {
-		return
+// disconnect closes the connection, if there is one.
+func (c *client) disconnect() {
+	if c.conn != nil {
+		c.conn.Close()
 	}
-	a := c.config.draw(c.rand, fmt.Sprintf("%016x", c.nextID.Add(1)))
-	record := audit.RequestRecord{TraceID: a.id, Instance: c.head, Class: a.class, OrderKey: fmt.Sprint(a.key), Units: 1, Volume: a.volume.name}
-	c.exchange(&record, c.config.request(a), a.wait)
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	record.Sequence = len(c.done)
-	c.done = append(c.done, record)
+	c.conn, c.reused = nil, false
+}
+
+// request sends a request and records what became of it.
+func (c *client) request() {
+	id := fmt.Sprintf("%016x", c.nextID.Add(1))
+	req := c.deployment.drawRequest(c.rand, id)
+	record := audit.RequestRecord{
+		TraceID:  req.id,
+		Instance: c.instance,
+		Class:    req.class,
+		OrderKey: fmt.Sprint(req.key),
+		Units:    1,
+		Volume:   req.volume.name,
+	}
+	c.exchange(&record, c.deployment.formatRequest(req), req.timeout)
+	c.record(&record)
 }
 
-// exchange sends a request, once more on a new connection if its end crossed the end of a
-// kept one.
-func (c *client) exchange(record *audit.RequestRecord, text string, wait time.Duration) {
+// exchange sends a request and receives its response. If a reused connection ends without one, the
+// instance closed it before it read the request, and the request is sent again on a new connection.
+func (c *client) exchange(record *audit.RequestRecord, text string, timeout time.Duration) {
 	for {
-		kept := c.kept
-		if _, err := io.WriteString(c.conn, text); err != nil && !kept {
+		reused := c.reused
+		if _, err := io.WriteString(c.conn, text); err != nil && !reused {
 			record.Incomplete = true
-			c.drop()
+			c.disconnect()
 			return
 		}
 		record.SentAt = unixMicros()
-		record.Deadline = record.SentAt + wait.Microseconds()
-		if c.leaving.Load() && c.rand.IntN(2) == 0 {
-			c.leave(record, wait)
+		record.Deadline = record.SentAt + timeout.Microseconds()
+		if c.disconnecting.Load() && c.rand.IntN(2) == 0 {
+			c.disconnectEarly(record, timeout)
 			return
 		}
-		ended := c.receive(record, wait)
-		if !ended {
+		if !c.receive(record, timeout) {
 			return
 		}
-		c.drop()
-		if !kept { // a request that was read has to be answered
+		c.disconnect()
+		if !reused {
 			record.ConnectionLostAt = unixMicros()
 			return
 		}
@@ -135,82 +161,48 @@
 	}
 }
 
-// leave closes the connection before the answer, in one of the ways in which clients do.
-func (c *client) leave(record *audit.RequestRecord, wait time.Duration) {
-	time.Sleep(time.Duration(c.rand.Int64N(int64(wait / 2))))
+// disconnectEarly closes the connection before the response, with or without a TCP reset.
+func (c *client) disconnectEarly(record *audit.RequestRecord, timeout time.Duration) {
+	time.Sleep(time.Duration(c.rand.Int64N(int64(timeout / 2))))
 	if c.rand.IntN(2) == 0 {
 		c.conn.(*net.TCPConn).SetLinger(0)
 	}
-	c.drop()
+	c.disconnect()
 	record.DisconnectedAt = unixMicros()
 }
 
-// receive reads the answer, and tells whether the connection ended without one.
-func (c *client) receive(record *audit.RequestRecord, wait time.Duration) (ended bool) {
-	c.conn.SetReadDeadline(time.Now().Add(wait + answerWithin))
+// receive reads and records the response. It reports whether the connection ended without one.
+func (c *client) receive(record *audit.RequestRecord, timeout time.Duration) (lost bool) {
+	c.conn.SetReadDeadline(time.Now().Add(timeout + responseGrace))
 	r, err := http.ReadResponse(c.in, nil)
+	if isTimeout(err) {
+		c.disconnect()
+		record.ConnectionLostAt = unixMicros()
+		return false
+	}
 	if err != nil {
-		var timeout net.Error
-		if errors.As(err, &timeout) && timeout.Timeout() {
-			c.drop()
-			record.ConnectionLostAt = unixMicros()
-			return false
-		}
 		return true
 	}
 	body, err := io.ReadAll(r.Body)
 	record.Responses, record.Status = 1, r.StatusCode
 	if err != nil {
 		record.Truncated = true
-		c.drop()
+		c.disconnect()
 		return false
 	}
 	record.RespondedAt = unixMicros()
-	if r.StatusCode == 200 && string(body) != responseBody(record.TraceID) {
-		record.Responses = 2 // another's answer
+	if r.StatusCode == http.StatusOK && string(body) != responseBody(record.TraceID) {
+		record.Responses = 2 // the response to another request counts as one too many
 	}
-	if c.kept = true; r.Close {
-		c.drop()
+	c.reused = true
+	if r.Close {
+		c.disconnect()
 	}
 	return false
 }
 
-// stall opens a connection, sends half of a request and stays; it is owed an error or the end
-// of the connection. It returns what it got else.
-func (cs *clients) stall() error {
-	conn, err := net.DialTimeout("tcp", cs.addr, 300*time.Millisecond)
-	if err != nil {
-		return nil // the head is down, or full
-	}
-	defer conn.Close()
-	text := cs.config.request(asked{id: "0", volume: &volumes[0], wait: time.Second})
-	if _, err := io.WriteString(conn, text[:len(text)/2]); err != nil {
-		return nil
-	}
-	conn.SetReadDeadline(time.Now().Add(stallOwed + answerWithin))
-	var timeout net.Error
-	if _, err := conn.Read(make([]byte, 1)); errors.As(err, &timeout) && timeout.Timeout() {
-		return fmt.Errorf("head %d gave a client that stopped in its request neither an error nor an end within %v", cs.head, stallOwed)
-	}
-	return nil
-}
-
-// crowd holds idle connections for a while.
-func (cs *clients) crowd(size int, length time.Duration) {
-	var conns []net.Conn
-	for range size {
-		if conn, err := net.DialTimeout("tcp", cs.addr, 100*time.Millisecond); err == nil {
-			conns = append(conns, conn)
-		}
-	}
-	time.Sleep(length)
-	for _, conn := range conns {
-		conn.Close()
-	}
-}
-
-func (cs *clients) records() []audit.RequestRecord {
-	cs.mu.Lock()
-	defer cs.mu.Unlock()
-	return append([]audit.RequestRecord(nil), cs.done...)
+// isTimeout reports whether a read or write failed by its deadline.
+func isTimeout(err error) bool {
+	var netErr net.Error
+	return errors.As(err, &netErr) && netErr.Timeout()
 }
--- /dev/null
+++ b/internal/soak/deployment.go
@@ -0,0 +1,282 @@
+package soak
+
+import (
+	"encoding/json"
+	"fmt"
+	"math/rand/v2"
+	"os"
+	"path/filepath"
+	"time"
+
+	"maddergap/internal/audit"
+	"maddergap/internal/config"
+	"maddergap/internal/discovery"
+	"maddergap/internal/platform"
+	"maddergap/internal/settings"
+)
+
+// The site's rules, beside the classes.
+const (
+	keyCooldown      = 200 * time.Millisecond // between ordered requests of a key
+	maxAttempts      = 4
+	maxRetryAfter    = 500 * time.Millisecond
+	connectionIdle   = 4 * time.Second // after which nodes would close a connection
+	connectTimeout   = 250 * time.Millisecond
+	maxUnits         = 4
+	meanUnits        = 1 // of a request
+	excessWeight     = 0.3
+	lateWeightFactor = 0.1
+	priorityWeight   = 2
+	reservedRate     = 1000 // units a second, of each plan
+)
+
+// The retry budget.
+const (
+	retryBudgetWindow = 2 * time.Second
+	retryBudgetMin    = 3   // retries in a window
+	retryBudgetRatio  = 0.1 // retries for each request, beyond these
+)
+
+// The limit of the plan with one. Each instance has a part of it, which is enough for its largest
+// request and less than what is requested of it.
+const (
+	limitRatePerInstance  = 2.0 // units a second
+	limitBurstPerInstance = 4.0 // units
+)
+
+// What a node bears after a start.
+const (
+	warmupDuration    = 3 * time.Second
+	initialFraction   = 0.25 // of the capacity
+	overloadFactor    = 2
+	overloadWindow    = time.Second
+	slowStartMinUnits = 16
+	nodeCapacity      = 150 // units a second of a warm node
+)
+
+// The machine of an instance.
+const (
+	instanceCores       = 0.5
+	instanceMemoryMB    = 64
+	instanceDescriptors = 256
+)
+
+// deploymentStream is the stream of random numbers, at a seed, that deployments are drawn from.
+const deploymentStream = 0x73657474
+
+// zones are the zones in which nodes are.
+var zones = []string{"z0", "z1"}
+
+// volume is a volume, and the index of its plan.
+type volume struct {
+	name string
+	plan int
+}
+
+// planNames are the names of the plans: one without a limit, and one whose limit binds.
+var planNames = [...]string{"low", "limited"}
+
+// unlimitedVolume and limitedVolume are the volumes of a run, one of each plan.
+var (
+	unlimitedVolume = volume{name: "00000000feed0001", plan: 0}
+	limitedVolume   = volume{name: "00000000feed0002", plan: 1}
+)
+
+// class is a class of requests, see scheduler.Class.
+type class struct {
+	name                string
+	effect              string // as in the settings object
+	deduplicationScope  string // as in the settings object
+	write               bool
+	latencyObjective    time.Duration
+	deadline            time.Duration
+	deduplicationWindow time.Duration
+	ordered             bool
+}
+
+// deployment is what the instances of a run are configured for.
+type deployment struct {
+	classes   []class
+	shards    int
+	instances int
+}
+
+// drawDeployment returns the deployment that follows from the options' seed: a class of each effect
+// and one with order, with short or long deadlines.
+func drawDeployment(o *Options) *deployment {
+	r := rand.New(rand.NewPCG(o.Seed, deploymentStream))
+	duration := func(from, to time.Duration) time.Duration { // of whole milliseconds, shorter than to
+		return from + time.Duration(r.IntN(int((to-from).Milliseconds())))*time.Millisecond
+	}
+	objective := func(longest time.Duration) time.Duration { return duration(longest*2/5, longest) }
+	deadline := func() time.Duration { return duration(500*time.Millisecond, 1600*time.Millisecond) }
+	d := &deployment{shards: o.Nodes / nodesPerShard, instances: o.Instances}
+	d.classes = []class{
+		{
+			name:               "read",
+			effect:             "retryable",
+			deduplicationScope: "all",
+			latencyObjective:   objective(150 * time.Millisecond),
+			deadline:           deadline(),
+		},
+		{
+			name:               "write",
+			effect:             "fragile",
+			deduplicationScope: "all",
+			write:              true,
+			latencyObjective:   objective(200 * time.Millisecond),
+			deadline:           deadline(),
+		},
+		{
+			name:                "keyed",
+			effect:              "dedup",
+			deduplicationScope:  []string{"all", "zone", "cell"}[r.IntN(3)],
+			write:               true,
+			latencyObjective:    objective(200 * time.Millisecond),
+			deadline:            duration(600*time.Millisecond, 1600*time.Millisecond),
+			deduplicationWindow: duration(200*time.Millisecond, 600*time.Millisecond),
+		},
+		{
+			name:               "ordered",
+			effect:             "fragile",
+			deduplicationScope: "all",
+			write:              true,
+			latencyObjective:   objective(200 * time.Millisecond),
+			deadline:           deadline(),
+			ordered:            true,
+		},
+	}
+	return d
+}
+
+// longestDeadline is the longest deadline of a class.
+func (d *deployment) longestDeadline() (longest time.Duration) {
+	for i := range d.classes {
+		longest = max(longest, d.classes[i].deadline)
+	}
+	return longest
+}
+
+// site is the settings object of the deployment.
+func (d *deployment) site() *settings.Site {
+	site := &settings.Site{
+		Instances: d.instances,
+		Discovery: "push",
+		Zones:     zones,
+		Plans:     d.plans(),
+		Workload: settings.Workload{
+			SlowStartMinUnits: slowStartMinUnits,
+			MaxUnits:          maxUnits,
+			MeanUnits:         meanUnits,
+			ExcessWeight:      excessWeight,
+			Shards:            d.shards,
+		},
+		Guarantees: settings.Guarantees{
+			WarmupDuration:        warmupDuration.Microseconds(),
+			InitialFraction:       initialFraction,
+			OverloadFactor:        overloadFactor,
+			OverloadWindow:        overloadWindow.Microseconds(),
+			KeyCooldown:           keyCooldown.Microseconds(),
+			RetryBudgetWindow:     retryBudgetWindow.Microseconds(),
+			RetryBudgetMinRetries: retryBudgetMin,
+			RetryBudgetRatio:      retryBudgetRatio,
+		},
+		Limits: settings.Limits{
+			MaxAttempts:    maxAttempts,
+			MaxRetryAfter:  maxRetryAfter.Microseconds(),
+			SendRetryAfter: true,
+			ConnectionIdle: connectionIdle.Microseconds(),
+			ConnectTimeout: connectTimeout.Microseconds(),
+		},
+	}
+	for i := range d.classes {
+		site.Classes = append(site.Classes, d.classes[i].settings())
+		site.Workload.Writes = append(site.Workload.Writes, d.classes[i].write)
+	}
+	return site
+}
+
+func (c *class) settings() settings.Class {
+	return settings.Class{
+		Name:                c.name,
+		LatencyObjective:    c.latencyObjective.Microseconds(),
+		Deadline:            c.deadline.Microseconds(),
+		Effect:              c.effect,
+		DeduplicationScope:  c.deduplicationScope,
+		DeduplicationWindow: c.deduplicationWindow.Microseconds(),
+		Ordered:             c.ordered,
+		PriorityWeight:      priorityWeight,
+		LateWeightFactor:    lateWeightFactor,
+	}
+}
+
+func (d *deployment) plans() []settings.Plan {
+	unlimited := settings.Plan{Name: planNames[unlimitedVolume.plan], Weight: 1, Reserve: reservedRate, PriorityFactor: 1}
+	limited := unlimited
+	limited.Name = planNames[limitedVolume.plan]
+	limited.Limit = limitRatePerInstance * float64(d.instances)
+	limited.LimitBurst = limitBurstPerInstance * float64(d.instances)
+	return []settings.Plan{unlimited, limited}
+}
+
+// instanceConfig is the configuration file of an instance, as package platform reads it.
+type instanceConfig struct {
+	Name      string                 `json:"name"`
+	Listen    string                 `json:"listen"`    // host:port
+	Discovery string                 `json:"discovery"` // host:port
+	Seed      string                 `json:"seed"`      // 16 hex digits
+	Limits    machineLimits          `json:"limits"`
+	Known     discovery.EndpointList `json:"known"` // the initial node list
+	Settings  *settings.Site         `json:"settings"`
+}
+
+// machineLimits are the limits of the machine of an instance.
+type machineLimits struct {
+	Cores       float64 `json:"cores"`
+	MemoryMB    float64 `json:"memory_mb"`
+	Descriptors int     `json:"sockets"`
+}
+
+// configFile returns the configuration file of an instance, with another random seed each time.
+func (d *deployment) configFile(instance int, listenAddr, discoveryAddr string, known discovery.EndpointList) ([]byte, error) {
+	return json.Marshal(instanceConfig{
+		Name:      fmt.Sprint("h", instance),
+		Listen:    listenAddr,
+		Discovery: discoveryAddr,
+		Seed:      fmt.Sprintf("%016x", rand.Uint64()),
+		Limits:    machineLimits{Cores: instanceCores, MemoryMB: instanceMemoryMB, Descriptors: instanceDescriptors},
+		Known:     known,
+		Settings:  d.site(),
+	})
+}
+
+// auditConfig returns the configuration by which the audit judges a run. It is that of an instance,
+// with the volumes.
+func (d *deployment) auditConfig(dir string) (*config.Config, error) {
+	const anyAddr = "127.0.0.1:1" // is not used
+	text, err := d.configFile(0, anyAddr, anyAddr, discovery.EndpointList{})
+	if err != nil {
+		return nil, err
+	}
+	c, err := platform.Parse(filepath.Join(dir, "audit"), text, os.Getenv)
+	if err != nil {
+		return nil, err
+	}
+	for _, v := range []volume{unlimitedVolume, limitedVolume} {
+		c.Gateway.Volumes = append(c.Gateway.Volumes, config.Volume{Name: v.name, Plan: v.plan})
+	}
+	return c.Gateway, nil
+}
+
+// slowStart is what a node bears after a start, for the audit.
+func (d *deployment) slowStart() audit.SlowStart {
+	return audit.SlowStart{
+		MeanUnits:       meanUnits,
+		MinUnits:        slowStartMinUnits,
+		Capacity:        nodeCapacity,
+		InitialFraction: initialFraction,
+		WarmupDuration:  warmupDuration,
+		OverloadFactor:  overloadFactor,
+		OverloadWindow:  overloadWindow,
+	}
+}
--- a/internal/soak/fleet.go
+++ b/internal/soak/fleet.go
@@ -1,183 +1,174 @@
 package soak
 
 import (
+	"errors"
 	"fmt"
-	"io"
-	"net"
-	"net/http"
-	"os"
-	"path/filepath"
 	"sync"
 	"sync/atomic"
-	"syscall"
 	"time"
 
-	"maddergap/internal/atomicfile"
 	"maddergap/internal/audit"
+	"maddergap/internal/discovery"
 	"maddergap/internal/discoverytest"
-	"maddergap/internal/subprocess"
+	"maddergap/internal/loopback"
 )
 
-// Times of the platform on processes.
+// Ports of instances and nodes, each of which has an address of its own.
 const (
-	killAfter     = 700 * time.Millisecond // behind the longest deadline
-	longestCounts = 3 * time.Second
-	readyWithin   = 10 * time.Second
-	reloadAfter   = time.Second // of a process's life
+	instancePort = 18100
+	nodePort     = 18300
 )
 
-// head is one head's process and what stands around it.
-type head struct {
-	number   int
-	listen   string
-	agent    *discoverytest.Agent
-	clients  *clients
-	settings *settings
-	dir      string
-	exe      []string
-	inject   string
-
-	mu      sync.Mutex // of what follows; held while the process changes
-	process *subprocess.Process
-	log     *os.File
-	started time.Time
-	ended   bool // on purpose
-	down    []audit.Interval
-	faults  []string
-}
+// Runs at different seeds use different networks of the loopback addresses of this process.
+const (
+	firstNetwork = 3
+	networks     = 200
+)
 
-func (h *head) fault(format string, args ...any) {
-	h.faults = append(h.faults, fmt.Sprintf("head %d: ", h.number)+fmt.Sprintf(format, args...))
+// Statuses of endpoints in discovery's list.
+const (
+	endpointUp       = "up"
+	endpointDraining = "draining"
+)
+
+// fleet is all that takes part in a run.
+type fleet struct {
+	options    *Options
+	deployment *deployment
+	registry   *discoverytest.Registry
+	nodes      []*node
+	instances  []*instance
+	requestIDs atomic.Uint64
+	injecting  sync.WaitGroup // of faults
+
+	mu         sync.Mutex
+	nodeStarts []audit.Interval // of nodes that restarted
+	failures   []string         // that are not of one instance
 }
 
-func (h *head) file() string { return filepath.Join(h.dir, fmt.Sprintf("head%d.json", h.number)) }
+func newFleet(o *Options) *fleet {
+	return &fleet{options: o, deployment: drawDeployment(o), registry: discoverytest.NewRegistry()}
+}
 
-// configure writes the head's configuration, with a new address of discovery.
-func (h *head) configure() error {
-	address, err := h.agent.Listen()
-	if err != nil {
-		return err
-	}
-	text, err := h.settings.file(h.number, h.listen, address, h.agent.FullList())
-	if err != nil {
-		return err
-	}
-	return atomicfile.Replace(h.file(), text)
+// addr is the address of an instance or a node, the same after each restart.
+func (f *fleet) addr(index, port int) string {
+	network := firstNetwork + int(f.options.Seed%networks)
+	return loopback.Addr(network, index+1, port)
 }
 
-// start runs the process and waits until it is ready.
-func (h *head) start() error {
-	if err := h.configure(); err != nil {
-		return err
-	}
-	argv := append(append([]string{}, h.exe...), "serve", "--platform")
-	if h.inject != "" {
-		argv = append(argv, "--inject", h.inject)
-	}
-	p, err := subprocess.StartEnv(h.listen, h.log, []string{"ROUTER_CONFIG=" + h.file()}, argv...)
-	if err != nil {
-		return err
-	}
-	h.process, h.started, h.ended = p, time.Now(), false
-	for until := time.Now().Add(readyWithin); time.Now().Before(until); time.Sleep(10 * time.Millisecond) {
-		if h.ready() {
-			return nil
+// startNodes starts the nodes and lists them in discovery. The nodes of a shard are in different
+// zones.
+func (f *fleet) startNodes() error {
+	for i := range f.options.Nodes {
+		n := newNode(fmt.Sprintf("s-%02d", i), i/nodesPerShard, f.addr(i, nodePort), f.options.Seed)
+		if err := n.start(); err != nil {
+			return err
 		}
+		f.nodes = append(f.nodes, n)
+		endpoint := discovery.Endpoint{Name: n.name, Address: n.addr, Zone: zones[i%len(zones)], Group: n.shard, Status: endpointUp}
+		f.registry.UpdateEndpoint(func(e *discovery.Endpoint) { *e = endpoint }, n.name)
 	}
-	return fmt.Errorf("head %d is not ready within %v", h.number, readyWithin)
+	return nil
 }
 
-func (h *head) ready() bool {
-	c, err := net.DialTimeout("tcp", h.listen, 200*time.Millisecond)
-	if err != nil {
-		return false
+// startInstances starts the instances, at the same time, and waits until all are ready.
+func (f *fleet) startInstances(syscallFaults, exe []string, dir string) error {
+	for index := range f.options.Instances {
+		i, err := newInstance(index, f.addr(index, instancePort), f.registry.NewAgent(index), f.deployment, exe, dir)
+		if err != nil {
+			return err
+		}
+		i.syscallFaults = syscallFaults[index]
+		i.clients = &clientGroup{instance: index, addr: i.listenAddr, deployment: f.deployment, nextID: &f.requestIDs}
+		f.instances = append(f.instances, i)
 	}
-	defer c.Close()
-	c.SetDeadline(time.Now().Add(500 * time.Millisecond))
-	io.WriteString(c, "GET /-/ready HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n")
-	b := make([]byte, 12)
-	_, err = io.ReadFull(c, b)
-	return err == nil && string(b) == fmt.Sprintf("HTTP/1.1 %d", http.StatusOK)
+	var starting sync.WaitGroup
+	errs := make([]error, len(f.instances))
+	for index, i := range f.instances {
+		starting.Go(func() {
+			i.mu.Lock()
+			defer i.mu.Unlock()
+			errs[index] = i.start()
+		})
+	}
+	starting.Wait()
+	return errors.Join(errs...)
 }
 
-// terminate ends the process as a planned restart does: SIGTERM, and SIGKILL at the earliest
-// time that the platform allows itself.
-func (h *head) terminate() {
-	h.ended = true
-	h.process.Signal(syscall.SIGTERM)
-	if !h.process.ExitsWithin(min(h.settings.longest(), longestCounts) + killAfter) {
-		h.process.Kill()
+// serve has clients send requests while the faults of a plan are injected. At the end all instances
+// shut down while the clients still send, and everything that was started has ended.
+func (f *fleet) serve(plan *Plan) {
+	stop := make(chan struct{})
+	for _, i := range f.instances {
+		i.clients.start(f.options.Seed, stop)
+	}
+	f.inject(plan)
+	f.terminate()
+	close(stop)
+	for _, i := range f.instances {
+		i.clients.running.Wait()
 	}
+	f.injecting.Wait()
 }
 
-// kill ends the process without a word.
-func (h *head) kill() {
-	h.ended = true
-	h.down = append(h.down, audit.Interval{Name: fmt.Sprint(h.number), From: unixMicros()})
-	h.process.Kill()
+// terminate terminates all instances.
+func (f *fleet) terminate() {
+	var terminating sync.WaitGroup
+	for _, i := range f.instances {
+		terminating.Go(func() {
+			i.mu.Lock()
+			defer i.mu.Unlock()
+			if i.checkExited(); !i.stopped {
+				i.terminate()
+			}
+		})
+	}
+	terminating.Wait()
 }
 
-// back starts the process anew.
-func (h *head) back() {
-	err := h.start()
-	if n := len(h.down); n > 0 && h.down[n-1].To == 0 {
-		h.down[n-1].To = unixMicros()
-	}
-	if err != nil {
-		h.fault("does not come back: %v", err)
+// checkExited looks for instances that exited by themselves, but for those that a fault is at.
+func (f *fleet) checkExited() {
+	for _, i := range f.instances {
+		if i.mu.TryLock() {
+			i.checkExited()
+			i.mu.Unlock()
+		}
 	}
 }
 
-// reload moves discovery to another address.
-func (h *head) reload() {
-	if h.ended || time.Since(h.started) < reloadAfter {
-		return
-	}
-	if err := h.configure(); err != nil {
-		h.fault("reload: %v", err)
+// fail records an error, unless it is nil.
+func (f *fleet) fail(err error) {
+	if err == nil {
 		return
 	}
-	h.agent.AddressChangeDelivered()
-	h.process.Signal(syscall.SIGHUP)
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.failures = append(f.failures, err.Error())
 }
 
-// holdUp stops the process for a while.
-func (h *head) holdUp(length time.Duration) {
-	if h.ended {
-		return
+// close ends what still runs.
+func (f *fleet) close() {
+	for _, i := range f.instances {
+		i.close()
+	}
+	for _, n := range f.nodes {
+		n.kill()
 	}
-	h.process.Signal(syscall.SIGSTOP)
-	time.Sleep(length)
-	h.process.Signal(syscall.SIGCONT)
 }
 
-// crashed notes a process that ended by itself.
-func (h *head) crashed() {
-	if !h.ended && h.process != nil && h.process.Exited() {
-		h.fault("the process ended by itself")
-		h.ended = true
-	}
+// recordNodeStart records that a node started again and is cold.
+func (f *fleet) recordNodeStart(n *node) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.nodeStarts = append(f.nodeStarts, audit.Interval{Name: n.name, From: unixMicros()})
 }
 
-// fleet is everything that runs.
-type fleet struct {
-	o        *Options
-	settings *settings
-	registry *discoverytest.Registry
-	nodes    []*node
-	starts   []audit.Interval // cold ones
-	mu       sync.Mutex       // of starts and faults
-	faults   []string
-	heads    []*head
-	ids      atomic.Uint64
-	running  sync.WaitGroup
+// setStatus changes the status of a node's endpoint in discovery's list.
+func (f *fleet) setStatus(n *node, status string) {
+	f.registry.UpdateEndpoint(func(e *discovery.Endpoint) { e.Status = status }, n.name)
 }
 
-func (f *fleet) fault(err error) {
-	if err == nil {
-		return
-	}
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.faults = append(f.faults, err.Error())
+// setStarted sets the start time of a node's endpoint in discovery's list to now.
+func (f *fleet) setStarted(n *node) {
+	f.registry.UpdateEndpoint(func(e *discovery.Endpoint) { e.Since = float64(time.Now().UnixMilli()) }, n.name)
 }
--- a/internal/soak/node.go
+++ b/internal/soak/node.go
@@ -70,6 +70,14 @@
 	n.server.Kill()
 }
 
+// failResponses makes the node fail to respond for a while. Of faults that overlap the latest one
+// counts, until the first of them ends.
+func (n *node) failResponses(fault responseFault, duration time.Duration) {
+	n.setFault(fault)
+	time.Sleep(duration)
+	n.setFault(respondsWell)
+}
+
 func (n *node) setFault(fault responseFault) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -27,7 +27,7 @@
 	// exponentially distributed.
 	meanFaultInterval = 350 * time.Millisecond
 	// extraOutageEvery: one fault in so many is an outage of discovery, beside those that are drawn
-	// as often as other kinds. Changes that an instance misses in an outage are the rarest to meet.
+	// as often as other kinds.
 	extraOutageEvery = 6
 )
 
