--- a/cmd/maddergap/scenario.go
+++ b/cmd/maddergap/scenario.go
@@ -38,7 +38,7 @@
 		return err
 	}
 	plan := scenario.Draw(c.Seed, size)
-	fmt.Fprintf(io.out, "day of seed %d: %d heads, %d nodes, %v, %d requests\n", c.Seed, size.Heads, size.Nodes, size.Length, len(plan.Jobs))
+	fmt.Fprintf(io.out, "day of seed %d: %d heads, %d nodes, %v, %d requests\n", c.Seed, size.Instances, size.Nodes, size.Length, len(plan.Requests))
 	for _, event := range plan.Story {
 		fmt.Fprintln(io.out, " ", event)
 	}
@@ -78,8 +78,8 @@
 	return size, nil
 }
 
-// play runs the scenario once and prints the report. headArgs are further arguments of serve.
-func (c *scenarioCmd) play(io *streams, plan *scenario.Plan, headArgs ...string) (*audit.Report, error) {
+// play runs the scenario once and prints the report. serveArgs are further arguments of serve.
+func (c *scenarioCmd) play(io *streams, plan *scenario.Plan, serveArgs ...string) (*audit.Report, error) {
 	dir, remove, err := recordsDir(c.Keep, "badday-")
 	if err != nil {
 		return nil, err
@@ -90,13 +90,13 @@
 		return nil, err
 	}
 	report, err := scenario.Run(&scenario.Options{
-		Plan:     plan,
-		Dir:      dir,
-		Exe:      []string{exe},
-		HeadArgs: headArgs,
-		Flood:    c.Flood,
-		Tries:    c.FloodAttempts,
-		Progress: io.err,
+		Plan:          plan,
+		Dir:           dir,
+		Exe:           []string{exe},
+		ServeArgs:     serveArgs,
+		Flood:         c.Flood,
+		FloodAttempts: c.FloodAttempts,
+		Progress:      io.err,
 	})
 	if err != nil {
 		return nil, err
--- a/cmd/maddergap/scenario_test.go
+++ b/cmd/maddergap/scenario_test.go
@@ -19,7 +19,7 @@
 	defer os.Unsetenv(asProgram)
 	size := scenario.Short
 	size.Rate = 150 // what two cores bear beside other tests
-	report, err := scenario.Run(&scenario.Options{Plan: scenario.Draw(1, size), Dir: t.TempDir(), Exe: []string{os.Args[0]}, Late: time.Second, Flood: true})
+	report, err := scenario.Run(&scenario.Options{Plan: scenario.Draw(1, size), Dir: t.TempDir(), Exe: []string{os.Args[0]}, LateTolerance: time.Second, Flood: true})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/maddergap/serve.go
+++ b/cmd/maddergap/serve.go
@@ -53,7 +53,7 @@
 	if !s.PassThrough {
 		return nil
 	}
-	return []daemon.Option{daemon.WithScheduler(scenario.PassThrough)}
+	return []daemon.Option{daemon.WithScheduler(scenario.NewPassThrough)}
 }
 
 // newDaemon makes a daemon that logs to log.
--- a/internal/scenario/passthrough.go
+++ b/internal/scenario/passthrough.go
@@ -5,35 +5,42 @@
 	"maddergap/scheduler"
 )
 
-// passThrough is what stands beside the module in a comparison: everything is
-// sent at once, first come first served, once.
+// passThrough is a scheduler to compare with: it sends each request at once, in the order of
+// arrival, and never retries.
 type passThrough struct {
-	nodes map[int]string // by shard
+	nodesByShard map[int]string
 }
 
-// PassThrough makes one; it fits daemon.SchedulerFactory.
-func PassThrough(scheduler.Settings, uint64, scheduler.Time) (gateway.Scheduler, error) {
-	return &passThrough{nodes: map[int]string{}}, nil
+// NewPassThrough makes a scheduler that forwards every request at once and retries none. It is a
+// daemon.SchedulerFactory.
+func NewPassThrough(scheduler.Settings, uint64, scheduler.Time) (gateway.Scheduler, error) {
+	return &passThrough{nodesByShard: map[int]string{}}, nil
 }
 
-func (p *passThrough) Handle(_ scheduler.Time, events []scheduler.Event) (acts []scheduler.Action) {
-	for _, e := range events {
-		switch e := e.(type) {
+func (p *passThrough) Handle(_ scheduler.Time, events []scheduler.Event) (actions []scheduler.Action) {
+	for _, event := range events {
+		switch e := event.(type) {
 		case scheduler.EndpointUpdate:
-			for _, n := range e.Endpoints {
-				p.nodes[n.Shard] = n.Node
+			for _, endpoint := range e.Endpoints {
+				p.nodesByShard[endpoint.Shard] = endpoint.Node
 			}
 		case scheduler.Arrival:
-			acts = append(acts, scheduler.Send{ID: e.ID, Node: p.nodes[e.Shard]})
+			actions = append(actions, scheduler.Send{ID: e.ID, Node: p.nodesByShard[e.Shard]})
 		case scheduler.AttemptEnded:
-			switch {
-			case e.Responded:
-			case e.Outcome == scheduler.QueueFull || e.Outcome == scheduler.ConnectFailed || e.Outcome == scheduler.Superseded:
-				acts = append(acts, scheduler.Reject{ID: e.ID})
-			default:
-				acts = append(acts, scheduler.Fail{ID: e.ID})
+			if !e.Responded {
+				actions = append(actions, endWithoutResponse(e))
 			}
 		}
 	}
-	return acts
+	return actions
+}
+
+// endWithoutResponse ends a request whose only attempt brought no response: it is rejected if the
+// node cannot have run it, and fails otherwise.
+func endWithoutResponse(e scheduler.AttemptEnded) scheduler.Action {
+	switch e.Outcome {
+	case scheduler.QueueFull, scheduler.ConnectFailed, scheduler.Superseded:
+		return scheduler.Reject{ID: e.ID}
+	}
+	return scheduler.Fail{ID: e.ID}
 }
