--- a/internal/audit/audit_test.go
+++ b/internal/audit/audit_test.go
@@ -9,9 +9,24 @@
 
 	"maddergap/internal/config"
 	"maddergap/internal/fakenode"
-	"maddergap/scheduler"
 )
 
+// second is in the unit of records, microseconds.
+const second = int64(1e6)
+
+// attemptAt is when the attempts of most tests arrive at their node.
+const attemptAt = second + 1000
+
+// Indexes of the classes of testConfig.
+const (
+	readClass       = iota // safe
+	writeClass             // non-idempotent
+	idempotentClass        // with a deduplication window of two seconds
+	orderedClass           // non-idempotent
+)
+
+// testConfig has a volume v with a limit of 10 units a second and a burst of 10, and a volume w
+// without a limit.
 func testConfig(t *testing.T) *config.Config {
 	t.Helper()
 	c, err := config.Parse("t", []byte(`listen 127.0.0.1:0
@@ -35,196 +50,214 @@
 	return c
 }
 
-const second = int64(1e6)
-
-func trace(i int) string { return fmt.Sprintf("%032x", i) }
+func testTraceID(number int) string { return fmt.Sprintf("%032x", number) }
 
-func attempt(i int, node string, in int64, e fakenode.Entry) fakenode.Entry {
-	e.Traceparent, e.Node, e.ReceivedAt = "00-"+trace(i)+"-0000000000000001-00", node, in
+// attempt is an attempt of the request of a number.
+func attempt(number int, node string, receivedAt int64, e fakenode.Entry) fakenode.Entry {
+	e.Traceparent = "00-" + testTraceID(number) + "-0000000000000001-00"
+	e.Node = node
+	e.ReceivedAt = receivedAt
 	return e
 }
 
-func client(i, class int, c RequestRecord) RequestRecord {
-	c.TraceID, c.Class = trace(i), class
-	if c.Volume == "" {
-		c.Volume = "w"
+// request is a request to volume w with a deadline after one second. Where it has a response, that
+// came after a tenth of a second.
+func request(number, class int, r RequestRecord) RequestRecord {
+	r.TraceID = testTraceID(number)
+	r.Class = class
+	if r.Volume == "" {
+		r.Volume = "w"
 	}
-	if c.SentAt == 0 {
-		c.SentAt = second
+	if r.SentAt == 0 {
+		r.SentAt = second
 	}
-	if c.Deadline == 0 {
-		c.Deadline = c.SentAt + second
+	if r.Deadline == 0 {
+		r.Deadline = r.SentAt + second
 	}
-	if c.Responses == 1 && c.RespondedAt == 0 {
-		c.RespondedAt = c.SentAt + second/10
+	if r.Responses == 1 && r.RespondedAt == 0 {
+		r.RespondedAt = r.SentAt + second/10
 	}
-	return c
+	return r
 }
 
-// Each way to break a rule is found, and nothing else with it.
-func TestEachRule(t *testing.T) {
-	fine := client(1, 0, RequestRecord{Responses: 1, Status: 200, Units: 1})
-	at := second + 1000
-	ran := fakenode.Entry{ExecutedAt: at + 10, RespondedAt: at + 20, Status: 200, Units: 1}
-	full := fakenode.Entry{Status: 503, RespondedAt: at + 10}
-	for _, c := range []struct {
-		name    string
-		clients []RequestRecord
-		nodes   []fakenode.Entry
-		change  func(*Input)
-		want    []int
-	}{
-		{"all well", []RequestRecord{fine}, []fakenode.Entry{attempt(1, "n", at, ran)}, nil, nil},
-		{"no answer", []RequestRecord{client(1, 0, RequestRecord{ConnectionLostAt: 3 * second})}, nil, nil, []int{1}},
-		{"no answer of a killed head", []RequestRecord{client(1, 0, RequestRecord{ConnectionLostAt: 3 * second})}, nil,
-			func(in *Input) { in.Outages = []Interval{{"0", 2 * second, 4 * second}} }, nil},
-		{"no answer of the other head", []RequestRecord{client(1, 0, RequestRecord{ConnectionLostAt: 3 * second})}, nil,
-			func(in *Input) { in.Outages = []Interval{{"1", 2 * second, 4 * second}} }, []int{1}},
-		{"gave up", []RequestRecord{client(1, 0, RequestRecord{DisconnectedAt: 2 * second})}, nil, nil, nil},
-		{"two answers", []RequestRecord{client(1, 0, RequestRecord{Responses: 2, Status: 200, RespondedAt: at})}, nil, nil, []int{1}},
-		{"late", []RequestRecord{client(1, 0, RequestRecord{Responses: 1, Status: 200, RespondedAt: 3 * second})}, nil, nil, []int{1}},
-		{"sent after the answer", []RequestRecord{fine}, []fakenode.Entry{attempt(1, "n", 2*second, ran)}, nil, []int{1}},
-		{"belongs to nobody", []RequestRecord{fine}, []fakenode.Entry{attempt(9, "n", at, ran)}, nil, []int{1}},
-		{"safe twice", []RequestRecord{fine}, []fakenode.Entry{attempt(1, "n", at, ran), attempt(1, "n", at+1, ran)}, nil, nil},
-		{"unsafe twice", []RequestRecord{client(1, 1, RequestRecord{Responses: 1, Status: 200})},
-			[]fakenode.Entry{attempt(1, "n", at, ran), attempt(1, "m", at+1, ran)}, nil, []int{2}},
-		{"unsafe again though it may run", []RequestRecord{client(1, 1, RequestRecord{Responses: 1, Status: 200})},
-			[]fakenode.Entry{attempt(1, "n", at, fakenode.Entry{}), attempt(1, "m", at+1, ran)}, nil, []int{2}},
-		{"unsafe again after full", []RequestRecord{client(1, 1, RequestRecord{Responses: 1, Status: 200})},
-			[]fakenode.Entry{attempt(1, "n", at, full), attempt(1, "m", at+1, ran)}, nil, nil},
-		{"refused, but ran", []RequestRecord{client(1, 1, RequestRecord{Responses: 1, Status: 503})}, []fakenode.Entry{attempt(1, "n", at, ran)}, nil, []int{2}},
-		{"failed, and ran", []RequestRecord{client(1, 1, RequestRecord{Responses: 1, Status: 504})}, []fakenode.Entry{attempt(1, "n", at, ran)}, nil, nil},
-		{"keyed in its window", []RequestRecord{client(1, 2, RequestRecord{Responses: 1, Status: 200, Deadline: 9 * second, RespondedAt: 4 * second})},
-			[]fakenode.Entry{attempt(1, "n", at, fakenode.Entry{}), attempt(1, "n", at+second, ran)}, nil, nil},
-		{"keyed past its window", []RequestRecord{client(1, 2, RequestRecord{Responses: 1, Status: 200, Deadline: 9 * second, RespondedAt: 5 * second})},
-			[]fakenode.Entry{attempt(1, "n", at, fakenode.Entry{}), attempt(1, "n", at+3*second, ran)}, nil, []int{2}},
-		{"drained in its grace", []RequestRecord{fine}, []fakenode.Entry{attempt(1, "n", at, ran)},
-			func(in *Input) { in.Drains = []Interval{{"n", at - second/4, 0}} }, nil},
-		{"drained past its grace", []RequestRecord{fine}, []fakenode.Entry{attempt(1, "n", at, ran)},
-			func(in *Input) { in.Drains = []Interval{{"n", at - second, 0}} }, []int{3}},
-		{"another drained", []RequestRecord{fine}, []fakenode.Entry{attempt(1, "n", at, ran)},
-			func(in *Input) { in.Drains = []Interval{{"m", at - second, 0}} }, nil},
-		{"fell", []RequestRecord{fine}, []fakenode.Entry{attempt(1, "n", at, fakenode.Entry{Overloaded: true, Status: 200, RespondedAt: at})}, nil, []int{4}},
-		{"in turn", []RequestRecord{client(1, 3, RequestRecord{Responses: 1, Status: 200, OrderKey: "k"}), client(2, 3, RequestRecord{SentAt: second + 5, Responses: 1, Status: 200, OrderKey: "k"})},
-			[]fakenode.Entry{attempt(1, "n", at, ran), attempt(2, "n", at+30, ran)}, nil, nil},
-		{"beside another", []RequestRecord{client(1, 3, RequestRecord{Responses: 1, Status: 200, OrderKey: "k"}), client(2, 3, RequestRecord{Responses: 1, Status: 200, OrderKey: "k"})},
-			[]fakenode.Entry{attempt(1, "n", at, fakenode.Entry{RespondedAt: at + second/2, Status: 200}), attempt(2, "n", at+30, ran)}, nil, []int{5}},
-		{"out of turn", []RequestRecord{client(1, 3, RequestRecord{Responses: 1, Status: 200, OrderKey: "k"}),
-			client(2, 3, RequestRecord{SentAt: 2 * second, Responses: 1, Status: 200, OrderKey: "k", RespondedAt: 2*second + 9})},
-			[]fakenode.Entry{attempt(1, "n", 2*second, fakenode.Entry{RespondedAt: 2*second + 10, Status: 200}), attempt(2, "n", 2*second-5, fakenode.Entry{RespondedAt: 2*second - 1})},
-			func(in *Input) { in.Requests[0].RespondedAt, in.Requests[0].Deadline = 2*second+10, 3*second }, []int{5}},
-		{"other keys", []RequestRecord{client(1, 3, RequestRecord{Responses: 1, Status: 200, OrderKey: "k"}), client(2, 3, RequestRecord{Responses: 1, Status: 200, OrderKey: "j"})},
-			[]fakenode.Entry{attempt(1, "n", at, fakenode.Entry{RespondedAt: at + second/2}), attempt(2, "n", at+30, ran)}, nil, nil},
-		{"budget", []RequestRecord{fine}, []fakenode.Entry{attempt(1, "n", at, ran), attempt(1, "n", at+1, ran), attempt(1, "n", at+2, ran)}, nil, []int{6}},
-		{"within the limit", []RequestRecord{client(1, 0, RequestRecord{Volume: "v", Units: 10, Responses: 1, Status: 200})}, []fakenode.Entry{attempt(1, "n", at, ran)}, nil, nil},
-		{"over the limit", []RequestRecord{client(1, 0, RequestRecord{Volume: "v", Units: 10, Responses: 1, Status: 200}),
-			client(2, 0, RequestRecord{Volume: "v", Units: 10, Responses: 1, Status: 200})},
-			[]fakenode.Entry{attempt(1, "n", at, ran), attempt(2, "n", at+1, ran)}, nil, []int{7}},
-	} {
-		in := Input{Config: testConfig(t), Requests: c.clients, Attempts: c.nodes, DrainGrace: 500 * time.Millisecond,
-			ClockTolerance: 20 * time.Millisecond, LateTolerance: 50 * time.Millisecond, SlowStart: SlowStart{Capacity: 10, InitialFraction: 0.2, WarmupDuration: time.Second, OverloadFactor: 2, OverloadWindow: time.Second}}
-		if c.change != nil {
-			c.change(&in)
-		}
-		r := Judge(in)
-		if got := r.ViolatedRules(); !slices.Equal(got, c.want) {
-			t.Errorf("%s: rules %v are broken, want %v", c.name, got, c.want)
-		}
-		var text strings.Builder
-		if r.Write(&text); strings.Contains(text.String(), "BROKEN") == r.Passed() {
-			t.Errorf("%s: the report says otherwise: %s", c.name, text.String())
-		}
+var (
+	// servedRead is a request that violates no rule.
+	servedRead = request(1, readClass, RequestRecord{Responses: 1, Status: 200, Units: 1})
+	// executed and queueFull are attempts that were executed, and that were not.
+	executed  = fakenode.Entry{ExecutedAt: attemptAt + 10, RespondedAt: attemptAt + 20, Status: 200, Units: 1}
+	queueFull = fakenode.Entry{Status: 503, RespondedAt: attemptAt + 10}
+)
+
+// judgeTest is a run, and the rules that it violates.
+type judgeTest struct {
+	name     string
+	requests []RequestRecord
+	attempts []fakenode.Entry
+	change   func(*Input)
+	want     []int
+}
+
+func runJudgeTests(t *testing.T, tests []judgeTest) {
+	for _, test := range tests {
+		t.Run(test.name, func(t *testing.T) {
+			in := Input{
+				Config:         testConfig(t),
+				Requests:       test.requests,
+				Attempts:       test.attempts,
+				DrainGrace:     500 * time.Millisecond,
+				ClockTolerance: 20 * time.Millisecond,
+				LateTolerance:  50 * time.Millisecond,
+				SlowStart:      SlowStart{Capacity: 10, InitialFraction: 0.2, WarmupDuration: time.Second, OverloadFactor: 2, OverloadWindow: time.Second},
+			}
+			if test.change != nil {
+				test.change(&in)
+			}
+			checkJudge(t, in, test.want)
+		})
 	}
 }
 
-func TestWorth(t *testing.T) {
-	r := Judge(Input{Config: testConfig(t), Requests: []RequestRecord{
-		client(1, 0, RequestRecord{Responses: 1, Status: 200, Units: 2, RespondedAt: second + 50_000}),
-		client(2, 0, RequestRecord{Responses: 1, Status: 200, Units: 1, RespondedAt: second + 500_000}),
-		client(3, 1, RequestRecord{Responses: 1, Status: 503, Units: 1}),
-	}, LateTolerance: time.Second})
-	if r.OfferedWeight != 2*2+2+1 || r.EarnedWeight != 4+1 || r.MissedObjective != 1 || r.Rejected != 1 || r.LatencyQuantile(1) != 500*time.Millisecond {
-		t.Errorf("%+v", r)
+// checkJudge checks which rules a run violates, and that the report says the same.
+func checkJudge(t *testing.T, in Input, want []int) {
+	t.Helper()
+	report := Judge(in)
+	if got := report.ViolatedRules(); !slices.Equal(got, want) {
+		t.Errorf("rules %v are violated, want %v", got, want)
 	}
+	var text strings.Builder
+	report.Write(&text)
+	if strings.Contains(text.String(), "BROKEN") == report.Passed() {
+		t.Errorf("the report says otherwise: %s", text.String())
+	}
+	for _, v := range report.Verdicts {
+		for _, example := range v.Examples {
+			if example.Rule != v.Rule || !strings.Contains(example.Detail, example.Subject) || !strings.Contains(text.String(), example.String()+"\n") {
+				t.Errorf("%+v is not an example of rule %d in the report:\n%s", example, v.Rule, text.String())
+			}
+		}
+	}
+}
+
+// A request has no response, two, or a late one, or an attempt after it. No response is due where
+// the client disconnected or the instance was killed.
+func TestSingleResponse(t *testing.T) {
+	unanswered := request(1, readClass, RequestRecord{ConnectionLostAt: 3 * second})
+	runJudgeTests(t, []judgeTest{
+		{"served", []RequestRecord{servedRead}, []fakenode.Entry{attempt(1, "n", attemptAt, executed)}, nil, nil},
+		{"no response", []RequestRecord{unanswered}, nil, nil, []int{1}},
+		{"no response of a killed instance", []RequestRecord{unanswered}, nil,
+			func(in *Input) { in.Outages = []Interval{{"0", 2 * second, 4 * second}} }, nil},
+		{"no response while another instance was killed", []RequestRecord{unanswered}, nil,
+			func(in *Input) { in.Outages = []Interval{{"1", 2 * second, 4 * second}} }, []int{1}},
+		{"client disconnected", []RequestRecord{request(1, readClass, RequestRecord{DisconnectedAt: 2 * second})}, nil, nil, nil},
+		{"two responses", []RequestRecord{request(1, readClass, RequestRecord{Responses: 2, Status: 200, RespondedAt: attemptAt})}, nil, nil, []int{1}},
+		{"late response", []RequestRecord{request(1, readClass, RequestRecord{Responses: 1, Status: 200, RespondedAt: 3 * second})}, nil, nil, []int{1}},
+		{"attempt after the response", []RequestRecord{servedRead}, []fakenode.Entry{attempt(1, "n", 2*second, executed)}, nil, []int{1}},
+		{"attempt of no request", []RequestRecord{servedRead}, []fakenode.Entry{attempt(9, "n", attemptAt, executed)}, nil, []int{1}},
+	})
 }
 
-// What is judged where clients leave, heads are notified apart, and cold nodes bear requests of
-// a mean work: each case breaks its rule once, its neighbour does not.
-func TestPlatformRules(t *testing.T) {
-	const start = int64(1_000_000_000)
-	ms := func(n int64) int64 { return start + n*1000 }
-	config := &config.Config{Scheduler: scheduler.Settings{Classes: []scheduler.Class{{Name: "read", Effect: scheduler.Safe}}, Plans: []scheduler.Plan{{}}},
-		Volumes: []config.Volume{{Name: "v"}}}
-	base := func() Input {
-		return Input{Config: config, DrainGrace: 500 * time.Millisecond, DisconnectGrace: 100 * time.Millisecond, TimeoutTolerance: 150 * time.Millisecond,
-			ClockTolerance: 10 * time.Millisecond,
-			SlowStart:      SlowStart{MeanUnits: 1, MinUnits: 4, Capacity: 10, InitialFraction: 0.5, WarmupDuration: 10 * time.Second, OverloadFactor: 1, OverloadWindow: time.Second}}
+// A request is sent to a second node. Whether that is allowed depends on its class, and on what is
+// known of the first attempt.
+func TestSafeRetry(t *testing.T) {
+	servedWrite := request(1, writeClass, RequestRecord{Responses: 1, Status: 200})
+	slowIdempotent := func(respondedAt int64) RequestRecord {
+		return request(1, idempotentClass, RequestRecord{Responses: 1, Status: 200, Deadline: 9 * second, RespondedAt: respondedAt})
 	}
-	answered := RequestRecord{TraceID: "a", Volume: "v", SentAt: ms(0), Deadline: ms(1000), RespondedAt: ms(900), Responses: 1, Status: 200, Units: 1}
-	left := RequestRecord{TraceID: "a", Volume: "v", SentAt: ms(0), Deadline: ms(1000), DisconnectedAt: ms(100), Units: 1}
-	sent := func(at int64) fakenode.Entry {
-		return fakenode.Entry{Node: "n", Traceparent: "a", ReceivedAt: ms(at), ExecutedAt: ms(at + 1), RespondedAt: ms(at + 2), Status: 200, Units: 1}
+	unknown := fakenode.Entry{} // it may have been executed
+	runJudgeTests(t, []judgeTest{
+		{"safe, executed twice", []RequestRecord{servedRead},
+			[]fakenode.Entry{attempt(1, "n", attemptAt, executed), attempt(1, "n", attemptAt+1, executed)}, nil, nil},
+		{"non-idempotent, executed twice", []RequestRecord{servedWrite},
+			[]fakenode.Entry{attempt(1, "n", attemptAt, executed), attempt(1, "m", attemptAt+1, executed)}, nil, []int{2}},
+		{"non-idempotent, may have been executed", []RequestRecord{servedWrite},
+			[]fakenode.Entry{attempt(1, "n", attemptAt, unknown), attempt(1, "m", attemptAt+1, executed)}, nil, []int{2}},
+		{"non-idempotent, queue was full", []RequestRecord{servedWrite},
+			[]fakenode.Entry{attempt(1, "n", attemptAt, queueFull), attempt(1, "m", attemptAt+1, executed)}, nil, nil},
+		{"non-idempotent, rejected though executed", []RequestRecord{request(1, writeClass, RequestRecord{Responses: 1, Status: 503})},
+			[]fakenode.Entry{attempt(1, "n", attemptAt, executed)}, nil, []int{2}},
+		{"non-idempotent, failed and executed", []RequestRecord{request(1, writeClass, RequestRecord{Responses: 1, Status: 504})},
+			[]fakenode.Entry{attempt(1, "n", attemptAt, executed)}, nil, nil},
+		{"idempotent, within its window", []RequestRecord{slowIdempotent(4 * second)},
+			[]fakenode.Entry{attempt(1, "n", attemptAt, unknown), attempt(1, "n", attemptAt+second, executed)}, nil, nil},
+		{"idempotent, past its window", []RequestRecord{slowIdempotent(5 * second)},
+			[]fakenode.Entry{attempt(1, "n", attemptAt, unknown), attempt(1, "n", attemptAt+3*second, executed)}, nil, []int{2}},
+	})
+}
+
+// An attempt is sent to a node that drains: within the grace, and after it.
+func TestNodeServing(t *testing.T) {
+	requests, attempts := []RequestRecord{servedRead}, []fakenode.Entry{attempt(1, "n", attemptAt, executed)}
+	drainedSince := func(node string, from int64) func(*Input) {
+		return func(in *Input) { in.Drains = []Interval{{node, from, 0}} }
 	}
-	cases := []struct {
-		name   string
-		change func(in *Input)
-		broken []int
-	}{
-		{"begins as its client leaves", func(in *Input) { in.Requests, in.Attempts = []RequestRecord{left}, []fakenode.Entry{sent(205)} }, nil},
-		{"begins for a client that left", func(in *Input) { in.Requests, in.Attempts = []RequestRecord{left}, []fakenode.Entry{sent(215)} }, []int{1}},
-		{"tells what is left", func(in *Input) {
-			e := sent(500)
-			e.Timeout = 650_000
-			in.Requests, in.Attempts = []RequestRecord{answered}, []fakenode.Entry{e}
-		}, nil},
-		{"tells more than is left", func(in *Input) {
-			e := sent(500)
-			e.Timeout = 670_000
-			in.Requests, in.Attempts = []RequestRecord{answered}, []fakenode.Entry{e}
-		}, []int{1}},
-		{"within the grace", func(in *Input) {
-			in.Requests, in.Attempts = []RequestRecord{answered}, []fakenode.Entry{sent(505)}
-			in.DrainNotices = []Notice{{Instance: 0, Node: "n", From: ms(0)}}
-		}, nil},
-		{"after the grace", func(in *Input) {
-			in.Requests, in.Attempts = []RequestRecord{answered}, []fakenode.Entry{sent(515)}
-			in.DrainNotices = []Notice{{Instance: 0, Node: "n", From: ms(0)}}
-		}, []int{3}},
-		{"another head was notified", func(in *Input) {
-			in.Requests, in.Attempts = []RequestRecord{answered}, []fakenode.Entry{sent(515)}
-			in.DrainNotices = []Notice{{Instance: 1, Node: "n", From: ms(0)}}
-		}, nil},
-		{"it serves again", func(in *Input) {
-			in.Requests, in.Attempts = []RequestRecord{answered}, []fakenode.Entry{sent(700)}
-			in.DrainNotices = []Notice{{Instance: 0, Node: "n", From: ms(0), To: ms(600)}}
-		}, nil},
-		{"a cold node at its bound", func(in *Input) { in.crowd(answered, sent, 14) }, nil},
-		{"a cold node past its bound", func(in *Input) { in.crowd(answered, sent, 18) }, []int{4}},
-		{"by heads that were told", func(in *Input) {
-			in.crowd(answered, sent, 18)
-			in.StartNotices = []Notice{{Instance: 0, Node: "n", From: ms(50)}}
-		}, []int{4}},
-		{"by heads that were not told", func(in *Input) {
-			in.crowd(answered, sent, 18)
-			in.StartNotices = []Notice{{Instance: 1, Node: "n", From: ms(50)}}
-		}, nil},
+	runJudgeTests(t, []judgeTest{
+		{"within the grace", requests, attempts, drainedSince("n", attemptAt-second/4), nil},
+		{"past the grace", requests, attempts, drainedSince("n", attemptAt-second), []int{3}},
+		{"another node drains", requests, attempts, drainedSince("m", attemptAt-second), nil},
+	})
+}
+
+// A node that is warming up is sent so much that it fails.
+func TestOverloadedNode(t *testing.T) {
+	runJudgeTests(t, []judgeTest{
+		{"overloaded", []RequestRecord{servedRead},
+			[]fakenode.Entry{attempt(1, "n", attemptAt, fakenode.Entry{Overloaded: true, Status: 200, RespondedAt: attemptAt})}, nil, []int{4}},
+	})
+}
+
+// Two requests of a key are sent, one while the other is in progress or before it. Those of
+// different keys may be.
+func TestKeyOrder(t *testing.T) {
+	ordered := func(number int, key string, r RequestRecord) RequestRecord {
+		r.Responses, r.Status, r.OrderKey = 1, 200, key
+		return request(number, orderedClass, r)
 	}
-	for _, c := range cases {
-		in := base()
-		c.change(&in)
-		if got := Judge(in).ViolatedRules(); fmt.Sprint(got) != fmt.Sprint(c.broken) {
-			t.Errorf("%s: broke %v, want %v", c.name, got, c.broken)
-		}
+	first := ordered(1, "k", RequestRecord{})
+	inProgress := fakenode.Entry{RespondedAt: attemptAt + second/2, Status: 200}
+	runJudgeTests(t, []judgeTest{
+		{"one after the other", []RequestRecord{first, ordered(2, "k", RequestRecord{SentAt: second + 5})},
+			[]fakenode.Entry{attempt(1, "n", attemptAt, executed), attempt(2, "n", attemptAt+30, executed)}, nil, nil},
+		{"at the same time", []RequestRecord{first, ordered(2, "k", RequestRecord{})},
+			[]fakenode.Entry{attempt(1, "n", attemptAt, inProgress), attempt(2, "n", attemptAt+30, executed)}, nil, []int{5}},
+		{"the later one first", []RequestRecord{first, ordered(2, "k", RequestRecord{SentAt: 2 * second, RespondedAt: 2*second + 9})},
+			[]fakenode.Entry{attempt(1, "n", 2*second, fakenode.Entry{RespondedAt: 2*second + 10, Status: 200}),
+				attempt(2, "n", 2*second-5, fakenode.Entry{RespondedAt: 2*second - 1})},
+			func(in *Input) { in.Requests[0].RespondedAt, in.Requests[0].Deadline = 2*second+10, 3*second }, []int{5}},
+		{"different keys", []RequestRecord{first, ordered(2, "j", RequestRecord{})},
+			[]fakenode.Entry{attempt(1, "n", attemptAt, fakenode.Entry{RespondedAt: attemptAt + second/2}), attempt(2, "n", attemptAt+30, executed)}, nil, nil},
+	})
+}
+
+// A read is retried twice, with a budget of one retry and a tenth of the requests.
+func TestRetryBudget(t *testing.T) {
+	runJudgeTests(t, []judgeTest{
+		{"two retries", []RequestRecord{servedRead},
+			[]fakenode.Entry{attempt(1, "n", attemptAt, executed), attempt(1, "n", attemptAt+1, executed), attempt(1, "n", attemptAt+2, executed)}, nil, []int{6}},
+	})
+}
+
+// Requests come to a volume at once: as much as the burst of its limit, and twice as much.
+func TestTenantLimit(t *testing.T) {
+	burst := func(number int) RequestRecord {
+		return request(number, readClass, RequestRecord{Volume: "v", Units: 10, Responses: 1, Status: 200})
 	}
+	runJudgeTests(t, []judgeTest{
+		{"within the limit", []RequestRecord{burst(1)}, []fakenode.Entry{attempt(1, "n", attemptAt, executed)}, nil, nil},
+		{"beyond the limit", []RequestRecord{burst(1), burst(2)},
+			[]fakenode.Entry{attempt(1, "n", attemptAt, executed), attempt(2, "n", attemptAt+1, executed)}, nil, []int{7}},
+	})
 }
 
-// crowd sends a node so many requests right after its start.
-func (in *Input) crowd(client RequestRecord, sent func(int64) fakenode.Entry, size int) {
-	in.NodeStarts = []Interval{{Name: "n", From: sent(0).ReceivedAt}}
-	for i := range size {
-		c, e := client, sent(100)
-		c.TraceID = fmt.Sprint("c", i)
-		e.Traceparent = c.TraceID
-		in.Requests, in.Attempts = append(in.Requests, c), append(in.Attempts, e)
+// One response comes in time, one past its latency objective, and a write is rejected. The first
+// earns its priority weight, the second half of it.
+func TestSummary(t *testing.T) {
+	r := Judge(Input{Config: testConfig(t), Requests: []RequestRecord{
+		request(1, readClass, RequestRecord{Responses: 1, Status: 200, Units: 2, RespondedAt: second + 50_000}),
+		request(2, readClass, RequestRecord{Responses: 1, Status: 200, Units: 1, RespondedAt: second + 500_000}),
+		request(3, writeClass, RequestRecord{Responses: 1, Status: 503, Units: 1}),
+	}, LateTolerance: time.Second})
+	if r.OfferedWeight != 2*2+2+1 || r.EarnedWeight != 4+1 || r.MissedObjective != 1 || r.Rejected != 1 || r.LatencyQuantile(1) != 500*time.Millisecond {
+		t.Errorf("%+v", r)
 	}
 }
--- /dev/null
+++ b/internal/audit/key_order.go
@@ -0,0 +1,75 @@
+package audit
+
+import (
+	"cmp"
+	"slices"
+
+	"maddergap/internal/fakenode"
+)
+
+// orderedAttempt is an attempt of a request with an order key.
+type orderedAttempt struct {
+	request *RequestRecord
+	attempt *fakenode.Entry
+}
+
+// instanceKey is an order key at an instance: order is kept by each instance for itself.
+type instanceKey struct {
+	instance int
+	key      string
+}
+
+// judgeKeyOrder judges RuleKeyOrder.
+func (r *run) judgeKeyOrder() Verdict {
+	v := Verdict{Rule: RuleKeyOrder}
+	for key, attempts := range r.attemptsByKey() {
+		slices.SortFunc(attempts, func(a, b orderedAttempt) int {
+			return cmp.Compare(a.attempt.ReceivedAt, b.attempt.ReceivedAt)
+		})
+		for i := 1; i < len(attempts); i++ {
+			r.checkOrder(&v, key, attempts[i-1], attempts[i])
+		}
+	}
+	v.Figure = float64(v.Violations)
+	return v
+}
+
+func (r *run) attemptsByKey() map[instanceKey][]orderedAttempt {
+	byKey := map[instanceKey][]orderedAttempt{}
+	for id, attempts := range r.attemptsByTrace {
+		request := r.requests[id]
+		if request == nil || !r.classes[request.Class].Ordered {
+			continue
+		}
+		key := instanceKey{request.Instance, request.OrderKey}
+		for _, attempt := range attempts {
+			byKey[key] = append(byKey[key], orderedAttempt{request, attempt})
+		}
+	}
+	return byKey
+}
+
+// checkOrder checks two attempts of a key that follow each other: the second may begin when the
+// first has its result, and may not be of a request that was sent before the first's.
+func (r *run) checkOrder(v *Verdict, key instanceKey, first, second orderedAttempt) {
+	if first.request == second.request {
+		return
+	}
+	sentAt := min(first.request.SentAt, second.request.SentAt)
+	receivedAt := max(first.attempt.ReceivedAt, second.attempt.ReceivedAt)
+	if r.instanceDown(first.request.Instance, sentAt, receivedAt) {
+		return // an instance that restarted knows nothing of what it sent before
+	}
+	resultAt := first.attempt.RespondedAt
+	if resultAt == 0 {
+		resultAt = first.request.RespondedAt
+	}
+	if resultAt > 0 && second.attempt.ReceivedAt < resultAt-r.clockTolerance() {
+		v.violated(key.key, "key %d %s: %s went out %v before the one before it had an outcome",
+			key.instance, key.key, second.request.TraceID, between(second.attempt.ReceivedAt, resultAt))
+	}
+	if second.request.SentAt+r.clockTolerance() < first.request.SentAt {
+		v.violated(key.key, "key %d %s: %s went before %s, which came first",
+			key.instance, key.key, first.request.TraceID, second.request.TraceID)
+	}
+}
--- /dev/null
+++ b/internal/audit/safe_retry.go
@@ -0,0 +1,70 @@
+package audit
+
+import (
+	"net/http"
+
+	"maddergap/internal/fakenode"
+	"maddergap/scheduler"
+)
+
+// judgeSafeRetry judges RuleSafeRetry.
+func (r *run) judgeSafeRetry() Verdict {
+	v := Verdict{Rule: RuleSafeRetry}
+	for id, attempts := range r.attemptsByTrace {
+		request := r.requests[id]
+		if request == nil {
+			continue
+		}
+		switch class := &r.classes[request.Class]; class.Effect {
+		case scheduler.Idempotent:
+			r.checkDeduplicated(&v, request, class, attempts)
+		case scheduler.NonIdempotent:
+			checkExecutedOnce(&v, request, class, attempts)
+		}
+	}
+	v.Figure = float64(v.Violations)
+	return v
+}
+
+// checkDeduplicated checks that an idempotent request was retried while its nodes remember the
+// first attempt.
+func (r *run) checkDeduplicated(v *Verdict, request *RequestRecord, class *scheduler.Class, attempts []*fakenode.Entry) {
+	id := request.TraceID
+	for i := 1; i < len(attempts); i++ {
+		if notExecuted(attempts[i-1]) {
+			continue
+		}
+		age := between(attempts[0].ReceivedAt, attempts[i].ReceivedAt)
+		if age > class.DeduplicationWindow+r.input.ClockTolerance {
+			v.violated(id, "%s (%s) was sent again after %v, its nodes remember %v", id, class.Name, age, class.DeduplicationWindow)
+		}
+	}
+}
+
+// checkExecutedOnce checks that a non-idempotent request was retried only after an attempt that
+// was not executed, was executed once, and was not rejected after that.
+func checkExecutedOnce(v *Verdict, request *RequestRecord, class *scheduler.Class, attempts []*fakenode.Entry) {
+	id := request.TraceID
+	for i := 1; i < len(attempts); i++ {
+		if !notExecuted(attempts[i-1]) {
+			v.violated(id, "%s (%s) was sent again to %s though the attempt before may have run", id, class.Name, attempts[i].Node)
+		}
+	}
+	executed := 0
+	for _, attempt := range attempts {
+		if attempt.ExecutedAt > 0 {
+			executed++
+		}
+	}
+	if executed > 1 {
+		v.violated(id, "%s (%s) ran %d times", id, class.Name, executed)
+	}
+	if request.Status == http.StatusServiceUnavailable && executed > 0 {
+		v.violated(id, "%s (%s) was refused, but ran", id, class.Name)
+	}
+}
+
+// notExecuted reports whether the node's response said that it did not execute the attempt.
+func notExecuted(attempt *fakenode.Entry) bool {
+	return attempt.Status == http.StatusServiceUnavailable && attempt.ExecutedAt == 0
+}
--- /dev/null
+++ b/internal/audit/tenant_limit.go
@@ -0,0 +1,55 @@
+package audit
+
+import (
+	"maddergap/internal/config"
+	"maddergap/internal/fakenode"
+)
+
+const (
+	// limitSlack is what the instances together may exceed a limit's rate by, since each has a
+	// part of it for itself; limitBurstSlack the same of its burst, as a fraction.
+	limitSlack      = 1.1
+	limitBurstSlack = 0.1
+)
+
+// judgeTenantLimit judges RuleTenantLimit. Its figure is the highest level of a limit's bucket, as
+// a fraction of its capacity with slack.
+func (r *run) judgeTenantLimit() Verdict {
+	v := Verdict{Rule: RuleTenantLimit, Bound: 1}
+	for _, volume := range r.input.Config.Volumes {
+		if r.input.Config.Scheduler.Plans[volume.Plan].Limit > 0 {
+			r.checkTenantLimit(&v, volume)
+		}
+	}
+	return v
+}
+
+// checkTenantLimit fills a bucket with the first attempts of a volume, which drains by the rate of
+// its limit.
+func (r *run) checkTenantLimit(v *Verdict, volume config.Volume) {
+	settings := &r.input.Config.Scheduler
+	plan := settings.Plans[volume.Plan]
+	rate := limitSlack * plan.Limit                                                       // units a second
+	capacity := plan.LimitBurst + max(limitBurstSlack*plan.LimitBurst, settings.MaxUnits) // units
+	level := 0.0
+	lastAt := int64(0)
+	for _, attempt := range r.attempts {
+		request := r.requestOf(attempt)
+		if request == nil || request.Volume != volume.Name || !r.isFirstAttempt(attempt) {
+			continue
+		}
+		if lastAt > 0 {
+			level = max(0, level-rate*float64(attempt.ReceivedAt-lastAt)/1e6)
+		}
+		lastAt = attempt.ReceivedAt
+		level += request.Units
+		v.Figure = max(v.Figure, level/capacity)
+		if level > capacity+rate*r.input.ClockTolerance.Seconds() {
+			v.violated(volume.Name, "volume %s is %.1f units over its limit at %s", volume.Name, level-capacity, request.TraceID)
+		}
+	}
+}
+
+func (r *run) isFirstAttempt(attempt *fakenode.Entry) bool {
+	return r.attemptsByTrace[traceID(attempt.Traceparent)][0] == attempt
+}
