--- a/internal/daemon/observer.go
+++ b/internal/daemon/observer.go
@@ -82,7 +82,7 @@
 	scheduler.ConnectFailed: "no connection",
 	scheduler.Reset:         "reset",
 	scheduler.Cancelled:     "cancelled",
-	scheduler.Superseded:    "not sent",
+	scheduler.NotSent:       "not sent",
 }
 
 // Attempt logs an attempt that failed, and writes the span of every attempt.
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -117,7 +117,7 @@
 	case attempt.ended || c == nil || attempt.requestWritten():
 	case c.state == nodeDialing:
 		c.attempt = nil
-		g.endAttempt(attempt, scheduler.Superseded)
+		g.endAttempt(attempt, scheduler.NotSent)
 	default:
 		g.abortNodeConn(c, scheduler.Cancelled)
 	}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -166,7 +166,9 @@
 	}
 }
 
-// applyDecision carries out a decision of the scheduler.
+// applyDecision carries out a decision of the scheduler. WatchEndpoints is ignored: the
+// membership source, or the caller of SetNodes, keeps the endpoint list current unasked.
+// Only the simulator's driver (internal/simwire) carries that action out.
 func (g *Gateway) applyDecision(action scheduler.Action) {
 	switch a := action.(type) {
 	case scheduler.Send:
--- a/internal/gateway/invariant_checks.go
+++ b/internal/gateway/invariant_checks.go
@@ -126,7 +126,7 @@
 	attempt := c.attempt
 	c.attempt = nil
 	g.discardOutput(c)
-	g.endAttempt(attempt, scheduler.Superseded)
+	g.endAttempt(attempt, scheduler.NotSent)
 	g.makeIdle(c)
 }
 
--- a/internal/gateway/invariant_checks_test.go
+++ b/internal/gateway/invariant_checks_test.go
@@ -158,7 +158,7 @@
 			h.gateway.nodes.lastConnected = h.now
 		}
 		h.advanceTime(h.gateway.config.Timeouts.Dial + time.Millisecond)
-		want := scheduler.Superseded
+		want := scheduler.NotSent
 		if others {
 			want = scheduler.ConnectFailed
 		}
--- a/internal/gateway/node_conn.go
+++ b/internal/gateway/node_conn.go
@@ -145,7 +145,7 @@
 	case c.state == nodeDialing:
 		return g.dialFailureOutcome(c, attempt)
 	case !attempt.firstByteWritten: // an idle connection was closed just then: the request was not executed
-		return scheduler.Superseded
+		return scheduler.NotSent
 	case !attempt.requestWritten():
 		return g.protocol.truncatedRequestOutcome()
 	}
@@ -158,7 +158,7 @@
 // and it is the node's fault all the same, for instance because there is no route to it.
 func (g *Gateway) dialFailureOutcome(c *nodeConn, attempt *nodeAttempt) scheduler.Outcome {
 	if c.dialStalled && g.nodes.lastConnected <= attempt.startedAt {
-		return scheduler.Superseded
+		return scheduler.NotSent
 	}
 	return scheduler.ConnectFailed
 }
@@ -176,7 +176,7 @@
 	case !attempt.firstByteWritten: // the machine was too busy to write it: the request was not executed
 		c.attempt = nil
 		g.closeConn(c, Abort)
-		g.endAttempt(attempt, scheduler.Superseded)
+		g.endAttempt(attempt, scheduler.NotSent)
 	case attempt.req.response.source == attempt, attempt.bufferResponse && g.clock.now < attempt.req.deadline: // the response stalled
 		g.abortNodeConn(c, g.protocol.malformedResponseOutcome())
 	default: // the deadline of the request has passed; a later response would be of no use
--- a/internal/gateway/send.go
+++ b/internal/gateway/send.go
@@ -17,9 +17,9 @@
 	idle := g.reusableConn(req, n)
 	switch {
 	case req.response.final: // it got its final response since the scheduler decided
-		g.endAttempt(attempt, scheduler.Superseded)
+		g.endAttempt(attempt, scheduler.NotSent)
 	case !g.mayStartAttempt(attempt):
-		g.endAttempt(attempt, scheduler.Superseded)
+		g.endAttempt(attempt, scheduler.NotSent)
 	case idle != nil:
 		g.nodes.removeIdle(idle)
 		idle.attempt, attempt.conn = attempt, idle
--- a/internal/scenario/passthrough.go
+++ b/internal/scenario/passthrough.go
@@ -39,7 +39,7 @@
 // node cannot have run it, and fails otherwise.
 func endWithoutResponse(e scheduler.AttemptEnded) scheduler.Action {
 	switch e.Outcome {
-	case scheduler.QueueFull, scheduler.ConnectFailed, scheduler.Superseded:
+	case scheduler.QueueFull, scheduler.ConnectFailed, scheduler.NotSent:
 		return scheduler.Reject{ID: e.ID}
 	}
 	return scheduler.Fail{ID: e.ID}
--- a/internal/simwire/words.go
+++ b/internal/simwire/words.go
@@ -79,5 +79,5 @@
 	"econnrefused": scheduler.ConnectFailed,
 	"econnreset":   scheduler.Reset,
 	"ecanceled":    scheduler.Cancelled,
-	"skipped":      scheduler.Superseded,
+	"skipped":      scheduler.NotSent,
 }
--- a/scheduler/actions.go
+++ b/scheduler/actions.go
@@ -15,7 +15,7 @@
 	Node string
 	// StartBefore is the time before which the attempt has to reach the node: later, the node
 	// may have forgotten the idempotency key of an earlier attempt. An attempt that is late ends
-	// as Superseded without being sent. 0 for no bound.
+	// as NotSent without being sent. 0 for no bound.
 	StartBefore Time
 }
 
@@ -34,7 +34,8 @@
 type SetTimer struct{ After time.Duration }
 
 // WatchEndpoints asks for the endpoint list and its later changes, as EndpointUpdate events. It is
-// sent where Settings.PollDiscovery is set, at the start and after a failed call.
+// sent where Settings.PollDiscovery is set, at the start and after a failed call. Only
+// the simulator's driver (internal/simwire) carries it out; the gateway ignores it.
 type WatchEndpoints struct{}
 
 func (Send) action()           {}
--- a/scheduler/events.go
+++ b/scheduler/events.go
@@ -58,15 +58,15 @@
 	Reset
 	// Cancelled is an attempt that this instance gave up, as when the client disconnected.
 	Cancelled
-	// Superseded is an attempt that did not run for a reason other than the node: its time to
+	// NotSent is an attempt that did not run for a reason other than the node: its time to
 	// start had passed (Send.StartBefore), its request was over, or a reused connection had
 	// closed before it was written.
-	Superseded
+	NotSent
 )
 
 // String returns the outcome's name.
 func (o Outcome) String() string {
-	names := [...]string{"ok", "failed", "queue-full", "timed-out", "connect-failed", "reset", "cancelled", "superseded"}
+	names := [...]string{"ok", "failed", "queue-full", "timed-out", "connect-failed", "reset", "cancelled", "not-sent"}
 	if o < 0 || int(o) >= len(names) {
 		return "unknown"
 	}
@@ -74,7 +74,7 @@
 }
 
 // ProvesNotRun reports whether the outcome proves that the node did not run the attempt.
-func (o Outcome) ProvesNotRun() bool { return o == QueueFull || o == ConnectFailed || o == Superseded }
+func (o Outcome) ProvesNotRun() bool { return o == QueueFull || o == ConnectFailed || o == NotSent }
 
 // Event is what the caller of Handle reports: one of Arrival, EndpointUpdate, AttemptEnded,
 // ResponseStarted, AttemptStalled, AttemptResumed, ClientDisconnected and TimerFired. Events about
--- a/scheduler/outcomes.go
+++ b/scheduler/outcomes.go
@@ -1,7 +1,7 @@
 package scheduler
 
 // recordOutcome updates what is known of a node by an attempt's outcome: its estimated latency and
-// pressure, its concurrency window and its circuit breaker. Cancelled and Superseded attempts say
+// pressure, its concurrency window and its circuit breaker. Cancelled and NotSent attempts say
 // nothing of the node.
 func (s *Scheduler) recordOutcome(n *node, a *attempt, e AttemptEnded) {
 	latency := (s.now - a.inFlightSince(s.now)).Seconds()
--- a/scheduler/reference_test.go
+++ b/scheduler/reference_test.go
@@ -403,8 +403,8 @@
 	n.inFlight = slices.DeleteFunc(n.inFlight, func(o *attempt) bool { return o == a })
 	h.markDirty(n)
 	h.recordOutcome(n, a, e)
-	proven := e.Outcome == QueueFull || e.Outcome == ConnectFailed || e.Outcome == Superseded
-	if e.Outcome != ConnectFailed && e.Outcome != Superseded {
+	proven := e.Outcome == QueueFull || e.Outcome == ConnectFailed || e.Outcome == NotSent
+	if e.Outcome != ConnectFailed && e.Outcome != NotSent {
 		r.expiresAt = r.deadline
 	}
 	if !proven && e.Outcome != OK && r.mayHaveRunOn == nil {
--- a/scheduler/retries.go
+++ b/scheduler/retries.go
@@ -13,7 +13,7 @@
 // recordPossibleRun notes whether an attempt may have run and where. The first such attempt
 // counts: its node, and those that share its idempotency keys, know the request from then on.
 func (s *Scheduler) recordPossibleRun(r *request, a *attempt, o Outcome) {
-	if o != ConnectFailed && o != Superseded {
+	if o != ConnectFailed && o != NotSent {
 		r.ExpiresAt = r.Deadline // it reached a node; see setDeadlines
 	}
 	if !o.ProvesNotRun() && o != OK && r.mayHaveRunOn == nil {
--- a/scheduler/retries_test.go
+++ b/scheduler/retries_test.go
@@ -22,7 +22,7 @@
 		{"non-idempotent, cancelled", 1, Cancelled, false, "f"},
 		{"non-idempotent, full", 1, QueueFull, true, ""},
 		{"non-idempotent, not connected", 1, ConnectFailed, true, ""},
-		{"non-idempotent, superseded", 1, Superseded, true, ""},
+		{"non-idempotent, not sent", 1, NotSent, true, ""},
 		{"idempotent, reset", 2, Reset, true, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
