--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -89,8 +89,8 @@
 	Header time.Duration
 	// Idle closes a client connection that has no request. Default 60s.
 	Idle time.Duration
-	// Stall ends a body or response that makes no progress. Default 10s.
-	Stall time.Duration
+	// NoProgress ends a body or response that makes no progress. Default 10s.
+	NoProgress time.Duration
 	// Dial bounds connecting to a node. Default 1s.
 	Dial time.Duration
 	// NodeIdle closes a connection to a node that has no attempt. Default 20s.
@@ -170,12 +170,12 @@
 		Scheduler:    scheduler.Settings{Instances: 1, MaxUnits: 1, MeanUnits: 1, ExcessWeight: 0.3},
 		Deadlines:    Deadlines{ResponseMargin: 20 * time.Millisecond, UploadRate: 1 << 20},
 		Timeouts: Timeouts{
-			Header:   10 * time.Second,
-			Idle:     60 * time.Second,
-			Stall:    10 * time.Second,
-			Dial:     time.Second,
-			NodeIdle: 20 * time.Second,
-			Shutdown: 10 * time.Second,
+			Header:     10 * time.Second,
+			Idle:       60 * time.Second,
+			NoProgress: 10 * time.Second,
+			Dial:       time.Second,
+			NodeIdle:   20 * time.Second,
+			Shutdown:   10 * time.Second,
 		},
 		Limits: Limits{
 			Clients:      8192,
--- a/internal/daemon/metrics.go
+++ b/internal/daemon/metrics.go
@@ -81,7 +81,7 @@
 	connectionsDesc      = newDesc("maddergap_connections", "Open connections, by kind: client, known (clients of these), node.", "kind")
 	longestIterationDesc = newDesc("maddergap_turn_longest_seconds", "The longest event loop iteration within this minute and the last, and the longest of each phase.", "part")
 	clientBuffersDesc    = newDesc("maddergap_client_buffers_bytes", "Bytes buffered for all client connections.")
-	stallDesc            = newDesc("maddergap_lag_seconds", "How much later than requested the event loop was woken lately; taken twice from the deadlines.")
+	lagDesc              = newDesc("maddergap_lag_seconds", "How much later than requested the event loop was woken lately; taken twice from the deadlines.")
 	withheldDesc         = newDesc("maddergap_attempts_withheld_total", "Attempts withheld, by the invariant that they would have violated.", "rule")
 	violatedDesc         = newDesc("maddergap_invariants_broken_total", "Invariants found violated after the fact, by rule.", "rule")
 	admissionEntriesDesc = newDesc("maddergap_admission_entries", "Entries of the admission tables in use.", "table")
@@ -93,7 +93,7 @@
 // Describe implements prometheus.Collector.
 func (*metricsServer) Describe(ch chan<- *prometheus.Desc) {
 	for _, desc := range []*prometheus.Desc{requestsDesc, attemptsDesc, malformedDesc, rejectedDesc, preemptedDesc, connectionsDesc, longestIterationDesc,
-		clientBuffersDesc, stallDesc, withheldDesc, violatedDesc, admissionEntriesDesc} {
+		clientBuffersDesc, lagDesc, withheldDesc, violatedDesc, admissionEntriesDesc} {
 		ch <- desc
 	}
 }
@@ -137,7 +137,7 @@
 	gauge(connectionsDesc, float64(s.Clients), "client")
 	gauge(connectionsDesc, float64(s.Admitted.Known), "known")
 	gauge(connectionsDesc, float64(s.NodeConns), "node")
-	gauge(stallDesc, s.Stall.Seconds())
+	gauge(lagDesc, s.Lag.Seconds())
 	gauge(clientBuffersDesc, float64(s.BufferedBytes))
 	gauge(admissionEntriesDesc, float64(s.Admitted.Addresses), "addresses")
 	gauge(admissionEntriesDesc, float64(s.Admitted.Prefixes), "prefixes")
--- a/internal/gateway/accept.go
+++ b/internal/gateway/accept.go
@@ -42,7 +42,7 @@
 	g.openConn(c)
 	g.clientConns++
 	firstRequestTimeout := g.config.Timeouts.Header
-	if g.phase == stopping {
+	if g.intake == intakeClosed {
 		firstRequestTimeout = firstRequestGrace
 	}
 	g.setDeadline(c, g.clock.now+firstRequestTimeout)
@@ -64,7 +64,7 @@
 // has a request that was not submitted.
 func (g *Gateway) preempt(c *clientConn) {
 	g.counts.Preempted++
-	g.disconnectClient(c, Close)
+	g.dropClient(c, Close)
 }
 
 // recordRejection counts and reports a connection or request that was not admitted.
--- a/internal/gateway/admission_test.go
+++ b/internal/gateway/admission_test.go
@@ -17,7 +17,7 @@
 	return result.ID
 }
 
-// A client sends a byte of its body now and then, so that it never stalls. It is answered
+// A client sends a byte of its body now and then, so that it is never without progress. It is answered
 // 408 for being below the minimum rate.
 func TestUploadBelowMinRateIsEnded(t *testing.T) {
 	h := newHarness(t, "pace body 100 after 5s\n")
@@ -196,7 +196,7 @@
 // clients' deadlines, once for reading the request and once for writing the response, so
 // that the response is in time. Half of the deadline is left in any case, and the delay is
 // forgotten after a while.
-func TestStallShortensDeadlines(t *testing.T) {
+func TestLagShortensDeadlines(t *testing.T) {
 	last := func(lateBy, after time.Duration) time.Duration {
 		h := newHarness(t, "")
 		h.refuseDials = true // no node is reached: the gateway rejects the request at its deadline
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -24,19 +24,19 @@
 	fullyQueued      bool // the whole request is in the connection's buffer, or was written
 	firstByteWritten bool
 	chunked          bool          // the request body is sent in chunks
-	stalled          bool          // the scheduler was notified that the machine holds it up
+	stalled          bool          // the scheduler was notified that this machine holds it up
 	announcedTimeout time.Duration // the timeout sent to the node with the request; 0: none
 
 	// The response.
-	outcome         scheduler.Outcome // by its header
-	hasLoadReport   bool
-	responseStarted bool          // the scheduler was notified that the response streams
-	bufferResponse  bool          // the response is buffered until it is complete
-	status          int           // 0: there is none
-	reportedLoad    float64       // requests that the node said it has, if hasLoadReport
-	discardedBytes  int64         // of a response that is not passed on
-	responseBody    []byte        // of a buffered response
-	stallTimeout    time.Duration // of a buffered response
+	outcome           scheduler.Outcome // by its header
+	hasLoadReport     bool
+	responseStarted   bool          // the scheduler was notified that the response streams
+	bufferResponse    bool          // the response is buffered until it is complete
+	status            int           // 0: there is none
+	reportedLoad      float64       // requests that the node said it has, if hasLoadReport
+	discardedBytes    int64         // of a response that is not passed on
+	responseBody      []byte        // of a buffered response
+	noProgressTimeout time.Duration // of a buffered response
 }
 
 // requestWritten reports whether the whole request was written.
--- a/internal/gateway/buffered_protocol.go
+++ b/internal/gateway/buffered_protocol.go
@@ -52,7 +52,7 @@
 		return false
 	}
 	attempt.bufferResponse, attempt.responseBody = true, g.buffers.get()
-	attempt.stallTimeout = b.p.ResponseStallTimeout()
+	attempt.noProgressTimeout = b.p.ResponseNoProgressTimeout()
 	return true
 }
 
@@ -84,7 +84,7 @@
 // A node executes only a complete request, so that one it received in part was not executed.
 func (bufferedProtocol) truncatedRequestOutcome() scheduler.Outcome { return scheduler.ConnectFailed }
 
-func (bufferedProtocol) malformedResponseOutcome() scheduler.Outcome { return scheduler.Failed }
+func (bufferedProtocol) brokenResponseOutcome() scheduler.Outcome { return scheduler.Failed }
 
 func (bufferedProtocol) allowsEarlyResponse() bool { return false }
 
--- a/internal/gateway/client_conn.go
+++ b/internal/gateway/client_conn.go
@@ -54,7 +54,7 @@
 	req             *request // under way; nil: none
 	requestCount    int      // requests read so far
 	headerStartedAt Time     // when the first byte of a header arrived; 0: none
-	queued          bool     // it is in Gateway.readyClients
+	inReadyClients  bool     // it is in Gateway.readyClients
 	acceptDelay     Time     // how long it may have waited to be accepted
 
 	admitted bool // admission counts it
@@ -105,7 +105,7 @@
 	}
 	if req := c.req; req != nil {
 		if req.response.source != nil && len(c.pending()) <= g.bufferAllowance()/2 {
-			g.resumeNode(req.response.source.conn)
+			g.resumeNodeInput(req.response.source.conn)
 		}
 		if len(c.pending()) == 0 && !req.response.final && req.body.complete {
 			g.setDeadline(c, never)
@@ -121,24 +121,24 @@
 		c.peer = peerDisconnected
 	}
 	switch {
-	case c.phase >= clientDiscarding, c.req == nil && len(c.pending()) == 0 && !c.queued:
+	case c.phase >= clientDiscarding, c.req == nil && len(c.pending()) == 0 && !c.inReadyClients:
 		g.closeConn(c, Close)
 	case c.req != nil && (!c.req.body.complete || c.peer == peerDisconnected):
-		g.disconnectClient(c, Close)
+		g.dropClient(c, Close)
 	} // else a half-close: the response is still due
 }
 
 func (c *clientConn) handleClosed(g *Gateway) {
 	c.peer = peerDisconnected
 	g.removeConn(c, true)
-	g.abandonClientRequest(c)
+	g.cancelClientRequest(c)
 }
 
 func (c *clientConn) handleTimer(g *Gateway) {
 	req := c.req
 	switch {
 	case c.phase >= clientDiscarding, len(c.pending()) > 0: // the client does not read its response
-		g.disconnectClient(c, Abort)
+		g.dropClient(c, Abort)
 	case req != nil && !req.body.complete && !req.response.final:
 		g.uploadTimedOut(c, req)
 	case req != nil:
@@ -165,10 +165,10 @@
 // uploadTimedOut ends a request whose body has stopped, or is too slow.
 func (g *Gateway) uploadTimedOut(c *clientConn, req *request) {
 	if req.id != 0 {
-		g.abandonRequest(req)
+		g.cancelRequest(req)
 	}
 	if req.response.source != nil {
-		g.disconnectClient(c, Abort)
+		g.dropClient(c, Abort)
 		return
 	}
 	c.enter(clientClosing)
@@ -189,23 +189,23 @@
 	g.writeLocalResponse(req, 408, []byte(reason+"\n"), nil)
 }
 
-// disconnectClient closes a client connection by op, and ends its request.
-func (g *Gateway) disconnectClient(c *clientConn, op Op) {
+// dropClient closes a client connection by op, and ends its request.
+func (g *Gateway) dropClient(c *clientConn, op Op) {
 	if !c.closed {
 		g.closeConn(c, op)
-		g.abandonClientRequest(c)
+		g.cancelClientRequest(c)
 	}
 }
 
-// abandonClientRequest ends the request of a client connection that is closed.
-func (g *Gateway) abandonClientRequest(c *clientConn) {
+// cancelClientRequest ends the request of a client connection that is closed.
+func (g *Gateway) cancelClientRequest(c *clientConn) {
 	req := c.req
 	if req == nil {
 		return
 	}
 	c.req, req.client = nil, nil
 	if !req.response.final {
-		g.abandonRequest(req)
+		g.cancelRequest(req)
 	}
 	g.recycle(req)
 }
@@ -230,23 +230,23 @@
 	} else {
 		g.reportAdmittedRequestEnd(c)
 	}
-	if !c.queued && !c.closed {
-		c.queued = true
+	if !c.inReadyClients && !c.closed {
+		c.inReadyClients = true
 		g.readyClients = append(g.readyClients, c)
 	}
 }
 
 // startNextRequest parses what a client has pipelined behind its last request.
 func (g *Gateway) startNextRequest(c *clientConn) {
-	c.queued = false
+	c.inReadyClients = false
 	if c.closed || c.req != nil {
 		return
 	}
-	if c.phase >= clientClosing || g.phase == stopping || c.peer == peerDisconnected {
+	if c.phase >= clientClosing || g.intake == intakeClosed || c.peer == peerDisconnected {
 		c.unread = c.unread[:0]
 	}
 	if c.phase < clientDiscarding {
-		g.resume(c)
+		g.resumeReading(c)
 	}
 	if len(c.unread) > 0 {
 		g.storeUnread(c, g.consumeClientData(c, c.unread))
@@ -259,8 +259,8 @@
 // clientIdle is called for a client that has no request and nothing to be written.
 func (g *Gateway) clientIdle(c *clientConn) {
 	switch {
-	case c.queued: // startNextRequest looks first
-	case c.phase >= clientClosing, g.phase == stopping, c.peer != peerConnected:
+	case c.inReadyClients: // startNextRequest looks first
+	case c.phase >= clientClosing, g.intake == intakeClosed, c.peer != peerConnected:
 		g.lingeringClose(c)
 	default:
 		g.setDeadline(c, g.clock.now+g.config.Timeouts.Idle)
@@ -278,7 +278,7 @@
 	case c.phase != clientLingering:
 		c.enter(clientLingering)
 		g.actions.add(CloseWrite, c.id)
-		g.resume(c)
+		g.resumeReading(c)
 		g.setDeadline(c, g.clock.now+lingerTimeout)
 	}
 }
--- a/internal/gateway/client_flow.go
+++ b/internal/gateway/client_flow.go
@@ -8,25 +8,25 @@
 	bytes int64
 }
 
-// deadline returns when a transfer times out: when it has made no progress for stall, or
-// when it is slower than rate bytes a second after grace. The rate guards against peers
+// deadline returns when a transfer times out: when it has made no progress for noProgress,
+// or when it is slower than rate bytes a second after grace. The rate guards against peers
 // that transfer a byte now and then, which never reach a timeout between bytes, and would
 // occupy a connection for ever. A rate of 0 sets no minimum.
-func (p *transferProgress) deadline(now Time, stall, grace time.Duration, rate int64) Time {
+func (p *transferProgress) deadline(now Time, noProgress, grace time.Duration, rate int64) Time {
 	if rate <= 0 {
-		return now + stall
+		return now + noProgress
 	}
-	return min(now+stall, p.since+grace+Time(float64(p.bytes)/float64(rate)*float64(time.Second)))
+	return min(now+noProgress, p.since+grace+Time(float64(p.bytes)/float64(rate)*float64(time.Second)))
 }
 
 // uploadDeadline and downloadDeadline return when the transfer of a request body, or of a
 // response, times out.
 func (g *Gateway) uploadDeadline(c *clientConn) Time {
-	return c.upload.deadline(g.clock.now, g.config.Timeouts.Stall, g.config.MinRates.Grace, g.config.MinRates.Body)
+	return c.upload.deadline(g.clock.now, g.config.Timeouts.NoProgress, g.config.MinRates.Grace, g.config.MinRates.Body)
 }
 
 func (g *Gateway) downloadDeadline(c *clientConn) Time {
-	return c.download.deadline(g.clock.now, g.config.Timeouts.Stall, g.config.MinRates.Grace, g.config.MinRates.Response)
+	return c.download.deadline(g.clock.now, g.config.Timeouts.NoProgress, g.config.MinRates.Grace, g.config.MinRates.Response)
 }
 
 // bufferAllowance returns how many bytes of a response or a body a connection may hold
@@ -65,12 +65,12 @@
 	g.flush(c)
 }
 
-// resumeClient reads a paused client again, and uses what it sent before.
-func (g *Gateway) resumeClient(c *clientConn) {
+// resumeClientInput reads a paused client again, and uses what was read before the pause.
+func (g *Gateway) resumeClientInput(c *clientConn) {
 	if !c.paused {
 		return
 	}
-	g.resume(c)
+	g.resumeReading(c)
 	if len(c.unread) > 0 {
 		g.storeUnread(c, g.consumeClientData(c, c.unread))
 	}
--- a/internal/gateway/client_input.go
+++ b/internal/gateway/client_input.go
@@ -76,7 +76,7 @@
 func (g *Gateway) consumeBody(c *clientConn, data []byte) (rest []byte, more bool) {
 	req := c.req
 	if g.uploadBlocked(req) {
-		g.pause(c)
+		g.pauseReading(c)
 		g.setDeadline(c, never) // the client waits for the gateway
 		return data, false
 	}
@@ -104,7 +104,7 @@
 func (g *Gateway) holdPipelined(c *clientConn, data []byte) (rest []byte) {
 	switch {
 	case !g.protocol.eofMeansDisconnect():
-		g.pause(c)
+		g.pauseReading(c)
 		return data
 	case len(data) <= maxPipelinedBytes:
 		return data
--- a/internal/gateway/conn.go
+++ b/internal/gateway/conn.go
@@ -93,8 +93,8 @@
 	}
 }
 
-// pause asks the driver to stop reading.
-func (g *Gateway) pause(c connection) {
+// pauseReading asks the driver to read no more from a connection (flow control).
+func (g *Gateway) pauseReading(c connection) {
 	base := c.base()
 	if !base.paused && !base.closed {
 		base.paused = true
@@ -102,8 +102,9 @@
 	}
 }
 
-// resume asks the driver to read again.
-func (g *Gateway) resume(c connection) {
+// resumeReading asks the driver to read from a paused connection again. Bytes that were
+// read before the pause stay in unread: resumeClientInput and resumeNodeInput use those too.
+func (g *Gateway) resumeReading(c connection) {
 	base := c.base()
 	if base.paused && !base.closed {
 		base.paused = false
--- a/internal/gateway/conn_events.go
+++ b/internal/gateway/conn_events.go
@@ -67,13 +67,14 @@
 
 // Stalled is called when a system call on a connection (dialing, reading or writing)
 // failed for lack of local resources, such as descriptors, ports or memory, and is retried
-// later. The peer is not to blame for the delay.
+// later. The peer is not to blame for the delay. Only this is called a stall here: a peer
+// that sends or takes nothing makes no progress, and a late call of Advance is lag.
 func (g *Gateway) Stalled(now Time, id ConnID) {
 	g.clock.advance(now)
 	switch c := g.conns.find(id).(type) {
 	case *clientConn:
 		c.mayHaveUnreadRequest = true
 	case *nodeConn:
-		g.nodeStalled(c)
+		g.nodeConnStalled(c)
 	}
 }
--- a/internal/gateway/fake_protocol_test.go
+++ b/internal/gateway/fake_protocol_test.go
@@ -42,7 +42,7 @@
 
 func (fakeProtocol) MaxResponseBytes() (one, all int64) { return 1 << 16, 1 << 18 }
 
-func (fakeProtocol) ResponseStallTimeout() time.Duration { return 250 * time.Millisecond }
+func (fakeProtocol) ResponseNoProgressTimeout() time.Duration { return 250 * time.Millisecond }
 
 // newProtocolHarness returns a harness whose gateway speaks fakeProtocol.
 func newProtocolHarness(t *testing.T) *harness {
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -49,9 +49,9 @@
 
 	clock   clock
 	ids     idGenerator
-	stall   stallEstimate
+	lag     lagEstimate
 	actions actionQueue
-	phase   shutdownPhase
+	intake  intakePhase
 
 	conns        connTable
 	timers       timerQueue
@@ -122,7 +122,7 @@
 // actions are valid until the next call.
 func (g *Gateway) Advance(now Time) ([]Action, Time) {
 	g.clock.advance(now)
-	g.stall.observe(g.clock.now)
+	g.lag.observe(g.clock.now)
 	g.conns.beginAdvance()
 	g.runTimers()
 	sourceNext := g.advanceMembershipSource()
@@ -132,7 +132,7 @@
 	}
 	g.conns.endAdvance()
 	next := min(g.scheduler.wakeAt, sourceNext, g.timers.next())
-	g.stall.nextAdvance = next
+	g.lag.nextAdvance = next
 	return g.actions.take(), next
 }
 
--- a/internal/gateway/idle_conns.go
+++ b/internal/gateway/idle_conns.go
@@ -24,10 +24,10 @@
 // node that closes a connection right behind a response: the next request meets the
 // reset, and it is unknown whether it was executed.
 func (g *Gateway) reusableConn(req *request, n *node) *nodeConn {
-	if n == nil || len(n.idle) == 0 {
+	if n == nil || len(n.idleConns) == 0 {
 		return nil
 	}
-	for _, c := range slices.Backward(n.idle) {
+	for _, c := range slices.Backward(n.idleConns) {
 		if g.clock.now-c.idleSince >= reuseDelay {
 			n.keepsConnsOpen = true
 			return c
@@ -36,7 +36,7 @@
 	if !n.keepsConnsOpen && g.class(req).Effect == scheduler.NonIdempotent && g.canAddConn(n) {
 		return nil
 	}
-	return n.idle[0]
+	return n.idleConns[0]
 }
 
 // noteClosedByNode notes that a node has closed a connection, if that was right behind a
@@ -65,7 +65,7 @@
 	if g.belowNodeConnLimit() {
 		return true
 	}
-	oldest := g.nodes.idle.oldest()
+	oldest := g.nodes.idleByAge.oldest()
 	if oldest == nil {
 		return false
 	}
@@ -81,24 +81,25 @@
 		g.closeConn(c, Close)
 		return
 	}
-	g.resume(c)
+	g.resumeReading(c)
 	c.state = nodeIdle
 	g.nodes.addIdle(g.clock.now, c)
 	g.setDeadline(c, g.clock.now+g.config.Timeouts.NodeIdle)
 }
 
+// addIdle adds a connection to both lists of idle connections: its node's idleConns, and
+// idleByAge of the table. makeIdle and removeIdle keep the two in step.
 func (t *nodeTable) addIdle(now Time, c *nodeConn) {
 	c.idleSince = now
-	c.node.idle = append(c.node.idle, c)
-	t.idle.add(c)
+	c.node.idleConns = append(c.node.idleConns, c)
+	t.idleByAge.add(c)
 }
 
-// removeIdle takes a connection from those of its node that may be reused, if it is one
-// of them.
+// removeIdle takes a connection out of both lists of idle connections, if it is in them.
 func (t *nodeTable) removeIdle(c *nodeConn) {
-	t.idle.remove(c)
-	if i := slices.Index(c.node.idle, c); i >= 0 {
-		c.node.idle = append(c.node.idle[:i], c.node.idle[i+1:]...)
+	t.idleByAge.remove(c)
+	if i := slices.Index(c.node.idleConns, c); i >= 0 {
+		c.node.idleConns = append(c.node.idleConns[:i], c.node.idleConns[i+1:]...)
 	}
 }
 
--- a/internal/gateway/invariant_checks.go
+++ b/internal/gateway/invariant_checks.go
@@ -13,7 +13,7 @@
 		Node:                 attempt.nodeName,
 		Number:               attempt.number,
 		MembershipKnown:      g.nodes.known,
-		ClientDisconnectedAt: req.disconnectedAt,
+		ClientDisconnectedAt: req.cancelledAt,
 		Deadline:             req.deadline,
 		Timeout:              attempt.announcedTimeout,
 		Prior:                g.priorAttempts(attempt),
--- a/internal/gateway/listing.go
+++ b/internal/gateway/listing.go
@@ -106,13 +106,13 @@
 	return part
 }
 
-// abandonListing ends a listing whose client has left.
-func (g *Gateway) abandonListing(req *request) {
+// cancelListing ends a listing whose client has left.
+func (g *Gateway) cancelListing(req *request) {
 	req.listing.parent, req.response.final = nil, true
 	for i, part := range req.listing.parts {
 		if part != nil && !part.response.final {
 			req.listing.parts[i] = nil
-			g.abandonRequest(part)
+			g.cancelRequest(part)
 			g.recycle(part)
 		}
 	}
--- a/internal/gateway/local_response.go
+++ b/internal/gateway/local_response.go
@@ -49,7 +49,7 @@
 	case req.client == nil:
 		g.recycle(req)
 	case req.response.source != nil: // the header of a node's response was sent; only a reset can tell the client that the rest is missing
-		g.disconnectClient(req.client, Abort)
+		g.dropClient(req.client, Abort)
 	default:
 		g.writeLocalResponse(req, req.response.status, []byte(req.response.reason+"\n"), func(b []byte) []byte {
 			return g.protocol.appendRetryAfter(b, retryAfter)
@@ -127,7 +127,7 @@
 // appendHeaderEnd ends the header of a client's response with the field that announces
 // whether the connection stays open.
 func (g *Gateway) appendHeaderEnd(b []byte, c *clientConn, req *request) []byte {
-	if g.phase >= draining || !req.body.complete {
+	if g.intake >= intakeLastRequests || !req.body.complete {
 		c.enter(clientClosing)
 	}
 	if c.phase >= clientClosing {
--- a/internal/gateway/node_conn.go
+++ b/internal/gateway/node_conn.go
@@ -34,7 +34,7 @@
 	dialStalled bool         // dialing was deferred for lack of local resources
 
 	idleSince   Time          // when it was last made idle; 0: never
-	idleElement *list.Element // in nodeTable.idle; nil: it is not idle
+	idleElement *list.Element // in nodeTable.idleByAge; nil: it is not idle
 
 	response         http1.Response // of the attempt, if state is nodeReadingBody
 	responseBody     http1.BodyDecoder
@@ -77,12 +77,12 @@
 	g.sendRequest(c)
 }
 
-// resumeNode reads a paused connection again, and uses what the node sent before.
-func (g *Gateway) resumeNode(c *nodeConn) {
+// resumeNodeInput reads a paused connection again, and uses what was read before the pause.
+func (g *Gateway) resumeNodeInput(c *nodeConn) {
 	if !c.paused {
 		return
 	}
-	g.resume(c)
+	g.resumeReading(c)
 	if len(c.unread) > 0 {
 		g.storeUnread(c, g.consumeNodeData(c, c.unread))
 	}
@@ -99,7 +99,7 @@
 	if attempt == nil {
 		return
 	}
-	g.attemptResumed(attempt)
+	g.attemptUnstalled(attempt)
 	if !attempt.firstByteWritten {
 		attempt.firstByteWritten = true
 		g.checkFirstByteWritten(attempt)
@@ -107,7 +107,7 @@
 	client := attempt.req.client
 	if attempt.req.attempts.uploading == attempt && client != nil && client.paused && len(c.pending()) <= g.bufferAllowance()/2 {
 		g.restartUploadTimer(client)
-		g.resumeClient(client)
+		g.resumeClientInput(client)
 	}
 }
 
@@ -178,7 +178,7 @@
 		g.closeConn(c, Abort)
 		g.endAttempt(attempt, scheduler.NotSent)
 	case attempt.req.response.source == attempt, attempt.bufferResponse && g.clock.now < attempt.req.deadline: // the response stalled
-		g.abortNodeConn(c, g.protocol.malformedResponseOutcome())
+		g.abortNodeConn(c, g.protocol.brokenResponseOutcome())
 	default: // the deadline of the request has passed; a later response would be of no use
 		attempt.req.attempts.timedOut = true
 		g.abortNodeConn(c, scheduler.TimedOut)
@@ -187,9 +187,9 @@
 
 func (c *nodeConn) handleRemoved(g *Gateway) { g.nodes.connClosed(c.node) }
 
-// nodeStalled notes that a system call on a connection was deferred, and notifies the
-// scheduler, which does not blame the node for the delay.
-func (g *Gateway) nodeStalled(c *nodeConn) {
+// nodeConnStalled notes that a system call on a connection was deferred for lack of local
+// resources, and notifies the scheduler, which does not blame the node for the delay.
+func (g *Gateway) nodeConnStalled(c *nodeConn) {
 	if c.state == nodeDialing {
 		c.dialStalled = true
 	}
@@ -199,8 +199,9 @@
 	}
 }
 
-// attemptResumed notifies the scheduler that a stalled attempt has made progress.
-func (g *Gateway) attemptResumed(attempt *nodeAttempt) {
+// attemptUnstalled notifies the scheduler that an attempt held up by this machine has made
+// progress.
+func (g *Gateway) attemptUnstalled(attempt *nodeAttempt) {
 	if attempt != nil && attempt.stalled {
 		attempt.stalled = false
 		g.scheduler.notify(scheduler.AttemptResumed{ID: attempt.req.id, Attempt: attempt.number})
--- a/internal/gateway/node_response.go
+++ b/internal/gateway/node_response.go
@@ -11,7 +11,7 @@
 
 // consumeNodeData uses the bytes of a node and returns those that cannot be used yet.
 func (g *Gateway) consumeNodeData(c *nodeConn, data []byte) []byte {
-	g.attemptResumed(c.attempt)
+	g.attemptUnstalled(c.attempt)
 	for more := true; more && len(data) > 0 && !c.closed; {
 		switch {
 		case c.attempt == nil: // an unsolicited response
@@ -61,7 +61,7 @@
 	c.state = nodeReadingBody
 	c.responseBody.Reset(&c.response.Message)
 	if !g.beginResponse(attempt) {
-		g.abortNodeConn(c, g.protocol.malformedResponseOutcome())
+		g.abortNodeConn(c, g.protocol.brokenResponseOutcome())
 		return nil, false
 	}
 	return data[n:], true
@@ -87,13 +87,13 @@
 	attempt := c.attempt
 	client := attempt.req.client
 	if attempt.req.response.source == attempt && client != nil && len(client.pending()) > g.bufferAllowance() {
-		g.pause(c)
+		g.pauseReading(c)
 		g.setDeadline(c, never) // the node waits for the client
 		return data, false
 	}
 	piece, rest, err := c.responseBody.Next(data)
 	if err != nil {
-		g.abortNodeConn(c, g.protocol.malformedResponseOutcome())
+		g.abortNodeConn(c, g.protocol.brokenResponseOutcome())
 		return nil, false
 	}
 	g.receiveResponseData(attempt, piece)
@@ -112,15 +112,15 @@
 		return
 	}
 	if !g.protocol.responseData(g, attempt, data) {
-		g.abortNodeConn(attempt.conn, g.protocol.malformedResponseOutcome())
+		g.abortNodeConn(attempt.conn, g.protocol.brokenResponseOutcome())
 	}
 }
 
-// responseProgressed sets how long a response that has begun may stall.
+// responseProgressed sets how long a response that has begun may be without progress.
 func (g *Gateway) responseProgressed(c *nodeConn) {
 	attempt := c.attempt
 	if attempt.bufferResponse {
-		g.setDeadline(c, min(attempt.req.deadline, g.clock.now+attempt.stallTimeout))
+		g.setDeadline(c, min(attempt.req.deadline, g.clock.now+attempt.noProgressTimeout))
 		return
 	}
 	if attempt.req.response.source != attempt {
@@ -131,7 +131,7 @@
 		g.scheduler.notify(scheduler.ResponseStarted{ID: attempt.req.id, Attempt: attempt.number})
 	}
 	if !c.paused {
-		g.setDeadline(c, g.clock.now+g.config.Timeouts.Stall)
+		g.setDeadline(c, g.clock.now+g.config.Timeouts.NoProgress)
 	}
 }
 
--- a/internal/gateway/node_table.go
+++ b/internal/gateway/node_table.go
@@ -18,8 +18,8 @@
 	state          scheduler.NodeState
 	stateChangedAt Time // when the gateway was notified of this state or address
 
-	conns int         // open connections, those being dialed included
-	idle  []*nodeConn // connections without a request, the last used last
+	conns     int         // open connections, those being dialed included
+	idleConns []*nodeConn // connections without an attempt, the last used last; see addIdle
 	// keepsConnsOpen: an idle connection was still open after reuseDelay, and the node
 	// has closed none sooner since.
 	keepsConnsOpen bool
@@ -30,7 +30,7 @@
 	membership    *membership.Table
 	known         bool // an endpoint list was received
 	byName        map[string]*node
-	idle          idleList // idle connections of all nodes
+	idleByAge     idleList // the connections in all nodes' idleConns, the longest idle first
 	conns         int      // open connections to all nodes
 	lastConnected Time     // when a connection to a node was established last
 }
@@ -116,9 +116,9 @@
 }
 
 func (g *Gateway) closeIdleConns(n *node) {
-	for _, c := range n.idle {
-		g.nodes.idle.remove(c)
+	for _, c := range n.idleConns {
+		g.nodes.idleByAge.remove(c)
 		g.closeConn(c, Close)
 	}
-	n.idle = nil
+	n.idleConns = nil
 }
--- a/internal/gateway/observer.go
+++ b/internal/gateway/observer.go
@@ -78,7 +78,7 @@
 
 	Clients, NodeConns int           // open connections
 	BufferedBytes      int64         // held for clients
-	Stall              time.Duration // estimate of how late Advance is called
+	Lag                time.Duration // estimate of how late Advance is called
 }
 
 // Counts returns the counters and gauges.
@@ -86,7 +86,7 @@
 	c := g.counts
 	c.Clients, c.NodeConns = g.clientConns, g.nodes.conns
 	c.BufferedBytes = g.buffers.clientBytes
-	c.Stall = g.stall.current(g.clock.now)
+	c.Lag = g.lag.current(g.clock.now)
 	c.Admitted = g.admission.Counts()
 	c.Invariants = g.invariants.Counts()
 	return c
--- a/internal/gateway/protocol.go
+++ b/internal/gateway/protocol.go
@@ -24,7 +24,7 @@
 	parseResponse(r *http1.Response) ResponseInfo
 
 	// beginResponse, responseData and endResponse pass a response on whose outcome is OK.
-	// Where the first two return false, the attempt ends with malformedResponseOutcome.
+	// Where the first two return false, the attempt ends with brokenResponseOutcome.
 	beginResponse(g *Gateway, attempt *nodeAttempt) bool
 	responseData(g *Gateway, attempt *nodeAttempt, data []byte) bool
 	endResponse(g *Gateway, attempt *nodeAttempt)
@@ -32,8 +32,8 @@
 	// truncatedRequestOutcome is the outcome of an attempt of which only a part was
 	// written when its connection was lost.
 	truncatedRequestOutcome() scheduler.Outcome
-	// malformedResponseOutcome is the outcome of an attempt whose response cannot be read.
-	malformedResponseOutcome() scheduler.Outcome
+	// brokenResponseOutcome is the outcome of an attempt whose response cannot be read.
+	brokenResponseOutcome() scheduler.Outcome
 	// allowsEarlyResponse reports whether a node may respond before it has the complete request.
 	allowsEarlyResponse() bool
 	// eofMeansDisconnect reports whether a client that sends no more has left.
@@ -82,6 +82,7 @@
 	// MaxResponseBytes returns the limits of a response body, and of all response bodies
 	// that are buffered at a time.
 	MaxResponseBytes() (one, all int64)
-	// ResponseStallTimeout returns how long a response that has begun may stall.
-	ResponseStallTimeout() time.Duration
+	// ResponseNoProgressTimeout returns how long a response that has begun may be without
+	// progress.
+	ResponseNoProgressTimeout() time.Duration
 }
--- a/internal/gateway/random_histories_test.go
+++ b/internal/gateway/random_histories_test.go
@@ -173,7 +173,7 @@
 	}
 }
 
-// Clients and nodes that leave, stall, send half of something or nonsense must not cost
+// Clients and nodes that leave, go silent, send half of something or nonsense must not cost
 // the gateway a request: each one submitted has one final response by its deadline, none
 // is left, no object serves two at once, and the gateway comes to rest.
 func TestRandomHistories(t *testing.T) {
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -27,7 +27,7 @@
 	headerReceivedAt Time
 	submittedAt      Time
 	deadline         Time // of the final response
-	disconnectedAt   Time // when its client was seen to have left; 0: it has not
+	cancelledAt      Time // when its client was seen to have left; 0: it has not
 
 	body     requestBody
 	attempts requestAttempts
--- a/internal/gateway/request_lifecycle.go
+++ b/internal/gateway/request_lifecycle.go
@@ -41,7 +41,7 @@
 // number of requests.
 func (g *Gateway) isLastRequest(c *clientConn, req *request) bool {
 	limit := g.config.Limits.RequestsPerConn
-	return g.phase >= draining || req.header.Close || limit > 0 && c.requestCount >= limit
+	return g.intake >= intakeLastRequests || req.header.Close || limit > 0 && c.requestCount >= limit
 }
 
 // internMethod returns a method; a known one does not allocate.
@@ -142,18 +142,18 @@
 	g.scheduler.notify(*arrival)
 }
 
-// abandonRequest notifies the scheduler that the client of a request has left before its
+// cancelRequest notifies the scheduler that the client of a request has left before its
 // final response. An attempt that a node may be executing is left to its outcome, as it
 // occupies the node's capacity until then. It is ended if the node cannot execute it,
 // because the body is incomplete, or if its response was being streamed to the client.
-func (g *Gateway) abandonRequest(req *request) {
+func (g *Gateway) cancelRequest(req *request) {
 	if req.id == 0 {
 		if req.listing != nil {
-			g.abandonListing(req)
+			g.cancelListing(req)
 		}
 		return
 	}
-	req.response.final, req.disconnectedAt = true, g.clock.now
+	req.response.final, req.cancelledAt = true, g.clock.now
 	g.counts.Disconnected++
 	g.scheduler.notify(scheduler.ClientDisconnected{ID: req.id})
 	g.reportRequestEnd(req, ClientDisconnected)
@@ -172,7 +172,7 @@
 func (g *Gateway) rejectMalformedBody(c *clientConn, req *request, err error) {
 	g.counts.Malformed++
 	if req.id != 0 && !req.response.final {
-		g.abandonRequest(req)
+		g.cancelRequest(req)
 	}
 	c.enter(clientClosing)
 	req.body.complete = true
@@ -182,7 +182,7 @@
 		g.writeLocalResponse(req, malformed.Status, []byte(malformed.Reason+"\n"), nil)
 		return
 	}
-	g.disconnectClient(c, Abort)
+	g.dropClient(c, Abort)
 }
 
 // rejectMalformedHeader answers a request whose header is malformed. What follows it
--- a/internal/gateway/send.go
+++ b/internal/gateway/send.go
@@ -42,7 +42,7 @@
 		if client := req.client; client != nil {
 			g.sendContinue(client, req)
 			g.restartUploadTimer(client)
-			g.resumeClient(client)
+			g.resumeClientInput(client)
 		}
 	}
 	c.state, c.interimResponses = nodeAwaitingResponse, 0
--- a/internal/gateway/shutdown.go
+++ b/internal/gateway/shutdown.go
@@ -6,24 +6,24 @@
 	"maddergap/scheduler"
 )
 
-// shutdownPhase is the phase of an instance's graceful shutdown. It only advances: by
-// Drain, and by Shutdown.
-type shutdownPhase uint8
+// intakePhase says which requests an instance takes. It only advances: to
+// intakeLastRequests by Drain, and to intakeClosed by Shutdown.
+type intakePhase uint8
 
 const (
-	running  shutdownPhase = iota
-	draining               // each response asks its client to close the connection; requests are still taken
-	stopping               // no new request is read; requests under way are answered
+	intakeOpen         intakePhase = iota
+	intakeLastRequests             // each response asks its client to close the connection; requests are still taken
+	intakeClosed                   // no new request is read; requests under way are answered
 )
 
-func (p shutdownPhase) String() string { return [...]string{"running", "draining", "stopping"}[p] }
+func (p intakePhase) String() string { return [...]string{"open", "last requests", "closed"}[p] }
 
 // Drain asks clients, with the next response to each, to close their connections. Requests
 // are still taken, so that none is lost that is on its way to the instance before its
 // clients know that it stops.
 func (g *Gateway) Drain(now Time) {
 	g.clock.advance(now)
-	g.phase = max(g.phase, draining)
+	g.intake = max(g.intake, intakeLastRequests)
 }
 
 // Shutdown stops reading requests. Requests under way are answered, and connections
@@ -31,7 +31,7 @@
 // its socket, has firstRequestGrace to deliver it.
 func (g *Gateway) Shutdown(now Time) {
 	g.clock.advance(now)
-	g.phase = stopping
+	g.intake = intakeClosed
 	for _, conn := range g.conns.slots {
 		c, ok := conn.(*clientConn)
 		switch {
--- a/internal/gateway/webdav_protocol.go
+++ b/internal/gateway/webdav_protocol.go
@@ -223,7 +223,7 @@
 
 func (webdavProtocol) truncatedRequestOutcome() scheduler.Outcome { return scheduler.Reset }
 
-func (webdavProtocol) malformedResponseOutcome() scheduler.Outcome { return scheduler.Reset }
+func (webdavProtocol) brokenResponseOutcome() scheduler.Outcome { return scheduler.Reset }
 
 func (webdavProtocol) allowsEarlyResponse() bool { return true }
 
--- a/internal/platform/gateway_config.go
+++ b/internal/platform/gateway_config.go
@@ -14,8 +14,8 @@
 const (
 	// headerTimeout is how long a client may take for a request's header.
 	headerTimeout = 1500 * time.Millisecond
-	// stallTimeout is how long a client may pause within a request.
-	stallTimeout = 1200 * time.Millisecond
+	// noProgressTimeout is how long a client may pause within a request.
+	noProgressTimeout = 1200 * time.Millisecond
 	// idleTimeout is when a client connection without a request is closed. The platform permits
 	// that after 2 s. Clients that send one request and keep the connection would otherwise use
 	// up the connections that the platform allows its clients.
@@ -84,10 +84,10 @@
 		Deadlines:    config.Deadlines{UploadRate: unused},
 		HeaderLimits: headerLimits,
 		Timeouts: config.Timeouts{
-			Header: headerTimeout,
-			Idle:   idleTimeout,
-			Stall:  stallTimeout,
-			Dial:   positiveOr(settings.Microseconds(site.Limits.ConnectTimeout), defaultDialTimeout),
+			Header:     headerTimeout,
+			Idle:       idleTimeout,
+			NoProgress: noProgressTimeout,
+			Dial:       positiveOr(settings.Microseconds(site.Limits.ConnectTimeout), defaultDialTimeout),
 			// Half of the time after which nodes close idle connections: a request on one that is
 			// about to be closed would end as a reset.
 			NodeIdle: positiveOr(settings.Microseconds(site.Limits.ConnectionIdle)/2, defaultNodeIdle),
--- a/internal/platform/protocol.go
+++ b/internal/platform/protocol.go
@@ -27,9 +27,9 @@
 	ids         *requestIDs
 	limits      requestLimits
 
-	responseStallTimeout     time.Duration
-	maxResponseBytes         int64
-	maxBufferedResponseBytes int64
+	responseNoProgressTimeout time.Duration
+	maxResponseBytes          int64
+	maxBufferedResponseBytes  int64
 }
 
 var _ gateway.Protocol = (*Protocol)(nil)
@@ -45,14 +45,14 @@
 func (c *Config) Protocol() *Protocol {
 	info := c.Settings.Workload
 	p := &Protocol{
-		classes:                  map[string]int{},
-		plans:                    map[string]int{},
-		classWrites:              info.Writes,
-		ids:                      newRequestIDs(maxEndedIDs),
-		limits:                   requestLimits{units: info.MaxUnits, shards: info.Shards, instances: c.Settings.Instances},
-		responseStallTimeout:     c.Gateway.Timeouts.Dial,
-		maxResponseBytes:         c.Bounds.MaxResponseBytes,
-		maxBufferedResponseBytes: c.Bounds.MaxBufferedResponseBytes,
+		classes:                   map[string]int{},
+		plans:                     map[string]int{},
+		classWrites:               info.Writes,
+		ids:                       newRequestIDs(maxEndedIDs),
+		limits:                    requestLimits{units: info.MaxUnits, shards: info.Shards, instances: c.Settings.Instances},
+		responseNoProgressTimeout: c.Gateway.Timeouts.Dial,
+		maxResponseBytes:          c.Bounds.MaxResponseBytes,
+		maxBufferedResponseBytes:  c.Bounds.MaxBufferedResponseBytes,
 	}
 	for i, class := range c.Settings.Classes {
 		p.classes[class.Name] = i
@@ -83,5 +83,5 @@
 	return p.maxResponseBytes, p.maxBufferedResponseBytes
 }
 
-// ResponseStallTimeout returns how long a response may pause once it has begun.
-func (p *Protocol) ResponseStallTimeout() time.Duration { return p.responseStallTimeout }
+// ResponseNoProgressTimeout returns how long a response may pause once it has begun.
+func (p *Protocol) ResponseNoProgressTimeout() time.Duration { return p.responseNoProgressTimeout }
--- a/internal/route/classify.go
+++ b/internal/route/classify.go
@@ -110,7 +110,7 @@
 		uploadSeconds := float64(size) / float64(deadlines.UploadRate)
 		timeout += time.Duration(uploadSeconds * float64(time.Second))
 	case size < 0:
-		timeout += t.config.Timeouts.Stall
+		timeout += t.config.Timeouts.NoProgress
 	}
 	return timeout
 }
