--- a/internal/audit/audit_test.go
+++ b/internal/audit/audit_test.go
@@ -94,7 +94,7 @@
 	requests []RequestRecord
 	attempts []fakenode.Entry
 	change   func(*Input)
-	want     []int
+	want     []Rule
 }
 
 func runJudgeTests(t *testing.T, tests []judgeTest) {
@@ -118,7 +118,7 @@
 }
 
 // checkJudge checks which rules a run violates, and that the report says the same.
-func checkJudge(t *testing.T, in Input, want []int) {
+func checkJudge(t *testing.T, in Input, want []Rule) {
 	t.Helper()
 	report := Judge(in)
 	if got := report.ViolatedRules(); !slices.Equal(got, want) {
@@ -144,16 +144,16 @@
 	unanswered := request(1, readClass, RequestRecord{ConnectionLostAt: 3 * second})
 	runJudgeTests(t, []judgeTest{
 		{"served", []RequestRecord{servedRead}, []fakenode.Entry{attempt(1, "n", attemptAt, executed)}, nil, nil},
-		{"no response", []RequestRecord{unanswered}, nil, nil, []int{1}},
+		{"no response", []RequestRecord{unanswered}, nil, nil, []Rule{RuleSingleResponse}},
 		{"no response of a killed instance", []RequestRecord{unanswered}, nil,
 			func(in *Input) { in.Outages = []Interval{{"0", 2 * second, 4 * second}} }, nil},
 		{"no response while another instance was killed", []RequestRecord{unanswered}, nil,
-			func(in *Input) { in.Outages = []Interval{{"1", 2 * second, 4 * second}} }, []int{1}},
+			func(in *Input) { in.Outages = []Interval{{"1", 2 * second, 4 * second}} }, []Rule{RuleSingleResponse}},
 		{"client disconnected", []RequestRecord{request(1, readClass, RequestRecord{DisconnectedAt: 2 * second})}, nil, nil, nil},
-		{"two responses", []RequestRecord{request(1, readClass, RequestRecord{Responses: 2, Status: 200, RespondedAt: attemptAt})}, nil, nil, []int{1}},
-		{"late response", []RequestRecord{request(1, readClass, RequestRecord{Responses: 1, Status: 200, RespondedAt: 3 * second})}, nil, nil, []int{1}},
-		{"attempt after the response", []RequestRecord{servedRead}, []fakenode.Entry{attempt(1, "n", 2*second, executed)}, nil, []int{1}},
-		{"attempt of no request", []RequestRecord{servedRead}, []fakenode.Entry{attempt(9, "n", attemptAt, executed)}, nil, []int{1}},
+		{"two responses", []RequestRecord{request(1, readClass, RequestRecord{Responses: 2, Status: 200, RespondedAt: attemptAt})}, nil, nil, []Rule{RuleSingleResponse}},
+		{"late response", []RequestRecord{request(1, readClass, RequestRecord{Responses: 1, Status: 200, RespondedAt: 3 * second})}, nil, nil, []Rule{RuleSingleResponse}},
+		{"attempt after the response", []RequestRecord{servedRead}, []fakenode.Entry{attempt(1, "n", 2*second, executed)}, nil, []Rule{RuleSingleResponse}},
+		{"attempt of no request", []RequestRecord{servedRead}, []fakenode.Entry{attempt(9, "n", attemptAt, executed)}, nil, []Rule{RuleSingleResponse}},
 	})
 }
 
@@ -169,19 +169,19 @@
 		{"safe, executed twice", []RequestRecord{servedRead},
 			[]fakenode.Entry{attempt(1, "n", attemptAt, executed), attempt(1, "n", attemptAt+1, executed)}, nil, nil},
 		{"non-idempotent, executed twice", []RequestRecord{servedWrite},
-			[]fakenode.Entry{attempt(1, "n", attemptAt, executed), attempt(1, "m", attemptAt+1, executed)}, nil, []int{2}},
+			[]fakenode.Entry{attempt(1, "n", attemptAt, executed), attempt(1, "m", attemptAt+1, executed)}, nil, []Rule{RuleSafeRetry}},
 		{"non-idempotent, may have been executed", []RequestRecord{servedWrite},
-			[]fakenode.Entry{attempt(1, "n", attemptAt, unknown), attempt(1, "m", attemptAt+1, executed)}, nil, []int{2}},
+			[]fakenode.Entry{attempt(1, "n", attemptAt, unknown), attempt(1, "m", attemptAt+1, executed)}, nil, []Rule{RuleSafeRetry}},
 		{"non-idempotent, queue was full", []RequestRecord{servedWrite},
 			[]fakenode.Entry{attempt(1, "n", attemptAt, queueFull), attempt(1, "m", attemptAt+1, executed)}, nil, nil},
 		{"non-idempotent, rejected though executed", []RequestRecord{request(1, writeClass, RequestRecord{Responses: 1, Status: 503})},
-			[]fakenode.Entry{attempt(1, "n", attemptAt, executed)}, nil, []int{2}},
+			[]fakenode.Entry{attempt(1, "n", attemptAt, executed)}, nil, []Rule{RuleSafeRetry}},
 		{"non-idempotent, failed and executed", []RequestRecord{request(1, writeClass, RequestRecord{Responses: 1, Status: 504})},
 			[]fakenode.Entry{attempt(1, "n", attemptAt, executed)}, nil, nil},
 		{"idempotent, within its window", []RequestRecord{slowIdempotent(4 * second)},
 			[]fakenode.Entry{attempt(1, "n", attemptAt, unknown), attempt(1, "n", attemptAt+second, executed)}, nil, nil},
 		{"idempotent, past its window", []RequestRecord{slowIdempotent(5 * second)},
-			[]fakenode.Entry{attempt(1, "n", attemptAt, unknown), attempt(1, "n", attemptAt+3*second, executed)}, nil, []int{2}},
+			[]fakenode.Entry{attempt(1, "n", attemptAt, unknown), attempt(1, "n", attemptAt+3*second, executed)}, nil, []Rule{RuleSafeRetry}},
 	})
 }
 
@@ -193,7 +193,7 @@
 	}
 	runJudgeTests(t, []judgeTest{
 		{"within the grace", requests, attempts, drainedSince("n", attemptAt-second/4), nil},
-		{"past the grace", requests, attempts, drainedSince("n", attemptAt-second), []int{3}},
+		{"past the grace", requests, attempts, drainedSince("n", attemptAt-second), []Rule{RuleNodeServing}},
 		{"another node drains", requests, attempts, drainedSince("m", attemptAt-second), nil},
 	})
 }
@@ -202,7 +202,7 @@
 func TestOverloadedNode(t *testing.T) {
 	runJudgeTests(t, []judgeTest{
 		{"overloaded", []RequestRecord{servedRead},
-			[]fakenode.Entry{attempt(1, "n", attemptAt, fakenode.Entry{Overloaded: true, Status: 200, RespondedAt: attemptAt})}, nil, []int{4}},
+			[]fakenode.Entry{attempt(1, "n", attemptAt, fakenode.Entry{Overloaded: true, Status: 200, RespondedAt: attemptAt})}, nil, []Rule{RuleSlowStart}},
 	})
 }
 
@@ -219,11 +219,11 @@
 		{"one after the other", []RequestRecord{first, ordered(2, "k", RequestRecord{SentAt: second + 5})},
 			[]fakenode.Entry{attempt(1, "n", attemptAt, executed), attempt(2, "n", attemptAt+30, executed)}, nil, nil},
 		{"at the same time", []RequestRecord{first, ordered(2, "k", RequestRecord{})},
-			[]fakenode.Entry{attempt(1, "n", attemptAt, inProgress), attempt(2, "n", attemptAt+30, executed)}, nil, []int{5}},
+			[]fakenode.Entry{attempt(1, "n", attemptAt, inProgress), attempt(2, "n", attemptAt+30, executed)}, nil, []Rule{RuleKeyOrder}},
 		{"the later one first", []RequestRecord{first, ordered(2, "k", RequestRecord{SentAt: 2 * second, RespondedAt: 2*second + 9})},
 			[]fakenode.Entry{attempt(1, "n", 2*second, fakenode.Entry{RespondedAt: 2*second + 10, Status: 200}),
 				attempt(2, "n", 2*second-5, fakenode.Entry{RespondedAt: 2*second - 1})},
-			func(in *Input) { in.Requests[0].RespondedAt, in.Requests[0].Deadline = 2*second+10, 3*second }, []int{5}},
+			func(in *Input) { in.Requests[0].RespondedAt, in.Requests[0].Deadline = 2*second+10, 3*second }, []Rule{RuleKeyOrder}},
 		{"different keys", []RequestRecord{first, ordered(2, "j", RequestRecord{})},
 			[]fakenode.Entry{attempt(1, "n", attemptAt, fakenode.Entry{RespondedAt: attemptAt + second/2}), attempt(2, "n", attemptAt+30, executed)}, nil, nil},
 	})
@@ -233,7 +233,7 @@
 func TestRetryBudget(t *testing.T) {
 	runJudgeTests(t, []judgeTest{
 		{"two retries", []RequestRecord{servedRead},
-			[]fakenode.Entry{attempt(1, "n", attemptAt, executed), attempt(1, "n", attemptAt+1, executed), attempt(1, "n", attemptAt+2, executed)}, nil, []int{6}},
+			[]fakenode.Entry{attempt(1, "n", attemptAt, executed), attempt(1, "n", attemptAt+1, executed), attempt(1, "n", attemptAt+2, executed)}, nil, []Rule{RuleRetryBudget}},
 	})
 }
 
@@ -245,7 +245,7 @@
 	runJudgeTests(t, []judgeTest{
 		{"within the limit", []RequestRecord{burst(1)}, []fakenode.Entry{attempt(1, "n", attemptAt, executed)}, nil, nil},
 		{"beyond the limit", []RequestRecord{burst(1), burst(2)},
-			[]fakenode.Entry{attempt(1, "n", attemptAt, executed), attempt(2, "n", attemptAt+1, executed)}, nil, []int{7}},
+			[]fakenode.Entry{attempt(1, "n", attemptAt, executed), attempt(2, "n", attemptAt+1, executed)}, nil, []Rule{RuleTenantLimit}},
 	})
 }
 
--- a/internal/audit/platform_test.go
+++ b/internal/audit/platform_test.go
@@ -62,10 +62,10 @@
 	for _, test := range []struct {
 		name  string
 		after int64 // of the attempt, in milliseconds
-		want  []int
+		want  []Rule
 	}{
 		{"within the grace", 205, nil},
-		{"past the grace", 215, []int{1}},
+		{"past the grace", 215, []Rule{RuleSingleResponse}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			checkJudge(t, platformInput([]RequestRecord{disconnected}, []fakenode.Entry{platformAttempt("a", test.after)}), test.want)
@@ -79,10 +79,10 @@
 	for _, test := range []struct {
 		name    string
 		timeout int64 // microseconds
-		want    []int
+		want    []Rule
 	}{
 		{"tolerated", 650_000, nil},
-		{"too long", 670_000, []int{1}},
+		{"too long", 670_000, []Rule{RuleSingleResponse}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			entry := platformAttempt("a", 500)
@@ -99,10 +99,10 @@
 		name   string
 		after  int64 // of the attempt, in milliseconds
 		notice Notice
-		want   []int
+		want   []Rule
 	}{
 		{"within the grace", 505, Notice{Instance: 0, Node: "n", From: msAfterStart(0)}, nil},
-		{"past the grace", 515, Notice{Instance: 0, Node: "n", From: msAfterStart(0)}, []int{3}},
+		{"past the grace", 515, Notice{Instance: 0, Node: "n", From: msAfterStart(0)}, []Rule{RuleNodeServing}},
 		{"another instance was notified", 515, Notice{Instance: 1, Node: "n", From: msAfterStart(0)}, nil},
 		{"the node serves again", 700, Notice{Instance: 0, Node: "n", From: msAfterStart(0), To: msAfterStart(600)}, nil},
 	} {
@@ -121,11 +121,11 @@
 		name    string
 		count   int
 		notices []Notice
-		want    []int
+		want    []Rule
 	}{
 		{"at the bound", 14, nil, nil},
-		{"beyond the bound", 18, nil, []int{4}},
-		{"by an instance that was notified", 18, []Notice{{Instance: 0, Node: "n", From: msAfterStart(50)}}, []int{4}},
+		{"beyond the bound", 18, nil, []Rule{RuleSlowStart}},
+		{"by an instance that was notified", 18, []Notice{{Instance: 0, Node: "n", From: msAfterStart(50)}}, []Rule{RuleSlowStart}},
 		{"by an instance that was not notified", 18, []Notice{{Instance: 1, Node: "n", From: msAfterStart(50)}}, nil},
 	} {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/audit/report.go
+++ b/internal/audit/report.go
@@ -39,12 +39,12 @@
 // Passed reports whether no rule was violated.
 func (r *Report) Passed() bool { return len(r.ViolatedRules()) == 0 }
 
-// ViolatedRules returns the numbers of the rules that were violated.
-func (r *Report) ViolatedRules() []int {
-	var violated []int
+// ViolatedRules returns the rules that were violated, in their order.
+func (r *Report) ViolatedRules() []Rule {
+	var violated []Rule
 	for _, v := range r.Verdicts {
 		if v.Violations > 0 {
-			violated = append(violated, int(v.Rule))
+			violated = append(violated, v.Rule)
 		}
 	}
 	return violated
--- a/internal/scenario/audit_test.go
+++ b/internal/scenario/audit_test.go
@@ -6,6 +6,7 @@
 	"testing"
 	"time"
 
+	"maddergap/internal/audit"
 	"maddergap/internal/daemon"
 	"maddergap/internal/nodelist"
 	"maddergap/scheduler"
@@ -24,19 +25,19 @@
 		name         string
 		newScheduler daemon.SchedulerFactory
 		editNodeList func([]nodelist.Node) []nodelist.Node
-		want         []int // rules that are violated
+		want         []audit.Rule // rules that are violated
 	}{
 		{name: "no fault"},
-		{name: "gives some requests no response", newScheduler: newFaulty(dropRejections), want: []int{1}},
-		{name: "retries non-idempotent requests", newScheduler: newFaulty(retryResets(1, segmentWrite)), want: []int{2}},
+		{name: "gives some requests no response", newScheduler: newFaulty(dropRejections), want: []audit.Rule{audit.RuleSingleResponse}},
+		{name: "retries non-idempotent requests", newScheduler: newFaulty(retryResets(1, segmentWrite)), want: []audit.Rule{audit.RuleSafeRetry}},
 		// The gateway's invariants withhold what such a scheduler sends to a draining node, so
 		// no rule is violated. A gateway whose node list has it as serving does send there.
 		{name: "decides on a draining node", newScheduler: newFaulty(ignoreDraining)},
-		{name: "sends to a draining node", editNodeList: withoutDraining, want: []int{3}},
-		{name: "overloads a warming node", newScheduler: newFaulty(bypass(overloadWarmingNodes)), want: []int{4}},
-		{name: "keeps no order", newScheduler: newFaulty(swapOrder), want: []int{5}},
-		{name: "exceeds the retry budget", newScheduler: newFaulty(duplicateSends(5, traceRead, archiveExport)), want: []int{6}},
-		{name: "exceeds a plan's limit", newScheduler: newFaulty(bypass(ignorePlanLimit)), want: []int{7}},
+		{name: "sends to a draining node", editNodeList: withoutDraining, want: []audit.Rule{audit.RuleNodeServing}},
+		{name: "overloads a warming node", newScheduler: newFaulty(bypass(overloadWarmingNodes)), want: []audit.Rule{audit.RuleSlowStart}},
+		{name: "keeps no order", newScheduler: newFaulty(swapOrder), want: []audit.Rule{audit.RuleKeyOrder}},
+		{name: "exceeds the retry budget", newScheduler: newFaulty(duplicateSends(5, traceRead, archiveExport)), want: []audit.Rule{audit.RuleRetryBudget}},
+		{name: "exceeds a plan's limit", newScheduler: newFaulty(bypass(ignorePlanLimit)), want: []audit.Rule{audit.RuleTenantLimit}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
