--- a/cmd/maddergap/bench.go
+++ b/cmd/maddergap/bench.go
@@ -58,7 +58,7 @@
 }
 
 func (c *benchCmd) measurements(exe, dir string, io *streams) []measurement {
-	o := bench.Options{Exe: exe, Dir: dir, Clients: c.Clients, Turn: c.Length, Turns: c.Repeats, Size: c.Size, Out: io.out}
+	o := bench.Options{Exe: exe, Dir: dir, Clients: c.Clients, Duration: c.Length, Repeats: c.Repeats, ResponseSize: c.Size, Out: io.out}
 	return []measurement{
 		{"small", o.Small},
 		{"nodes", func() error { return o.Nodes(8, 200) }},
--- /dev/null
+++ b/internal/bench/process.go
@@ -0,0 +1,74 @@
+package bench
+
+import (
+	"bytes"
+	"errors"
+	"fmt"
+	"os"
+	"strconv"
+	"strings"
+	"time"
+
+	"maddergap/internal/subprocess"
+)
+
+// Memory figures of /proc/PID/status.
+const (
+	residentMemory     = "VmRSS"
+	peakResidentMemory = "VmHWM"
+)
+
+const (
+	// Fields of /proc/PID/stat, counted from 0 after the command's name.
+	statUserTime   = 11
+	statSystemTime = 12
+	// clockTick is the unit of the times there, on every Linux platform that Go supports.
+	clockTick = 10 * time.Millisecond
+)
+
+// process is a process that is measured.
+type process struct {
+	*subprocess.Process
+	addr string // where it serves
+}
+
+// startProcess starts a process and waits until it serves at addr.
+func startProcess(addr string, argv ...string) (*process, error) {
+	p, err := subprocess.Start(addr, nil, argv...)
+	if err != nil {
+		return nil, err
+	}
+	return &process{p, addr}, nil
+}
+
+// cpuTime is the user and system time that the process has used.
+func (p *process) cpuTime() (time.Duration, error) {
+	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.Pid()))
+	if err != nil {
+		return 0, err
+	}
+	// The command's name is in parentheses and may contain spaces and parentheses itself.
+	afterName := stat[bytes.LastIndexByte(stat, ')')+1:]
+	fields := strings.Fields(string(afterName))
+	if len(fields) <= statSystemTime {
+		return 0, fmt.Errorf("/proc/%d/stat has %d fields", p.Pid(), len(fields))
+	}
+	user, userErr := strconv.ParseInt(fields[statUserTime], 10, 64)
+	system, systemErr := strconv.ParseInt(fields[statSystemTime], 10, 64)
+	return time.Duration(user+system) * clockTick, errors.Join(userErr, systemErr)
+}
+
+// memory is a memory figure in bytes, 0 if the process has ended.
+func (p *process) memory(figure string) int64 {
+	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", p.Pid()))
+	if err != nil {
+		return 0
+	}
+	for line := range strings.SplitSeq(string(status), "\n") {
+		if value, ok := strings.CutPrefix(line, figure+":"); ok {
+			kibibytes, _ := strconv.ParseInt(strings.Fields(value)[0], 10, 64)
+			return kibibytes << 10
+		}
+	}
+	return 0
+}
--- /dev/null
+++ b/internal/bench/proxy.go
@@ -0,0 +1,23 @@
+package bench
+
+import (
+	"net/http"
+	"net/http/httputil"
+	"net/url"
+)
+
+// proxyIdleConns is the number of idle connections to the node that the proxy keeps. The default
+// of two would measure the making of connections.
+const proxyIdleConns = 256
+
+// Proxy runs the reverse proxy that the gateway is compared with. It serves until the process
+// ends, or returns why it cannot.
+func Proxy(listen, target string) error {
+	u, err := url.Parse("http://" + target)
+	if err != nil {
+		return err
+	}
+	proxy := httputil.NewSingleHostReverseProxy(u)
+	proxy.Transport = &http.Transport{MaxIdleConnsPerHost: proxyIdleConns}
+	return http.ListenAndServe(listen, proxy)
+}
--- /dev/null
+++ b/internal/bench/stream_test.go
@@ -0,0 +1,24 @@
+package bench
+
+import (
+	"io"
+	"net/http"
+	"testing"
+)
+
+// The sink responds with as many bytes as the object's name says.
+func TestSinkResponseSize(t *testing.T) {
+	listener, err := startSink()
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer listener.Close()
+	resp, err := http.Get("http://" + listener.Addr().String() + "/feed/100000")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer resp.Body.Close()
+	if n, _ := io.Copy(io.Discard, resp.Body); n != 100000 {
+		t.Errorf("%d bytes", n)
+	}
+}
