--- a/scheduler/attempts.go
+++ b/scheduler/attempts.go
@@ -41,7 +41,7 @@
 	s.attempts[attemptID{r.ID, uint64(r.attempts)}] = a
 	r.attempts++
 	r.inFlight++
-	s.emit(Send{ID: r.ID, Node: n.Node, StartBefore: r.startBefore()})
+	s.emit(Send{ID: r.ID, Node: n.Node, StartBefore: r.deduplicationEnd()})
 }
 
 // handleAttemptStalled stops an attempt's clock. Otherwise failures of this instance's own machine,
@@ -75,7 +75,8 @@
 	n.inFlight = slices.DeleteFunc(n.inFlight, func(other *attempt) bool { return other == a })
 	s.markDirty(n)
 	s.recordOutcome(n, a, e)
-	s.recordPossibleRun(r, a, e.Outcome)
+	extendExpiryOnceSent(r, e.Outcome)
+	s.recordPossibleExecution(r, a, e.Outcome)
 	s.startKeyCooldown(r, e.Outcome)
 	switch {
 	case r.state == completed:
@@ -83,7 +84,7 @@
 	case e.Responded:
 		s.complete(r)
 	case r.inFlight > 0:
-	case s.isFinalOutcome(r, e):
+	case s.noFurtherAttempt(r, e):
 		s.rejectOrFail(r)
 	default:
 		r.notBefore = s.now + s.retryBackoff()
--- a/scheduler/priority_shedding.go
+++ b/scheduler/backpressure.go
@@ -2,7 +2,7 @@
 
 import "math"
 
-// Load shedding by priority. Requests of other instances wait at a node unseen; only the latency of
+// Backpressure by priority. Requests of other instances wait at a node unseen; only the latency of
 // its responses shows them, as pressure. While a node is under pressure, this instance holds back
 // requests whose relative priority is below the pressure, and leaves a free place in its window
 // unused if need be. Each instance does, so those of the highest priority get the node.
@@ -10,21 +10,22 @@
 const (
 	// minPressure is the pressure up to which nothing is held back, whatever its priority.
 	minPressure = 0.02
-	// pressureHalfLife is after what time without a response a node's pressure counts half, in
+	// pressureHalfLifeObjectives is after what time without a response a node's pressure counts half, in
 	// shortest latency objectives of all classes. Without responses nothing corrects the estimate,
 	// so it has to fade for requests to be tried again.
-	pressureHalfLife = 1.5
-	// pressureHalfLifeLate is the same for requests that miss their latency objective, which earn
+	pressureHalfLifeObjectives = 1.5
+	// pressureHalfLifeObjectivesLate is the same for requests that miss their latency objective, which earn
 	// too little to be tried as soon.
-	pressureHalfLifeLate = 4.0
-	// halfLifePerOtherInstance lengthens the half-life for each further instance that the volume's
+	pressureHalfLifeObjectivesLate = 4.0
+	// halfLifeFactorPerInstance multiplies the half-life for each further instance that the volume's
 	// requests arrive through, so that all of them together try the node about as often as one.
-	halfLifePerOtherInstance = 2.0
+	halfLifeFactorPerInstance = 2.0
 )
 
-// shedsForPriority reports whether requests are held back for those of higher priority. Requests of
-// the highest priority never are.
-func (s *Scheduler) shedsForPriority(c candidate) bool {
+// backpressureBlocks reports whether requests are held back for those of higher priority. That rejects
+// nothing: they stay in the queue until the pressure is lower or they expire. Requests of the
+// highest priority that are in time and within their reserve are never held back.
+func (s *Scheduler) backpressureBlocks(c candidate) bool {
 	priority := s.relativePriority(c)
 	return s.pressureFor(c) > max(priority, minPressure) && priority < 1
 }
@@ -46,13 +47,13 @@
 // slow start counts as pressure.
 func (s *Scheduler) pressureFor(c candidate) float64 {
 	n := c.node
-	halfLife := pressureHalfLife
+	halfLife := pressureHalfLifeObjectives
 	if c.missesObjective {
-		halfLife = pressureHalfLifeLate
+		halfLife = pressureHalfLifeObjectivesLate
 	}
 	otherInstances := c.profile.instances - 1
 	silence := float64(s.now-n.lastResponseAt) / float64(s.shortestObjective)
-	halfLives := silence / halfLife / max(1, halfLifePerOtherInstance*otherInstances)
+	halfLives := silence / halfLife / max(1, halfLifeFactorPerInstance*otherInstances)
 	pressure := n.pressure * math.Exp2(-halfLives)
 	if s.isWarmingUp(n) {
 		pressure = max(pressure, s.slowStartUsed(n))
--- a/scheduler/priority_shedding_test.go
+++ b/scheduler/backpressure_test.go
@@ -34,7 +34,7 @@
 		v := h.scheduler.volumeOf(newArrival(1))
 		q := &profile{class: &h.scheduler.settings.Classes[c.class], plan: v.plan, instances: v.instances, beyondReserve: c.beyondReserve}
 		n.pressure, n.lastResponseAt = c.pressure, h.now-c.silence
-		assertEqual(t, c.name, h.scheduler.shedsForPriority(candidate{node: n, profile: q, missesObjective: c.missesObjective}), c.want)
+		assertEqual(t, c.name, h.scheduler.backpressureBlocks(candidate{node: n, profile: q, missesObjective: c.missesObjective}), c.want)
 	}
 }
 
@@ -51,7 +51,7 @@
 		v := h.scheduler.volumeOf(newArrival(1, withInstances(c.instances)))
 		q := &profile{class: &h.scheduler.settings.Classes[0], plan: v.plan, instances: v.instances, beyondReserve: true}
 		n.pressure, n.lastResponseAt = 0.9, h.now-c.after
-		if got := h.scheduler.shedsForPriority(candidate{node: n, profile: q}); got != c.want {
+		if got := h.scheduler.backpressureBlocks(candidate{node: n, profile: q}); got != c.want {
 			t.Errorf("%d instances after %v: held back %v, want %v", c.instances, c.after, got, c.want)
 		}
 	}
--- a/scheduler/circuit_breaker.go
+++ b/scheduler/circuit_breaker.go
@@ -18,7 +18,8 @@
 
 // breaker is a node's circuit breaker: open, it ejects the node. Closed, it lets all requests pass.
 // Open, it lets none pass before trialAt, and then one trial request at a time (half-open), at
-// growing intervals. Any response closes it, which readmits the node.
+// growing intervals. A response closes it, which readmits the node, unless it
+// only says that the node's queue is full. A new start of the node closes it too.
 type breaker struct {
 	open bool
 	// trialAt and trialInterval are valid while it is open.
--- a/scheduler/deadlines.go
+++ b/scheduler/deadlines.go
@@ -41,14 +41,14 @@
 	return 0
 }
 
-// rejectExpired gives the requests of a queue that expire within expiryMargin their final response.
-func (s *Scheduler) rejectExpired(queue *requestQueue) {
+// endExpired gives the requests of a queue that expire within expiryMargin their final response.
+func (s *Scheduler) endExpired(queue *requestQueue) {
 	for _, r := range queue.RemoveExpired(s.now+expiryMargin+1, extendExpiry) {
 		s.rejectOrFail(r)
 	}
 }
 
-// nextExpiry returns when rejectExpired has to look at a queue next, never if it is empty.
+// nextExpiry returns when endExpired has to look at a queue next, never if it is empty.
 func nextExpiry(queue *requestQueue) Time {
 	if queue.Len() == 0 {
 		return never
--- a/scheduler/dispatch.go
+++ b/scheduler/dispatch.go
@@ -2,16 +2,19 @@
 
 import "math"
 
-// dispatchNode rejects what expired at a node and sends while the send rules allow.
+// always is a time that no deadline is before.
+const always = Time(math.MinInt64)
+
+// dispatchNode ends what has expired at a node and sends while the send rules allow.
 func (s *Scheduler) dispatchNode(n *node) {
 	n.dirty = false
 	s.boundWindow(n)
 	s.updateEstimate(n)
 	s.checkResponsiveness(n)
-	s.rejectExpired(n.queue)
+	s.endExpired(n.queue)
 	for n.queue.Len() > 0 {
 		if n.breaker.trialDue(s.now) {
-			s.openBreaker(n) // the trial before it no longer counts against the window
+			s.openBreaker(n) // it is open; the trial before no longer counts against the window
 		}
 		if s.blockedBy(nodeRules, candidate{node: n}) != ReasonAllowed {
 			break
@@ -37,18 +40,24 @@
 // earn little, and in tag order they would make the next ones late as well.
 func (s *Scheduler) nextRequest(n *node) *request {
 	s.makeDeferredReady(n)
-	for _, missesObjective := range [...]bool{false, true} {
-		first := s.lowestStartTag(n, missesObjective)
-		if first == nil {
-			continue
-		}
-		best := s.highestPriorityOf(n, first, missesObjective)
-		if best != first {
-			s.swapTags(n, best, first)
-		}
-		return best
+	if next := s.nextRequestOf(n, false); next != nil {
+		return next
+	}
+	return s.nextRequestOf(n, true)
+}
+
+// nextRequestOf is nextRequest among the requests that are expected to meet their latency objective
+// or, with missesObjective set, among all.
+func (s *Scheduler) nextRequestOf(n *node, missesObjective bool) *request {
+	first := s.lowestStartTag(n, missesObjective)
+	if first == nil {
+		return nil
 	}
-	return nil
+	best := s.highestPriorityOf(n, first, missesObjective)
+	if best != first {
+		s.swapTags(n, best, first)
+	}
+	return best
 }
 
 // makeDeferredReady makes the requests of a node ready whose time has come.
@@ -129,7 +138,8 @@
 
 // firstEligible returns the first request of a subqueue by an order, nil if none may be sent now.
 // It looks at those that are expected to meet their latency objective or, with missesObjective set,
-// at all that are expected to meet their deadline.
+// at all that are expected to meet their deadline, and at all whatsoever if a trial of an idle node
+// is due.
 func (s *Scheduler) firstEligible(n *node, sub *subqueue, order int, missesObjective bool) *request {
 	if sub.Empty() {
 		return nil
@@ -138,19 +148,19 @@
 	if s.blockedBy(profileRules, c) != ReasonAllowed {
 		return nil
 	}
-	respondedAt, best := s.now+s.expectedLatency(n, sub.Profile.units), sub.BestByLatencyDeadline
+	expectedAt, best := s.now+s.expectedLatency(n, sub.Profile.units), sub.BestByLatencyDeadline
 	if missesObjective {
 		best = sub.BestByDeadline
 	}
 	if missesObjective && s.idleTrialDue(n) {
-		respondedAt = math.MinInt64
+		expectedAt = always
 	}
 	for {
-		r, ok := best(order, respondedAt)
+		r, ok := best(order, expectedAt)
 		if !ok || s.mayRunOn(r, n) {
 			return r
 		}
-		n.queue.Suspend(r) // for good: its deduplication window is over
+		n.queue.Suspend(r) // it may not run here again; it waits for another node or its expiry
 	}
 }
 
--- a/scheduler/estimates.go
+++ b/scheduler/estimates.go
@@ -18,6 +18,9 @@
 	serviceTimeDecreaseSteps = 3
 	// priorWeight is how many observations of a node the mean of all nodes counts for.
 	priorWeight = 4.0
+	// oldestInFlightFraction is how much of the time that the oldest attempt has been in flight a
+	// response is expected to take at least.
+	oldestInFlightFraction = 0.5
 	// minObservations keeps the division by their weight defined.
 	minObservations = 1e-9
 )
@@ -59,7 +62,7 @@
 }
 
 // observeAtNode counts an observation at its node alone. Time-outs and full queues count so: a few
-// hung nodes would otherwise make requests be shed at healthy ones.
+// hung nodes would otherwise make requests wait at healthy ones.
 func (s *Scheduler) observeAtNode(n *node, o observation) {
 	n.observations.add(s.now, 1, o.latency, o.clampedWaiting())
 }
@@ -93,11 +96,10 @@
 }
 
 // waitingTime returns how many seconds of a response's latency were spent waiting: what it took
-// beyond its service time. A load report, taken as that many mean requests to wait for, counts
+// beyond its service time, as estimated with this response. A load report, taken as that many mean requests to wait for, counts
 // half. A node whose reports stand still or are wrong is thus still judged by its latency; an
 // invalid report is ignored.
 func (s *Scheduler) waitingTime(latency float64, r *request, e AttemptEnded) float64 {
-	s.estimates.updateUnitServiceTime(latency, r.Units)
 	waited := latency - s.estimates.unitServiceTime*r.Units
 	if !e.HasLoadReport || e.ReportedLoad < 0 || !(e.ReportedLoad < math.Inf(1)) {
 		return waited
@@ -107,12 +109,12 @@
 }
 
 // expectedLatency returns how long a request of so many units should take at a node: its estimated
-// latency, corrected for the size, and at least half of the time that the oldest attempt has been
-// in flight.
+// latency, corrected for the size, and at least a fraction of the time that the oldest attempt has
+// been in flight.
 func (s *Scheduler) expectedLatency(n *node, units float64) time.Duration {
 	seconds := max(n.latency+s.estimates.unitServiceTime*(units-s.settings.MeanUnits), 0)
 	if len(n.inFlight) > 0 {
-		seconds = max(seconds, (s.now-n.inFlight[0].inFlightSince(s.now)).Seconds()/2)
+		seconds = max(seconds, (s.now-n.inFlight[0].inFlightSince(s.now)).Seconds()*oldestInFlightFraction)
 	}
 	return time.Duration(seconds * float64(time.Second))
 }
--- a/scheduler/outcomes.go
+++ b/scheduler/outcomes.go
@@ -21,6 +21,7 @@
 	objective := a.request.class.LatencyObjective.Seconds()
 	n.lastResponseAt = s.now
 	n.breaker.close()
+	s.estimates.updateUnitServiceTime(latency, a.request.Units)
 	waiting := s.waitingTime(latency, a.request, e)
 	s.observeResponse(n, observation{latency: latency, waitingFraction: waiting / objective})
 	s.recordServed(n.Shard, a.request.Units)
--- a/scheduler/reference_test.go
+++ b/scheduler/reference_test.go
@@ -21,33 +21,33 @@
 )
 
 const (
-	minShareFraction        = 0.5
-	maxWindow               = 8.0
-	maxWindowAllInstances   = 32.0
-	initialWindow           = 2.0
-	decreaseAbove           = 0.2
-	increaseBelow           = 0.13
-	minPressure             = 0.02
-	pressureHalfLifeLate    = 4.0
-	pressureHalfLife        = 1.5
-	windowDecreaseFactor    = 0.7
-	slowStartRateFraction   = 0.67
-	observationHalfLife     = 3 * time.Second
-	servedHalfLife          = 30 * time.Second
-	serviceTimeStep         = 0.02
-	priorWeight             = 4.0
-	instancesPerNodeFactor  = 2.0
-	reserveShareFactor      = 2.0
-	volumeIdleTimeout       = 10 * time.Second
-	expiryMargin            = 10 * time.Millisecond
-	queueChecksPerObjective = 12
-	firstAttemptFraction    = 0.5
-	overtakingSends         = 2
-	unresponsiveObjectives  = 2.0
-	unresponsiveLatencies   = 4.0
-	maxConsecutiveFailures  = 3
-	maxTrialInterval        = time.Second
-	watchRetryDelay         = time.Second
+	minShareFraction               = 0.5
+	maxWindow                      = 8.0
+	maxWindowAllInstances          = 32.0
+	initialWindow                  = 2.0
+	decreaseAbove                  = 0.2
+	increaseBelow                  = 0.13
+	minPressure                    = 0.02
+	pressureHalfLifeObjectivesLate = 4.0
+	pressureHalfLifeObjectives     = 1.5
+	windowDecreaseFactor           = 0.7
+	slowStartRateFraction          = 0.67
+	observationHalfLife            = 3 * time.Second
+	servedHalfLife                 = 30 * time.Second
+	serviceTimeStep                = 0.02
+	priorWeight                    = 4.0
+	instancesPerNodeFactor         = 2.0
+	reserveShareFactor             = 2.0
+	volumeIdleTimeout              = 10 * time.Second
+	expiryMargin                   = 10 * time.Millisecond
+	queueChecksPerObjective        = 12
+	firstAttemptFraction           = 0.5
+	overtakingSends                = 2
+	unresponsiveObjectives         = 2.0
+	unresponsiveLatencies          = 4.0
+	maxConsecutiveFailures         = 3
+	maxTrialInterval               = time.Second
+	watchRetryDelay                = time.Second
 )
 
 type request struct {
@@ -643,9 +643,9 @@
 }
 
 func (h *reference) shedsForPriority(r *request, n *node, late bool) bool {
-	worth, calm := h.priorityWeight(r)/h.maxPriorityWeight, pressureHalfLife
+	worth, calm := h.priorityWeight(r)/h.maxPriorityWeight, pressureHalfLifeObjectives
 	if late {
-		worth, calm = worth*r.class.LateWeightFactor, pressureHalfLifeLate
+		worth, calm = worth*r.class.LateWeightFactor, pressureHalfLifeObjectivesLate
 	}
 	if r.beyondReserve {
 		worth *= h.settings.ExcessWeight
--- a/scheduler/retries.go
+++ b/scheduler/retries.go
@@ -10,20 +10,25 @@
 	return Time(retryBackoffFraction * float64(s.shortestObjective))
 }
 
-// recordPossibleRun notes whether an attempt may have run and where. The first such attempt
+// recordPossibleExecution notes whether an attempt may have run and where. The first such attempt
 // counts: its node, and those that share its idempotency keys, know the request from then on.
-func (s *Scheduler) recordPossibleRun(r *request, a *attempt, o Outcome) {
-	if o != ConnectFailed && o != NotSent {
-		r.ExpiresAt = r.Deadline // it reached a node; see setDeadlines
-	}
+func (s *Scheduler) recordPossibleExecution(r *request, a *attempt, o Outcome) {
 	if !o.ProvesNotRun() && o != OK && r.mayHaveRunOn == nil {
 		r.mayHaveRunOn, r.mayHaveRunSince = a.node, a.sentAt
 	}
 }
 
-// isFinalOutcome reports whether a request whose attempt ended without a response for the client
+// extendExpiryOnceSent lets a request that has reached a node wait up to its deadline: the earlier
+// expiry (see setDeadlines) is for those that no node has taken.
+func extendExpiryOnceSent(r *request, o Outcome) {
+	if o != ConnectFailed && o != NotSent {
+		r.ExpiresAt = r.Deadline
+	}
+}
+
+// noFurtherAttempt reports whether a request whose attempt ended without a response for the client
 // gets no further attempt.
-func (s *Scheduler) isFinalOutcome(r *request, e AttemptEnded) bool {
+func (s *Scheduler) noFurtherAttempt(r *request, e AttemptEnded) bool {
 	maxAttempts := s.settings.MaxAttempts
 	switch {
 	case r.state == responding, e.BodyConsumed:
@@ -37,11 +42,14 @@
 	case r.class.Effect == NonIdempotent:
 		return true
 	}
-	// enqueue selects again: for a new object each selection draws at random, and either node will do.
+	// enqueue selects again, by another random draw for a new object. Whichever node it selects may
+	// run the request, so what matters here is only that there is one.
 	return s.selectNode(r) == nil
 }
 
-// clientMayRetry reports whether a client that tries again cannot make the request run twice.
+// clientMayRetry reports whether a client that tries again cannot make the request run twice. An
+// idempotent request has to be dropped by all nodes for that: the client's next try may come
+// through another instance, which does not know where this one may have run.
 func (s *Scheduler) clientMayRetry(r *request) bool {
 	class := r.class
 	return r.mayHaveRunOn == nil ||
@@ -70,9 +78,9 @@
 	return false
 }
 
-// startBefore returns Send.StartBefore. The deduplication window could end while a connection is
+// deduplicationEnd returns Send.StartBefore. The deduplication window could end while a connection is
 // being made; the node would then run the request a second time.
-func (r *request) startBefore() Time {
+func (r *request) deduplicationEnd() Time {
 	if r.mayHaveRunOn == nil || r.class.Effect != Idempotent {
 		return 0
 	}
--- a/scheduler/send_rules.go
+++ b/scheduler/send_rules.go
@@ -1,7 +1,9 @@
 package scheduler
 
-// Send rules: what can keep a request that is ready from being sent. Dispatch asks them in the
-// order of the lists below, the cheapest first, and a request waits while one of them blocks it.
+// Send rules: what can keep a request that is ready from being sent. A request waits while one of
+// them blocks it. Dispatch asks the rules of a node first, then those of a profile, then those of
+// single requests, so that most requests need not be looked at. WaitReason asks them all, in the
+// order of the reasons.
 
 // Reason says why a request is not sent now.
 type Reason int
@@ -85,11 +87,12 @@
 // profileRules judge all requests of one profile at a node.
 var profileRules = []sendRule{
 	{ReasonRetryBudget, func(s *Scheduler, c candidate) bool { return c.profile.retry && !s.retryBudgetAllows() }},
-	{ReasonBackpressure, (*Scheduler).shedsForPriority},
+	{ReasonBackpressure, (*Scheduler).backpressureBlocks},
 	{ReasonSlowStart, func(s *Scheduler, c candidate) bool { return !s.slowStartAllows(c.node, c.profile.units) }},
 }
 
-// requestRules judge one request. Dispatch asks them in firstEligible and by limitBlocks.
+// requestRules judge one request. They are for WaitReason: dispatch applies the same two conditions
+// where it has the requests at hand, in firstEligible and lowestStartTag.
 var requestRules = []sendRule{
 	{ReasonDeduplication, func(s *Scheduler, c candidate) bool { return !s.mayRunOn(c.request, c.node) }},
 	{ReasonTenantLimit, func(s *Scheduler, c candidate) bool { return s.limitBlocks(c.profile, c.request.volume) }},
--- a/scheduler/slow_start.go
+++ b/scheduler/slow_start.go
@@ -16,8 +16,9 @@
 
 const (
 	// slowStartRateFraction divides an instance's even part for one overload window: this fraction
-	// fills the bucket within a window, and the rest is the bucket's capacity. What is sent in any
-	// window is then no more than the part.
+	// (two thirds) fills the bucket within a window, and the rest is the bucket's capacity. What is
+	// sent in any window is then no more than the even part. The part by what was served before is
+	// not divided so: it is a lower bound of what the node can bear.
 	slowStartRateFraction = 0.67
 	// servedHalfLife is after what time the units served on a shard count half.
 	servedHalfLife = 30 * time.Second
@@ -26,6 +27,8 @@
 	minBucketCapacity = 1e-9
 )
 
+// isWarmingUp reports whether a node started so lately that it does not have its full capacity yet.
+// Started is 0 for a node that has run for long.
 func (s *Scheduler) isWarmingUp(n *node) bool {
 	warmup := s.settings.SlowStart.WarmupDuration
 	return n.Started > 0 && warmup > 0 && s.now < n.Started+warmup
@@ -44,8 +47,8 @@
 	window := max(settings.OverloadWindow.Seconds(), minOverloadWindow)
 	minUnits := cmp.Or(settings.MinUnits, s.settings.MeanUnits)
 	evenPart := slowStartRateFraction * minUnits / float64(s.settings.Instances) / window
-	bearable := settings.OverloadFactor * settings.InitialFraction
-	servedPart := bearable * s.servedRate(n.Shard, n.Started) / s.nodesOfShard(n)
+	overloadFactorAtStart := settings.OverloadFactor * settings.InitialFraction
+	servedPart := overloadFactorAtStart * s.servedRate(n.Shard, n.Started) / s.nodesOfShard(n)
 	rate := max(evenPart, servedPart)
 	n.slowStart = tokenBucket{rate: rate, capacity: rate * window * (1 - slowStartRateFraction) / slowStartRateFraction}
 	n.slowStart.at = max(s.now, s.startedAt+settings.OverloadWindow)
@@ -71,7 +74,7 @@
 // servedRate returns the units a second that this instance was served on a shard, as a mean over
 // about the last half-life before a time, or since this instance's start if that is shorter.
 func (s *Scheduler) servedRate(shard int, until Time) float64 {
-	sum := s.servedOnShard(shard).add(until, 0, servedHalfLife)
+	sum := s.servedOnShard(shard).at(until, servedHalfLife)
 	halfLives := float64(until-s.startedAt) / float64(servedHalfLife)
 	if halfLives <= 0 {
 		return 0
@@ -89,7 +92,8 @@
 }
 
 // fillSlowStart fills the bucket of a node that is warming up and returns it with the rate and
-// capacity that it has by now: these grow with the node's capacity.
+// capacity that it has by now: these grow with the node's capacity. They are those of one overload
+// window ago, as a window must not exceed what the node could bear when the window began.
 func (s *Scheduler) fillSlowStart(n *node) tokenBucket {
 	settings := &s.settings.SlowStart
 	growth := 1.0
--- a/scheduler/timers.go
+++ b/scheduler/timers.go
@@ -56,7 +56,7 @@
 	if len(s.timers.dirty) > 0 { // by what was just done, as where a key's next request may go
 		wakeAt = s.now
 	}
-	s.rejectExpired(s.unassigned)
+	s.endExpired(s.unassigned)
 	wakeAt = min(wakeAt, nextExpiry(s.unassigned))
 	if s.now >= s.timers.sweptAt+volumeIdleTimeout/2 {
 		s.sweep()
