--- a/internal/gateway/accept.go
+++ b/internal/gateway/accept.go
@@ -67,7 +67,8 @@
 	g.dropClient(c, Close)
 }
 
-// recordRejection counts and reports a connection or request that was not admitted.
+// recordRejection counts and reports a connection that was not admitted, or a request that
+// was not, which ends its connection too.
 func (g *Gateway) recordRejection(client netip.AddrPort, reason admission.Reason, responseSent bool) {
 	g.counts.ConnectionsRejected[reason]++
 	if g.observer != nil {
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -52,6 +52,15 @@
 	return a.req.response.source == a && (a.req.listing != nil || a.req.client != nil)
 }
 
+// responseTimedOut reports whether the timer of the attempt's connection, which has expired,
+// was that of a response that has begun and makes no progress. If not, it was that of the
+// request's deadline, which also bounds the timer of a buffered response.
+func (a *nodeAttempt) responseTimedOut(now Time) bool {
+	streaming := a.req.response.source == a
+	buffering := a.bufferResponse && now < a.req.deadline
+	return streaming || buffering
+}
+
 // newAttempt begins an attempt.
 func (g *Gateway) newAttempt(req *request, nodeName string, startBefore Time) *nodeAttempt {
 	attempt := &nodeAttempt{
--- a/internal/gateway/client_conn.go
+++ b/internal/gateway/client_conn.go
@@ -124,8 +124,9 @@
 	case c.phase >= clientDiscarding, c.req == nil && len(c.pending()) == 0 && !c.inReadyClients:
 		g.closeConn(c, Close)
 	case c.req != nil && (!c.req.body.complete || c.peer == peerDisconnected):
-		g.dropClient(c, Close)
-	} // else a half-close: the response is still due
+		g.dropClient(c, Close) // the rest of the body cannot come any more, or nobody reads the response
+	default: // a half-close: the response is still due
+	}
 }
 
 func (c *clientConn) handleClosed(g *Gateway) {
@@ -141,15 +142,19 @@
 		g.dropClient(c, Abort)
 	case req != nil && !req.body.complete && !req.response.final:
 		g.uploadTimedOut(c, req)
-	case req != nil:
+	case req != nil: // the scheduler's deadline for the request applies
 	case c.headerStartedAt > 0:
 		g.counts.Malformed++
 		g.respondHeaderTimeout(c)
-	default:
+	default: // the idle timeout
 		g.closeConn(c, Close)
 	}
 }
 
+// handleRemoved counts a close while a response is due as a violation of
+// ResponseBeforeClose. The count includes closes for which the client is to blame: it
+// closed its sending side within the body of a submitted request (handleEOF), or stopped
+// reading a response that streams (handleTimer).
 func (c *clientConn) handleRemoved(g *Gateway) {
 	if c.responseDue() {
 		g.invariants.RecordUnansweredClose(g.clock.now, c.req.id)
@@ -162,7 +167,8 @@
 	}
 }
 
-// uploadTimedOut ends a request whose body has stopped, or is too slow.
+// uploadTimedOut ends a request whose body has stopped, or is too slow. A request that was
+// submitted is cancelled, and the client is answered here.
 func (g *Gateway) uploadTimedOut(c *clientConn, req *request) {
 	if req.id != 0 {
 		g.cancelRequest(req)
@@ -243,6 +249,8 @@
 		return
 	}
 	if c.phase >= clientClosing || g.intake == intakeClosed || c.peer == peerDisconnected {
+		// No further request is read. What the client has pipelined is dropped without a
+		// response; it may repeat that on another connection (RFC 9112 section 9.3.2).
 		c.unread = c.unread[:0]
 	}
 	if c.phase < clientDiscarding {
--- a/internal/gateway/client_input.go
+++ b/internal/gateway/client_input.go
@@ -4,7 +4,8 @@
 // Such a client is not paused while its request is under way, as the EOF is behind what
 // it has pipelined: unread, a client that has left would go unnoticed, and its request
 // would be sent all the same. Beyond the limit its input is dropped, and the connection
-// ends with the response.
+// ends with the response. 16 KiB has room for several requests with headers of the usual
+// size, and bounds what such a client can have buffered beside its request.
 const maxPipelinedBytes = 16 << 10
 
 // clientInput is what the next bytes of a client connection are.
--- a/internal/gateway/conn.go
+++ b/internal/gateway/conn.go
@@ -17,7 +17,9 @@
 	// handleTimer is called when the connection's timer has expired.
 	handleTimer(g *Gateway)
 	// handleRemoved takes the connection out of the counts of its role. It is called
-	// once, when the connection is closed, and must not close connections itself.
+	// once, when the connection is closed. It must not close connections itself: the caller
+	// of closeConn may be ranging over the connection table (Shutdown) or over the idle
+	// connections of a node (closeIdleConns), which would change under it.
 	handleRemoved(g *Gateway)
 }
 
@@ -137,8 +139,8 @@
 	g.removeConn(c, false)
 }
 
-// removeLost removes a connection that the peer has ended. After a reset the driver has
-// closed it already; after an EOF it has not.
+// removeLost removes a connection that was lost. After a reset, and if it could not be made,
+// the driver has closed it already; after an EOF it has not.
 func (g *Gateway) removeLost(c connection, closedByDriver bool) {
 	if closedByDriver {
 		g.removeConn(c, true)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -29,7 +29,10 @@
 // Time is a reading of the driver's monotonic clock, as in the scheduler.
 type Time = scheduler.Time
 
-// never is a time that does not come.
+// never is a time that does not come: the greatest Time. The constants of that name in
+// packages scheduler, admission and discovery (whose client returns it from Step) have the
+// same value. The event loop compares what Advance returns with a lower value of its own, and
+// takes every time from there on for never.
 const never = Time(math.MaxInt64)
 
 // ErrRestartRequired is returned by Reload if the new configuration changes settings of
--- a/internal/gateway/idle_conns.go
+++ b/internal/gateway/idle_conns.go
@@ -8,30 +8,30 @@
 	"maddergap/scheduler"
 )
 
-// reuseDelay is how long a connection is left idle before it is reused, as long as
-// another one can be used. It guards against nodes that respond twice, the second time some milliseconds
-// later: the second response would be taken for that of the next request. On an idle
-// connection it is recognized as unsolicited.
+// reuseDelay is how long a connection is left idle before it is reused, as long as another
+// one can be used. It guards against nodes that respond twice, the second time some
+// milliseconds later: the second response would be taken for that of the next request. On
+// an idle connection it is recognized as unsolicited. 20 ms is several times those
+// milliseconds, and little beside Timeouts.NodeIdle, so that connections are still reused.
 const reuseDelay = 20 * time.Millisecond
 
-// reusableConn returns the idle connection to a node that a request is sent on, or nil if
+// selectIdleConn returns the idle connection to a node that a request is sent on, or nil if
 // it needs a new one. Of the connections that were idle for reuseDelay it is the one used
-// last, so that those not needed reach their idle timeout; if there is none, it is the
-// one that was idle longest.
+// last, so that those not needed reach their idle timeout; if there is none, it is the one
+// that was idle longest. If there is one, it also notes that the node keeps connections
+// open.
 //
 // A non-idempotent request gets a new connection rather than one that was not idle for
 // reuseDelay, until the node is known to keep connections open. That guards against a
 // node that closes a connection right behind a response: the next request meets the
 // reset, and it is unknown whether it was executed.
-func (g *Gateway) reusableConn(req *request, n *node) *nodeConn {
+func (g *Gateway) selectIdleConn(req *request, n *node) *nodeConn {
 	if n == nil || len(n.idleConns) == 0 {
 		return nil
 	}
-	for _, c := range slices.Backward(n.idleConns) {
-		if g.clock.now-c.idleSince >= reuseDelay {
-			n.keepsConnsOpen = true
-			return c
-		}
+	if c := n.longIdleConn(g.clock.now); c != nil {
+		n.keepsConnsOpen = true
+		return c
 	}
 	if !n.keepsConnsOpen && g.class(req).Effect == scheduler.NonIdempotent && g.canAddConn(n) {
 		return nil
@@ -39,9 +39,22 @@
 	return n.idleConns[0]
 }
 
-// noteClosedByNode notes that a node has closed a connection, if that was right behind a
-// response.
-func (g *Gateway) noteClosedByNode(c *nodeConn) {
+// longIdleConn returns the connection used last of those that were idle for reuseDelay, or
+// nil if there is none.
+func (n *node) longIdleConn(now Time) *nodeConn {
+	for _, c := range slices.Backward(n.idleConns) {
+		if now-c.idleSince >= reuseDelay {
+			return c
+		}
+	}
+	return nil
+}
+
+// noteEarlyClose notes that a node may not keep connections open, if it has closed this one
+// less than reuseDelay after it was last made idle. The node has closed it right behind a
+// response then. As idleSince stays set when the connection is reused, a connection that is
+// lost within reuseDelay with its next attempt on it counts too.
+func (g *Gateway) noteEarlyClose(c *nodeConn) {
 	if c.idleSince > 0 && g.clock.now-c.idleSince < reuseDelay {
 		c.node.keepsConnsOpen = false
 	}
--- a/internal/gateway/invariant_checks.go
+++ b/internal/gateway/invariant_checks.go
@@ -113,8 +113,8 @@
 	return false
 }
 
-// announcedTimeoutOutdated reports whether an attempt would tell its node more time than
-// there is left, so that it has to be encoded anew.
+// announcedTimeoutOutdated reports whether an attempt would announce more time to its node
+// than is left, so that it has to be encoded anew.
 func (g *Gateway) announcedTimeoutOutdated(attempt *nodeAttempt) bool {
 	timeout, deadline := attempt.announcedTimeout, attempt.req.deadline
 	return timeout > 0 && g.clock.now < deadline && invariant.TimeoutOutdated(g.clock.now, deadline, timeout)
--- a/internal/gateway/listing.go
+++ b/internal/gateway/listing.go
@@ -106,7 +106,7 @@
 	return part
 }
 
-// cancelListing ends a listing whose client has left.
+// cancelListing ends a listing before its response, and its parts; see cancelRequest.
 func (g *Gateway) cancelListing(req *request) {
 	req.listing.parent, req.response.final = nil, true
 	for i, part := range req.listing.parts {
--- a/internal/gateway/membership_source.go
+++ b/internal/gateway/membership_source.go
@@ -94,7 +94,7 @@
 	g.flush(c)
 }
 
-// discoveryConnLost notifies the source that a connection was ended by discovery.
+// discoveryConnLost notifies the source that a connection was lost.
 func (g *Gateway) discoveryConnLost(c *discoveryConn, closedByDriver bool) {
 	g.removeLost(c, closedByDriver)
 	if g.membership.conns[c.sourceConn] == c {
--- a/internal/gateway/node_conn.go
+++ b/internal/gateway/node_conn.go
@@ -33,7 +33,7 @@
 	attempt     *nodeAttempt // nil: none
 	dialStalled bool         // dialing was deferred for lack of local resources
 
-	idleSince   Time          // when it was last made idle; 0: never
+	idleSince   Time          // when it was last made idle, also while it is reused; 0: never
 	idleElement *list.Element // in nodeTable.idleByAge; nil: it is not idle
 
 	response         http1.Response // of the attempt, if state is nodeReadingBody
@@ -113,7 +113,7 @@
 
 func (c *nodeConn) handleEOF(g *Gateway) {
 	if c.attempt != nil && c.state == nodeReadingBody && c.responseBody.InputEnded() { // a body that ends with the connection
-		g.noteClosedByNode(c)
+		g.noteEarlyClose(c)
 		g.responseComplete(c)
 		return
 	}
@@ -122,9 +122,9 @@
 
 func (c *nodeConn) handleClosed(g *Gateway) { g.nodeConnLost(c, true) }
 
-// nodeConnLost ends a connection that the node has closed, and its attempt.
+// nodeConnLost ends a connection that was lost, and its attempt.
 func (g *Gateway) nodeConnLost(c *nodeConn, closedByDriver bool) {
-	g.noteClosedByNode(c)
+	g.noteEarlyClose(c)
 	attempt := c.attempt
 	if attempt == nil {
 		g.nodes.removeIdle(c)
@@ -177,7 +177,7 @@
 		c.attempt = nil
 		g.closeConn(c, Abort)
 		g.endAttempt(attempt, scheduler.NotSent)
-	case attempt.req.response.source == attempt, attempt.bufferResponse && g.clock.now < attempt.req.deadline: // the response stalled
+	case attempt.responseTimedOut(g.clock.now):
 		g.abortNodeConn(c, g.protocol.brokenResponseOutcome())
 	default: // the deadline of the request has passed; a later response would be of no use
 		attempt.req.attempts.timedOut = true
--- a/internal/gateway/node_table.go
+++ b/internal/gateway/node_table.go
@@ -20,8 +20,8 @@
 
 	conns     int         // open connections, those being dialed included
 	idleConns []*nodeConn // connections without an attempt, the last used last; see addIdle
-	// keepsConnsOpen: an idle connection was still open after reuseDelay, and the node
-	// has closed none sooner since.
+	// keepsConnsOpen: an idle connection was still open after reuseDelay, and no connection
+	// was lost sooner since; see noteEarlyClose.
 	keepsConnsOpen bool
 }
 
--- a/internal/gateway/observer.go
+++ b/internal/gateway/observer.go
@@ -15,10 +15,18 @@
 
 // Outcomes. The first three are those of the final response.
 const (
-	Served             Outcome = iota // a node's response
-	Rejected                          // not executed, and may be retried
-	Failed                            // not known whether it was executed
-	ClientDisconnected                // the client left before the final response
+	// Served: a response was sent that is neither a rejection nor a failure by the
+	// scheduler: a node's, or the gateway's own. The latter may be an error, such as 408,
+	// 413, or the 503 for a request that was not admitted.
+	Served Outcome = iota
+	// Rejected: the scheduler, or AbortRemaining, rejected the request, which was not
+	// executed and may be retried.
+	Rejected
+	// Failed: it is not known whether the request was executed.
+	Failed
+	// ClientDisconnected: the request was cancelled before its final response, as its client
+	// left, or for one of the other causes that cancelRequest lists.
+	ClientDisconnected
 )
 
 // String returns the outcome as it stands in metric labels.
@@ -63,7 +71,9 @@
 
 // Counts are counters since the start, and gauges.
 type Counts struct {
-	// Requests submitted to the scheduler, and how they ended.
+	// Requests submitted to the scheduler, and how they ended. Served counts nodes' responses
+	// alone, unlike the Outcome of that name. Disconnected counts the requests that
+	// cancelRequest ended.
 	Received, Served, Rejected, Failed, Disconnected uint64
 
 	Attempts  uint64 // attempts, those included that ended before anything was sent
@@ -78,7 +88,7 @@
 
 	Clients, NodeConns int           // open connections
 	BufferedBytes      int64         // held for clients
-	Lag                time.Duration // estimate of how late Advance is called
+	Lag                time.Duration // estimate of how late Advance is called; see lagEstimate
 }
 
 // Counts returns the counters and gauges.
--- a/internal/gateway/protocol.go
+++ b/internal/gateway/protocol.go
@@ -32,7 +32,8 @@
 	// truncatedRequestOutcome is the outcome of an attempt of which only a part was
 	// written when its connection was lost.
 	truncatedRequestOutcome() scheduler.Outcome
-	// brokenResponseOutcome is the outcome of an attempt whose response cannot be read.
+	// brokenResponseOutcome is the outcome of an attempt whose response cannot be read, or
+	// makes no progress once it has begun.
 	brokenResponseOutcome() scheduler.Outcome
 	// allowsEarlyResponse reports whether a node may respond before it has the complete request.
 	allowsEarlyResponse() bool
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -27,7 +27,7 @@
 	headerReceivedAt Time
 	submittedAt      Time
 	deadline         Time // of the final response
-	cancelledAt      Time // when its client was seen to have left; 0: it has not
+	cancelledAt      Time // when cancelRequest ended it; 0: it did not
 
 	body     requestBody
 	attempts requestAttempts
--- a/internal/gateway/request_lifecycle.go
+++ b/internal/gateway/request_lifecycle.go
@@ -26,9 +26,12 @@
 	if g.isLastRequest(c, req) {
 		c.enter(clientClosing)
 	}
+	// The response before this request may still be in the write buffer. Admission counts one
+	// request of a connection at a time, so that the earlier one ends here.
 	g.reportAdmittedRequestEnd(c)
 	if ok, reason := g.admission.BeginRequest(g.clock.now, uint64(c.id), g.buffers.clientBytes, req.body.complete); !ok {
 		c.enter(clientClosing)
+		// Counted and logged as a rejected connection: the connection ends with the response.
 		g.recordRejection(c.remote, reason, true)
 		g.respondLocally(req, 503, rejectionText(reason))
 		return
@@ -89,22 +92,41 @@
 
 // receiveBody takes a piece of the body of a request.
 func (g *Gateway) receiveBody(c *clientConn, req *request, data []byte) {
-	req.body.received += int64(len(data))
-	req.body.complete = req.body.decoder.Done()
-	req.body.continueHandled = true
-	if req.body.complete {
-		g.setDeadline(c, never)
-	}
+	g.noteBodyReceived(c, req, len(data))
 	if req.listing != nil && req.id == 0 {
 		g.receiveListingBody(req, data)
 		return
 	}
-	if req.attempts.uploading == nil {
-		req.body.data = append(req.body.data, data...)
-	} else {
+	g.bufferOrForwardBody(req, data)
+	g.submitWhenBuffered(c, req)
+}
+
+// noteBodyReceived counts n decoded bytes of a body, and stops the upload's timer at its
+// end.
+func (g *Gateway) noteBodyReceived(c *clientConn, req *request, n int) {
+	req.body.received += int64(n)
+	req.body.complete = req.body.decoder.Done()
+	req.body.continueHandled = true // a client that sends its body does not wait for 100
+	if req.body.complete {
+		g.setDeadline(c, never)
+	}
+}
+
+// bufferOrForwardBody forwards a piece of a body to the node that the body is uploaded to,
+// or buffers it until there is one. Forwarded bytes are not kept, so that there can be no
+// retry.
+func (g *Gateway) bufferOrForwardBody(req *request, data []byte) {
+	if uploading := req.attempts.uploading; uploading != nil {
 		req.body.consumed = true
-		g.forwardBody(req.attempts.uploading, data)
+		g.forwardBody(uploading, data)
+		return
 	}
+	req.body.data = append(req.body.data, data...)
+}
+
+// submitWhenBuffered submits a request whose body is complete or fills its buffer. If the
+// body has to be buffered as a whole, one that is longer than the buffer is rejected.
+func (g *Gateway) submitWhenBuffered(c *clientConn, req *request) {
 	limit := g.config.Limits.BodyBuffer
 	switch {
 	case req.id != 0 || req.response.final:
@@ -121,7 +143,8 @@
 	g.respondLocally(req, 413, "the body is longer than any may be")
 }
 
-// submit hands a request to the scheduler. From here on it is owed one final response.
+// submit hands a request to the scheduler. From then on it has to get exactly one final
+// response.
 func (g *Gateway) submit(req *request) {
 	if err := g.protocol.prepareArrival(g, req); err != nil {
 		g.respondLocally(req, err.Status, err.Reason)
@@ -142,10 +165,20 @@
 	g.scheduler.notify(*arrival)
 }
 
-// cancelRequest notifies the scheduler that the client of a request has left before its
-// final response. An attempt that a node may be executing is left to its outcome, as it
-// occupies the node's capacity until then. It is ended if the node cannot execute it,
-// because the body is incomplete, or if its response was being streamed to the client.
+// cancelRequest ends a request before its final response. It is called
+//
+//   - when the client has left;
+//   - when the gateway drops the client, for instance as it does not read its response, or
+//     has closed its sending side within the body;
+//   - when the body is malformed or too slow, which the gateway answers itself;
+//   - for the parts of a listing whose parent is cancelled.
+//
+// The scheduler, the observer and the counts do not distinguish these: all of them are
+// notified that the client has disconnected.
+//
+// An attempt that a node may be executing is left to its outcome, as it occupies the node's
+// capacity until then. It is ended if the node cannot execute it, because the body is
+// incomplete, or if its response was being streamed to the client.
 func (g *Gateway) cancelRequest(req *request) {
 	if req.id == 0 {
 		if req.listing != nil {
--- a/internal/gateway/send.go
+++ b/internal/gateway/send.go
@@ -14,7 +14,7 @@
 	}
 	attempt := g.newAttempt(req, nodeName, startBefore)
 	n := g.nodes.byName[nodeName]
-	idle := g.reusableConn(req, n)
+	idle := g.selectIdleConn(req, n)
 	switch {
 	case req.response.final: // it got its final response since the scheduler decided
 		g.endAttempt(attempt, scheduler.NotSent)
