--- a/cmd/maddergap/soak.go
+++ b/cmd/maddergap/soak.go
@@ -35,11 +35,11 @@
 			}
 			continue
 		}
-		good, err := c.runSeed(o, io)
+		passed, err := c.runSeed(o, io)
 		if err != nil {
 			return err
 		}
-		if !good {
+		if !passed {
 			failed++
 		}
 	}
@@ -50,7 +50,7 @@
 }
 
 // runSeed runs one seed, prints its report and reports whether every rule held.
-func (c *soakCmd) runSeed(o *soak.Options, io *streams) (good bool, err error) {
+func (c *soakCmd) runSeed(o *soak.Options, io *streams) (passed bool, err error) {
 	dir, remove, err := recordsDir(c.Keep, fmt.Sprintf("soak-%d-", o.Seed))
 	if err != nil {
 		return false, err
