--- a/internal/admission/decision.go
+++ b/internal/admission/decision.go
@@ -12,7 +12,7 @@
 	PrefixLimit                 // Caps.Prefix
 	AddressRate                 // Rates.Address
 	PrefixRate                  // Rates.Prefix
-	ReserveLimit                // a request of an unknown client would take of the Reserve
+	ReserveLimit                // unknown clients would use connections that are reserved for known ones
 	BufferLimit                 // the buffers of all connections leave no room for a request
 	ReasonCount
 )
--- a/internal/admission/preemption.go
+++ b/internal/admission/preemption.go
@@ -3,13 +3,14 @@
 // preemptionClass orders the connections that may be closed to make room.
 type preemptionClass int
 
-// Classes, in the order in which they are preempted.
+// Classes, in the order in which they are preempted. All before knownIdle are of unknown clients:
+// the loops over the classes rely on that order.
 const (
 	neverServed preemptionClass = iota // idle, of unknown clients
 	servedIdle                         // idle after a served request, of unknown clients
 	slowBody                           // receiving, of unknown clients
-	// knownIdle is for idle connections of known clients. None of these is preempted,
-	// except within its own address.
+	// knownIdle is for idle connections of known clients, which are preempted only for a new
+	// connection of their own address.
 	knownIdle
 	classCount
 )
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -109,8 +109,9 @@
 	d.loop.Wake()
 }
 
-// Reload reads the configuration again and applies all of it or nothing; the log says which.
-// It may be called from any goroutine.
+// Reload reads the configuration again and applies all of it or nothing; the log says which. On a
+// platform a new address of discovery is applied even if the rest needs a restart, as the old
+// address may be gone. It may be called from any goroutine.
 func (d *Daemon) Reload() {
 	d.reloadRequested.Store(true)
 	d.loop.Wake()
@@ -139,13 +140,13 @@
 	d.members.onWake()
 	if d.reloadRequested.Swap(false) {
 		if err := d.role.reload(d); err != nil {
-			d.log.Error("reload rejected; nothing of the file is applied", "error", err)
+			d.log.Error("reload rejected", "error", err)
 		} else {
 			d.log.Info("reloaded", "file", d.config.File)
 		}
 	}
 	if d.stopRequested.Load() {
-		d.shutdown.onStopRequested(d.config.Timeouts)
+		d.shutdown.startOrEndDraining(d.config.Timeouts)
 	}
 }
 
--- a/internal/daemon/platform_role.go
+++ b/internal/daemon/platform_role.go
@@ -43,7 +43,8 @@
 // openListeners has no filter: on a platform, no client is known before it connects.
 func (r *platformRole) openListeners(d *Daemon) error { return d.listen(nil) }
 
-// reload follows a new address of discovery. Everything else needs a restart.
+// reload applies a new address of discovery, also where it returns an error: everything else needs
+// a restart.
 func (r *platformRole) reload(d *Daemon) error {
 	c, err := r.load()
 	if err != nil {
--- a/internal/daemon/shutdown.go
+++ b/internal/daemon/shutdown.go
@@ -11,10 +11,13 @@
 
 const (
 	// handshakeGrace is the time that connections whose handshake has begun have to complete
-	// it, once the kernel takes no new ones.
+	// it, once the kernel takes no new ones: many round trips within a data center.
 	handshakeGrace = 20 * time.Millisecond
 	// abortGrace is the time that clients have to read the responses of aborted requests.
 	abortGrace = 100 * time.Millisecond
+	// timerSlack puts a timer behind the deadline that it is for, so that the deadline has passed
+	// by the loop's clock when the timer wakes the loop.
+	timerSlack = time.Millisecond
 )
 
 // shutdownPhase is how far a shutdown has come. It only moves forward.
@@ -91,7 +94,7 @@
 // they are closed and the gateway is idle. A connection that the kernel has accepted counts as
 // taken: closing a listener earlier would reset it, and a request on it would have no response.
 //
-// It is driven by the loop's goroutine: onStopRequested whenever the loop was woken, advance in
+// It is driven by the loop's goroutine: startOrEndDraining whenever the loop was woken, advance in
 // each iteration. It wakes the loop itself when a deadline has come.
 type shutdown struct {
 	loop    shutdownLoop
@@ -125,8 +128,9 @@
 	return &shutdown{loop: loop, gateway: g, log: log}
 }
 
-// onStopRequested begins a shutdown, and ends the draining phase when its time is over.
-func (s *shutdown) onStopRequested(timeouts config.Timeouts) {
+// startOrEndDraining is called on each wake of the loop once a stop was requested: it begins the
+// shutdown, and ends the draining phase when its time is over.
+func (s *shutdown) startOrEndDraining(timeouts config.Timeouts) {
 	if s.phase == phaseServing {
 		s.startDraining(s.loop.Now(), timeouts.Drain)
 	}
@@ -144,7 +148,7 @@
 	}
 	s.log.Info("draining", "clients", s.gateway.Counts().Clients)
 	s.gateway.Drain(now)
-	wakeAfter(s.loop, timeout+time.Millisecond)
+	wakeAfter(s.loop, timeout+timerSlack)
 }
 
 func (s *shutdown) startStopping(now, timeout time.Duration) {
@@ -163,7 +167,7 @@
 		s.listeners = listenersDraining
 		s.loop.DropNewConnections()
 		s.drainQueuesFrom = now + handshakeGrace
-		wakeAfter(s.loop, handshakeGrace+time.Millisecond)
+		wakeAfter(s.loop, handshakeGrace+timerSlack)
 	}
 	if s.listeners == listenersDraining && now >= s.drainQueuesFrom && s.loop.DrainListenQueues() {
 		s.loop.CloseListeners()
@@ -199,6 +203,6 @@
 	})
 	s.gateway.AbortRemaining(now)
 	s.exitAt = now + abortGrace
-	wakeAfter(s.loop, abortGrace+time.Millisecond)
+	wakeAfter(s.loop, abortGrace+timerSlack)
 	s.loop.Wake() // the responses are written in the next iteration
 }
--- a/internal/daemon/shutdown_test.go
+++ b/internal/daemon/shutdown_test.go
@@ -76,7 +76,7 @@
 		if step.change != nil {
 			step.change(r)
 		}
-		s.onStopRequested(timeouts)
+		s.startOrEndDraining(timeouts)
 		done := s.advance()
 		if calls := r.take(); !slices.Equal(calls, step.calls) || s.phase != step.phase || done != step.done {
 			t.Fatalf("after %v: calls %q, phase %v, done %v; want %q, %v, %v", step.at, calls, s.phase, done, step.calls, step.phase, step.done)
--- a/internal/discovery/call.go
+++ b/internal/discovery/call.go
@@ -60,8 +60,8 @@
 }
 
 // appendRequest appends the message of a request to b: version is the one in force, hold the
-// time for which the server may hold a watch. Both are left out where the kind has no use for
-// them.
+// time for which the server may hold a watch. A full list is asked for with neither, changes with a
+// hold of 0, so that the server responds at once.
 func appendRequest(b []byte, kind requestKind, addr string, version int64, hold Time) []byte {
 	b = append(b, "GET /api/targets"...)
 	if kind != fullListRequest {
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -32,10 +32,10 @@
 	list     listState
 	zones    zoneTable
 	// calls are those under way, the oldest first. No two share a connection.
-	calls      []*call
-	closing    []int // connections without a call, to be closed
-	lastConnID int
-	status     Status
+	calls        []*call
+	connsToClose []int // connections without a call, to be closed
+	lastConnID   int
+	status       Status
 }
 
 var _ gateway.MembershipSource = (*Client)(nil)
@@ -105,11 +105,11 @@
 func (c *Client) Step(now Time) (gateway.SourceOp, Time) {
 	c.expireCalls(now)
 	if len(c.calls) >= c.schedule.policy.maxCalls && c.schedule.mayStart(now, c.calls) {
-		c.abandonOne()
+		c.abandonSecondOldest()
 	}
-	if len(c.closing) > 0 {
-		conn := c.closing[0]
-		c.closing = c.closing[1:]
+	if len(c.connsToClose) > 0 {
+		conn := c.connsToClose[0]
+		c.connsToClose = c.connsToClose[1:]
 		return gateway.SourceOp{Conn: conn, Close: true}, 0
 	}
 	for _, k := range c.calls {
@@ -137,7 +137,9 @@
 
 // sendRequest returns the request of a call whose connection is ready.
 func (c *Client) sendRequest(now Time, k *call) []byte {
-	hold := c.schedule.hold() // for every kind: the sequence of draws does not depend on responses
+	// Drawn for every kind, so that the sequence of random draws, and with it a run at a seed, does
+	// not depend on which responses came.
+	hold := c.schedule.hold()
 	k.kind = c.list.request()
 	if k.kind != watchRequest {
 		hold = 0
@@ -153,10 +155,10 @@
 	return appendRequest(nil, k.kind, c.addr, c.list.version, hold)
 }
 
-// abandonOne gives up a call to make room for the next one. It spares the oldest, which is
-// waited for until its deadline. The failure guarded against is a slow agent: every call would
+// abandonSecondOldest gives up a call to make room for the next one. The oldest is spared, if there
+// is another, and waited for until its deadline. The failure guarded against is a slow agent: every call would
 // be given up while its response is on the way, and no list would ever come.
-func (c *Client) abandonOne() {
+func (c *Client) abandonSecondOldest() {
 	c.status.CallsAbandoned++
 	c.list.missedChanges()
 	c.endAndClose(c.calls[min(1, len(c.calls)-1)])
@@ -170,5 +172,5 @@
 // endAndClose ends a call and has its connection closed.
 func (c *Client) endAndClose(k *call) {
 	c.end(k)
-	c.closing = append(c.closing, k.conn)
+	c.connsToClose = append(c.connsToClose, k.conn)
 }
--- a/internal/eventloop/connections.go
+++ b/internal/eventloop/connections.go
@@ -60,12 +60,12 @@
 	registered uint32 // epoll events that it is registered for, if inEpoll
 	inEpoll    bool
 	stalled    bool // it waits for the retry of a call
-	// shutdownPending tells that the end of the sending side is to be retried.
-	shutdownPending bool
+	// closeWritePending tells that closing the sending side failed and is to be retried.
+	closeWritePending bool
 }
 
-// needsPoll tells whether events that are wanted would not wake the loop.
-func (s *socket) needsPoll() bool { return !s.inEpoll || s.wanted&^s.registered != 0 }
+// missedByEpoll tells whether epoll would not report events that are wanted; they are polled for.
+func (s *socket) missedByEpoll() bool { return !s.inEpoll || s.wanted&^s.registered != 0 }
 
 // connTable holds the sockets of connections, by the gateway's slot and by
 // descriptor. Pointers into it are good until the next add.
--- a/internal/eventloop/io.go
+++ b/internal/eventloop/io.go
@@ -144,8 +144,8 @@
 // that now, it is retried.
 func (l *Loop) shutdownWrite(s *socket) {
 	err := l.calls.Shutdown(s.fd, unix.SHUT_WR)
-	s.shutdownPending = err != nil && isLocal(err)
-	if s.shutdownPending {
+	s.closeWritePending = err != nil && isLocal(err)
+	if s.closeWritePending {
 		l.stall(s)
 	}
 }
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -26,7 +26,7 @@
 	waitUnit = time.Millisecond
 	// clockOffset is the clock's reading when the loop is made. It is above zero so
 	// that things that began before the process did, such as the start of a node that
-	// is still warming up, have a positive time.
+	// is still warming up, have a positive time. Warm-ups of up to a day can be told so.
 	clockOffset = 24 * time.Hour
 	// never is a time that does not come. The gateway's own value for it is later.
 	never = time.Duration(1 << 62)
@@ -158,7 +158,7 @@
 			return fmt.Errorf("epoll_wait: %w", err)
 		}
 		l.phaseStart = l.Now()
-		if n <= 0 && next < never {
+		if n <= 0 && next < never { // woken by the timeout, not by events
 			l.iteration.Durations[PhaseWakeup] = max(l.phaseStart-next-waitUnit, 0)
 		}
 		l.serveEvents(events[:max(n, 0)])
--- a/internal/eventloop/stalled.go
+++ b/internal/eventloop/stalled.go
@@ -61,7 +61,7 @@
 			continue
 		}
 		s.stalled = false
-		if s.shutdownPending {
+		if s.closeWritePending {
 			l.shutdownWrite(s)
 		}
 		l.register(s)
@@ -77,7 +77,7 @@
 	var ids []gateway.ConnID
 	var fds []unix.PollFd
 	for _, id := range l.stalled.ids {
-		if s := l.conns.lookup(id); s != nil && s.needsPoll() {
+		if s := l.conns.lookup(id); s != nil && s.missedByEpoll() {
 			ids = append(ids, id)
 			fds = append(fds, unix.PollFd{Fd: int32(s.fd), Events: int16(s.wanted)})
 		}
--- a/internal/invariant/rules.go
+++ b/internal/invariant/rules.go
@@ -78,7 +78,7 @@
 
 const (
 	// maxWriteDelay is how long the process may be held up between reading its clock and the
-	// write.
+	// write. It is well within the grace of a drain, which has to cover it.
 	maxWriteDelay = 150 * time.Millisecond
 	// disconnectGrace is how long after the client disconnected an attempt may be written.
 	disconnectGrace = 100 * time.Millisecond
@@ -147,7 +147,7 @@
 	SameDeduplicationScope bool
 }
 
-// allowRetry reports whether the attempt cannot take effect a second time, or may. It is allowed
+// allowRetry reports whether a second effect is excluded, or harmless. The attempt is allowed
 //   - for a safe request;
 //   - where no attempt is in flight and none may have run;
 //   - for an idempotent request, where the node deduplicates and still remembers.
--- a/internal/supervisor/run.go
+++ b/internal/supervisor/run.go
@@ -32,7 +32,7 @@
 // Options of a run.
 type Options struct {
 	Workers int
-	// ShutdownTimeout is how long a worker takes for its own graceful shutdown.
+	// KillAfter is how long a worker takes for its own graceful shutdown.
 	ShutdownTimeout time.Duration
 	// Command makes the command of worker i. It inherits Files from descriptor 3 on, and after
 	// them the pipe that it sends heartbeats on: see HeartbeatFD.
@@ -101,7 +101,7 @@
 func newRunner(o Options) *runner {
 	c := defaults
 	c.Workers = o.Workers
-	c.ShutdownTimeout = o.ShutdownTimeout + exitGrace
+	c.KillAfter = o.ShutdownTimeout + exitGrace
 	return &runner{
 		options:    o,
 		supervisor: New(c, 0),
--- a/internal/supervisor/supervisor.go
+++ b/internal/supervisor/supervisor.go
@@ -9,7 +9,7 @@
 //   - if a worker exits before any worker has ever sent a heartbeat, all are terminated: what
 //     keeps it from starting is in the configuration, and no backoff mends that;
 //   - in a shutdown no worker is started, all are terminated, and those that are left after
-//     ShutdownTimeout are killed.
+//     KillAfter are killed.
 package supervisor
 
 import (
@@ -34,8 +34,8 @@
 	BackoffMax time.Duration
 	// StableAfter is how long a worker has to run for its backoff to start from BackoffMin again.
 	StableAfter time.Duration
-	// ShutdownTimeout is how long workers may take to end before they are killed.
-	ShutdownTimeout time.Duration
+	// KillAfter is how long after the start of a shutdown the workers that are left are killed.
+	KillAfter time.Duration
 }
 
 // Op is what an Action asks for.
@@ -44,8 +44,8 @@
 // Operations on a worker.
 const (
 	Start     Op = iota
-	Terminate    // ask it to shut down
-	Kill
+	Terminate    // ask it to shut down, by SIGINT
+	Kill         // SIGKILL
 )
 
 func (o Op) String() string { return [...]string{"start", "terminate", "kill"}[o] }
@@ -59,7 +59,7 @@
 // worker is what is known of one worker. Its times are valid as noted.
 type worker struct {
 	running       bool
-	killed        bool // running, and to be killed; its exit is still to come
+	killSent      bool // running, and was killed; its exit is still to come
 	responsive    bool // running, and has sent a heartbeat since its start
 	startedAt     Time // if running
 	lastHeartbeat Time // if responsive
@@ -72,7 +72,7 @@
 	config        Config
 	now           Time
 	workers       []worker
-	everStarted   bool // a worker has sent a heartbeat
+	anyResponsive bool // a worker has sent a heartbeat
 	stopping      bool
 	killAt        Time // if stopping: when the workers that are left are killed
 	terminateSent bool // if stopping: the workers were asked to shut down
@@ -100,7 +100,7 @@
 	}
 	w.lastHeartbeat = s.now
 	w.responsive = true
-	s.everStarted = true
+	s.anyResponsive = true
 }
 
 // Exited records that worker i exited, or could not be started.
@@ -110,7 +110,7 @@
 	if !w.running {
 		return
 	}
-	if !s.everStarted && !s.stopping {
+	if !s.anyResponsive && !s.stopping {
 		s.startErr = fmt.Errorf("worker %d failed to start: %w", i, cause)
 		s.beginShutdown()
 	}
@@ -118,7 +118,7 @@
 		w.backoff = s.config.BackoffMin
 	}
 	w.running = false
-	w.killed = false
+	w.killSent = false
 	w.restartAt = s.now + w.backoff
 	w.backoff = min(2*w.backoff, s.config.BackoffMax)
 }
@@ -134,7 +134,7 @@
 		return
 	}
 	s.stopping = true
-	s.killAt = s.now + s.config.ShutdownTimeout
+	s.killAt = s.now + s.config.KillAfter
 }
 
 // Done reports whether a shutdown is complete. The error is that of the worker that failed to
@@ -176,7 +176,7 @@
 func (s *Supervisor) advanceWorker(w *worker) (op Op, ok bool, next Time) {
 	deadline := s.killDeadline(w)
 	switch {
-	case !w.running && s.stopping, w.killed:
+	case !w.running && s.stopping, w.killSent:
 		return 0, false, math.MaxInt64
 	case !w.running && s.now < w.restartAt:
 		return 0, false, w.restartAt
@@ -186,7 +186,7 @@
 		w.responsive = false
 		return Start, true, s.now + s.config.StartupTimeout
 	case s.now >= deadline:
-		w.killed = true
+		w.killSent = true
 		return Kill, true, math.MaxInt64
 	case s.stopping && !s.terminateSent:
 		return Terminate, true, deadline
--- a/internal/supervisor/supervisor_test.go
+++ b/internal/supervisor/supervisor_test.go
@@ -15,7 +15,7 @@
 	BackoffMin:       100 * time.Millisecond,
 	BackoffMax:       3 * time.Second,
 	StableAfter:      10 * time.Second,
-	ShutdownTimeout:  4 * time.Second,
+	KillAfter:        4 * time.Second,
 }
 
 func count(actions []Action, op Op) (n int) {
@@ -124,14 +124,14 @@
 	s.Exited(0, 0, nil) // waits for its restart
 	s.Shutdown(time.Millisecond)
 	actions, next := s.Advance(time.Millisecond)
-	if count(actions, Terminate) != 2 || next != time.Millisecond+testConfig.ShutdownTimeout {
+	if count(actions, Terminate) != 2 || next != time.Millisecond+testConfig.KillAfter {
 		t.Errorf("%v %v", actions, next)
 	}
 	s.Exited(time.Second, 1, nil)
 	if actions, _ := s.Advance(time.Second); len(actions) != 0 {
 		t.Errorf("%v", actions)
 	}
-	if actions, _ := s.Advance(time.Millisecond + testConfig.ShutdownTimeout); len(actions) != 1 || actions[0] != (Action{Kill, 2}) {
+	if actions, _ := s.Advance(time.Millisecond + testConfig.KillAfter); len(actions) != 1 || actions[0] != (Action{Kill, 2}) {
 		t.Errorf("%v", actions)
 	}
 	s.Exited(5*time.Second, 2, nil)
