--- a/internal/e2e/crossing_test.go
+++ b/internal/e2e/crossing_test.go
@@ -16,38 +16,15 @@
 	"maddergap/internal/discovery"
 )
 
-// instanceState is a field of the latest line that logs the state of the instance, or nothing.
-func (s *service) instanceState(field string) string {
-	log := s.log.String()
-	i := strings.LastIndex(log, `msg="instance state"`)
-	if i < 0 {
-		return ""
-	}
-	line, _, _ := strings.Cut(log[i:], "\n")
-	_, rest, _ := strings.Cut(line, " "+field+"=")
-	value, _, _ := strings.Cut(rest, " ")
-	return value
-}
-
-func (s *service) dial(t *testing.T) *net.TCPConn {
-	t.Helper()
-	c, err := net.Dial("tcp", s.addr)
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { c.Close() })
-	return c.(*net.TCPConn)
-}
-
 // A client sends requests ahead and goes while the first of them waits for a node, by a
 // FIN behind bytes that are not read, or by a reset. When there is a node, none is sent.
 func TestCrossingGoneBehindRequestsSentAhead(t *testing.T) {
 	for _, how := range []string{"end", "reset", "end with the last byte", "much ahead"} {
 		t.Run(how, func(t *testing.T) {
-			one, two := newStubNode(t, func(int, *http.Request) reply { return ok("one") }), newStubNode(t, func(int, *http.Request) reply { return ok("two") })
-			d := newStubDiscovery(t, one)
-			s := serveOn(t, d)
-			c := s.dial(t)
+			one, two := startNodeResponding(t, "one"), startNodeResponding(t, "two")
+			d := startDiscovery(t, one)
+			instance := startPlatformReady(t, d, platformOptions{})
+			c := instance.connect()
 			text := ""
 			n := 2
 			switch how {
@@ -57,21 +34,21 @@
 				n = 1000
 			}
 			for range n {
-				text += second(s.request("GET", "read", 1, "1200m", ""))
+				text += instance.newRead(1, "1200m").text
 			}
 			go c.Write([]byte(text))
-			within(t, time.Second, func() bool { return s.instanceState("received") == "1" })
+			within(t, time.Second, func() bool { return instance.loggedState("received") == "1" })
 			if how == "reset" {
 				c.SetLinger(0)
 			}
 			c.Close()
-			within(t, time.Second, func() bool { return s.instanceState("disconnected") == "1" })
-			d.set(endpointOf("s0", one, 0, "up"), endpointOf("s1", two, 1, "up"))
+			within(t, time.Second, func() bool { return instance.loggedState("disconnected") == "1" })
+			d.setEndpoints(endpointOf("s0", one, 0, "up"), endpointOf("s1", two, 1, "up"))
 			within(t, time.Second, func() bool {
-				status, _ := s.raw(second(s.request("GET", "read", 1, "1200m", "")))
+				status, _ := instance.roundTrip(instance.newRead(1, "1200m").text)
 				return status == 200
 			})
-			if ids := two.ids(); len(ids) != 1 {
+			if ids := two.received(); len(ids) != 1 {
 				t.Errorf("%d requests came to the node, one of a client that is there", len(ids))
 			}
 		})
@@ -130,23 +107,23 @@
 	for _, how := range []string{"client leaves", "node drains"} {
 		t.Run(how, func(t *testing.T) {
 			addr, goOn := slowToAccept(t)
-			other := newStubNode(t, func(int, *http.Request) reply { return ok("other") })
-			d := newStubDiscovery(t)
+			other := startNodeResponding(t, "other")
+			d := startDiscovery(t)
 			entry := func(status string) discovery.Endpoint {
 				return discovery.Endpoint{Name: "late", Address: addr, Zone: "z0", Status: status}
 			}
-			d.set(entry("up"))
-			s := serveWith(t, d, strings.NewReplacer(`"connectTimeout":250000`, `"connectTimeout":3000000`))
-			c := s.dial(t)
-			fmt.Fprint(c, second(s.request("GET", "read", 0, "5000m", "")))
-			within(t, time.Second, func() bool { return s.instanceState("node_connections") == "1" })
+			d.setEndpoints(entry("up"))
+			instance := startPlatformReady(t, d, platformOptions{configChange: strings.NewReplacer(`"connectTimeout":250000`, `"connectTimeout":3000000`)})
+			c := instance.connect()
+			fmt.Fprint(c, instance.newRead(0, "5000m").text)
+			within(t, time.Second, func() bool { return instance.loggedState("node_connections") == "1" })
 			if how == "client leaves" {
 				c.Close()
-				within(t, time.Second, func() bool { return s.instanceState("disconnected") == "1" })
+				within(t, time.Second, func() bool { return instance.loggedState("disconnected") == "1" })
 			} else {
-				version := s.instanceState("version")
-				d.set(entry("draining"), endpointOf("other", other, 0, "up"))
-				within(t, time.Second, func() bool { return s.instanceState("version") != version })
+				version := instance.loggedState("version")
+				d.setEndpoints(entry("draining"), endpointOf("other", other, 0, "up"))
+				within(t, time.Second, func() bool { return instance.loggedState("version") != version })
 			}
 			ln := goOn()
 			ln.(*net.TCPListener).SetDeadline(time.Now().Add(4 * time.Second))
@@ -195,17 +172,17 @@
 				continue
 			}
 			io.Copy(io.Discard, r.Body)
-			io.WriteString(c, ok("fine").text)
+			io.WriteString(c, okResponse("fine").text)
 			time.Sleep(pause)
 			c.(*net.TCPConn).SetLinger(0)
 			c.Close()
 		}
 	}()
-	d := newStubDiscovery(t)
-	d.set(discovery.Endpoint{Name: "n", Address: ln.Addr().String(), Zone: "z0", Status: "up"})
-	s := serveOn(t, d)
+	d := startDiscovery(t)
+	d.setEndpoints(discovery.Endpoint{Name: "n", Address: ln.Addr().String(), Zone: "z0", Status: "up"})
+	instance := startPlatformReady(t, d, platformOptions{})
 	for i := range 40 {
-		if status, body := s.raw(second(s.request("PUT", "write", 0, "1200m", ""))); status != 200 || body != "fine" {
+		if status, body := instance.roundTrip(instance.newWrite(0, "1200m").text); status != 200 || body != "fine" {
 			t.Fatalf("request %d: %d %q", i, status, body)
 		}
 	}
@@ -215,8 +192,8 @@
 // that is half read is read on, and one on a resting connection that crosses the shutdown
 // is not sent on, while its client sees an end and no reset.
 func TestCrossingStop(t *testing.T) {
-	sh := newStubNode(t, func(int, *http.Request) reply { return ok("fine") })
-	s := serveOn(t, newStubDiscovery(t, sh))
+	sh := startNodeResponding(t, "fine")
+	instance := startPlatformReady(t, startDiscovery(t, sh), platformOptions{})
 	answer := func(c net.Conn) string {
 		c.SetReadDeadline(time.Now().Add(3 * time.Second))
 		b, err := io.ReadAll(c)
@@ -225,31 +202,31 @@
 		}
 		return string(b)
 	}
-	resting, half := s.dial(t), s.dial(t)
-	fmt.Fprint(resting, second(s.request("GET", "read", 0, "1200m", "")))
+	resting, half := instance.connect(), instance.connect()
+	fmt.Fprint(resting, instance.newRead(0, "1200m").text)
 	in := bufio.NewReader(resting)
 	if r, err := http.ReadResponse(in, nil); err != nil || r.StatusCode != 200 {
 		t.Fatal(err)
 	} else {
 		io.Copy(io.Discard, r.Body)
 	}
-	s.d.Stop()
-	within(t, time.Second, func() bool { return strings.Contains(s.log.String(), "msg=draining") })
-	fresh := s.dial(t)
-	_, text := s.request("GET", "read", 0, "1200m", "")
+	instance.daemon.Stop()
+	within(t, time.Second, func() bool { return strings.Contains(instance.log.String(), "msg=draining") })
+	fresh := instance.connect()
+	text := instance.newRead(0, "1200m").text
 	io.WriteString(half, text[:60])
-	within(t, time.Second, func() bool { return strings.Contains(s.log.String(), `msg="shutting down"`) })
-	before := len(sh.ids())
-	io.WriteString(resting, second(s.request("GET", "read", 0, "1200m", "")))
+	within(t, time.Second, func() bool { return strings.Contains(instance.log.String(), `msg="shutting down"`) })
+	before := len(sh.received())
+	io.WriteString(resting, instance.newRead(0, "1200m").text)
 	if b, err := io.ReadAll(in); err != nil || len(b) > 0 {
 		t.Errorf("the resting client sees %q, %v; want the end", b, err)
 	}
 	resting.Close()
 	time.Sleep(50 * time.Millisecond)
-	if n := len(sh.ids()); n != before {
+	if n := len(sh.received()); n != before {
 		t.Error("a request was sent on that came after the shutdown of its connection")
 	}
-	fmt.Fprint(fresh, second(s.request("GET", "read", 0, "1200m", "")))
+	fmt.Fprint(fresh, instance.newRead(0, "1200m").text)
 	io.WriteString(half, text[60:])
 	for name, c := range map[string]net.Conn{"just made": fresh, "half read": half} {
 		if got := answer(c); !strings.HasPrefix(got, "HTTP/1.1 200 ") || !strings.HasSuffix(got, "fine") {
@@ -257,7 +234,7 @@
 		}
 		c.Close()
 	}
-	if err := s.stop(); err != nil {
+	if err := instance.stop(); err != nil {
 		t.Error(err)
 	}
 }
@@ -265,18 +242,18 @@
 // Nodes hang as the head ends, and clients' times reach beyond its own: each has an answer
 // before the head is gone.
 func TestCrossingStopWithHungNodes(t *testing.T) {
-	sh := newStubNode(t, func(int, *http.Request) reply { return reply{hang: true} })
-	s := serveOn(t, newStubDiscovery(t, sh))
+	sh := startScriptedNode(t, func(int, *http.Request) nodeResponse { return nodeResponse{hang: true} })
+	instance := startPlatformReady(t, startDiscovery(t, sh), platformOptions{})
 	var conns []net.Conn
 	for i := range 6 {
-		c := s.dial(t)
-		fmt.Fprint(c, second(s.request("GET", "read", i%2, "30000m", "")))
+		c := instance.connect()
+		fmt.Fprint(c, instance.newRead(i%2, "30000m").text)
 		conns = append(conns, c)
 	}
-	within(t, time.Second, func() bool { return s.instanceState("received") == "6" })
-	s.d.Stop()
-	s.d.Stop()
-	s.stop()
+	within(t, time.Second, func() bool { return instance.loggedState("received") == "6" })
+	instance.daemon.Stop()
+	instance.daemon.Stop()
+	instance.stop()
 	for i, c := range conns {
 		c.SetReadDeadline(time.Now().Add(time.Second))
 		r, err := http.ReadResponse(bufio.NewReader(c), nil)
@@ -289,23 +266,23 @@
 // A new process has an old list from its configuration. While discovery would answer
 // nothing goes out by it; when discovery is silent the head serves by it, a second later.
 func TestCrossingOldListAtTheStart(t *testing.T) {
-	old, now := newStubNode(t, func(int, *http.Request) reply { return ok("old") }), newStubNode(t, func(int, *http.Request) reply { return ok("now") })
-	known := strings.NewReplacer(`"settings":{`, fmt.Sprintf(`"known":%s,"settings":{`, listText(t, endpointOf("old", old, 0, "up"))))
-	d := newStubDiscovery(t)
-	d.set(endpointOf("old", old, 0, "draining"), endpointOf("now", now, 0, "up"))
-	s := startWith(t, d.addr, known)
-	if status, body := s.raw(second(s.request("GET", "read", 0, "1200m", ""))); status != 200 || body != "now" || len(old.ids()) != 0 {
-		t.Errorf("%d %q, %d requests by the old list", status, body, len(old.ids()))
+	old, now := startNodeResponding(t, "old"), startNodeResponding(t, "now")
+	known := strings.NewReplacer(`"settings":{`, fmt.Sprintf(`"known":%s,"settings":{`, marshalEndpointList(t, endpointOf("old", old, 0, "up"))))
+	d := startDiscovery(t)
+	d.setEndpoints(endpointOf("old", old, 0, "draining"), endpointOf("now", now, 0, "up"))
+	instance := startPlatform(t, d.addr, platformOptions{configChange: known})
+	if status, body := instance.roundTrip(instance.newRead(0, "1200m").text); status != 200 || body != "now" || len(old.received()) != 0 {
+		t.Errorf("%d %q, %d requests by the old list", status, body, len(old.received()))
 	}
 
-	s = startWith(t, silentDiscovery(t), known)
+	instance = startPlatform(t, startUnresponsiveDiscovery(t), platformOptions{configChange: known})
 	began := time.Now()
-	if s.ready() {
+	if instance.ready() {
 		t.Error("ready before discovery had time to answer")
 	}
-	status, body := s.raw(second(s.request("GET", "read", 0, "4000m", "")))
-	if took := time.Since(began); status != 200 || body != "old" || took < 900*time.Millisecond || took > 3*time.Second || !s.ready() {
-		t.Errorf("%d %q after %v, ready %v", status, body, took, s.ready())
+	status, body := instance.roundTrip(instance.newRead(0, "4000m").text)
+	if took := time.Since(began); status != 200 || body != "old" || took < 900*time.Millisecond || took > 3*time.Second || !instance.ready() {
+		t.Errorf("%d %q after %v, ready %v", status, body, took, instance.ready())
 	}
 }
 
@@ -313,30 +290,30 @@
 // before and behind it while a request is under way: the request has its answer, and the
 // head ends.
 func TestCrossingStopAndReload(t *testing.T) {
-	s := startWith(t, silentDiscovery(t), strings.NewReplacer())
+	instance := startPlatform(t, startUnresponsiveDiscovery(t), platformOptions{})
 	began := time.Now()
-	s.d.Reload()
-	if err := s.stop(); err != nil || time.Since(began) > 2*time.Second {
+	instance.daemon.Reload()
+	if err := instance.stop(); err != nil || time.Since(began) > 2*time.Second {
 		t.Errorf("before it was ready: %v after %v", err, time.Since(began))
 	}
 
-	sh := newStubNode(t, func(int, *http.Request) reply { time.Sleep(300 * time.Millisecond); return ok("fine") })
-	d := newStubDiscovery(t, sh)
-	s = serveOn(t, d)
-	c := s.dial(t)
-	fmt.Fprint(c, second(s.request("GET", "read", 0, "1200m", "")))
-	within(t, time.Second, func() bool { return s.instanceState("received") == "1" })
+	sh := startScriptedNode(t, func(int, *http.Request) nodeResponse { time.Sleep(300 * time.Millisecond); return okResponse("fine") })
+	d := startDiscovery(t, sh)
+	instance = startPlatformReady(t, d, platformOptions{})
+	c := instance.connect()
+	fmt.Fprint(c, instance.newRead(0, "1200m").text)
+	within(t, time.Second, func() bool { return instance.loggedState("received") == "1" })
 	d.StartOutage() // discovery is down from here on
-	s.tell(silentDiscovery(t))
-	s.d.Reload()
-	s.d.Stop()
-	s.d.Reload()
+	instance.writeConfig(startUnresponsiveDiscovery(t))
+	instance.daemon.Reload()
+	instance.daemon.Stop()
+	instance.daemon.Reload()
 	r, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil || r.StatusCode != 200 || !r.Close {
 		t.Errorf("%+v, %v", r, err)
 	}
 	c.Close()
-	if err := s.stop(); err != nil {
+	if err := instance.stop(); err != nil {
 		t.Error(err)
 	}
 }
--- a/internal/e2e/e2e_test.go
+++ b/internal/e2e/e2e_test.go
@@ -1,219 +1,27 @@
-// Package e2e tests the whole path over real loopback sockets: clients, the
-// daemon on its epoll loop, and nodes. What it holds is read from the sockets
-// and from the nodes' own records, never from the head's word.
 package e2e
 
 import (
 	"bufio"
-	"bytes"
 	"fmt"
 	"io"
-	"log/slog"
 	"net"
 	"net/http"
 	"os"
-	"path/filepath"
 	"strings"
 	"sync"
 	"testing"
 	"time"
 
 	"github.com/studio-b12/gowebdav"
-	"go.uber.org/goleak"
 
-	"maddergap/internal/config"
-	"maddergap/internal/daemon"
 	"maddergap/internal/fakenode"
-	"maddergap/internal/nodelist"
 )
 
-func TestMain(m *testing.M) {
-	goleak.VerifyTestMain(m, goleak.IgnoreTopFunction("net/http.(*persistConn).writeLoop"), goleak.IgnoreTopFunction("internal/poll.runtime_pollWait"))
-}
-
-const headConf = `listen 127.0.0.1:0
-nodes nodes.list
-log-requests no
-class read effect safe aim 300ms deadline 1500ms worth 2 late 0.5
-class write effect unsafe aim 300ms deadline 1500ms worth 2 late 0.5
-class export effect safe aim 2s deadline 20s worth 1 late 0.5
-plan standard rate 1000 reserve 1000
-volume feed-a plan standard shards 0
-volume feed-b plan standard shards 0-1
-route GET over 1m class export
-route GET,HEAD,PROPFIND class read
-route * class write
-stop-time 5s
-stall-time 2s
-header-time 1s
-`
-
-type system struct {
-	t    *testing.T
-	addr string
-	dir  string
-	d    *daemon.Daemon
-	end  chan error
-	log  *logBuffer
-}
-
-type logBuffer struct {
-	mu sync.Mutex
-	b  bytes.Buffer
-}
-
-func (l *logBuffer) Write(p []byte) (int, error) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.b.Write(p)
-}
-
-func (l *logBuffer) String() string {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.b.String()
-}
-
-// start runs a daemon before nodes at the addresses given, one for each shard.
-func start(t *testing.T, more string, nodes ...string) *system {
-	t.Helper()
-	s := &system{t: t, dir: t.TempDir(), end: make(chan error, 1), log: &logBuffer{}}
-	s.list(nodes...)
-	file := filepath.Join(s.dir, "m.conf")
-	if err := os.WriteFile(file, []byte(headConf+more), 0o644); err != nil {
-		t.Fatal(err)
-	}
-	c, err := config.Load(file)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if s.d, err = daemon.New(c, slog.New(slog.NewTextHandler(s.log, nil))); err != nil {
-		t.Fatal(err)
-	}
-	s.addr = s.d.Addrs()[0]
-	go func() { s.end <- s.d.Run() }()
-	t.Cleanup(func() { s.stop() })
-	return s
-}
-
-func (s *system) list(nodes ...string) {
-	var list []nodelist.Node
-	for i, a := range nodes {
-		list = append(list, nodelist.Node{Name: fmt.Sprint("n", i), Addr: a, Shard: i})
-	}
-	if err := nodelist.Replace(filepath.Join(s.dir, "nodes.list"), list); err != nil {
-		s.t.Fatal(err)
-	}
-}
-
-func (s *system) stop() error {
-	if s.end == nil {
-		return nil
-	}
-	s.d.Stop()
-	select {
-	case err := <-s.end:
-		s.end = nil
-		return err
-	case <-time.After(20 * time.Second):
-		s.t.Error("the daemon does not stop")
-		return nil
-	}
-}
-
-func standins(t *testing.T, n int, o fakenode.Options) ([]*fakenode.Node, []string) {
-	t.Helper()
-	var nodes []*fakenode.Node
-	var addrs []string
-	for i := range n {
-		o.Listen, o.Name = "127.0.0.1:0", fmt.Sprint("n", i)
-		if o.QueueLimit == 0 {
-			o.QueueLimit, o.Cores = 64, 4
-		}
-		node, err := fakenode.Start(o)
-		if err != nil {
-			t.Fatal(err)
-		}
-		t.Cleanup(func() { node.Close() })
-		nodes, addrs = append(nodes, node), append(addrs, node.Addr())
-	}
-	return nodes, addrs
-}
-
-// peer is a node that does what the test says with each connection.
-func peer(t *testing.T, serve func(n int, c net.Conn, r *bufio.Reader)) string {
-	t.Helper()
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	var wg sync.WaitGroup
-	quit := make(chan struct{})
-	wg.Add(1)
-	go func() {
-		defer wg.Done()
-		for n := 0; ; n++ {
-			c, err := ln.Accept()
-			if err != nil {
-				return
-			}
-			wg.Add(2)
-			done := make(chan struct{})
-			go func() { defer wg.Done(); defer close(done); serve(n, c, bufio.NewReader(c)); c.Close() }()
-			go func() {
-				defer wg.Done()
-				select {
-				case <-quit:
-					c.Close()
-				case <-done:
-				}
-			}()
-		}
-	}()
-	t.Cleanup(func() { ln.Close(); close(quit); wg.Wait() })
-	return ln.Addr().String()
-}
-
-// dial connects to the head and says something.
-func (s *system) dial(text string) (net.Conn, *bufio.Reader) {
-	s.t.Helper()
-	c, err := net.Dial("tcp", s.addr)
-	if err != nil {
-		s.t.Fatal(err)
-	}
-	c.SetDeadline(time.Now().Add(15 * time.Second))
-	s.t.Cleanup(func() { c.Close() })
-	if _, err := io.WriteString(c, text); err != nil {
-		s.t.Fatal(err)
-	}
-	return c, bufio.NewReader(c)
-}
-
-func (s *system) answer(r *bufio.Reader, method string) (int, string, http.Header) {
-	s.t.Helper()
-	resp, err := http.ReadResponse(r, &http.Request{Method: method})
-	if err != nil {
-		s.t.Errorf("no answer: %v", err)
-		return 0, "", nil
-	}
-	body, err := io.ReadAll(resp.Body)
-	if err != nil {
-		s.t.Errorf("answer cut short: %v", err)
-	}
-	return resp.StatusCode, string(body), resp.Header
-}
-
-func put(path, body string) string {
-	return fmt.Sprintf("PUT %s HTTP/1.1\r\nHost: h\r\nContent-Length: %d\r\n\r\n%s", path, len(body), body)
-}
-
-func get(path string) string { return "GET " + path + " HTTP/1.1\r\nHost: h\r\n\r\n" }
-
 // A client library of others' does all it can through the head.
 func TestClientLibrary(t *testing.T) {
-	_, addrs := standins(t, 2, fakenode.Options{})
-	s := start(t, "", addrs...)
-	c := gowebdav.NewClient("http://"+s.addr, "", "")
+	_, addrs := startNodes(t, 2, fakenode.Options{})
+	instance := startWebDAV(t, "", addrs...)
+	c := gowebdav.NewClient("http://"+instance.addr, "", "")
 	tr := &http.Transport{}
 	defer tr.CloseIdleConnections()
 	c.SetTransport(tr)
@@ -285,18 +93,18 @@
 
 // RFC 4918, method by method, through the head.
 func TestClass2(t *testing.T) {
-	_, addrs := standins(t, 2, fakenode.Options{})
-	s := start(t, "", addrs...)
+	_, addrs := startNodes(t, 2, fakenode.Options{})
+	instance := startWebDAV(t, "", addrs...)
 	tr := &http.Transport{}
 	defer tr.CloseIdleConnections()
 	do := func(method, path, body string, fields ...string) (*http.Response, string) {
 		t.Helper()
-		r, err := http.NewRequest(method, "http://"+s.addr+path, strings.NewReader(body))
+		r, err := http.NewRequest(method, "http://"+instance.addr+path, strings.NewReader(body))
 		if err != nil {
 			t.Fatal(err)
 		}
 		for i := 0; i < len(fields); i += 2 {
-			r.Header.Set(fields[i], strings.ReplaceAll(fields[i+1], "HEAD", "http://"+s.addr))
+			r.Header.Set(fields[i], strings.ReplaceAll(fields[i+1], "HEAD", "http://"+instance.addr))
 		}
 		resp, err := tr.RoundTrip(r)
 		if err != nil {
@@ -394,13 +202,13 @@
 // writes by its own token; a lock on a collection covers what is below it, and a
 // lock of what is not there yet makes it.
 func TestSharedLocks(t *testing.T) {
-	_, addrs := standins(t, 1, fakenode.Options{})
-	s := start(t, "", addrs[0], addrs[0])
+	_, addrs := startNodes(t, 1, fakenode.Options{})
+	instance := startWebDAV(t, "", addrs[0], addrs[0])
 	tr := &http.Transport{}
 	defer tr.CloseIdleConnections()
 	do := func(method, path, body string, fields ...string) (int, string) {
 		t.Helper()
-		r, _ := http.NewRequest(method, "http://"+s.addr+path, strings.NewReader(body))
+		r, _ := http.NewRequest(method, "http://"+instance.addr+path, strings.NewReader(body))
 		for i := 0; i < len(fields); i += 2 {
 			r.Header.Set(fields[i], fields[i+1])
 		}
@@ -457,11 +265,11 @@
 
 // A node takes a segment-write and never answers; once well it is used again.
 func TestSilentNode(t *testing.T) {
-	nodes, addrs := standins(t, 1, fakenode.Options{Script: []fakenode.Step{{Fault: fakenode.Silent, From: 0, To: 2 * time.Second}}})
-	s := start(t, "", addrs[0], addrs[0])
+	nodes, addrs := startNodes(t, 1, fakenode.Options{Script: []fakenode.Step{{Fault: fakenode.Silent, From: 0, To: 2 * time.Second}}})
+	instance := startWebDAV(t, "", addrs[0], addrs[0])
 	began := time.Now()
-	c, r := s.dial(put("/feed-a/s", "segment"))
-	status, body, h := s.answer(r, "PUT")
+	c, r := instance.send(putRequest("/feed-a/s", "segment"))
+	status, body, h := instance.receive(r, "PUT")
 	if took := time.Since(began); status != 504 || took > 1500*time.Millisecond || h.Get("Retry-After") != "" || body == "" {
 		t.Errorf("%d %q after %v", status, body, took)
 	}
@@ -479,8 +287,8 @@
 		t.Errorf("the segment came to the node %d times", ran)
 	}
 	for until := time.Now().Add(8 * time.Second); ; {
-		_, r := s.dial(put("/feed-a/t", "segment"))
-		status, _, _ := s.answer(r, "PUT")
+		_, r := instance.send(putRequest("/feed-a/t", "segment"))
+		status, _, _ := instance.receive(r, "PUT")
 		if status == 201 || status == 204 { // an earlier try may have run unheard
 			break
 		}
@@ -493,13 +301,13 @@
 
 // A client gives up in the middle of a body: no node ever runs half of it.
 func TestHalfBodyNeverRuns(t *testing.T) {
-	nodes, addrs := standins(t, 1, fakenode.Options{})
-	s := start(t, "body hold 16k rate 1m\n", addrs[0], addrs[0])
-	c, _ := s.dial(put("/feed-a/s", strings.Repeat("x", 1<<20))[:100<<10])
+	nodes, addrs := startNodes(t, 1, fakenode.Options{})
+	instance := startWebDAV(t, "body hold 16k rate 1m\n", addrs[0], addrs[0])
+	c, _ := instance.send(putRequest("/feed-a/s", strings.Repeat("x", 1<<20))[:100<<10])
 	time.Sleep(100 * time.Millisecond)
 	c.Close()
-	_, r := s.dial(get("/feed-a/s"))
-	if status, _, _ := s.answer(r, "GET"); status != 404 {
+	_, r := instance.send(getRequest("/feed-a/s"))
+	if status, _, _ := instance.receive(r, "GET"); status != 404 {
 		t.Errorf("half a body is there: %d", status)
 	}
 	for _, e := range nodes[0].Entries() {
@@ -511,18 +319,18 @@
 
 // A client gives up in the middle of an answer; the window's slots come back.
 func TestClientLeavesAnswer(t *testing.T) {
-	_, addrs := standins(t, 1, fakenode.Options{})
-	s := start(t, "", addrs[0], addrs[0])
-	_, r := s.dial(put("/feed-a/big", strings.Repeat("x", 8<<20)))
-	s.answer(r, "PUT")
+	_, addrs := startNodes(t, 1, fakenode.Options{})
+	instance := startWebDAV(t, "", addrs[0], addrs[0])
+	_, r := instance.send(putRequest("/feed-a/big", strings.Repeat("x", 8<<20)))
+	instance.receive(r, "PUT")
 	for range 20 {
-		c, r := s.dial(get("/feed-a/big"))
+		c, r := instance.send(getRequest("/feed-a/big"))
 		r.ReadByte()
 		c.(*net.TCPConn).SetLinger(0)
 		c.Close()
 	}
-	_, r = s.dial(get("/feed-a/big"))
-	if status, body, _ := s.answer(r, "GET"); status != 200 || len(body) != 8<<20 {
+	_, r = instance.send(getRequest("/feed-a/big"))
+	if status, body, _ := instance.receive(r, "GET"); status != 200 || len(body) != 8<<20 {
 		t.Errorf("%d with %d bytes after others left", status, len(body))
 	}
 }
@@ -530,14 +338,14 @@
 // A node that answers before it reads the body, with more body to come than
 // socket buffers hold.
 func TestAnswerBeforeBody(t *testing.T) {
-	addr := peer(t, func(_ int, c net.Conn, r *bufio.Reader) {
+	addr := startRawNode(t, func(c *net.TCPConn, r *bufio.Reader) {
 		if _, err := http.ReadRequest(r); err == nil {
 			io.WriteString(c, "HTTP/1.1 423 Locked\r\nContent-Length: 6\r\n\r\nlocked")
 			io.Copy(io.Discard, r)
 		}
 	})
-	s := start(t, "body hold 16k rate 1m\n", addr, addr)
-	c, r := s.dial("PUT /feed-a/s HTTP/1.1\r\nHost: h\r\nContent-Length: 50000000\r\n\r\n")
+	instance := startWebDAV(t, "body hold 16k rate 1m\n", addr, addr)
+	c, r := instance.send("PUT /feed-a/s HTTP/1.1\r\nHost: h\r\nContent-Length: 50000000\r\n\r\n")
 	go func() {
 		for range 100 {
 			if _, err := c.Write(make([]byte, 64<<10)); err != nil {
@@ -545,22 +353,22 @@
 			}
 		}
 	}()
-	if status, body, _ := s.answer(r, "PUT"); status != 423 || body != "locked" {
+	if status, body, _ := instance.receive(r, "PUT"); status != 423 || body != "locked" {
 		t.Errorf("%d %q", status, body)
 	}
 }
 
 // Resets in the middle of an answer: the client can tell that it is not whole.
 func TestResetInAnswer(t *testing.T) {
-	addr := peer(t, func(_ int, c net.Conn, r *bufio.Reader) {
+	addr := startRawNode(t, func(c *net.TCPConn, r *bufio.Reader) {
 		if _, err := http.ReadRequest(r); err == nil {
 			io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf")
 			time.Sleep(50 * time.Millisecond)
-			c.(*net.TCPConn).SetLinger(0)
+			c.SetLinger(0)
 		}
 	})
-	s := start(t, "", addr, addr)
-	_, r := s.dial(get("/feed-a/s"))
+	instance := startWebDAV(t, "", addr, addr)
+	_, r := instance.send(getRequest("/feed-a/s"))
 	resp, err := http.ReadResponse(r, nil)
 	if err != nil {
 		t.Fatal(err)
@@ -575,7 +383,7 @@
 func TestKeptConnectionCloses(t *testing.T) {
 	var mu sync.Mutex
 	puts := map[string]int{}
-	addr := peer(t, func(_ int, c net.Conn, r *bufio.Reader) {
+	addr := startRawNode(t, func(c *net.TCPConn, r *bufio.Reader) {
 		for n := 0; ; n++ {
 			req, err := http.ReadRequest(r)
 			if err != nil {
@@ -588,23 +396,23 @@
 				mu.Unlock()
 			}
 			if n == 1 { // the second request of a connection finds it closed
-				c.(*net.TCPConn).SetLinger(0)
+				c.SetLinger(0)
 				return
 			}
 			io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 		}
 	})
-	s := start(t, "", addr, addr)
+	instance := startWebDAV(t, "", addr, addr)
 	for i := range 10 {
-		_, r := s.dial(get("/feed-a/s"))
-		if status, _, _ := s.answer(r, "GET"); status != 200 {
+		_, r := instance.send(getRequest("/feed-a/s"))
+		if status, _, _ := instance.receive(r, "GET"); status != 200 {
 			t.Errorf("read %d: %d", i, status)
 		}
 	}
 	for i := range 10 {
 		path := fmt.Sprint("/feed-a/", i)
-		_, r := s.dial(put(path, "x"))
-		status, _, _ := s.answer(r, "PUT")
+		_, r := instance.send(putRequest(path, "x"))
+		status, _, _ := instance.receive(r, "PUT")
 		mu.Lock()
 		if n := puts[path]; n > 1 || (status == 503 && n > 0) {
 			t.Errorf("%s came %d times and was answered %d", path, n, status)
@@ -615,22 +423,22 @@
 
 // SIGTERM's path: listeners close, what was taken is answered, then the end.
 func TestStopUnderWay(t *testing.T) {
-	_, addrs := standins(t, 1, fakenode.Options{UnitTime: 300 * time.Millisecond, Cores: 4, QueueLimit: 10})
-	s := start(t, "", addrs[0], addrs[0])
+	_, addrs := startNodes(t, 1, fakenode.Options{UnitTime: 300 * time.Millisecond, Cores: 4, QueueLimit: 10})
+	instance := startWebDAV(t, "", addrs[0], addrs[0])
 	type result struct {
 		status int
 		close  string
 	}
 	results := make(chan result, 2)
 	for i := range 2 {
-		_, r := s.dial(put(fmt.Sprint("/feed-a/", i), "segment"))
+		_, r := instance.send(putRequest(fmt.Sprint("/feed-a/", i), "segment"))
 		go func() {
-			status, _, h := s.answer(r, "PUT")
+			status, _, h := instance.receive(r, "PUT")
 			results <- result{status, h.Get("Connection")}
 		}()
 	}
 	time.Sleep(100 * time.Millisecond)
-	if err := s.stop(); err != nil {
+	if err := instance.stop(); err != nil {
 		t.Errorf("stop: %v", err)
 	}
 	for range 2 {
@@ -638,7 +446,7 @@
 			t.Errorf("a request under way got %d", r.status)
 		}
 	}
-	if c, err := net.Dial("tcp", s.addr); err == nil {
+	if c, err := net.Dial("tcp", instance.addr); err == nil {
 		c.Close()
 		t.Error("the listener is still open")
 	}
@@ -646,64 +454,42 @@
 
 // A broken node list leaves the last good one in force; a good one is followed.
 func TestNodeListFollowed(t *testing.T) {
-	_, addrs := standins(t, 2, fakenode.Options{})
-	s := start(t, "", addrs[0], addrs[0])
-	_, r := s.dial(put("/feed-a/s", "first"))
-	s.answer(r, "PUT")
-	file := filepath.Join(s.dir, "nodes.list")
+	_, addrs := startNodes(t, 2, fakenode.Options{})
+	instance := startWebDAV(t, "", addrs[0], addrs[0])
+	_, r := instance.send(putRequest("/feed-a/s", "first"))
+	instance.receive(r, "PUT")
+	file := instance.nodeListFile()
 	if err := os.WriteFile(file, []byte("node n0 nowhere\n"), 0o644); err != nil {
 		t.Fatal(err)
 	}
-	eventually(t, "the log names the mistake", func() bool { return strings.Contains(s.log.String(), "nodes.list:1") })
-	_, r = s.dial(get("/feed-a/s"))
-	if status, body, _ := s.answer(r, "GET"); status != 200 || body != "first" {
+	eventually(t, "the log names the mistake", func() bool { return strings.Contains(instance.log.String(), "nodes.list:1") })
+	_, r = instance.send(getRequest("/feed-a/s"))
+	if status, body, _ := instance.receive(r, "GET"); status != 200 || body != "first" {
 		t.Errorf("%d %q under a broken list", status, body)
 	}
-	s.list(addrs[1], addrs[1])
+	instance.setNodes(addrs[1], addrs[1])
 	eventually(t, "the new node is used", func() bool {
-		_, r := s.dial(get("/feed-a/s"))
-		status, _, _ := s.answer(r, "GET")
+		_, r := instance.send(getRequest("/feed-a/s"))
+		status, _, _ := instance.receive(r, "GET")
 		return status == 404
 	})
 }
 
-func eventually(t *testing.T, what string, f func() bool) {
-	t.Helper()
-	for until := time.Now().Add(10 * time.Second); !f(); {
-		if time.Now().After(until) {
-			t.Fatalf("not in ten seconds: %s", what)
-		}
-		time.Sleep(20 * time.Millisecond)
-	}
-}
-
 // Reload is all or nothing.
 func TestReload(t *testing.T) {
-	_, addrs := standins(t, 1, fakenode.Options{})
-	s := start(t, "", addrs[0], addrs[0])
-	file := filepath.Join(s.dir, "m.conf")
-	for text, want := range map[string]string{headConf + "haeds 3\n": "unknown directive", headConf + "heads 3\n": "change with a restart only"} {
+	_, addrs := startNodes(t, 1, fakenode.Options{})
+	instance := startWebDAV(t, "", addrs[0], addrs[0])
+	file := instance.configFile()
+	for text, want := range map[string]string{webdavConfig + "haeds 3\n": "unknown directive", webdavConfig + "heads 3\n": "change with a restart only"} {
 		os.WriteFile(file, []byte(text), 0o644)
-		s.d.Reload()
-		eventually(t, want, func() bool { return strings.Contains(s.log.String(), want) })
+		instance.daemon.Reload()
+		eventually(t, want, func() bool { return strings.Contains(instance.log.String(), want) })
 	}
-	os.WriteFile(file, []byte(strings.Replace(headConf, "volume feed-a", "volume feed-c plan standard shards 0\nvolume feed-a", 1)), 0o644)
-	s.d.Reload()
+	os.WriteFile(file, []byte(strings.Replace(webdavConfig, "volume feed-a", "volume feed-c plan standard shards 0\nvolume feed-a", 1)), 0o644)
+	instance.daemon.Reload()
 	eventually(t, "the new volume is served", func() bool {
-		_, r := s.dial(put("/feed-c/s", "x"))
-		status, _, _ := s.answer(r, "PUT")
+		_, r := instance.send(putRequest("/feed-c/s", "x"))
+		status, _, _ := instance.receive(r, "PUT")
 		return status == 201
 	})
 }
-
-// startError tells why a daemon does not start.
-func startError(t *testing.T, more string) error {
-	dir := t.TempDir()
-	nodelist.Replace(filepath.Join(dir, "nodes.list"), []nodelist.Node{{Name: "n0", Addr: "127.0.0.1:1"}})
-	c, err := config.Parse(filepath.Join(dir, "m.conf"), []byte(headConf+more))
-	if err != nil {
-		return err
-	}
-	_, err = daemon.New(c, slog.New(slog.DiscardHandler))
-	return err
-}
--- /dev/null
+++ b/internal/e2e/harness_test.go
@@ -0,0 +1,114 @@
+// Package e2e tests whole instances over real loopback sockets: clients, the daemon on its
+// epoll loop, and storage nodes. Assertions rest on what clients and nodes see on their
+// sockets, and not on the gateway's own accounts.
+//
+// The harness is in harness_test.go (a running daemon), webdav_harness_test.go and
+// platform_harness_test.go (its two configurations), client_test.go (connections of
+// clients), scripted_node_test.go (nodes) and fake_discovery_test.go (discovery).
+package e2e
+
+import (
+	"bytes"
+	"log/slog"
+	"sync"
+	"testing"
+	"time"
+
+	"go.uber.org/goleak"
+
+	"maddergap/internal/daemon"
+)
+
+func TestMain(m *testing.M) {
+	goleak.VerifyTestMain(m, goleak.IgnoreTopFunction("net/http.(*persistConn).writeLoop"), goleak.IgnoreTopFunction("internal/poll.runtime_pollWait"))
+}
+
+const (
+	// stopTimeout is by when a daemon has to return after Stop.
+	stopTimeout = 20 * time.Second
+	// eventuallyTimeout is by when a condition of eventually has to hold.
+	eventuallyTimeout = 10 * time.Second
+)
+
+// testInstance is a daemon that runs in the test's process. It is stopped at the end of
+// the test.
+type testInstance struct {
+	t      *testing.T
+	addr   string // the first listener
+	dir    string // of the configuration files
+	daemon *daemon.Daemon
+	done   chan error // the result of Run; nil once stop has taken it
+	log    *logBuffer
+}
+
+func newTestInstance(t *testing.T) *testInstance {
+	return &testInstance{t: t, dir: t.TempDir(), done: make(chan error, 1), log: &logBuffer{}}
+}
+
+// logger returns a logger to the instance's log.
+func (i *testInstance) logger() *slog.Logger { return slog.New(slog.NewTextHandler(i.log, nil)) }
+
+// run starts the daemon's loop.
+func (i *testInstance) run(d *daemon.Daemon) {
+	i.daemon = d
+	i.addr = d.Addrs()[0]
+	done := i.done
+	go func() { done <- d.Run() }()
+	i.t.Cleanup(func() { i.stop() })
+}
+
+// stop requests a graceful shutdown and returns the result of Run, or nil if the daemon
+// was stopped before.
+func (i *testInstance) stop() error {
+	if i.done == nil {
+		return nil
+	}
+	i.daemon.Stop()
+	select {
+	case err := <-i.done:
+		i.done = nil
+		return err
+	case <-time.After(stopTimeout):
+		i.t.Error("the daemon does not stop")
+		return nil
+	}
+}
+
+// logBuffer is a log that can be read while the daemon writes it.
+type logBuffer struct {
+	mu     sync.Mutex
+	buffer bytes.Buffer
+}
+
+func (l *logBuffer) Write(p []byte) (int, error) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.buffer.Write(p)
+}
+
+func (l *logBuffer) String() string {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.buffer.String()
+}
+
+// eventually waits until a condition holds.
+func eventually(t *testing.T, what string, condition func() bool) {
+	t.Helper()
+	poll(t, what, eventuallyTimeout, 20*time.Millisecond, condition)
+}
+
+// within waits until a condition holds, which has to be before the timeout.
+func within(t *testing.T, timeout time.Duration, condition func() bool) {
+	t.Helper()
+	poll(t, "the condition", timeout, 5*time.Millisecond, condition)
+}
+
+func poll(t *testing.T, what string, timeout, interval time.Duration, condition func() bool) {
+	t.Helper()
+	for deadline := time.Now().Add(timeout); !condition(); time.Sleep(interval) {
+		if time.Now().After(deadline) {
+			t.Fatalf("not within %v: %s", timeout, what)
+		}
+	}
+}
--- a/internal/e2e/outage_test.go
+++ b/internal/e2e/outage_test.go
@@ -4,7 +4,6 @@
 	"fmt"
 	"math/rand/v2"
 	"net/http"
-	"strings"
 	"sync"
 	"testing"
 	"time"
@@ -22,14 +21,14 @@
 )
 
 // drainLoad sends reads of one shard until it is told to end.
-func drainLoad(s *service, end chan struct{}) {
+func drainLoad(instance *platformInstance, end chan struct{}) {
 	for {
 		select {
 		case <-end:
 			return
 		default:
-			_, text := s.request("GET", "read", 0, "400m", "")
-			s.raw(text)
+			text := instance.newRead(0, "400m").text
+			instance.roundTrip(text)
 		}
 	}
 }
@@ -50,30 +49,30 @@
 				draw := rand.New(rand.NewPCG(uint64(n), 31))
 				var mu sync.Mutex
 				lastAtDraining := time.Time{}
-				note := func(int, *http.Request) reply {
+				note := func(int, *http.Request) nodeResponse {
 					mu.Lock()
 					defer mu.Unlock()
 					lastAtDraining = time.Now()
-					return ok("draining")
+					return okResponse("draining")
 				}
-				a := newStubNode(t, note)
-				b := newStubNode(t, func(int, *http.Request) reply { return ok("up") })
+				a := startScriptedNode(t, note)
+				b := startNodeResponding(t, "up")
 				up := []discovery.Endpoint{endpointOf("a", a, 0, "up"), endpointOf("b", b, 0, "draining")}
 				drained := []discovery.Endpoint{endpointOf("a", a, 0, "draining"), endpointOf("b", b, 0, "up")}
-				d := newStubDiscovery(t)
-				d.set(up...)
-				s := startWith(t, d.addr, strings.NewReplacer())
-				within(t, 2*time.Second, s.ready)
+				d := startDiscovery(t)
+				d.setEndpoints(up...)
+				instance := startPlatform(t, d.addr, platformOptions{})
+				within(t, 2*time.Second, instance.ready)
 				end := make(chan struct{})
 				var load sync.WaitGroup
 				load.Add(1)
-				go func() { defer load.Done(); drainLoad(s, end) }()
+				go func() { defer load.Done(); drainLoad(instance, end) }()
 				defer func() { close(end); load.Wait() }()
 				for range 2 {
 					time.Sleep(time.Duration(draw.IntN(400)) * time.Millisecond)
 					d.StartOutage()
 					time.Sleep(time.Duration(100+draw.IntN(3400)) * time.Millisecond)
-					d.set(drained...)
+					d.setEndpoints(drained...)
 					d.EndOutage()
 					time.Sleep(drainGrace + 500*time.Millisecond)
 					back, had := d.RecoveryTimes()
@@ -93,11 +92,11 @@
 					}
 					mu.Unlock()
 					d.StartOutage()
-					d.set(up...)
+					d.setEndpoints(up...)
 					d.EndOutage()
 					within(t, 2*time.Second, func() bool {
-						_, text := s.request("GET", "read", 0, "400m", "")
-						_, body := s.raw(text)
+						text := instance.newRead(0, "400m").text
+						_, body := instance.roundTrip(text)
 						return body == "draining"
 					})
 				}
--- a/internal/e2e/stop_test.go
+++ b/internal/e2e/stop_test.go
@@ -1,22 +1,19 @@
 package e2e
 
 import (
-	"net/http"
-	"strings"
+	"net"
 	"sync"
 	"testing"
 	"time"
-
-	"net"
 )
 
 // Clients connect without a pause while the head stops: whoever's connection stands has an
 // answer, up to the very last.
 func TestStopAmongNewcomers(t *testing.T) {
 	for range 4 {
-		node := newStubNode(t, func(int, *http.Request) reply { return ok("fine") })
-		s := startWith(t, newStubDiscovery(t, node).addr, strings.NewReplacer())
-		within(t, 2*time.Second, s.ready)
+		node := startNodeResponding(t, "fine")
+		instance := startPlatform(t, startDiscovery(t, node).addr, platformOptions{})
+		within(t, 2*time.Second, instance.ready)
 		end := make(chan struct{})
 		var clients sync.WaitGroup
 		for range 6 {
@@ -26,27 +23,28 @@
 					case <-end:
 						return
 					default:
-						newcomer(t, s)
+						newcomer(t, instance)
 					}
 				}
 			})
 		}
 		time.Sleep(100 * time.Millisecond)
-		s.stop()
+		instance.stop()
 		close(end)
 		clients.Wait()
 	}
 }
 
 // newcomer connects, asks and wants an answer, unless it does not get through.
-func newcomer(t *testing.T, s *service) {
-	c, err := net.DialTimeout("tcp", s.addr, 300*time.Millisecond)
+func newcomer(t *testing.T, instance *platformInstance) {
+	c, err := net.DialTimeout("tcp", instance.addr, 300*time.Millisecond)
 	if err != nil {
 		time.Sleep(5 * time.Millisecond)
 		return
 	}
 	defer c.Close()
-	id, text := s.request("GET", "read", 0, "1000m", "")
+	request := instance.newRequest("GET", "read", 0, "1000m")
+	id, text := request.id, request.text
 	c.SetDeadline(time.Now().Add(2 * time.Second))
 	if _, err := c.Write([]byte(text)); err != nil {
 		t.Errorf("request %s: %v", id, err)
--- a/internal/e2e/syscalls_test.go
+++ b/internal/e2e/syscalls_test.go
@@ -1,9 +1,7 @@
 package e2e
 
 import (
-	"bufio"
 	"fmt"
-	"io"
 	"net"
 	"net/http"
 	"strings"
@@ -33,11 +31,9 @@
 		t.Run(faults, func(t *testing.T) {
 			t.Parallel()
 			// Each answer ends its connection, so that connections are made all the time.
-			node := newStubNode(t, func(int, *http.Request) reply {
-				return reply{text: "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 4\r\n\r\nfine", close: true}
-			})
-			s := startInjected(t, newStubDiscovery(t, node).addr, strings.NewReplacer(), faults)
-			within(t, 2*time.Second, s.ready)
+			node := startScriptedNode(t, func(int, *http.Request) nodeResponse { return closingResponse() })
+			instance := startPlatform(t, startDiscovery(t, node).addr, platformOptions{syscallFaults: faults})
+			within(t, 2*time.Second, instance.ready)
 			var clients sync.WaitGroup
 			end := time.Now().Add(900 * time.Millisecond)
 			for n := range 4 {
@@ -49,8 +45,9 @@
 						if (i+n)%2 == 0 {
 							method, class = "PUT", "write"
 						}
-						id, text := s.request(method, class, 0, "2000m", "")
-						if status, body := s.raw(text); status != 200 || body != "fine" {
+						request := instance.newRequest(method, class, 0, "2000m")
+						id, text := request.id, request.text
+						if status, body := instance.roundTrip(text); status != 200 || body != "fine" {
 							t.Errorf("request %s: %d %q", id, status, body)
 							return
 						}
@@ -58,12 +55,12 @@
 				}()
 			}
 			clients.Wait()
-			s.stop()
-			if log := s.log.String(); strings.Contains(log, "breaker_open=true") {
+			instance.stop()
+			if log := instance.log.String(); strings.Contains(log, "breaker_open=true") {
 				t.Errorf("the breaker of a node opened that was well; the head's log:\n%s", log)
 			}
 			seen := map[string]bool{}
-			for _, id := range node.ids() {
+			for _, id := range node.received() {
 				if seen[id] {
 					t.Errorf("request %s ran twice", id)
 				}
@@ -76,23 +73,21 @@
 // Epoll takes no connection for a second: requests are served all the same, a little later.
 func TestServesWithoutEpoll(t *testing.T) {
 	const least = 20
-	node := newStubNode(t, func(int, *http.Request) reply {
-		return reply{text: "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 4\r\n\r\nfine", close: true}
-	})
+	node := startScriptedNode(t, func(int, *http.Request) nodeResponse { return closingResponse() })
 	started := time.Now()
-	s := startInjected(t, newStubDiscovery(t, node).addr, strings.NewReplacer(), "epoll_ctl ENOSPC from 300ms for 1s")
-	within(t, 250*time.Millisecond, s.ready)
+	instance := startPlatform(t, startDiscovery(t, node).addr, platformOptions{syscallFaults: "epoll_ctl ENOSPC from 300ms for 1s"})
+	within(t, 250*time.Millisecond, instance.ready)
 	time.Sleep(time.Until(started.Add(350 * time.Millisecond)))
 	served := 0
 	for time.Since(started) < 1200*time.Millisecond {
-		_, text := s.request("GET", "read", 0, "800m", "")
-		if status, body := s.raw(text); status != 200 || body != "fine" {
+		text := instance.newRead(0, "800m").text
+		if status, body := instance.roundTrip(text); status != 200 || body != "fine" {
 			t.Fatalf("after %d requests: %d %q", served, status, body)
 		}
 		served++
 	}
-	s.stop()
-	if log := s.log.String(); served < least || strings.Contains(log, "breaker_open=true") {
+	instance.stop()
+	if log := instance.log.String(); served < least || strings.Contains(log, "breaker_open=true") {
 		t.Errorf("%d requests served, want %d, with no breaker open; the head's log:\n%s", served, least, log)
 	}
 }
@@ -122,16 +117,14 @@
 
 func stopWhileFailing(t *testing.T, faults string) {
 	// Each answer ends its connection, so that each request needs a descriptor and a connection.
-	node := newStubNode(t, func(int, *http.Request) reply {
-		return reply{text: "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 4\r\n\r\nfine", close: true}
-	})
+	node := startScriptedNode(t, func(int, *http.Request) nodeResponse { return closingResponse() })
 	started := time.Now()
-	s := startInjected(t, newStubDiscovery(t, node).addr, strings.NewReplacer(), faults)
-	within(t, 600*time.Millisecond, s.ready)
+	instance := startPlatform(t, startDiscovery(t, node).addr, platformOptions{syscallFaults: faults})
+	within(t, 600*time.Millisecond, instance.ready)
 	open := make([]net.Conn, 4) // they stand before anything fails
 	for i := range open {
-		open[i] = s.dial(t)
-		_, text := s.request("GET", "read", 0, "2500m", "")
+		open[i] = instance.connect()
+		text := instance.newRead(0, "2500m").text
 		fmt.Fprint(open[i], text)
 		if status := statusOn(open[i]); status != 200 {
 			t.Fatalf("%d before anything failed", status)
@@ -140,7 +133,7 @@
 	time.Sleep(time.Until(started.Add(800 * time.Millisecond)))
 	var answers sync.WaitGroup
 	send := func(who string, c net.Conn) {
-		_, text := s.request("GET", "read", 0, "2500m", "")
+		text := instance.newRead(0, "2500m").text
 		fmt.Fprint(c, text)
 		answers.Go(func() {
 			if status := statusOn(c); status != 200 {
@@ -149,23 +142,12 @@
 		})
 	}
 	for i := range 4 {
-		send(fmt.Sprint("newcomer ", i), s.dial(t))
+		send(fmt.Sprint("newcomer ", i), instance.connect())
 		send(fmt.Sprint("open connection ", i), open[i])
 	}
-	s.d.Stop()
+	instance.daemon.Stop()
 	answers.Wait()
-	if err := s.stop(); err != nil {
-		t.Errorf("%v; the head's log:\n%s", err, s.log.String())
+	if err := instance.stop(); err != nil {
+		t.Errorf("%v; the head's log:\n%s", err, instance.log.String())
 	}
 }
-
-// statusOn reads the status of an answer, 0: there is none.
-func statusOn(c net.Conn) int {
-	c.SetReadDeadline(time.Now().Add(4 * time.Second))
-	r, err := http.ReadResponse(bufio.NewReader(c), nil)
-	if err != nil {
-		return 0
-	}
-	io.Copy(io.Discard, r.Body)
-	return r.StatusCode
-}
--- a/internal/e2e/wire_test.go
+++ b/internal/e2e/wire_test.go
@@ -19,8 +19,8 @@
 // Shapes by which requests are smuggled, and headers past their bounds: each is
 // answered as RFC 9112 says, the connection ends, and no node hears of it.
 func TestShapesThatAreRefused(t *testing.T) {
-	nodes, addrs := standins(t, 1, fakenode.Options{})
-	s := start(t, "", addrs[0], addrs[0])
+	nodes, addrs := startNodes(t, 1, fakenode.Options{})
+	instance := startWebDAV(t, "", addrs[0], addrs[0])
 	const hidden = "GET /feed-a/hidden HTTP/1.1\r\nHost: h\r\n\r\n"
 	for name, c := range map[string]struct {
 		text   string
@@ -39,8 +39,8 @@
 		"no host":             {"GET /feed-a/s HTTP/1.1\r\n\r\n" + hidden, 400},
 		"version":             {"GET /feed-a/s HTTP/3.0\r\nHost: h\r\n\r\n" + hidden, 505},
 	} {
-		_, r := s.dial(c.text)
-		status, body, _ := s.answer(r, "GET")
+		_, r := instance.send(c.text)
+		status, body, _ := instance.receive(r, "GET")
 		if status != c.status || body == "" {
 			t.Errorf("%s: %d %q, want %d", name, status, body, c.status)
 		}
@@ -49,8 +49,8 @@
 		}
 	}
 	// At the bounds, not past them, requests are served.
-	_, r := s.dial("GET /feed-a/" + strings.Repeat("a", 4096-8) + " HTTP/1.1\r\nHost: h\r\n\r\n")
-	if status, _, _ := s.answer(r, "GET"); status != 404 {
+	_, r := instance.send("GET /feed-a/" + strings.Repeat("a", 4096-8) + " HTTP/1.1\r\nHost: h\r\n\r\n")
+	if status, _, _ := instance.receive(r, "GET"); status != 404 {
 		t.Errorf("a target at its bound: %d", status)
 	}
 	for _, e := range nodes[0].Entries() {
@@ -61,19 +61,19 @@
 }
 
 func TestPipelinedExpectChunkedHead(t *testing.T) {
-	_, addrs := standins(t, 1, fakenode.Options{})
-	s := start(t, "", addrs[0], addrs[0])
-	_, r := s.dial(put("/feed-a/p", "one") + get("/feed-a/p") + "HEAD /feed-a/p HTTP/1.1\r\nHost: h\r\n\r\n" + put("/feed-a/p", "three") + get("/feed-a/p"))
+	_, addrs := startNodes(t, 1, fakenode.Options{})
+	instance := startWebDAV(t, "", addrs[0], addrs[0])
+	_, r := instance.send(putRequest("/feed-a/p", "one") + getRequest("/feed-a/p") + "HEAD /feed-a/p HTTP/1.1\r\nHost: h\r\n\r\n" + putRequest("/feed-a/p", "three") + getRequest("/feed-a/p"))
 	for i, want := range []struct {
 		method string
 		status int
 		body   string
 	}{{"PUT", 201, "Created"}, {"GET", 200, "one"}, {"HEAD", 200, ""}, {"PUT", 204, ""}, {"GET", 200, "three"}} {
-		if status, body, _ := s.answer(r, want.method); status != want.status || body != want.body {
+		if status, body, _ := instance.receive(r, want.method); status != want.status || body != want.body {
 			t.Errorf("answer %d: %d %q, want %d %q", i, status, body, want.status, want.body)
 		}
 	}
-	c, r := s.dial("PUT /feed-a/e HTTP/1.1\r\nHost: h\r\nExpect: 100-continue\r\nTransfer-Encoding: chunked\r\n\r\n")
+	c, r := instance.send("PUT /feed-a/e HTTP/1.1\r\nHost: h\r\nExpect: 100-continue\r\nTransfer-Encoding: chunked\r\n\r\n")
 	line, _ := r.ReadString('\n')
 	if empty, _ := r.ReadString('\n'); line != "HTTP/1.1 100 Continue\r\n" || empty != "\r\n" {
 		t.Fatalf("%q %q", line, empty)
@@ -82,11 +82,11 @@
 		io.WriteString(c, piece)
 		time.Sleep(5 * time.Millisecond)
 	}
-	if status, _, _ := s.answer(r, "PUT"); status != 201 {
+	if status, _, _ := instance.receive(r, "PUT"); status != 201 {
 		t.Errorf("chunked PUT: %d", status)
 	}
-	_, r = s.dial(get("/feed-a/e"))
-	if _, body, _ := s.answer(r, "GET"); body != "abcdefg" {
+	_, r = instance.send(getRequest("/feed-a/e"))
+	if _, body, _ := instance.receive(r, "GET"); body != "abcdefg" {
 		t.Errorf("%q is stored", body)
 	}
 }
@@ -94,15 +94,15 @@
 // A node streams an answer of unknown length; the client has it whole, in chunks.
 func TestAnswerOfUnknownLength(t *testing.T) {
 	want := bytes.Repeat([]byte("segment "), 100<<10)
-	addr := peer(t, func(_ int, c net.Conn, r *bufio.Reader) {
+	addr := startRawNode(t, func(c *net.TCPConn, r *bufio.Reader) {
 		if _, err := http.ReadRequest(r); err == nil {
 			io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\n")
 			c.Write(want)
 		}
 	})
-	s := start(t, "", addr, addr)
-	_, r := s.dial(get("/feed-a/s"))
-	if status, body, h := s.answer(r, "GET"); status != 200 || body != string(want) || h.Get("Content-Length") != "" {
+	instance := startWebDAV(t, "", addr, addr)
+	_, r := instance.send(getRequest("/feed-a/s"))
+	if status, body, h := instance.receive(r, "GET"); status != 200 || body != string(want) || h.Get("Content-Length") != "" {
 		t.Errorf("%d with %d bytes, want %d", status, len(body), len(want))
 	}
 }
@@ -111,16 +111,16 @@
 // hears no more.
 func TestAnswerAfterDeadline(t *testing.T) {
 	late := make(chan error, 1)
-	addr := peer(t, func(_ int, c net.Conn, r *bufio.Reader) {
+	addr := startRawNode(t, func(c *net.TCPConn, r *bufio.Reader) {
 		if _, err := http.ReadRequest(r); err == nil {
 			time.Sleep(1800 * time.Millisecond)
 			_, err = io.WriteString(c, "HTTP/1.1 201 Created\r\nContent-Length: 0\r\n\r\n")
 			late <- err
 		}
 	})
-	s := start(t, "", addr, addr)
-	c, r := s.dial(put("/feed-a/s", "segment"))
-	if status, _, _ := s.answer(r, "PUT"); status != 504 {
+	instance := startWebDAV(t, "", addr, addr)
+	c, r := instance.send(putRequest("/feed-a/s", "segment"))
+	if status, _, _ := instance.receive(r, "PUT"); status != 504 {
 		t.Errorf("%d, want 504", status)
 	}
 	<-late
@@ -134,38 +134,38 @@
 // one that stops is not; others are served meanwhile.
 // A header line that ends with a bare LF is refused at once, not with 408 at header-time.
 func TestBareLineFeed(t *testing.T) {
-	_, addrs := standins(t, 1, fakenode.Options{})
-	s := start(t, "", addrs[0], addrs[0])
-	_, r := s.dial("GET /feed-a/x HTTP/1.1\nHost: h\n\n")
-	if status, _, _ := s.answer(r, "GET"); status != 400 {
+	_, addrs := startNodes(t, 1, fakenode.Options{})
+	instance := startWebDAV(t, "", addrs[0], addrs[0])
+	_, r := instance.send("GET /feed-a/x HTTP/1.1\nHost: h\n\n")
+	if status, _, _ := instance.receive(r, "GET"); status != 400 {
 		t.Errorf("%d, want 400", status)
 	}
 }
 
 func TestSlowClients(t *testing.T) {
-	_, addrs := standins(t, 1, fakenode.Options{})
-	s := start(t, "", addrs[0], addrs[0])
-	stuck, stuckReader := s.dial("GET /feed-a/s HT") // header-time is 1 s
-	half, halfReader := s.dial(put("/feed-a/s", "segment")[:60])
+	_, addrs := startNodes(t, 1, fakenode.Options{})
+	instance := startWebDAV(t, "", addrs[0], addrs[0])
+	stuck, stuckReader := instance.send("GET /feed-a/s HT") // header-time is 1 s
+	half, halfReader := instance.send(putRequest("/feed-a/s", "segment")[:60])
 	_, _ = stuck, half
-	c, r := s.dial("")
-	for _, b := range []byte(put("/feed-a/slow", "x")) {
+	c, r := instance.send("")
+	for _, b := range []byte(putRequest("/feed-a/slow", "x")) {
 		c.Write([]byte{b})
 		time.Sleep(time.Millisecond)
 	}
-	if status, _, _ := s.answer(r, "PUT"); status != 201 {
+	if status, _, _ := instance.receive(r, "PUT"); status != 201 {
 		t.Errorf("a slow request within its time: %d", status)
 	}
-	if status, _, _ := s.answer(stuckReader, "GET"); status != 408 {
+	if status, _, _ := instance.receive(stuckReader, "GET"); status != 408 {
 		t.Errorf("a header that stops: %d, want 408", status)
 	}
-	if status, _, _ := s.answer(halfReader, "PUT"); status != 408 {
+	if status, _, _ := instance.receive(halfReader, "PUT"); status != 408 {
 		t.Errorf("a header that stops: %d, want 408", status)
 	}
 	// One that reads nothing of a large answer is dropped, and its memory with it.
-	_, r = s.dial(put("/feed-a/big", strings.Repeat("x", 16<<20)))
-	s.answer(r, "PUT")
-	c, _ = s.dial(get("/feed-a/big"))
+	_, r = instance.send(putRequest("/feed-a/big", strings.Repeat("x", 16<<20)))
+	instance.receive(r, "PUT")
+	c, _ = instance.send(getRequest("/feed-a/big"))
 	if stood := stoodStill(t, c); stood < 1500*time.Millisecond || stood > 3*time.Second { // stall-time is 2 s
 		t.Errorf("dropped after its answer stood still for %v", stood)
 	}
@@ -204,17 +204,17 @@
 
 // A shard that does not answer makes the listing fail, plainly.
 func TestListingWithSilentShard(t *testing.T) {
-	_, addrs := standins(t, 1, fakenode.Options{})
-	silent := peer(t, func(_ int, c net.Conn, r *bufio.Reader) { io.Copy(io.Discard, r) })
-	s := start(t, "", addrs[0], silent)
+	_, addrs := startNodes(t, 1, fakenode.Options{})
+	silent := startRawNode(t, func(c *net.TCPConn, r *bufio.Reader) { io.Copy(io.Discard, r) })
+	instance := startWebDAV(t, "", addrs[0], silent)
 	began := time.Now()
-	_, r := s.dial("PROPFIND /feed-b/ HTTP/1.1\r\nHost: h\r\nDepth: 1\r\nContent-Length: 0\r\n\r\n")
-	status, body, _ := s.answer(r, "PROPFIND")
+	_, r := instance.send("PROPFIND /feed-b/ HTTP/1.1\r\nHost: h\r\nDepth: 1\r\nContent-Length: 0\r\n\r\n")
+	status, body, _ := instance.receive(r, "PROPFIND")
 	if status != 503 || strings.Contains(body, "multistatus") || time.Since(began) > 4*time.Second {
 		t.Errorf("%d %q after %v", status, body, time.Since(began))
 	}
-	_, r = s.dial("PROPFIND /feed-b/ HTTP/1.1\r\nHost: h\r\nDepth: infinity\r\nContent-Length: 0\r\n\r\n")
-	if status, body, _ := s.answer(r, "PROPFIND"); status != 403 || !strings.Contains(body, "propfind-finite-depth") {
+	_, r = instance.send("PROPFIND /feed-b/ HTTP/1.1\r\nHost: h\r\nDepth: infinity\r\nContent-Length: 0\r\n\r\n")
+	if status, body, _ := instance.receive(r, "PROPFIND"); status != 403 || !strings.Contains(body, "propfind-finite-depth") {
 		t.Errorf("%d %q", status, body)
 	}
 }
