--- /dev/null
+++ b/internal/e2e/client_disconnect_test.go
@@ -0,0 +1,47 @@
+package e2e
+
+import (
+	"net"
+	"strings"
+	"testing"
+	"time"
+
+	"maddergap/internal/fakenode"
+)
+
+// A client disconnects in the middle of a body. No node may execute the incomplete write.
+func TestIncompleteBodyIsNotExecuted(t *testing.T) {
+	nodes, addrs := startNodes(t, 1, fakenode.Options{})
+	instance := startWebDAV(t, "body hold 16k rate 1m\n", addrs[0], addrs[0])
+	c, _ := instance.send(putRequest("/feed-a/s", strings.Repeat("x", 1<<20))[:100<<10])
+	time.Sleep(100 * time.Millisecond)
+	c.Close()
+	_, r := instance.send(getRequest("/feed-a/s"))
+	if status, _, _ := instance.receive(r, "GET"); status != 404 {
+		t.Errorf("the incomplete body is stored: %d", status)
+	}
+	for _, e := range nodes[0].Entries() {
+		if e.Method == "PUT" && e.ExecutedAt != 0 {
+			t.Errorf("the incomplete write was executed: %+v", e)
+		}
+	}
+}
+
+// Twenty clients disconnect in the middle of a response. The capacity that their requests
+// held at the node is released, so that a later request is served.
+func TestClientDisconnectsDuringResponse(t *testing.T) {
+	_, addrs := startNodes(t, 1, fakenode.Options{})
+	instance := startWebDAV(t, "", addrs[0], addrs[0])
+	_, r := instance.send(putRequest("/feed-a/big", strings.Repeat("x", 8<<20)))
+	instance.receive(r, "PUT")
+	for range 20 {
+		c, r := instance.send(getRequest("/feed-a/big"))
+		r.ReadByte()
+		c.(*net.TCPConn).SetLinger(0)
+		c.Close()
+	}
+	_, r = instance.send(getRequest("/feed-a/big"))
+	if status, body, _ := instance.receive(r, "GET"); status != 200 || len(body) != 8<<20 {
+		t.Errorf("%d with %d bytes after others have disconnected", status, len(body))
+	}
+}
--- /dev/null
+++ b/internal/e2e/metrics_test.go
@@ -0,0 +1,33 @@
+package e2e
+
+import (
+	"io"
+	"net/http"
+	"strings"
+	"testing"
+
+	"maddergap/internal/fakenode"
+)
+
+// The metrics count requests, and rejected connections by reason.
+func TestMetrics(t *testing.T) {
+	_, addrs := startNodes(t, 1, fakenode.Options{})
+	instance := startWebDAV(t, "clients 4\nmetrics 127.0.0.1:0\n", addrs[0], addrs[0])
+	for range 6 {
+		_, r := instance.send(getRequest("/feed-a/x"))
+		instance.receive(r, "GET")
+	}
+	transport := &http.Transport{DisableKeepAlives: true}
+	eventually(t, "the counts are there", func() bool {
+		request, _ := http.NewRequest("GET", "http://"+instance.daemon.MetricsAddr()+"/metrics", nil)
+		resp, err := transport.RoundTrip(request)
+		if err != nil {
+			t.Fatal(err)
+		}
+		defer resp.Body.Close()
+		b, _ := io.ReadAll(resp.Body)
+		return strings.Contains(string(b), `maddergap_requests_total{outcome="served"} 4`) &&
+			strings.Contains(string(b), `maddergap_turned_away_total{reason="total"} 2`) &&
+			strings.Contains(string(b), `maddergap_connections{kind="client"} 4`)
+	})
+}
