--- /dev/null
+++ b/internal/e2e/platform_responses_test.go
@@ -0,0 +1,99 @@
+package e2e
+
+import (
+	"net/http"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+)
+
+// nodeResponseCase is a response of a node to the first attempt of a request, and what
+// comes of it. Further attempts are served.
+type nodeResponseCase struct {
+	name          string
+	response      nodeResponse
+	readStatus    int // what the client of an idempotent read gets
+	writeStatus   int // what the client of a non-idempotent write gets
+	writeAttempts int
+}
+
+// longText is longer than a header may be.
+var longText = strings.Repeat("x", 20<<10)
+
+// largeBody is larger than the buffers of a connection.
+var largeBody = strings.Repeat("x", 400000)
+
+var nodeResponseCases = []nodeResponseCase{
+	{"served", okResponse("fine"), 200, 200, 1},
+	{"400 KB", nodeResponse{text: "HTTP/1.1 200 OK\r\nContent-Length: 400000\r\n\r\n" + largeBody}, 200, 200, 1},
+	{"1xx before the response", nodeResponse{text: "HTTP/1.1 102 Processing\r\n\r\nHTTP/1.1 103 Hints\r\nLink: a\r\n\r\n" + okResponse("fine").text}, 200, 200, 1},
+	{"1xx without end", nodeResponse{text: strings.Repeat("HTTP/1.1 102 Processing\r\n\r\n", 40)}, 200, 502, 1},
+	{"malformed load report", nodeResponse{text: "HTTP/1.1 200 OK\r\nX-Pressure: inflight=;;\r\nContent-Length: 4\r\n\r\nfine"}, 200, 200, 1},
+	{"second response behind the first", nodeResponse{text: okResponse("fine").text + okResponse("fine").text}, 200, 200, 1},
+	{"garbage behind the response", nodeResponse{text: okResponse("fine").text + "\x00\xff\x17noise"}, 200, 200, 1},
+	{"rejected", nodeResponse{text: "HTTP/1.1 503 Busy\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n"}, 200, 200, 2},
+	{"503 that may have been executed", nodeResponse{text: "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"}, 200, 502, 1},
+	{"error", nodeResponse{text: "HTTP/1.1 500 Error\r\nContent-Length: 0\r\n\r\n"}, 200, 502, 1},
+	{"closed without a response", nodeResponse{close: true}, 200, 502, 1},
+	{"closed during the response", nodeResponse{text: "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nfin", close: true}, 200, 502, 1},
+	{"no length", nodeResponse{text: "HTTP/1.1 200 OK\r\n\r\nfine", close: true}, 200, 200, 1},
+	{"no length, reset", nodeResponse{text: "HTTP/1.1 200 OK\r\n\r\nfi", reset: true}, 200, 502, 1},
+	{"no length, no end", nodeResponse{text: "HTTP/1.1 200 OK\r\n\r\nfi"}, 200, 502, 1},
+	{"garbage", nodeResponse{text: "\x01\x02\x03\r\n\r\n"}, 200, 502, 1},
+	{"header without end", nodeResponse{text: "HTTP/1.1 200 OK\r\nX: " + longText}, 200, 502, 1},
+	{"3 GB", nodeResponse{text: "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n" + longText}, 200, 502, 1},
+	{"shorter than its length", nodeResponse{text: "HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\nfine"}, 200, 502, 1},
+	{"negative length", nodeResponse{text: "HTTP/1.1 200 OK\r\nContent-Length: -4\r\n\r\nfine"}, 200, 502, 1},
+	{"malformed chunk", nodeResponse{text: "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n"}, 200, 502, 1},
+}
+
+// Nodes respond in each way that they may, good and bad. A read is retried, and its client
+// gets 200 within a second. A write that may have been executed is never sent again.
+func TestPlatformNodeResponses(t *testing.T) {
+	for _, c := range nodeResponseCases {
+		t.Run(c.name, func(t *testing.T) { testNodeResponse(t, c) })
+	}
+}
+
+func testNodeResponse(t *testing.T, c nodeResponseCase) {
+	var mu sync.Mutex
+	attempted := map[string]bool{}
+	node := startScriptedNode(t, func(_ int, r *http.Request) nodeResponse {
+		mu.Lock()
+		defer mu.Unlock()
+		if id := r.Header.Get("X-Txn"); !attempted[id] {
+			attempted[id] = true
+			return c.response
+		}
+		return okResponse("fine")
+	})
+	instance := startPlatformReady(t, startDiscovery(t, node), platformOptions{})
+	read := instance.newRead(0, "1200m")
+	instance.wantResponse("read", read, c.readStatus)
+	if n := node.countReceived(read.id); n < 1 || n > 4 {
+		t.Errorf("read: %d attempts", n)
+	}
+	write := instance.newWrite(0, "1200m")
+	instance.wantResponse("write", write, c.writeStatus)
+	if n := node.countReceived(write.id); n != c.writeAttempts || n < 1 || n > 4 {
+		t.Errorf("write: %d attempts", n)
+	}
+	if status, body := instance.roundTrip(instance.newRead(0, "1200m").text); status == 0 {
+		t.Errorf("afterwards: %d %q", status, body)
+	}
+}
+
+// wantResponse sends a request and checks that it gets the status within a second, and if
+// it is 200 one of the bodies of nodeResponseCases.
+func (i *platformInstance) wantResponse(name string, request platformRequest, want int) {
+	i.t.Helper()
+	start := time.Now()
+	status, body := i.roundTrip(request.text)
+	if status != want || status == 200 && body != "fine" && body != largeBody {
+		i.t.Errorf("%s: %d %.40q, want %d", name, status, body, want)
+	}
+	if took := time.Since(start); took > time.Second {
+		i.t.Errorf("%s: the response took %v", name, took)
+	}
+}
