--- a/internal/gateway/admission_test.go
+++ b/internal/gateway/admission_test.go
@@ -17,8 +17,8 @@
 	return result.ID
 }
 
-// A client sends a byte of its body now and then, so that it is never without progress. It is answered
-// 408 for being below the minimum rate.
+// A client sends a byte of its body now and then, so that it is never without progress. It
+// is answered 408 for being below the minimum rate.
 func TestUploadBelowMinRateIsEnded(t *testing.T) {
 	h := newHarness(t, "pace body 100 after 5s\n")
 	c := h.connectClient("PUT /feed-a/s/x HTTP/1.1\r\nHost: h\r\nContent-Length: 1000\r\n\r\n")
@@ -50,8 +50,8 @@
 	}
 }
 
-// A client takes a few bytes of its response now and then. It is disconnected for being
-// below the minimum rate, as it would hold the node for ever.
+// A client takes a few bytes of its response now and then. It is dropped for being below
+// the minimum rate, as it would hold the node for ever.
 func TestDownloadBelowMinRateIsEnded(t *testing.T) {
 	h := newHarness(t, "pace answer 1k after 5s\n")
 	c := h.connectClient(getRequest("/feed-a/s/x"))
--- a/internal/gateway/buffered_protocol.go
+++ b/internal/gateway/buffered_protocol.go
@@ -23,7 +23,8 @@
 		g.respondLocally(req, info.Status, info.Reason)
 		return
 	}
-	req.info, req.body.bufferFully = info, true
+	req.info = info
+	req.body.bufferFully = true
 	if req.header.ContentLength > int64(g.config.Limits.BodyBuffer) {
 		g.rejectLongBody(c, req)
 		return
@@ -51,7 +52,8 @@
 	if limit, _ := b.p.MaxResponseBytes(); attempt.conn.response.ContentLength > limit {
 		return false
 	}
-	attempt.bufferResponse, attempt.responseBody = true, g.buffers.get()
+	attempt.bufferResponse = true
+	attempt.responseBody = g.buffers.get()
 	attempt.noProgressTimeout = b.p.ResponseNoProgressTimeout()
 	return true
 }
@@ -69,7 +71,9 @@
 		g.endAttempt(attempt, scheduler.OK)
 		return
 	}
-	req.response.final, req.response.source, req.response.status = true, attempt, attempt.conn.response.Status
+	req.response.final = true
+	req.response.source = attempt
+	req.response.status = attempt.conn.response.Status
 	g.counts.Served++
 	if client := req.client; client != nil {
 		out := http1.AppendStatus(g.buffers.orNew(client.out), req.response.status)
--- a/internal/gateway/client_conn.go
+++ b/internal/gateway/client_conn.go
@@ -178,7 +178,8 @@
 		return
 	}
 	c.enter(clientClosing)
-	req.body.complete, req.response.reason = true, "the body stopped"
+	req.body.complete = true
+	req.response.reason = "the body stopped"
 	g.counts.Malformed++
 	g.writeLocalResponse(req, 408, []byte("the body did not come in time\n"), nil)
 }
@@ -188,9 +189,12 @@
 func (g *Gateway) respondHeaderTimeout(c *clientConn) {
 	const reason = "the header did not come in time"
 	req := g.requests.create()
-	req.client, c.req = c, req
-	req.body.complete, req.response.reason = true, reason
-	req.header.MinorVersion, req.headerReceivedAt = 1, g.clock.now
+	req.client = c
+	c.req = req
+	req.body.complete = true
+	req.response.reason = reason
+	req.header.MinorVersion = 1
+	req.headerReceivedAt = g.clock.now
 	c.enter(clientClosing)
 	g.writeLocalResponse(req, 408, []byte(reason+"\n"), nil)
 }
--- a/internal/gateway/connection_reuse_test.go
+++ b/internal/gateway/connection_reuse_test.go
@@ -42,8 +42,8 @@
 
 // A node responds twice, the second time some milliseconds later. The second response
 // would be taken for that of the next request on the connection. The next request is
-// therefore sent on a connection that was idle longer, and the one that brought a response
-// nobody has asked for is closed.
+// therefore sent on a connection that was idle longer, and the one that brought the
+// unsolicited response is closed.
 func TestDuplicateResponseFromNode(t *testing.T) {
 	h := newProtocolHarness(t)
 	one, two := h.connectClient(requestWithID("a")), h.connectClient(requestWithID("b"))
@@ -83,7 +83,7 @@
 }
 
 // A node closes a connection right behind a response, and the reset is under way when the
-// next request is sent. Nobody could tell whether that request was executed. So a non-
+// next request is sent. It would be unknown whether that request was executed. So a non-
 // idempotent request is not sent on a connection whose response has just come, while other
 // requests reuse it at once.
 func TestNonIdempotentRequestAvoidsFreshConnection(t *testing.T) {
--- a/internal/gateway/http_test.go
+++ b/internal/gateway/http_test.go
@@ -35,7 +35,7 @@
 	h.deliver(c, "segment")
 	h.deliver(h.nodeConn(0), okResponse(""))
 	h.wantContains("the response", h.takeWritten(c), "HTTP/1.1 200")
-	// A long body is not invited before a node takes it, and never after a refusal.
+	// A long body is not invited before a node takes it, and never after a rejection.
 	h = newHarness(t, "")
 	h.refuseDials = true
 	c = h.connectClient("PUT /feed-a/s/x HTTP/1.1\r\nHost: h\r\nContent-Length: 7000000\r\nExpect: 100-continue\r\n\r\n")
@@ -125,7 +125,7 @@
 
 // Clients that send a byte a second, or stop in the middle of a body, are answered 408 in
 // time and hold no connection to a node. A client that does not take its response has the
-// node paused, and is then disconnected.
+// node paused, and is then dropped.
 func TestSlowClients(t *testing.T) {
 	h := newHarness(t, "")
 	c := h.connectClient("G")
@@ -140,7 +140,7 @@
 	if len(h.dialed) > 0 {
 		t.Error("a slow body holds a connection to a node")
 	}
-	// One that does not read its answer: the node is paused, then the client dropped.
+	// One that does not read its response: the node is paused, then the client dropped.
 	c = h.connectClient(getRequest("/feed-a/s/x"))
 	h.blocked[c] = true
 	n := h.nodeConn(0)
--- a/internal/gateway/invariant_checks.go
+++ b/internal/gateway/invariant_checks.go
@@ -22,7 +22,8 @@
 	if n == nil {
 		return a
 	}
-	a.Serving, a.StateChangedAt = n.listed && n.state == scheduler.Serving, n.stateChangedAt
+	a.Serving = n.listed && n.state == scheduler.Serving
+	a.StateChangedAt = n.stateChangedAt
 	if c := attempt.conn; c != nil && (c.node != n || !c.current()) {
 		a.Serving = false
 	}
--- a/internal/gateway/listing.go
+++ b/internal/gateway/listing.go
@@ -87,15 +87,21 @@
 // newListingPart returns the request to one shard of a listing, a copy of its parent.
 func (g *Gateway) newListingPart(parent *request, index, shard int) *request {
 	part := g.requests.create()
-	part.method, part.location, part.volume = parent.method, parent.location, parent.volume
+	part.method = parent.method
+	part.location = parent.location
+	part.volume = parent.volume
 	part.location.Shard = shard
-	part.listing, part.listingPart = parent.listing, index
+	part.listing = parent.listing
+	part.listingPart = index
 	part.rawHeader = append(g.buffers.get(), parent.rawHeader...)
 	http1.ParseRequest(part.rawHeader, &part.header, g.config.HeaderLimits) // the parent's header parsed well
 	part.body.data = append(g.buffers.get(), parent.body.data...)
 	part.body.received = int64(len(part.body.data))
-	part.body.complete, part.body.continueHandled = true, true
-	part.trace.id, part.trace.parent, part.trace.sampled = parent.trace.id, parent.trace.span, parent.trace.sampled
+	part.body.complete = true
+	part.body.continueHandled = true
+	part.trace.id = parent.trace.id
+	part.trace.parent = parent.trace.span
+	part.trace.sampled = parent.trace.sampled
 	g.ids.fill(part.trace.span[:])
 	part.classification = g.routes.Classify(route.RequestHeader{
 		Method:        part.method,
@@ -108,7 +114,8 @@
 
 // cancelListing ends a listing before its response, and its parts; see cancelRequest.
 func (g *Gateway) cancelListing(req *request) {
-	req.listing.parent, req.response.final = nil, true
+	req.listing.parent = nil
+	req.response.final = true
 	for i, part := range req.listing.parts {
 		if part != nil && !part.response.final {
 			req.listing.parts[i] = nil
--- a/internal/gateway/local_response.go
+++ b/internal/gateway/local_response.go
@@ -20,7 +20,7 @@
 	if req == nil || req.response.final {
 		return
 	}
-	req.response.final, req.response.status, req.response.reason = true, 503, reasonRejected
+	req.response.decide(503, reasonRejected)
 	g.counts.Rejected++
 	g.finishRequest(req, Rejected, retryAfter)
 }
@@ -30,9 +30,10 @@
 	if req == nil || req.response.final {
 		return
 	}
-	req.response.final, req.response.status, req.response.reason = true, 502, reasonFailed
 	if req.attempts.timedOut {
-		req.response.status, req.response.reason = 504, reasonTimedOut
+		req.response.decide(504, reasonTimedOut)
+	} else {
+		req.response.decide(502, reasonFailed)
 	}
 	g.counts.Failed++
 	g.finishRequest(req, Failed, 0)
@@ -82,7 +83,8 @@
 // used after it. appendFields appends header fields of the response; nil: there are none.
 func (g *Gateway) writeLocalResponse(req *request, status int, body []byte, appendFields func([]byte) []byte) {
 	c := req.client
-	req.response.status, req.response.final = status, true
+	req.response.status = status
+	req.response.final = true
 	if req.id == 0 {
 		g.reportRequestEnd(req, Served)
 	}
--- a/internal/gateway/node_failure_test.go
+++ b/internal/gateway/node_failure_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// A node takes a write and never responds. The client gets 504 in time, with no promise
-// that a retry is harmless, the write is not sent again, and the node is used again once
+// A node takes a write and never responds. The client gets 504 in time, which does not
+// say that a retry is harmless, the write is not sent again, and the node is used again once
 // it responds.
 func TestUnresponsiveNodeFailsNonIdempotentRequest(t *testing.T) {
 	h := newHarness(t, "")
@@ -94,7 +94,7 @@
 }
 
 // A node closes an idle connection just as a request is sent on it. If no byte of the
-// request was written, it was not executed and is retried. Otherwise nobody can tell, and
+// request was written, it was not executed and is retried. Otherwise that is unknown, and
 // a non-idempotent request fails.
 func TestIdleConnectionClosesAsRequestIsSent(t *testing.T) {
 	for _, written := range []bool{false, true} {
@@ -159,7 +159,7 @@
 	}
 }
 
-// A node's 503 that does not say that the request was not executed promises nothing: a
+// A node's 503 that does not say that the request was not executed leaves that unknown: a
 // write fails.
 func TestPlain503IsAFailure(t *testing.T) {
 	h := newHarness(t, "")
--- a/internal/gateway/node_response.go
+++ b/internal/gateway/node_response.go
@@ -73,8 +73,10 @@
 func (g *Gateway) beginResponse(attempt *nodeAttempt) bool {
 	response := &attempt.conn.response
 	info := g.protocol.parseResponse(response)
-	attempt.status, attempt.outcome = response.Status, info.Outcome
-	attempt.reportedLoad, attempt.hasLoadReport = info.ReportedLoad, info.HasLoadReport
+	attempt.status = response.Status
+	attempt.outcome = info.Outcome
+	attempt.reportedLoad = info.ReportedLoad
+	attempt.hasLoadReport = info.HasLoadReport
 	if info.Outcome != scheduler.OK {
 		return true
 	}
@@ -140,7 +142,8 @@
 func (g *Gateway) responseComplete(c *nodeConn) {
 	attempt := c.attempt
 	req := attempt.req
-	c.attempt, c.state = nil, nodeIdle
+	c.attempt = nil
+	c.state = nodeIdle
 	reusable := !c.response.Close && attempt.requestWritten()
 	if req.attempts.uploading == attempt {
 		req.attempts.uploading = nil
--- a/internal/gateway/node_table.go
+++ b/internal/gateway/node_table.go
@@ -71,8 +71,11 @@
 	if n.state != c.Endpoint.State || c.AddressChanged {
 		n.stateChangedAt = now
 	}
-	n.state, n.started, n.addr = c.Endpoint.State, c.Endpoint.Started, c.Addr
-	n.zone, n.shard = c.Endpoint.Zone, c.Endpoint.Shard
+	n.state = c.Endpoint.State
+	n.started = c.Endpoint.Started
+	n.addr = c.Addr
+	n.zone = c.Endpoint.Zone
+	n.shard = c.Endpoint.Shard
 	n.listed = n.state != scheduler.Removed
 	if c.AddressChanged {
 		n.keepsConnsOpen = false
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -80,6 +80,14 @@
 	reason   string // why the gateway itself responded; empty: it did not
 }
 
+// decide makes a response of the gateway's own the final one. The client gets it unless the
+// header of a node's response was sent already; see finishRequest.
+func (r *clientResponse) decide(status int, reason string) {
+	r.final = true
+	r.status = status
+	r.reason = reason
+}
+
 // traceContext is a request's part of a trace (W3C Trace Context).
 type traceContext struct {
 	id      [16]byte
--- a/internal/gateway/request_lifecycle.go
+++ b/internal/gateway/request_lifecycle.go
@@ -11,7 +11,9 @@
 // beginRequest takes the header of a request.
 func (g *Gateway) beginRequest(c *clientConn, header []byte) {
 	req := g.requests.create()
-	req.client, c.req, req.headerReceivedAt = c, req, g.clock.now
+	req.client = c
+	c.req = req
+	req.headerReceivedAt = g.clock.now
 	req.rawHeader = append(g.buffers.get(), header...)
 	g.setDeadline(c, never)
 	if err := http1.ParseRequest(req.rawHeader, &req.header, g.config.HeaderLimits); err != nil {
@@ -153,7 +155,8 @@
 	g.requests.assignID(req)
 	req.submittedAt = g.clock.now
 	arrival := &req.info.Arrival
-	arrival.ID, arrival.TimeRemaining = req.id, g.clientTimeRemaining(arrival.TimeRemaining)
+	arrival.ID = req.id
+	arrival.TimeRemaining = g.clientTimeRemaining(arrival.TimeRemaining)
 	if c := req.client; c != nil && c.requestCount == 1 {
 		arrival.TimeRemaining = max(arrival.TimeRemaining-c.acceptDelay, 0)
 	}
@@ -186,7 +189,8 @@
 		}
 		return
 	}
-	req.response.final, req.cancelledAt = true, g.clock.now
+	req.response.final = true
+	req.cancelledAt = g.clock.now
 	g.counts.Disconnected++
 	g.scheduler.notify(scheduler.ClientDisconnected{ID: req.id})
 	g.reportRequestEnd(req, ClientDisconnected)
@@ -224,7 +228,8 @@
 	g.counts.Malformed++
 	c.enter(clientDiscarding)
 	req.body.complete = true
-	req.method, req.header.MinorVersion = "", 1
+	req.method = ""
+	req.header.MinorVersion = 1
 	status, reason := 400, err.Error()
 	var malformed *http1.Error
 	if errors.As(err, &malformed) {
--- a/internal/gateway/send.go
+++ b/internal/gateway/send.go
@@ -22,7 +22,8 @@
 		g.endAttempt(attempt, scheduler.NotSent)
 	case idle != nil:
 		g.nodes.removeIdle(idle)
-		idle.attempt, attempt.conn = attempt, idle
+		idle.attempt = attempt
+		attempt.conn = idle
 		g.setDeadline(idle, req.deadline)
 		g.sendRequest(idle)
 	case n.conns >= g.config.Limits.ConnsPerNode || !g.makeRoomForNodeConn():
@@ -45,7 +46,8 @@
 			g.resumeClientInput(client)
 		}
 	}
-	c.state, c.interimResponses = nodeAwaitingResponse, 0
+	c.state = nodeAwaitingResponse
+	c.interimResponses = 0
 	g.flush(c)
 }
 
@@ -53,7 +55,8 @@
 // is buffered, in place of what was encoded before.
 func (g *Gateway) encodeRequest(c *nodeConn) {
 	attempt, req := c.attempt, c.attempt.req
-	c.out, c.written = c.out[:0], 0
+	c.out = c.out[:0]
+	c.written = 0
 	b := g.protocol.appendRequest(g, g.buffers.orNew(c.out), attempt)
 	c.out = append(appendRequestFraming(b, req), "\r\n"...)
 	attempt.fullyQueued = req.body.complete
