--- a/internal/audit/records.go
+++ b/internal/audit/records.go
@@ -38,7 +38,7 @@
 // Interval is an interval of time, in microseconds of Unix time. To is 0 where it lasts to the end
 // of the run.
 type Interval struct {
-	Name     string // of what it is about
+	Name     string // of the node or instance; "" for a stall
 	From, To int64
 }
 
@@ -99,7 +99,8 @@
 	OverloadWindow  time.Duration
 }
 
-// traceID returns the trace id of a traceparent; what is too short for one is its own id.
+// traceID returns the trace id of a traceparent. Where attempts carry another id of the request in
+// its place, which is shorter, it returns that.
 func traceID(traceparent string) string {
 	const from, to = len("00-"), len("00-") + 32
 	if len(traceparent) < to {
--- a/internal/audit/rules.go
+++ b/internal/audit/rules.go
@@ -68,8 +68,8 @@
 // Verdict is what became of a rule in a run.
 type Verdict struct {
 	Rule Rule
-	// Figure is how far the run went, and Bound how far it may; both in the unit of the rule.
-	// Violations decide, not these: tolerances are not part of them.
+	// Figure is the worst that was measured, and Bound the limit for it; both in the rule's unit
+	// and without tolerances. A rule is violated by Violations alone.
 	Figure     float64
 	Bound      float64
 	Violations int         // how many were found
--- a/internal/audit/tenant_limit.go
+++ b/internal/audit/tenant_limit.go
@@ -6,9 +6,10 @@
 )
 
 const (
-	// limitSlack is what the instances together may exceed a limit's rate by, since each has a
-	// part of it for itself; limitBurstSlack the same of its burst, as a fraction.
-	limitSlack      = 1.1
+	// limitSlack is how much of a limit's rate the rule allows, as a factor.
+	limitSlack = 1.1
+	// limitBurstSlack is what it allows beyond the burst, as a fraction of that; at least the
+	// largest request.
 	limitBurstSlack = 0.1
 )
 
--- a/internal/fakenode/options.go
+++ b/internal/fakenode/options.go
@@ -7,7 +7,7 @@
 type Options struct {
 	Listen string // address to listen on; "" for a free port
 	Name   string // in the record
-	// RecordFile is where the record of requests is written, in lines of JSON. "" keeps it in
+	// RecordFile is where the record of requests is written, as JSON lines. "" keeps it in
 	// memory, for Node.Entries.
 	RecordFile string
 	// DiscardRecord keeps no record at all, for measurements.
--- a/internal/fakenode/record.go
+++ b/internal/fakenode/record.go
@@ -11,9 +11,9 @@
 // time; 0: it did not come to that.
 type Entry struct {
 	Node           string  `json:"node"`
-	RequestID      string  `json:"request"` // X-Request-Id
-	Attempt        int     `json:"attempt"` // Maddergap-Attempt; 0: there was none
-	Traceparent    string  `json:"trace,omitempty"`
+	RequestID      string  `json:"request"`         // X-Request-Id
+	Attempt        int     `json:"attempt"`         // Maddergap-Attempt; 0: there was none
+	Traceparent    string  `json:"trace,omitempty"` // or another id that the request carries
 	Method         string  `json:"method"`
 	Path           string  `json:"path"`
 	IdempotencyKey string  `json:"key,omitempty"` // Idempotency-Key
