--- a/internal/soak/node.go
+++ b/internal/soak/node.go
@@ -22,10 +22,10 @@
 type responseFault int
 
 const (
-	respondsWell responseFault = iota
-	respondsNever
-	respondsByReset
-	respondsMalformed
+	respondsWell      responseFault = iota
+	respondsNever                   // the connection stays open
+	respondsByReset                 // in place of a response
+	respondsMalformed               // with bytes that are not HTTP
 )
 
 // node is a fake storage node on the platform's protocol. What it is, its records and its faults
@@ -35,13 +35,13 @@
 	shard int
 	addr  string // host:port
 
-	restart sync.Mutex  // held while the node is down
-	paused  atomic.Bool // no connections are accepted
+	restart sync.Mutex  // locked while the node is down
+	paused  atomic.Bool // accepts no connections
 
-	mu       sync.Mutex
-	rand     *rand.Rand
+	mu       sync.Mutex // of what follows
+	rand     *rand.Rand // of service times
 	listener *pausableListener
-	server   *scriptednode.Node
+	server   *scriptednode.Node // of the process that runs, or ran last
 	fault    responseFault
 	entries  []fakenode.Entry // of each request that was read in full
 }
@@ -50,7 +50,7 @@
 	return &node{name: name, shard: shard, addr: addr, rand: rand.New(rand.NewPCG(seed, uint64(len(name))))}
 }
 
-// start serves at the node's address.
+// start starts serving at the node's address.
 func (n *node) start() error {
 	listener, err := listen(n.addr, &n.paused)
 	if err != nil {
--- a/internal/soak/options.go
+++ b/internal/soak/options.go
@@ -9,7 +9,7 @@
 type Options struct {
 	// Seed determines the plan of faults, the deployment and what clients request.
 	Seed      uint64
-	Duration  time.Duration // of the clients' requests; instances shut down after it
+	Duration  time.Duration // of the run, until instances are terminated
 	Instances int           // gateway instances
 	Nodes     int           // storage nodes, two for each shard
 }
