--- a/internal/gateway/idle_conns.go
+++ b/internal/gateway/idle_conns.go
@@ -18,8 +18,8 @@
 // selectIdleConn returns the idle connection to a node that a request is sent on, or nil if
 // it needs a new one. Of the connections that were idle for reuseDelay it is the one used
 // last, so that those not needed reach their idle timeout; if there is none, it is the one
-// that was idle longest. If there is one, it also notes that the node keeps connections
-// open.
+// that was idle longest. To find one that was idle for reuseDelay also shows that the node
+// keeps connections open, which is noted here.
 //
 // A non-idempotent request gets a new connection rather than one that was not idle for
 // reuseDelay, until the node is known to keep connections open. That guards against a
