--- a/cmd/maddergap/flood.go
+++ b/cmd/maddergap/flood.go
@@ -4,7 +4,6 @@
 	"encoding/json"
 	"errors"
 	"fmt"
-	"net/netip"
 	"time"
 
 	"maddergap/internal/fakenode"
@@ -29,8 +28,6 @@
 const (
 	maxFloodSources = 50_000
 	maxFloodClients = 1000 // of known clients, and of others
-	// addressesPerByte are the values of an address byte that sources take, from 1 on.
-	addressesPerByte = 250
 	// Instances of its own listen on this network of the process's loopback addresses.
 	floodNetwork = 97
 	floodPort    = 18000
@@ -57,25 +54,18 @@
 
 // options are those of a flood of c.Target.
 func (c *floodCmd) options() flood.Options {
-	o := flood.Options{
+	return flood.Options{
 		Target:         c.Target,
 		Path:           c.Path,
 		Pattern:        flood.Pattern(c.Pattern),
+		Sources:        flood.SourceAddrs(c.Sources),
 		Attempts:       c.Tries,
 		Concurrency:    c.AtOnce,
 		Duration:       c.Length,
+		KnownClients:   flood.KnownClientAddrs(c.Known),
+		OtherClients:   flood.OtherClientAddrs(c.Others),
 		ClientInterval: c.Gap,
 	}
-	for i := range c.Sources {
-		o.Sources = append(o.Sources, netip.AddrFrom4([4]byte{127, 20, byte(i / addressesPerByte), byte(i%addressesPerByte + 1)}))
-	}
-	for i := range c.Known {
-		o.KnownClients = append(o.KnownClients, netip.AddrFrom4([4]byte{127, 9, byte(i / addressesPerByte), byte(i%addressesPerByte + 1)}))
-	}
-	for i := range c.Others { // each in a prefix of its own
-		o.OtherClients = append(o.OtherClients, netip.AddrFrom4([4]byte{127, 10, byte(i%addressesPerByte + 1), byte(i/addressesPerByte + 1)}))
-	}
-	return o
 }
 
 // floodTarget floods an instance that runs already.
--- a/cmd/maddergap/restart_test.go
+++ b/cmd/maddergap/restart_test.go
@@ -5,7 +5,6 @@
 	"fmt"
 	"net"
 	"net/http"
-	"net/netip"
 	"strings"
 	"syscall"
 	"testing"
@@ -57,11 +56,15 @@
 
 // floodOfManySources holds connections from 500 addresses.
 func floodOfManySources(addr string) flood.Options {
-	o := flood.Options{Target: addr, Path: "/", Pattern: flood.Hold, Attempts: 200_000, Concurrency: 300, Duration: 6 * time.Second}
-	for i := range 500 {
-		o.Sources = append(o.Sources, netip.AddrFrom4([4]byte{127, 20, byte(i / 250), byte(i%250 + 1)}))
+	return flood.Options{
+		Target:      addr,
+		Path:        "/",
+		Pattern:     flood.Hold,
+		Sources:     flood.SourceAddrs(500),
+		Attempts:    200_000,
+		Concurrency: 300,
+		Duration:    6 * time.Second,
 	}
-	return o
 }
 
 // putFromKnownClient writes from an address of known client n and returns the status, 0 for no
--- a/internal/flood/options_test.go
+++ b/internal/flood/options_test.go
@@ -9,21 +9,34 @@
 
 // A flood that leaves the machine, or that is larger than the machine bears, is not run.
 func TestCheck(t *testing.T) {
-	good := Options{Target: "127.0.0.1:1", Pattern: Hold, Sources: []netip.Addr{netip.MustParseAddr("127.0.0.9")}, Attempts: 1, Concurrency: 1, Duration: time.Second}
-	if err := good.Check(); err != nil {
+	valid := Options{
+		Target:      "127.0.0.1:1",
+		Pattern:     Hold,
+		Sources:     []netip.Addr{netip.MustParseAddr("127.0.0.9")},
+		Attempts:    1,
+		Concurrency: 1,
+		Duration:    time.Second,
+	}
+	if err := valid.Check(); err != nil {
 		t.Fatal(err)
 	}
-	for want, change := range map[string]func(*Options){
-		"not a loopback address and port": func(o *Options) { o.Target = "10.0.0.1:80" },
-		"is none of":                      func(o *Options) { o.Pattern = "storm" },
-		"want up to":                      func(o *Options) { o.Attempts = 1e7 },
-		"no source":                       func(o *Options) { o.Sources = nil },
-		"the source 10.0.0.1 is not":      func(o *Options) { o.KnownClients = []netip.Addr{netip.MustParseAddr("10.0.0.1")} },
+	for _, c := range []struct {
+		name    string
+		change  func(*Options)
+		wantErr string
+	}{
+		{"target", func(o *Options) { o.Target = "10.0.0.1:80" }, "not a loopback address and port"},
+		{"pattern", func(o *Options) { o.Pattern = "storm" }, "is none of"},
+		{"attempts", func(o *Options) { o.Attempts = 1e7 }, "want up to"},
+		{"no source", func(o *Options) { o.Sources = nil }, "no source"},
+		{"source", func(o *Options) { o.KnownClients = []netip.Addr{netip.MustParseAddr("10.0.0.1")} }, "the source 10.0.0.1 is not"},
 	} {
-		o := good
-		change(&o)
-		if err := o.Check(); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%v, want %q", err, want)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			o := valid
+			c.change(&o)
+			if err := o.Check(); err == nil || !strings.Contains(err.Error(), c.wantErr) {
+				t.Errorf("%v, want %q", err, c.wantErr)
+			}
+		})
 	}
 }
--- a/internal/scenario/draw_faults.go
+++ b/internal/scenario/draw_faults.go
@@ -85,8 +85,8 @@
 	return from, to
 }
 
-// tell adds a line to the story.
-func (d *drawing) tell(format string, args ...any) {
+// addStory adds a line to the story.
+func (d *drawing) addStory(format string, args ...any) {
 	d.plan.Story = append(d.plan.Story, fmt.Sprintf(format, args...))
 }
 
@@ -96,7 +96,7 @@
 // addFault adds a fault to a node's script.
 func (d *drawing) addFault(node int, step fakenode.Step) {
 	d.plan.Scripts[node] = append(d.plan.Scripts[node], step)
-	d.tell("n%d: %v", node, step)
+	d.addStory("n%d: %v", node, step)
 }
 
 // drawNodeFaults has one node after the other be silent, pause, be slow and reset connections.
@@ -120,7 +120,7 @@
 	d.plan.ListChanges = append(d.plan.ListChanges,
 		ListChange{At: from, State: map[int]scheduler.NodeState{node: scheduler.Draining}},
 		ListChange{At: to, State: map[int]scheduler.NodeState{node: scheduler.Serving}})
-	d.tell("n%d: drains from %v to %v", node, from, to)
+	d.addStory("n%d: drains from %v to %v", node, from, to)
 }
 
 // drawRestart has two nodes in five fail at once and restart, after which they warm up.
@@ -145,6 +145,6 @@
 		kill := InstanceKill{Instance: (int(p.Seed%100) + i) % p.Instances, At: d.at(killFraction)}
 		kill.Back = kill.At + p.Length/killedPart
 		p.InstanceKills = append(p.InstanceKills, kill)
-		d.tell("head %d: killed at %v, back at %v", kill.Instance, kill.At, kill.Back)
+		d.addStory("head %d: killed at %v, back at %v", kill.Instance, kill.At, kill.Back)
 	}
 }
--- a/internal/scenario/draw_requests.go
+++ b/internal/scenario/draw_requests.go
@@ -12,15 +12,16 @@
 	objectsPerStream  = 3
 	journalsPerVolume = 3
 	exportUnits       = 4 // of an archiveExport
-	// Requests below each share of the draw are of a class; the rest are journalAppend.
-	readShare   = 0.5
-	writeShare  = 0.75
-	exportShare = 0.88
-	// cancelShare is the share of requests whose client disconnects before its response, from
-	// minCancelDelay on for cancelDelayRange.
-	cancelShare      = 0.02
-	minCancelDelay   = 5   // milliseconds
-	cancelDelayRange = 150 // milliseconds
+	// A number drawn from 0 to 1 chooses the class by the first of these bounds that it is below;
+	// above all it is journalAppend. So half of the requests are traceRead, a quarter segmentWrite.
+	readBound   = 0.5
+	writeBound  = 0.75
+	exportBound = 0.88
+	// cancelProbability is that of a client disconnecting before its response. It then does so
+	// minCancelDelay to minCancelDelay+cancelDelayRange after it sent the request.
+	cancelProbability = 0.02
+	minCancelDelay    = 5   // milliseconds
+	cancelDelayRange  = 150 // milliseconds
 	// surgeRatePart is the rate of the surge, one part in so many of that of all clients.
 	surgeRatePart = 2
 )
@@ -33,7 +34,7 @@
 	volumes := p.Nodes + p.Nodes/2
 	p.addVolumes(volumes)
 	surging := 2 * d.random.IntN(volumes/2) // a volume of the plan with a limit
-	d.tell("feed-%d: surge from %v to %v", surging, from, to)
+	d.addStory("feed-%d: surge from %v to %v", surging, from, to)
 	sequences := map[string]int{}
 	for at := d.interval(p.Rate); at < p.Length; at += d.interval(p.Rate) {
 		d.drawRequest(at, d.random.IntN(volumes), sequences)
@@ -78,12 +79,12 @@
 		Path:     objectPath(volume, random.IntN(streamsPerVolume), random.IntN(objectsPerStream)),
 	}
 	switch x := random.Float64(); {
-	case x < readShare:
+	case x < readBound:
 		req.Units = 1 + random.IntN(2)
-	case x < writeShare:
+	case x < writeBound:
 		req.Class, req.Method, req.Units = segmentWrite, http.MethodPut, 1+random.IntN(2)
 		req.Path = fmt.Sprintf("/feed-%d/seg-%x", volume, random.Uint64())
-	case x < exportShare:
+	case x < exportBound:
 		req.Class, req.Units = archiveExport, exportUnits
 	default:
 		// Ordered requests of a key all go to one instance.
@@ -94,7 +95,7 @@
 		sequences[req.OrderKey]++
 		req.Sequence = sequences[req.OrderKey]
 	}
-	if random.Float64() < cancelShare {
+	if random.Float64() < cancelProbability {
 		req.CancelAfter = time.Duration(minCancelDelay+random.IntN(cancelDelayRange)) * time.Millisecond
 		req.CancelInBody = req.Method == http.MethodPut && random.IntN(2) == 0
 	}
--- a/internal/scenario/flood.go
+++ b/internal/scenario/flood.go
@@ -3,7 +3,6 @@
 import (
 	"fmt"
 	"io"
-	"net/netip"
 	"sync"
 	"time"
 
@@ -16,7 +15,6 @@
 
 const (
 	floodSources           = 500
-	floodSourcesPerNetwork = 250
 	floodConcurrency       = 600
 	floodAttemptsPerSecond = 300
 )
@@ -27,19 +25,15 @@
 	if attempts == 0 {
 		attempts = floodAttemptsPerSecond * int(p.Length/time.Second)
 	}
-	o := flood.Options{
+	return flood.Options{
 		Target:      target,
 		Path:        "/",
 		Pattern:     flood.Hold,
+		Sources:     flood.SourceAddrs(floodSources),
 		Attempts:    attempts,
 		Concurrency: floodConcurrency,
 		Duration:    p.Length,
 	}
-	for i := range floodSources {
-		network, host := byte(i/floodSourcesPerNetwork), byte(i%floodSourcesPerNetwork+1)
-		o.Sources = append(o.Sources, netip.AddrFrom4([4]byte{127, 20, network, host}))
-	}
-	return o
 }
 
 // floods are the floods of a scenario, one of each instance.
--- a/internal/scenario/launcher.go
+++ b/internal/scenario/launcher.go
@@ -12,7 +12,8 @@
 type server interface {
 	// stop ends it gracefully and returns its result. It does nothing if it was stopped before.
 	stop() error
-	// kill ends it at once and does not wait for it.
+	// kill ends it without a graceful shutdown, as far as a process of its own allows that. It may
+	// still be ending when kill returns; launcher.wait waits for it.
 	kill()
 }
 
