--- a/internal/bench/bench.go
+++ b/internal/bench/bench.go
@@ -13,11 +13,13 @@
 
 // Options are the options of a measurement.
 type Options struct {
-	Exe          string // the program
-	Dir          string // for configurations and node lists
-	Clients      int    // with a kept-alive connection each
+	Exe     string // the program
+	Dir     string // for configurations and node lists
+	Clients int    // with a kept-alive connection each
+	// Duration is that of one measurement. Small and Nodes take Repeats of them, after a warm-up
+	// of the same duration; Rush and Overload take one for each number of clients.
 	Duration     time.Duration
-	Repeats      int // measurements of each kind; the first result is preceded by a warm-up
+	Repeats      int
 	ResponseSize int // bytes of the body of a small response
 	Out          io.Writer
 }
--- a/internal/scenario/runner.go
+++ b/internal/scenario/runner.go
@@ -53,7 +53,8 @@
 	return &runner{options: o, plan: o.Plan, fleet: fleet{launcher: newLauncher(o)}}
 }
 
-// close ends whatever still runs.
+// close ends whatever still runs. It waits for restarts first, whose servers would outlive it; their
+// error is play's to report.
 func (r *runner) close() {
 	r.fleet.waitRestarts()
 	r.floods.wait()
