--- a/internal/e2e/fake_discovery_test.go
+++ b/internal/e2e/fake_discovery_test.go
@@ -18,7 +18,7 @@
 
 // startDiscovery runs discovery with the nodes as endpoints s0, s1 and so on, each of a
 // shard of its own.
-func startDiscovery(t *testing.T, nodes ...*scriptedNode) *fakeDiscovery {
+func startDiscovery(t *testing.T, nodes ...*platformNode) *fakeDiscovery {
 	t.Helper()
 	d := &fakeDiscovery{registry: discoverytest.NewRegistry()}
 	var endpoints []discovery.Endpoint
@@ -49,8 +49,8 @@
 	d.registry.ReplaceAll(endpoints...)
 }
 
-func endpointOf(name string, node *scriptedNode, shard int, status string) discovery.Endpoint {
-	return discovery.Endpoint{Name: name, Address: node.addr, Zone: "z0", Group: shard, Status: status}
+func endpointOf(name string, node *platformNode, shard int, status string) discovery.Endpoint {
+	return discovery.Endpoint{Name: name, Address: node.Addr(), Zone: "z0", Group: shard, Status: status}
 }
 
 // marshalEndpointList returns an endpoint list in the form that a configuration has it.
--- a/internal/e2e/harness_test.go
+++ b/internal/e2e/harness_test.go
@@ -4,7 +4,8 @@
 //
 // The harness is in harness_test.go (a running daemon), webdav_harness_test.go and
 // platform_harness_test.go (its two configurations), client_test.go (connections of
-// clients), scripted_node_test.go (nodes) and fake_discovery_test.go (discovery).
+// clients), platform_node_test.go and raw_node_test.go (nodes), and fake_discovery_test.go
+// (discovery).
 package e2e
 
 import (
--- a/internal/e2e/platform_discovery_outage_test.go
+++ b/internal/e2e/platform_discovery_outage_test.go
@@ -9,6 +9,7 @@
 	"time"
 
 	"maddergap/internal/discovery"
+	"maddergap/internal/scriptednode"
 	"maddergap/internal/stallwatch"
 )
 
@@ -80,7 +81,7 @@
 
 func startOutageTest(t *testing.T, stalls *stallwatch.Watch, delays *listDelays) *outageTest {
 	o := &outageTest{t: t, stalls: stalls, delays: delays}
-	first := startScriptedNode(t, o.respondDraining)
+	first := startPlatformNode(t, o.respondDraining)
 	second := startNodeResponding(t, "up")
 	o.up = []discovery.Endpoint{endpointOf("a", first, 0, "up"), endpointOf("b", second, 0, "draining")}
 	o.drain = []discovery.Endpoint{endpointOf("a", first, 0, "draining"), endpointOf("b", second, 0, "up")}
@@ -99,7 +100,7 @@
 }
 
 // respondDraining is the script of the first node.
-func (o *outageTest) respondDraining(int, *http.Request) nodeResponse {
+func (o *outageTest) respondDraining(*http.Request) scriptednode.Response {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.lastSent = time.Now()
--- a/internal/e2e/platform_discovery_test.go
+++ b/internal/e2e/platform_discovery_test.go
@@ -8,6 +8,8 @@
 	"sync/atomic"
 	"testing"
 	"time"
+
+	"maddergap/internal/scriptednode"
 )
 
 // A reload moves discovery to another address, after a malformed configuration was
@@ -45,9 +47,9 @@
 // none is sent a request more than 500 ms after discovery has it as draining, every request
 // is served, and no write is sent twice.
 func TestPlatformNodesAreDrainedAndReplaced(t *testing.T) {
-	var nodes []*scriptedNode
+	var nodes []*platformNode
 	for range 4 {
-		nodes = append(nodes, startScriptedNode(t, func(int, *http.Request) nodeResponse {
+		nodes = append(nodes, startPlatformNode(t, func(*http.Request) scriptednode.Response {
 			time.Sleep(2 * time.Millisecond)
 			return okResponse("fine")
 		}))
@@ -72,7 +74,7 @@
 
 // replaceNode has discovery drain the endpoint before n and then remove it, with n in its
 // place.
-func replaceNode(t *testing.T, d *fakeDiscovery, n int, old, replacement *scriptedNode) {
+func replaceNode(t *testing.T, d *fakeDiscovery, n int, old, replacement *platformNode) {
 	up := endpointOf(fmt.Sprint("s", n), replacement, 0, "up")
 	time.Sleep(200 * time.Millisecond)
 	d.setEndpoints(endpointOf(fmt.Sprint("s", n-1), old, 0, "draining"), up)
--- /dev/null
+++ b/internal/e2e/platform_node_test.go
@@ -0,0 +1,108 @@
+package e2e
+
+import (
+	"fmt"
+	"net"
+	"net/http"
+	"slices"
+	"sync"
+	"testing"
+
+	"maddergap/internal/scriptednode"
+)
+
+// platformNode is a scripted node of the platform that records the requests it has read
+// whole.
+type platformNode struct {
+	*scriptednode.Node
+	handler scriptednode.Handler
+
+	mu         sync.Mutex
+	requestIDs []string // in the order of arrival
+}
+
+func startPlatformNode(t *testing.T, handler scriptednode.Handler) *platformNode {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	node := &platformNode{handler: handler}
+	node.Node = scriptednode.Serve(listener, node.respond)
+	t.Cleanup(node.Close)
+	return node
+}
+
+// startNodeResponding runs a node that responds 200 to each request, with the body given.
+func startNodeResponding(t *testing.T, body string) *platformNode {
+	t.Helper()
+	return startPlatformNode(t, func(*http.Request) scriptednode.Response { return okResponse(body) })
+}
+
+// startNodeClosing runs a node whose responses of 200 end their connections, so that each
+// request needs another one.
+func startNodeClosing(t *testing.T) *platformNode {
+	t.Helper()
+	return startPlatformNode(t, func(*http.Request) scriptednode.Response {
+		return scriptednode.Response{
+			Text:   "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 4\r\n\r\nfine",
+			Ending: scriptednode.Close,
+		}
+	})
+}
+
+// startHungNode runs a node that reads requests and never responds. It keeps connections
+// open, also those that the gateway closes.
+func startHungNode(t *testing.T) *platformNode {
+	t.Helper()
+	quit := make(chan struct{})
+	node := startPlatformNode(t, func(*http.Request) scriptednode.Response {
+		<-quit
+		return scriptednode.Response{Ending: scriptednode.Close}
+	})
+	t.Cleanup(func() { close(quit) }) // before the node is closed, which waits for its handlers
+	return node
+}
+
+// okResponse is a response of status 200 with a load report.
+func okResponse(body string) scriptednode.Response {
+	return scriptednode.Response{Text: fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\nX-Pressure: inflight=1\r\n\r\n%s", len(body), body)}
+}
+
+func (n *platformNode) respond(r *http.Request) scriptednode.Response {
+	n.mu.Lock()
+	n.requestIDs = append(n.requestIDs, r.Header.Get("X-Txn"))
+	n.mu.Unlock()
+	return n.handler(r)
+}
+
+// received returns the ids of the requests that came whole, in order.
+func (n *platformNode) received() []string {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	return slices.Clone(n.requestIDs)
+}
+
+// countReceived returns how often a request came.
+func (n *platformNode) countReceived(id string) int {
+	count := 0
+	for _, received := range n.received() {
+		if received == id {
+			count++
+		}
+	}
+	return count
+}
+
+// wantSentOnce checks that no request came more than once, to whichever of the nodes.
+func wantSentOnce(t *testing.T, nodes ...*platformNode) {
+	t.Helper()
+	count := map[string]int{}
+	for _, node := range nodes {
+		for _, id := range node.received() {
+			if count[id]++; count[id] > 1 {
+				t.Errorf("request %s was sent %d times", id, count[id])
+			}
+		}
+	}
+}
--- a/internal/e2e/platform_races_test.go
+++ b/internal/e2e/platform_races_test.go
@@ -190,10 +190,12 @@
 	addr := startRawNode(t, func(c *net.TCPConn, r *bufio.Reader) {
 		sequential.Lock()
 		defer sequential.Unlock()
-		if _, err := readRequest(r); err != nil {
+		request, err := http.ReadRequest(r)
+		if err != nil {
 			return
 		}
-		io.WriteString(c, okResponse("fine").text)
+		io.Copy(io.Discard, request.Body)
+		io.WriteString(c, okResponse("fine").Text)
 		time.Sleep(delay)
 		c.SetLinger(0)
 		c.Close()
--- a/internal/e2e/platform_requests_test.go
+++ b/internal/e2e/platform_requests_test.go
@@ -5,13 +5,15 @@
 	"strings"
 	"testing"
 	"time"
+
+	"maddergap/internal/scriptednode"
 )
 
 // Clients send requests that are malformed, incomplete or too large. Each gets an error or
 // a close in time, and none reaches a node.
 func TestPlatformInvalidRequests(t *testing.T) {
 	hold := make(chan struct{})
-	node := startScriptedNode(t, func(int, *http.Request) nodeResponse { <-hold; return okResponse("fine") })
+	node := startPlatformNode(t, func(*http.Request) scriptednode.Response { <-hold; return okResponse("fine") })
 	instance := startPlatformReady(t, startDiscovery(t, node), platformOptions{})
 	defer close(hold)
 	pending := instance.newRead(0, "5000m")
--- a/internal/e2e/platform_responses_test.go
+++ b/internal/e2e/platform_responses_test.go
@@ -6,13 +6,15 @@
 	"sync"
 	"testing"
 	"time"
+
+	"maddergap/internal/scriptednode"
 )
 
 // nodeResponseCase is a response of a node to the first attempt of a request, and what
 // comes of it. Further attempts are served.
 type nodeResponseCase struct {
 	name          string
-	response      nodeResponse
+	response      scriptednode.Response
 	readStatus    int // what the client of an idempotent read gets
 	writeStatus   int // what the client of a non-idempotent write gets
 	writeAttempts int
@@ -26,26 +28,26 @@
 
 var nodeResponseCases = []nodeResponseCase{
 	{"served", okResponse("fine"), 200, 200, 1},
-	{"400 KB", nodeResponse{text: "HTTP/1.1 200 OK\r\nContent-Length: 400000\r\n\r\n" + largeBody}, 200, 200, 1},
-	{"1xx before the response", nodeResponse{text: "HTTP/1.1 102 Processing\r\n\r\nHTTP/1.1 103 Hints\r\nLink: a\r\n\r\n" + okResponse("fine").text}, 200, 200, 1},
-	{"1xx without end", nodeResponse{text: strings.Repeat("HTTP/1.1 102 Processing\r\n\r\n", 40)}, 200, 502, 1},
-	{"malformed load report", nodeResponse{text: "HTTP/1.1 200 OK\r\nX-Pressure: inflight=;;\r\nContent-Length: 4\r\n\r\nfine"}, 200, 200, 1},
-	{"second response behind the first", nodeResponse{text: okResponse("fine").text + okResponse("fine").text}, 200, 200, 1},
-	{"garbage behind the response", nodeResponse{text: okResponse("fine").text + "\x00\xff\x17noise"}, 200, 200, 1},
-	{"rejected", nodeResponse{text: "HTTP/1.1 503 Busy\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n"}, 200, 200, 2},
-	{"503 that may have been executed", nodeResponse{text: "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"}, 200, 502, 1},
-	{"error", nodeResponse{text: "HTTP/1.1 500 Error\r\nContent-Length: 0\r\n\r\n"}, 200, 502, 1},
-	{"closed without a response", nodeResponse{close: true}, 200, 502, 1},
-	{"closed during the response", nodeResponse{text: "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nfin", close: true}, 200, 502, 1},
-	{"no length", nodeResponse{text: "HTTP/1.1 200 OK\r\n\r\nfine", close: true}, 200, 200, 1},
-	{"no length, reset", nodeResponse{text: "HTTP/1.1 200 OK\r\n\r\nfi", reset: true}, 200, 502, 1},
-	{"no length, no end", nodeResponse{text: "HTTP/1.1 200 OK\r\n\r\nfi"}, 200, 502, 1},
-	{"garbage", nodeResponse{text: "\x01\x02\x03\r\n\r\n"}, 200, 502, 1},
-	{"header without end", nodeResponse{text: "HTTP/1.1 200 OK\r\nX: " + longText}, 200, 502, 1},
-	{"3 GB", nodeResponse{text: "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n" + longText}, 200, 502, 1},
-	{"shorter than its length", nodeResponse{text: "HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\nfine"}, 200, 502, 1},
-	{"negative length", nodeResponse{text: "HTTP/1.1 200 OK\r\nContent-Length: -4\r\n\r\nfine"}, 200, 502, 1},
-	{"malformed chunk", nodeResponse{text: "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n"}, 200, 502, 1},
+	{"400 KB", scriptednode.Response{Text: "HTTP/1.1 200 OK\r\nContent-Length: 400000\r\n\r\n" + largeBody}, 200, 200, 1},
+	{"1xx before the response", scriptednode.Response{Text: "HTTP/1.1 102 Processing\r\n\r\nHTTP/1.1 103 Hints\r\nLink: a\r\n\r\n" + okResponse("fine").Text}, 200, 200, 1},
+	{"1xx without end", scriptednode.Response{Text: strings.Repeat("HTTP/1.1 102 Processing\r\n\r\n", 40)}, 200, 502, 1},
+	{"malformed load report", scriptednode.Response{Text: "HTTP/1.1 200 OK\r\nX-Pressure: inflight=;;\r\nContent-Length: 4\r\n\r\nfine"}, 200, 200, 1},
+	{"second response behind the first", scriptednode.Response{Text: okResponse("fine").Text + okResponse("fine").Text}, 200, 200, 1},
+	{"garbage behind the response", scriptednode.Response{Text: okResponse("fine").Text + "\x00\xff\x17noise"}, 200, 200, 1},
+	{"rejected", scriptednode.Response{Text: "HTTP/1.1 503 Busy\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n"}, 200, 200, 2},
+	{"503 that may have been executed", scriptednode.Response{Text: "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"}, 200, 502, 1},
+	{"error", scriptednode.Response{Text: "HTTP/1.1 500 Error\r\nContent-Length: 0\r\n\r\n"}, 200, 502, 1},
+	{"closed without a response", scriptednode.Response{Ending: scriptednode.Close}, 200, 502, 1},
+	{"closed during the response", scriptednode.Response{Text: "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nfin", Ending: scriptednode.Close}, 200, 502, 1},
+	{"no length", scriptednode.Response{Text: "HTTP/1.1 200 OK\r\n\r\nfine", Ending: scriptednode.Close}, 200, 200, 1},
+	{"no length, reset", scriptednode.Response{Text: "HTTP/1.1 200 OK\r\n\r\nfi", Ending: scriptednode.Reset}, 200, 502, 1},
+	{"no length, no end", scriptednode.Response{Text: "HTTP/1.1 200 OK\r\n\r\nfi"}, 200, 502, 1},
+	{"garbage", scriptednode.Response{Text: "\x01\x02\x03\r\n\r\n"}, 200, 502, 1},
+	{"header without end", scriptednode.Response{Text: "HTTP/1.1 200 OK\r\nX: " + longText}, 200, 502, 1},
+	{"3 GB", scriptednode.Response{Text: "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n" + longText}, 200, 502, 1},
+	{"shorter than its length", scriptednode.Response{Text: "HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\nfine"}, 200, 502, 1},
+	{"negative length", scriptednode.Response{Text: "HTTP/1.1 200 OK\r\nContent-Length: -4\r\n\r\nfine"}, 200, 502, 1},
+	{"malformed chunk", scriptednode.Response{Text: "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n"}, 200, 502, 1},
 }
 
 // Nodes respond in each way that they may, good and bad. A read is retried, and its client
@@ -59,7 +61,7 @@
 func testNodeResponse(t *testing.T, c nodeResponseCase) {
 	var mu sync.Mutex
 	attempted := map[string]bool{}
-	node := startScriptedNode(t, func(_ int, r *http.Request) nodeResponse {
+	node := startPlatformNode(t, func(r *http.Request) scriptednode.Response {
 		mu.Lock()
 		defer mu.Unlock()
 		if id := r.Header.Get("X-Txn"); !attempted[id] {
--- a/internal/e2e/platform_shutdown_test.go
+++ b/internal/e2e/platform_shutdown_test.go
@@ -11,12 +11,14 @@
 	"sync/atomic"
 	"testing"
 	"time"
+
+	"maddergap/internal/scriptednode"
 )
 
 // Clients send requests, each on a new connection, while an instance stops. Each gets a
 // response, 503 at worst.
 func TestPlatformShutdownLosesNoRequest(t *testing.T) {
-	node := startScriptedNode(t, func(int, *http.Request) nodeResponse {
+	node := startPlatformNode(t, func(*http.Request) scriptednode.Response {
 		time.Sleep(20 * time.Millisecond)
 		return okResponse("fine")
 	})
@@ -149,7 +151,7 @@
 // All nodes hang as an instance stops, and the clients' deadlines lie beyond its own. Each
 // client gets a response before the instance ends.
 func TestPlatformShutdownWithHungNodes(t *testing.T) {
-	node := startScriptedNode(t, func(int, *http.Request) nodeResponse { return nodeResponse{hang: true} })
+	node := startHungNode(t)
 	instance := startPlatformReady(t, startDiscovery(t, node), platformOptions{})
 	var conns []net.Conn
 	for n := range 6 {
@@ -184,7 +186,7 @@
 // An instance is stopped between two reloads with a request in flight, as discovery fails.
 // The request is served, and the instance ends.
 func TestPlatformShutdownDuringReload(t *testing.T) {
-	node := startScriptedNode(t, func(int, *http.Request) nodeResponse {
+	node := startPlatformNode(t, func(*http.Request) scriptednode.Response {
 		time.Sleep(300 * time.Millisecond)
 		return okResponse("fine")
 	})
--- a/internal/e2e/platform_syscall_faults_test.go
+++ b/internal/e2e/platform_syscall_faults_test.go
@@ -3,7 +3,6 @@
 import (
 	"fmt"
 	"net"
-	"net/http"
 	"strings"
 	"sync"
 	"testing"
@@ -38,7 +37,7 @@
 
 func testFailingSystemCalls(t *testing.T, faults string) {
 	// Each response ends its connection, so that connections are made all the time.
-	node := startScriptedNode(t, func(int, *http.Request) nodeResponse { return closingResponse() })
+	node := startNodeClosing(t)
 	instance := startPlatform(t, startDiscovery(t, node).addr, platformOptions{syscallFaults: faults})
 	within(t, 2*time.Second, instance.ready)
 	var clients sync.WaitGroup
@@ -73,7 +72,7 @@
 // later.
 func TestServesWithoutEpoll(t *testing.T) {
 	const minServed = 20
-	node := startScriptedNode(t, func(int, *http.Request) nodeResponse { return closingResponse() })
+	node := startNodeClosing(t)
 	start := time.Now()
 	instance := startPlatform(t, startDiscovery(t, node).addr, platformOptions{syscallFaults: "epoll_ctl ENOSPC from 300ms for 1s"})
 	within(t, 250*time.Millisecond, instance.ready)
@@ -116,7 +115,7 @@
 
 func testStopWhileSystemCallsFail(t *testing.T, faults string) {
 	// Each response ends its connection, so that each request needs another one.
-	node := startScriptedNode(t, func(int, *http.Request) nodeResponse { return closingResponse() })
+	node := startNodeClosing(t)
 	start := time.Now()
 	instance := startPlatform(t, startDiscovery(t, node).addr, platformOptions{syscallFaults: faults})
 	within(t, 600*time.Millisecond, instance.ready)
