--- a/internal/daemon/discovery_log.go
+++ b/internal/daemon/discovery_log.go
@@ -78,7 +78,7 @@
 }
 
 func (l *nodeStateLog) logInstance(status discovery.Status, n gateway.Counts) {
-	l.log.Info("instance state", "version", status.Version, "lists", status.ListsReceived, "stall", n.Lag,
+	l.log.Info("instance state", "version", status.Version, "lists", status.ListsReceived, "lag", n.Lag,
 		"clients", n.Clients, "node_connections", n.NodeConns,
 		"received", n.Received, "served", n.Served, "rejected", n.Rejected, "failed", n.Failed, "disconnected", n.Disconnected)
 }
