--- a/internal/gateway/webdav_protocol.go
+++ b/internal/gateway/webdav_protocol.go
@@ -258,7 +258,7 @@
 	return []byte("/")
 }
 
-// maxReportedLoad bounds what a load report may say; more is taken for an error.
+// maxReportedLoad bounds what a load report with a fraction may say; more is taken for an error.
 const maxReportedLoad = 1e9
 
 // parseLoadReport reads the text form of ORCA's endpoint-load-metrics. What counts is the
--- a/internal/invariant/rules.go
+++ b/internal/invariant/rules.go
@@ -55,7 +55,8 @@
 	SingleResponse
 	// ResponseBeforeClose requires that the gateway closes no connection while a request on it is
 	// owed a response. Guards against requests lost in a shutdown or by an idle timeout, which
-	// show as resets at clients. Nothing is allowed.
+	// show as resets at clients. Nothing is allowed: closes for a client's own fault, such as one
+	// that stops reading its response, are counted as well.
 	ResponseBeforeClose
 	// RuleCount is the number of rules, None among them.
 	RuleCount
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -33,9 +33,9 @@
 type Change struct {
 	Endpoint scheduler.Endpoint // the node as the scheduler knows it
 	Addr     string             // host:port
-	// AddressChanged: the node is new or removed, or has another address or start time than
-	// before. Its connections and cached addresses then lead elsewhere, or to an incarnation that
-	// is over.
+	// AddressChanged: the node is new, is missing from a full list, or has another address or start
+	// time than before. Its connections and cached addresses then lead elsewhere, or to an
+	// incarnation that is over. A node that an update of changes removes is not marked: its state says so.
 	AddressChanged bool
 }
 
--- a/internal/scenario/instance_config.go
+++ b/internal/scenario/instance_config.go
@@ -29,8 +29,8 @@
 
 // Limits of the standard plan.
 const (
-	planLimit = 60.0 // requests a second
-	planBurst = 90.0 // requests
+	planLimit = 60.0 // units a second
+	planBurst = 90.0 // units
 )
 
 // instanceConfig is the configuration of an instance that listens on an address and reads a node
--- a/internal/scenario/play.go
+++ b/internal/scenario/play.go
@@ -133,8 +133,8 @@
 	return input
 }
 
-// stallIntervals ends the measurement of stalls and returns them. A response that was late because
-// this process stalled is not held against the gateway.
+// stallIntervals ends the measurement of stalls and returns them. The report says how many late
+// responses fell into one; they are violations all the same.
 func (r *runner) stallIntervals() []audit.Interval {
 	r.stalls.Stop()
 	var intervals []audit.Interval
--- a/internal/supervisor/run.go
+++ b/internal/supervisor/run.go
@@ -32,7 +32,8 @@
 // Options of a run.
 type Options struct {
 	Workers int
-	// KillAfter is how long a worker takes for its own graceful shutdown.
+	// ShutdownTimeout is how long a worker takes for its own graceful shutdown. It is killed
+	// exitGrace after that.
 	ShutdownTimeout time.Duration
 	// Command makes the command of worker i. It inherits Files from descriptor 3 on, and after
 	// them the pipe that it sends heartbeats on: see HeartbeatFD.
--- a/internal/syscalls/faulty.go
+++ b/internal/syscalls/faulty.go
@@ -38,7 +38,8 @@
 	return f
 }
 
-// Injected is how many calls failed or were cut short by the table.
+// Injected is how many calls the table applied to. All of them failed or were cut short, but for the
+// removal of a descriptor from epoll, which does not fail.
 func (f *Faulty) Injected() (n int) {
 	for _, count := range f.injected {
 		n += count
--- a/scheduler/backpressure_test.go
+++ b/scheduler/backpressure_test.go
@@ -8,7 +8,7 @@
 // Requests that earn little filled the queue of a slow node while those of other instances that earn
 // in full waited behind them. They are held back the sooner, the less they earn, and are sent again
 // once the node responds fast or has been silent for a while.
-func TestLowPriorityIsShedUnderPressure(t *testing.T) {
+func TestLowPriorityIsHeldBackUnderPressure(t *testing.T) {
 	s := testSettings(func(s *Settings) {
 		s.ExcessWeight, s.Classes[0].LateWeightFactor, s.Classes[1].PriorityWeight = 0.3, 0.1, 1
 	})
--- a/scheduler/estimates_test.go
+++ b/scheduler/estimates_test.go
@@ -82,7 +82,7 @@
 	}
 }
 
-// Time-outs at seven hung nodes raised the pressure of all nodes, and every instance shed requests at
+// Time-outs at seven hung nodes raised the pressure of all nodes, and every instance held requests back at
 // healthy ones. A time-out counts at its node alone.
 func TestTimeoutsCountAtTheirNodeAlone(t *testing.T) {
 	h := newHarness(t, testSettings(), nodeA, nodeB)
--- a/scheduler/send_rules.go
+++ b/scheduler/send_rules.go
@@ -37,7 +37,7 @@
 	reasonCount
 )
 
-// reasonNames are label values of metrics and of the log.
+// reasonNames are the values of wait_reason in the log.
 var reasonNames = [reasonCount]string{
 	ReasonAllowed:       "allowed",
 	ReasonNoNode:        "no-node",
@@ -92,7 +92,8 @@
 }
 
 // requestRules judge one request. They are for WaitReason: dispatch applies the same two conditions
-// where it has the requests at hand, in firstEligible and lowestStartTag.
+// where it has the requests at hand, in firstEligible and lowestStartTag. A new rule of single
+// requests has to be added there too.
 var requestRules = []sendRule{
 	{ReasonDeduplication, func(s *Scheduler, c candidate) bool { return !s.mayRunOn(c.request, c.node) }},
 	{ReasonTenantLimit, func(s *Scheduler, c candidate) bool { return s.limitBlocks(c.profile, c.request.volume) }},
