--- a/internal/daemon/shutdown.go
+++ b/internal/daemon/shutdown.go
@@ -29,8 +29,8 @@
 	// phaseDraining: new connections and requests are still taken, as clients learn of the
 	// stop late; each client is told with its next response that its connection ends.
 	phaseDraining
-	// phaseStopping: no request is read any more, the listeners are closed, and the requests
-	// that were taken get their responses.
+	// phaseStopping: the listeners are being closed, and the requests that were taken get their
+	// responses. A connection that had no request yet has a short time for it.
 	phaseStopping
 	// phaseAborting: the shutdown timeout is over, the requests that were left were aborted,
 	// and their responses are being written.
--- a/internal/discovery/policy.go
+++ b/internal/discovery/policy.go
@@ -28,8 +28,9 @@
 // while discovery is down it is unresponsive, and whatever it has when it returns counts as delivered
 // at that moment. The failure guarded against is a call that such an outage swallowed: a gateway
 // that waits for its response, or backs off after it, keeps sending to a node that is draining
-// until the grace of that drain is over. Since the newest call is never older than maxCallAge, a
-// response is had within that time of the agent's return, whatever became of earlier calls.
+// until the grace of that drain is over. Since the newest call is never older than maxCallAge, but
+// while a response is being received (maxResponseDeferral), a response is had within that time of the
+// agent's return, whatever became of earlier calls.
 var agentPolicy = callPolicy{
 	watchHold:            120 * time.Millisecond, // below maxCallAge, so that a healthy agent needs one connection
 	watchResponseTimeout: 2 * time.Second,        // a slow agent is waited for: calls made meanwhile cost it nothing
--- a/internal/gateway/accept.go
+++ b/internal/gateway/accept.go
@@ -60,8 +60,8 @@
 	}
 }
 
-// preempt closes a connection for a client of higher priority. The connection is idle, or
-// has a request that was not submitted.
+// preempt closes a connection to make room: for a new one, or before there is none left. It is
+// idle, or has a request that was not submitted.
 func (g *Gateway) preempt(c *clientConn) {
 	g.counts.Preempted++
 	g.dropClient(c, Close)
--- a/internal/gateway/conn_events.go
+++ b/internal/gateway/conn_events.go
@@ -21,8 +21,8 @@
 }
 
 // Out returns the bytes that are to be written to a connection, and nil if there are
-// none. It is the one place where bytes are handed out, and where the invariants are
-// checked before the first byte of an attempt.
+// none. It is the one place where bytes are handed out. The invariants, checked when an attempt was
+// decided, are checked here once more before its first byte.
 func (g *Gateway) Out(now Time, id ConnID) []byte {
 	g.clock.advance(now)
 	c := g.conns.find(id)
--- a/internal/gateway/local_response.go
+++ b/internal/gateway/local_response.go
@@ -14,8 +14,8 @@
 	reasonTimedOut = "no answer in time; whether the request took effect is not known"
 )
 
-// reject ends a request with 503: it was not executed and may be retried, after retryAfter
-// if that is not 0.
+// reject ends a request with 503: it was not executed, or a repeat does no harm, and the client may
+// retry it, after retryAfter if that is not 0.
 func (g *Gateway) reject(req *request, retryAfter time.Duration) {
 	if req == nil || req.response.final {
 		return
--- a/internal/gateway/shutdown.go
+++ b/internal/gateway/shutdown.go
@@ -13,7 +13,7 @@
 const (
 	intakeOpen         intakePhase = iota
 	intakeLastRequests             // each response asks its client to close the connection; requests are still taken
-	intakeClosed                   // no new request is read; requests under way are answered
+	intakeClosed                   // requests under way are answered; new ones are read for firstRequestGrace at most
 )
 
 func (p intakePhase) String() string { return [...]string{"open", "last requests", "closed"}[p] }
--- a/internal/invariant/checker.go
+++ b/internal/invariant/checker.go
@@ -21,7 +21,7 @@
 // Counts are totals by rule, since the start.
 type Counts struct {
 	Withheld [RuleCount]uint64 // attempts that were not begun
-	Violated [RuleCount]uint64 // violations; any is a fault of the gateway
+	Violated [RuleCount]uint64 // violations; any is a fault of the gateway, but for some of ResponseBeforeClose
 }
 
 // Checker checks the rules, counts what they find and reports it. The zero value is ready. It is
--- a/internal/invariant/rules.go
+++ b/internal/invariant/rules.go
@@ -4,8 +4,8 @@
 // apart from the scheduler and repeat none of its code, so that a fault of the scheduler, or of
 // the path from its decision to the socket, shows here and not at a client.
 //
-// The gateway asks the Checker in the one place where bytes are handed to a node's connection,
-// and reports to it in the one place where they were written. The package does no I/O and reads
+// The gateway asks the Checker when an attempt is decided, and again in the one place where bytes are
+// handed to a node's connection. It reports to it in the one place where they were written. The package does no I/O and reads
 // no clock.
 //
 // rules.go holds the rules, checker.go counts and reports what they find.
--- a/scheduler/circuit_breaker.go
+++ b/scheduler/circuit_breaker.go
@@ -25,7 +25,8 @@
 	// trialAt and trialInterval are valid while it is open.
 	trialAt       Time
 	trialInterval time.Duration
-	// consecutiveFailures counts failed and reset connections since the last response.
+	// consecutiveFailures counts failed and reset connections since the last response other than
+	// "queue full". Neither a time-out nor a new start of the node ends the row.
 	consecutiveFailures int
 }
 
--- a/scheduler/membership.go
+++ b/scheduler/membership.go
@@ -114,7 +114,7 @@
 	return n
 }
 
-// updateNode updates a known node. What was learned of it is void after a restart.
+// updateNode updates a known node. After a restart most of what was learned of it no longer holds.
 func (s *Scheduler) updateNode(n *node, endpoint Endpoint) {
 	restarted := endpoint.Started != n.Started && endpoint.State == Serving
 	n.Endpoint = endpoint
--- a/scheduler/send_rules.go
+++ b/scheduler/send_rules.go
@@ -3,7 +3,7 @@
 // Send rules: what can keep a request that is ready from being sent. A request waits while one of
 // them blocks it. Dispatch asks the rules of a node first, then those of a profile, then those of
 // single requests, so that most requests need not be looked at. WaitReason asks them all, in the
-// order of the reasons.
+// order of the reasons, but for requests that are suspended.
 
 // Reason says why a request is not sent now.
 type Reason int
@@ -37,7 +37,8 @@
 	reasonCount
 )
 
-// reasonNames are the values of wait_reason in the log.
+// reasonNames are the values of wait_reason in the log, which has those of requests that wait at a
+// node: never no-node.
 var reasonNames = [reasonCount]string{
 	ReasonAllowed:       "allowed",
 	ReasonNoNode:        "no-node",
--- a/scheduler/slow_start.go
+++ b/scheduler/slow_start.go
@@ -17,7 +17,8 @@
 const (
 	// slowStartRateFraction divides an instance's even part for one overload window: this fraction
 	// (two thirds) fills the bucket within a window, and the rest is the bucket's capacity. What is
-	// sent in any window is then no more than the even part. The part by what was served before is
+	// sent in any window is then no more than the even part, but for the debt that one request may
+	// take the bucket into. The part by what was served before is
 	// not divided so: it is a lower bound of what the node can bear.
 	slowStartRateFraction = 0.67
 	// servedHalfLife is after what time the units served on a shard count half.
