--- a/internal/waitqueue/item.go
+++ b/internal/waitqueue/item.go
@@ -2,20 +2,20 @@
 
 import "time"
 
-// Time is a monotonic clock reading: the time since an origin of the user's choosing.
+// Time is a reading of a monotonic clock, relative to an origin that the caller chooses.
 type Time = time.Duration
 
-// State says where a request stands in its queue.
+// State is the state of a request in a Queue.
 type State int
 
 const (
-	// Absent requests are in no queue.
+	// Absent means that the request is not queued.
 	Absent State = iota
-	// Suspended requests are queued, and are not to be sent until MakeReady or Defer.
+	// Suspended means that the request is queued, but is not to be sent before MakeReady or Defer.
 	Suspended
-	// Deferred requests are queued, and are not to be sent before a time.
+	// Deferred means that the request is queued, but is not to be sent before a given time.
 	Deferred
-	// Ready requests are queued and stand in the subqueues of their profile.
+	// Ready means that the request is queued and is also in the subqueues of its profile.
 	Ready
 )
 
@@ -34,34 +34,40 @@
 	return "unknown"
 }
 
-// Item is the queue's part of a request; requests embed it. R is the request, K its profile and
-// V its owner. LatencyDeadline is not after Deadline, Sequence is unique among requests, and none
-// of the three changes. ExpiresAt is when the request expires; while it is queued, RemoveExpired
-// alone changes it.
-type Item[R any, K, V comparable] struct {
+// Item holds the queue's data about a request. Request types embed it. R is the type of the request,
+// P that of its profile and O that of its owner.
+//
+// The caller sets the exported fields. Deadline, LatencyDeadline and Sequence must not change once
+// set; LatencyDeadline must not be after Deadline, and Sequence must be unique among the requests.
+// ExpiresAt is the time at which the request expires. While the request is queued, only
+// RemoveExpired may change it.
+type Item[R any, P, O comparable] struct {
 	Deadline, LatencyDeadline, ExpiresAt Time
 	Sequence                             int
 
 	state         State
-	position      int  // see Queue.Add
+	position      int  // sort key of the requests that RemoveExpired returns
 	deferredUntil Time // valid while Deferred
-	owner         V    // valid while Ready, as are the subqueues
-	ownSubqueue   *Subqueue[R, K]
-	// sharedSubqueue is nil while the owner is isolated.
-	sharedSubqueue *Subqueue[R, K]
+	owner         O    // valid while Ready
+	// ownerSubqueue is the subqueue of the request's owner and profile; valid while Ready.
+	ownerSubqueue *Subqueue[R, P]
+	// sharedSubqueue is the shared subqueue of the request's profile; valid while Ready, nil if the
+	// owner is isolated.
+	sharedSubqueue *Subqueue[R, P]
 }
 
-// QueueItem returns the item itself.
-func (item *Item[R, K, V]) QueueItem() *Item[R, K, V] { return item }
+// QueueItem returns the item itself. Through it, request types that embed an Item implement Waiter.
+func (item *Item[R, P, O]) QueueItem() *Item[R, P, O] { return item }
 
-// QueueState returns where the request stands.
-func (item *Item[R, K, V]) QueueState() State { return item.state }
+// QueueState returns the state of the request.
+func (item *Item[R, P, O]) QueueState() State { return item.state }
 
-// Profile returns the profile that a Ready request waits with.
-func (item *Item[R, K, V]) Profile() *K { return &item.ownSubqueue.Profile }
+// Profile returns the profile that was passed to MakeReady. It must only be called while the request
+// is Ready.
+func (item *Item[R, P, O]) Profile() *P { return &item.ownerSubqueue.Profile }
 
-func (item *Item[R, K, V]) times() itemTimes {
-	return itemTimes{
+func (item *Item[R, P, O]) keys() itemKeys {
+	return itemKeys{
 		latencyDeadline: int64(item.LatencyDeadline),
 		deadline:        int64(item.Deadline),
 		sequence:        int64(item.Sequence),
@@ -69,7 +75,7 @@
 }
 
 // Waiter is a request that embeds an Item.
-type Waiter[R any, K, V comparable] interface {
+type Waiter[R any, P, O comparable] interface {
 	comparable
-	QueueItem() *Item[R, K, V]
+	QueueItem() *Item[R, P, O]
 }
--- a/internal/waitqueue/owners.go
+++ b/internal/waitqueue/owners.go
@@ -3,109 +3,114 @@
 import "slices"
 
 const (
-	// maxEmptyShared is how many shared subqueues may stay though all are empty: profiles come
-	// back, and a new subqueue costs an allocation.
-	maxEmptyShared = 16
-	// maxEmptyPerOwner is the same for the subqueues of one owner.
-	maxEmptyPerOwner = maxEmptyShared / 4
-	// maxReusable is how many removed subqueues are kept for use under another profile.
-	maxReusable = 4 * maxEmptyShared
+	// maxEmptySharedSubqueues is the number of shared subqueues that are kept even if all of them are
+	// empty. The same profiles tend to recur, and a new subqueue costs an allocation.
+	maxEmptySharedSubqueues = 16
+	// maxEmptyOwnerSubqueues is the corresponding number for the subqueues of one owner.
+	maxEmptyOwnerSubqueues = maxEmptySharedSubqueues / 4
+	// maxFreeSubqueues is the number of removed subqueues that are kept for reuse with other profiles.
+	maxFreeSubqueues = 4 * maxEmptySharedSubqueues
 )
 
-// OwnerQueue holds the ready requests of one owner, by profile.
-type OwnerQueue[R any, K, V comparable] struct {
-	Owner      V
-	Subqueues  []*Subqueue[R, K]
-	readyCount int
-	isolated   bool // none of them is in a shared subqueue
+// OwnerQueue holds the ready requests of one owner, in one subqueue for each profile.
+type OwnerQueue[R any, P, O comparable] struct {
+	Owner      O
+	Subqueues  []*Subqueue[R, P] // some may be empty
+	readyCount int               // number of ready requests
+	isolated   bool              // true if the owner's ready requests are in no shared subqueue
 }
 
-// SubqueuesOf returns the subqueues of an owner that has a ready request.
-func (q *Queue[R, K, V]) SubqueuesOf(owner V) []*Subqueue[R, K] { return q.owners[owner].Subqueues }
+// SubqueuesOf returns the subqueues of an owner. The owner must have a ready request.
+func (q *Queue[R, P, O]) SubqueuesOf(owner O) []*Subqueue[R, P] { return q.owners[owner].Subqueues }
 
-// Isolate takes an owner's requests out of the shared subqueues until none of them is ready. Each
-// request is moved once at most. The owner must have a ready request and not be isolated.
-func (q *Queue[R, K, V]) Isolate(owner V) {
-	own := q.owners[owner]
-	own.isolated, q.Isolated = true, append(q.Isolated, own)
-	for _, sub := range own.Subqueues {
+// Isolate removes the ready requests of an owner from the shared subqueues. Callers isolate an owner
+// whose requests may not be sent for now, so that these do not hide requests of other owners. The
+// owner stays isolated until it has no ready requests. Until then its new ready requests enter no
+// shared subqueue, so each request is moved at most once. The owner must have a ready request and
+// must not be isolated yet.
+func (q *Queue[R, P, O]) Isolate(owner O) {
+	ownerQueue := q.owners[owner]
+	ownerQueue.isolated, q.Isolated = true, append(q.Isolated, ownerQueue)
+	for _, sub := range ownerQueue.Subqueues {
 		sub.each(func(request R) {
 			item := request.QueueItem()
-			item.sharedSubqueue.remove(item.times())
+			item.sharedSubqueue.remove(item.keys())
 			item.sharedSubqueue = nil
 		})
 	}
 }
 
-// Sweep forgets the owners that have no ready request.
-func (q *Queue[R, K, V]) Sweep() {
-	for owner, own := range q.owners {
-		if own.readyCount == 0 {
+// Sweep deletes the OwnerQueue of each owner that has no ready requests.
+func (q *Queue[R, P, O]) Sweep() {
+	for owner, ownerQueue := range q.owners {
+		if ownerQueue.readyCount == 0 {
 			delete(q.owners, owner)
 		}
 	}
 }
 
-func (q *Queue[R, K, V]) ownerQueue(owner V) *OwnerQueue[R, K, V] {
-	own := q.owners[owner]
-	if own == nil {
-		own = &OwnerQueue[R, K, V]{Owner: owner}
-		q.owners[owner] = own
+// ensureOwnerQueue returns the OwnerQueue of an owner and creates it if there is none.
+func (q *Queue[R, P, O]) ensureOwnerQueue(owner O) *OwnerQueue[R, P, O] {
+	ownerQueue := q.owners[owner]
+	if ownerQueue == nil {
+		ownerQueue = &OwnerQueue[R, P, O]{Owner: owner}
+		q.owners[owner] = ownerQueue
 	}
-	return own
+	return ownerQueue
 }
 
-// ownSubqueue returns the owner's subqueue of a profile.
-func (q *Queue[R, K, V]) ownSubqueue(own *OwnerQueue[R, K, V], profile K) *Subqueue[R, K] {
-	for _, sub := range own.Subqueues {
+// ownerSubqueue returns the owner's subqueue for a profile and creates it if there is none.
+func (q *Queue[R, P, O]) ownerSubqueue(ownerQueue *OwnerQueue[R, P, O], profile P) *Subqueue[R, P] {
+	for _, sub := range ownerQueue.Subqueues {
 		if sub.Profile == profile {
 			return sub
 		}
 	}
-	if len(own.Subqueues) >= maxEmptyPerOwner {
-		own.Subqueues = q.prune(own.Subqueues, nil)
+	if len(ownerQueue.Subqueues) >= maxEmptyOwnerSubqueues {
+		ownerQueue.Subqueues = q.prune(ownerQueue.Subqueues, nil)
 	}
 	sub := q.newSubqueue(profile)
-	own.Subqueues = append(own.Subqueues, sub)
+	ownerQueue.Subqueues = append(ownerQueue.Subqueues, sub)
 	return sub
 }
 
-// sharedSubqueue returns the shared subqueue of a profile.
-func (q *Queue[R, K, V]) sharedSubqueue(profile K) *Subqueue[R, K] {
+// sharedSubqueue returns the shared subqueue for a profile and creates it if there is none.
+func (q *Queue[R, P, O]) sharedSubqueue(profile P) *Subqueue[R, P] {
 	if sub := q.sharedByProfile[profile]; sub != nil {
 		return sub
 	}
 	if len(q.Shared) >= q.pruneThreshold {
 		q.Shared = q.prune(q.Shared, q.sharedByProfile)
-		// Twice what is left, so that pruning costs a constant time for each new subqueue.
-		q.pruneThreshold = max(maxEmptyShared, 2*len(q.Shared))
+		// At twice the remaining length, pruning takes amortized constant time per new subqueue.
+		q.pruneThreshold = max(maxEmptySharedSubqueues, 2*len(q.Shared))
 	}
 	sub := q.newSubqueue(profile)
 	q.sharedByProfile[profile], q.Shared = sub, append(q.Shared, sub)
 	return sub
 }
 
-// newSubqueue returns an empty subqueue, a reusable one if there is any.
-func (q *Queue[R, K, V]) newSubqueue(profile K) *Subqueue[R, K] {
-	last := len(q.reusable) - 1
+// newSubqueue returns an empty subqueue for a profile. It reuses a free one if possible.
+func (q *Queue[R, P, O]) newSubqueue(profile P) *Subqueue[R, P] {
+	last := len(q.freeSubqueues) - 1
 	if last < 0 {
-		return &Subqueue[R, K]{Profile: profile}
+		return &Subqueue[R, P]{Profile: profile}
 	}
-	sub := q.reusable[last]
-	q.reusable = q.reusable[:last]
+	sub := q.freeSubqueues[last]
+	q.freeSubqueues = q.freeSubqueues[:last]
 	sub.Profile = profile
 	return sub
 }
 
-// prune removes the empty subqueues from a list, and from the index of it, if not nil.
-func (q *Queue[R, K, V]) prune(list []*Subqueue[R, K], index map[K]*Subqueue[R, K]) []*Subqueue[R, K] {
-	return slices.DeleteFunc(list, func(sub *Subqueue[R, K]) bool {
+// prune removes the empty subqueues from a list and returns the shortened list. If index is not
+// nil, it is the list's index by profile, and they are removed from it as well.
+func (q *Queue[R, P, O]) prune(list []*Subqueue[R, P], index map[P]*Subqueue[R, P]) []*Subqueue[R, P] {
+	return slices.DeleteFunc(list, func(sub *Subqueue[R, P]) bool {
 		if !sub.Empty() {
 			return false
 		}
 		delete(index, sub.Profile)
-		if len(q.reusable) < maxReusable {
-			q.reusable = append(q.reusable, sub)
+		if len(q.freeSubqueues) < maxFreeSubqueues {
+			q.freeSubqueues = append(q.freeSubqueues, sub)
 		}
 		return true
 	})
--- a/internal/waitqueue/queue.go
+++ b/internal/waitqueue/queue.go
@@ -1,10 +1,11 @@
-// Package waitqueue keeps the requests that wait for one server, in a form in which the next one
-// to send is found by a look at a few subqueues, not at every request. It holds no policy: what
-// may be sent, and what is sent first, its user decides. It does no I/O and is deterministic.
+// Package waitqueue implements the queue of requests that wait for one server. It groups requests
+// into subqueues, so that the caller finds the next request to send by examining a few subqueues
+// instead of every request. The package contains no policy: the caller decides which requests may be
+// sent and in which order. It does no I/O and is deterministic.
 //
-// A request is queued from Add to Remove or RemoveExpired. Meanwhile it is Ready, Deferred or
-// Suspended. Ready requests with the same profile (everything that the user's rules depend on,
-// other than times and order) stand in one subqueue.
+// A request is queued from Add until Remove or RemoveExpired. While queued it is Ready, Deferred or
+// Suspended. A request's profile is everything that the caller's rules depend on, apart from times
+// and order. Ready requests with the same profile are in the same subqueue.
 package waitqueue
 
 import (
@@ -15,67 +16,71 @@
 	"maddergap/internal/orderedset"
 )
 
-// Queue is where requests wait for one server. Every queued request is in queued; a Deferred one
-// is also in deferred; a Ready one is in one subqueue of its owner and, unless the owner is
-// isolated, in the shared subqueue of its profile.
-type Queue[R Waiter[R, K, V], K, V comparable] struct {
-	// Shared holds the ready requests of all owners that are not isolated, by profile.
-	Shared []*Subqueue[R, K]
-	// Isolated holds the owners whose ready requests are in no shared subqueue.
-	Isolated []*OwnerQueue[R, K, V]
-
-	orders   []func(a, b R) bool
-	queued   *orderedset.Set[R] // by ExpiresAt
-	deferred *orderedset.Set[R] // by deferredUntil
-	toRemove []R                // by the next RemoveExpired
-
-	sharedByProfile map[K]*Subqueue[R, K]
-	owners          map[V]*OwnerQueue[R, K, V]
-	pruneThreshold  int // length of Shared at which empty subqueues are removed
-	reusable        []*Subqueue[R, K]
+// Queue holds the requests that wait for one server. Use New. A Queue is not safe for concurrent use.
+//
+// The set queued holds every queued request, and the set deferred also holds the Deferred requests.
+// A Ready request is also in one subqueue of its owner and, unless the owner is isolated, in the
+// shared subqueue of its profile.
+type Queue[R Waiter[R, P, O], P, O comparable] struct {
+	// Shared lists the shared subqueues, one for each profile. They hold the ready requests of all
+	// owners that are not isolated. Some may be empty.
+	Shared []*Subqueue[R, P]
+	// Isolated lists the isolated owners, whose ready requests are in no shared subqueue.
+	Isolated []*OwnerQueue[R, P, O]
+
+	orders          []func(a, b R) bool // each reports whether a is better than b
+	queued          *orderedset.Set[R]  // sorted by ExpiresAt
+	deferred        *orderedset.Set[R]  // sorted by deferredUntil
+	toRemove        []R                 // requests that the next RemoveExpired removes
+	sharedByProfile map[P]*Subqueue[R, P]
+	owners          map[O]*OwnerQueue[R, P, O]
+	pruneThreshold  int               // length of Shared at which empty subqueues are removed
+	freeSubqueues   []*Subqueue[R, P] // removed subqueues kept for reuse
 }
 
-// New returns an empty queue. The orders are strict orders of requests, numbered from 0 for the
-// Best methods of subqueues; a request's place in them must not change while it is ready.
-func New[R Waiter[R, K, V], K, V comparable](orders ...func(a, b R) bool) *Queue[R, K, V] {
-	return &Queue[R, K, V]{
+// New returns an empty queue. Each order must be a strict order that reports whether request a is
+// better than request b. BestByLatencyDeadline and BestByDeadline of subqueues select an order by
+// its index. A request's place in the orders must not change while it is ready.
+func New[R Waiter[R, P, O], P, O comparable](orders ...func(a, b R) bool) *Queue[R, P, O] {
+	return &Queue[R, P, O]{
 		orders:          orders,
 		queued:          orderedset.New[R](),
 		deferred:        orderedset.New[R](),
-		sharedByProfile: map[K]*Subqueue[R, K]{},
-		owners:          map[V]*OwnerQueue[R, K, V]{},
-		pruneThreshold:  maxEmptyShared,
+		sharedByProfile: map[P]*Subqueue[R, P]{},
+		owners:          map[O]*OwnerQueue[R, P, O]{},
+		pruneThreshold:  maxEmptySharedSubqueues,
 	}
 }
 
-// Len returns how many requests are queued, including those passed to RemoveLater.
-func (q *Queue[R, K, V]) Len() int { return q.queued.Len() }
+// Len returns the number of queued requests, including requests passed to RemoveLater.
+func (q *Queue[R, P, O]) Len() int { return q.queued.Len() }
 
-// Add queues a request, Suspended. RemoveExpired returns requests in the order of position.
-func (q *Queue[R, K, V]) Add(request R, position int) {
+// Add adds a request to the queue in state Suspended. RemoveExpired sorts the requests that it
+// returns by position.
+func (q *Queue[R, P, O]) Add(request R, position int) {
 	item := request.QueueItem()
 	item.state, item.position = Suspended, position
 	q.queued.Add(int64(item.ExpiresAt), int64(item.Sequence), request)
 }
 
-// Remove takes a request out of the queue.
-func (q *Queue[R, K, V]) Remove(request R) {
+// Remove removes a request from the queue.
+func (q *Queue[R, P, O]) Remove(request R) {
 	q.Suspend(request)
 	item := request.QueueItem()
 	item.state = Absent
 	q.queued.Remove(int64(item.ExpiresAt), int64(item.Sequence))
 }
 
-// RemoveLater suspends a request that the next RemoveExpired takes out without returning it.
-func (q *Queue[R, K, V]) RemoveLater(request R) {
+// RemoveLater suspends a request and has the next RemoveExpired remove it without returning it.
+func (q *Queue[R, P, O]) RemoveLater(request R) {
 	q.Suspend(request)
 	q.toRemove = append(q.toRemove, request)
 }
 
-// RemoveExpired takes out the requests that expire before t and returns them in the order of
-// their positions. extend, if not nil, may return a later expiry for a request, which then stays;
-// a result before t is ignored.
-func (q *Queue[R, K, V]) RemoveExpired(t Time, extend func(R) Time) (expired []R) {
+// RemoveExpired removes the requests that expire before t and returns them in order of position. If
+// extend is not nil, it is called for each of these requests. If it returns a new expiry time that
+// is not before t, the request stays queued with that expiry time.
+func (q *Queue[R, P, O]) RemoveExpired(t Time, extend func(R) Time) (expired []R) {
 	for _, request := range q.toRemove {
 		q.Remove(request)
 	}
@@ -95,8 +100,9 @@
 	return expired
 }
 
-// extendExpiry moves a request's expiry, unless the new one is before t.
-func (q *Queue[R, K, V]) extendExpiry(request R, t, expiresAt Time) bool {
+// extendExpiry sets the expiry time of a request to expiresAt. It reports false, and changes
+// nothing, if expiresAt is before t.
+func (q *Queue[R, P, O]) extendExpiry(request R, t, expiresAt Time) bool {
 	if expiresAt < t {
 		return false
 	}
@@ -107,27 +113,27 @@
 	return true
 }
 
-// NextExpiry returns when the first request expires, the largest time where the queue is empty.
-func (q *Queue[R, K, V]) NextExpiry() Time {
+// NextExpiry returns the earliest expiry time of all queued requests, or the largest Time if the
+// queue is empty.
+func (q *Queue[R, P, O]) NextExpiry() Time {
 	if request, ok := q.queued.First(); ok {
 		return request.QueueItem().ExpiresAt
 	}
 	return math.MaxInt64
 }
 
-// FirstToExpire returns the request that expires first, if any.
-func (q *Queue[R, K, V]) FirstToExpire() (request R, ok bool) { return q.queued.First() }
+// FirstToExpire returns the queued request that expires first, if any.
+func (q *Queue[R, P, O]) FirstToExpire() (request R, ok bool) { return q.queued.First() }
 
-// Defer defers a suspended request until a time, which must be more than 0.
-func (q *Queue[R, K, V]) Defer(request R, until Time) {
+// Defer defers a suspended request until the given time, which must be greater than 0.
+func (q *Queue[R, P, O]) Defer(request R, until Time) {
 	item := request.QueueItem()
 	item.state, item.deferredUntil = Deferred, until
 	q.deferred.Add(int64(until), int64(item.Sequence), request)
 }
 
-// PopDeferred suspends and returns the first request that is deferred until now or earlier, if
-// any.
-func (q *Queue[R, K, V]) PopDeferred(now Time) (request R, ok bool) {
+// PopDeferred suspends and returns the request with the earliest deferral, if that is not after now.
+func (q *Queue[R, P, O]) PopDeferred(now Time) (request R, ok bool) {
 	request, ok = q.deferred.First()
 	if !ok || request.QueueItem().deferredUntil > now {
 		return request, false
@@ -136,23 +142,23 @@
 	return request, true
 }
 
-// MakeReady puts a suspended request into the subqueues of its profile.
-func (q *Queue[R, K, V]) MakeReady(request R, owner V, profile K) {
+// MakeReady makes a suspended request ready and adds it to the subqueues of its profile.
+func (q *Queue[R, P, O]) MakeReady(request R, owner O, profile P) {
 	item := request.QueueItem()
-	own := q.ownerQueue(owner)
-	own.readyCount++
-	item.state, item.owner, item.ownSubqueue = Ready, owner, q.ownSubqueue(own, profile)
-	item.ownSubqueue.add(request, item.times(), q.orders)
-	if own.isolated {
+	ownerQueue := q.ensureOwnerQueue(owner)
+	ownerQueue.readyCount++
+	item.state, item.owner, item.ownerSubqueue = Ready, owner, q.ownerSubqueue(ownerQueue, profile)
+	item.ownerSubqueue.add(request, item.keys(), q.orders)
+	if ownerQueue.isolated {
 		return
 	}
 	item.sharedSubqueue = q.sharedSubqueue(profile)
-	item.sharedSubqueue.add(request, item.times(), q.orders)
+	item.sharedSubqueue.add(request, item.keys(), q.orders)
 }
 
-// Suspend takes a request out of the subqueues or ends its deferral; it stays queued. A request
-// that is neither Ready nor Deferred is left as it is.
-func (q *Queue[R, K, V]) Suspend(request R) {
+// Suspend removes a Ready request from its subqueues, or ends the deferral of a Deferred request.
+// The request stays queued as Suspended. Suspend has no effect on requests in other states.
+func (q *Queue[R, P, O]) Suspend(request R) {
 	item := request.QueueItem()
 	switch item.state {
 	case Deferred:
@@ -164,18 +170,18 @@
 	}
 }
 
-// leaveSubqueues takes a ready request out of its subqueues. An owner without ready requests is
-// no longer isolated.
-func (q *Queue[R, K, V]) leaveSubqueues(item *Item[R, K, V]) {
-	item.ownSubqueue.remove(item.times())
+// leaveSubqueues removes a ready request from its subqueues. If it was the last ready request of an
+// isolated owner, the owner is no longer isolated.
+func (q *Queue[R, P, O]) leaveSubqueues(item *Item[R, P, O]) {
+	item.ownerSubqueue.remove(item.keys())
 	if item.sharedSubqueue != nil {
-		item.sharedSubqueue.remove(item.times())
+		item.sharedSubqueue.remove(item.keys())
 	}
-	item.ownSubqueue, item.sharedSubqueue = nil, nil
-	own := q.owners[item.owner]
-	own.readyCount--
-	if own.readyCount == 0 && own.isolated {
-		own.isolated = false
-		q.Isolated = slices.DeleteFunc(q.Isolated, func(other *OwnerQueue[R, K, V]) bool { return other == own })
+	item.ownerSubqueue, item.sharedSubqueue = nil, nil
+	ownerQueue := q.owners[item.owner]
+	ownerQueue.readyCount--
+	if ownerQueue.readyCount == 0 && ownerQueue.isolated {
+		ownerQueue.isolated = false
+		q.Isolated = slices.DeleteFunc(q.Isolated, func(other *OwnerQueue[R, P, O]) bool { return other == ownerQueue })
 	}
 }
--- a/internal/waitqueue/subqueue.go
+++ b/internal/waitqueue/subqueue.go
@@ -2,87 +2,96 @@
 
 import "maddergap/internal/orderedset"
 
-// Subqueue holds ready requests of one profile, of one owner or of all owners that share it.
+// Subqueue holds ready requests with the same profile: either those of one owner, or those of all
+// owners that are not isolated.
 //
-// A single request, the usual case under light load, is kept without sets: while inSets is false,
-// count is 0 or 1 and single is the request; while it is true, both sets hold all requests.
-type Subqueue[R any, K comparable] struct {
-	Profile           K
+// Under light load a subqueue usually holds a single request, which is stored without the sets.
+// While usesSets is false, count is 0 or 1 and single holds the request, if any. While usesSets is
+// true, both sets hold all count requests.
+type Subqueue[R any, P comparable] struct {
+	Profile           P
 	count             int
 	single            R
-	singleTimes       itemTimes
-	inSets            bool
+	singleKeys        itemKeys
+	usesSets          bool
 	byLatencyDeadline *orderedset.Set[R]
 	byDeadline        *orderedset.Set[R]
 }
 
-// itemTimes are the keys of a request in the sets: nanoseconds, and the sequence to tell equal
-// times apart.
-type itemTimes struct{ latencyDeadline, deadline, sequence int64 }
+// itemKeys are the keys of a request in the sets: two times in nanoseconds, and the sequence number
+// that orders requests with equal times.
+type itemKeys struct{ latencyDeadline, deadline, sequence int64 }
 
-// Empty reports whether it holds no request.
-func (sub *Subqueue[R, K]) Empty() bool { return sub.count == 0 }
+// Empty reports whether the subqueue holds no requests.
+func (sub *Subqueue[R, P]) Empty() bool { return sub.count == 0 }
 
-// BestByLatencyDeadline returns the first, by the order of that number, of the requests whose
-// latency deadline is not before t.
-func (sub *Subqueue[R, K]) BestByLatencyDeadline(order int, t Time) (R, bool) {
-	if sub.inSets {
+// BestByLatencyDeadline returns the best of the requests whose latency deadline is not before t, if
+// there are any. The order is the index of one of the orders passed to New.
+func (sub *Subqueue[R, P]) BestByLatencyDeadline(order int, t Time) (R, bool) {
+	if sub.usesSets {
 		return sub.byLatencyDeadline.Best(order, int64(t))
 	}
-	return sub.singleIf(sub.singleTimes.latencyDeadline >= int64(t))
+	return sub.singleIf(sub.singleKeys.latencyDeadline >= int64(t))
 }
 
-// BestByDeadline returns the first, by the order of that number, of the requests whose deadline
-// is not before t.
-func (sub *Subqueue[R, K]) BestByDeadline(order int, t Time) (R, bool) {
-	if sub.inSets {
+// BestByDeadline returns the best of the requests whose deadline is not before t, if there are any.
+// The order is the index of one of the orders passed to New.
+func (sub *Subqueue[R, P]) BestByDeadline(order int, t Time) (R, bool) {
+	if sub.usesSets {
 		return sub.byDeadline.Best(order, int64(t))
 	}
-	return sub.singleIf(sub.singleTimes.deadline >= int64(t))
+	return sub.singleIf(sub.singleKeys.deadline >= int64(t))
 }
 
-func (sub *Subqueue[R, K]) singleIf(inTime bool) (request R, ok bool) {
+// singleIf returns the single request if there is one and inTime is true. It must only be called
+// while usesSets is false.
+func (sub *Subqueue[R, P]) singleIf(inTime bool) (request R, ok bool) {
 	if sub.count == 0 || !inTime {
 		return request, false
 	}
 	return sub.single, true
 }
 
-func (sub *Subqueue[R, K]) add(request R, times itemTimes, orders []func(a, b R) bool) {
+// add adds a request. The second request moves the subqueue to the sets; orders are those of the
+// queue, for sets that do not exist yet.
+func (sub *Subqueue[R, P]) add(request R, keys itemKeys, orders []func(a, b R) bool) {
 	sub.count++
 	if sub.count == 1 {
-		sub.single, sub.singleTimes = request, times
+		sub.single, sub.singleKeys = request, keys
 		return
 	}
-	if !sub.inSets {
+	if !sub.usesSets {
 		if sub.byLatencyDeadline == nil {
 			sub.byLatencyDeadline, sub.byDeadline = orderedset.New(orders...), orderedset.New(orders...)
 		}
-		sub.inSets = true
-		sub.insert(sub.single, sub.singleTimes)
+		sub.usesSets = true
+		sub.insert(sub.single, sub.singleKeys)
 	}
-	sub.insert(request, times)
+	sub.insert(request, keys)
 }
 
-func (sub *Subqueue[R, K]) insert(request R, times itemTimes) {
-	sub.byLatencyDeadline.Add(times.latencyDeadline, times.sequence, request)
-	sub.byDeadline.Add(times.deadline, times.sequence, request)
+func (sub *Subqueue[R, P]) insert(request R, keys itemKeys) {
+	sub.byLatencyDeadline.Add(keys.latencyDeadline, keys.sequence, request)
+	sub.byDeadline.Add(keys.deadline, keys.sequence, request)
 }
 
-func (sub *Subqueue[R, K]) remove(times itemTimes) {
+// remove removes the request with the given keys, which must be in the subqueue. An empty subqueue
+// goes back to storing a single request.
+func (sub *Subqueue[R, P]) remove(keys itemKeys) {
 	sub.count--
-	if sub.inSets {
-		sub.byLatencyDeadline.Remove(times.latencyDeadline, times.sequence)
-		sub.byDeadline.Remove(times.deadline, times.sequence)
+	if sub.usesSets {
+		sub.byLatencyDeadline.Remove(keys.latencyDeadline, keys.sequence)
+		sub.byDeadline.Remove(keys.deadline, keys.sequence)
 	}
 	if sub.count == 0 {
 		var none R
-		sub.single, sub.inSets = none, false
+		sub.single, sub.usesSets = none, false
 	}
 }
 
-func (sub *Subqueue[R, K]) each(visit func(R)) {
-	if sub.inSets {
+// each calls visit for every request, in order of latency deadline.
+func (sub *Subqueue[R, P]) each(visit func(R)) {
+	if sub.usesSets {
 		sub.byLatencyDeadline.All(func(request R) bool { visit(request); return true })
 	} else if sub.count > 0 {
 		visit(sub.single)
--- a/internal/waitqueue/waitqueue_test.go
+++ b/internal/waitqueue/waitqueue_test.go
@@ -23,11 +23,12 @@
 	return a.LatencyDeadline < b.LatencyDeadline || a.LatencyDeadline == b.LatencyDeadline && a.Sequence < b.Sequence
 }
 
-// The queue is used at random and compared, after each step, with plain lists of what is queued,
-// ready and deferred: every subqueue finds what a look at all its requests finds, each ready
-// request stands in one subqueue of its owner and, unless that is isolated, in one that is shared,
-// expired requests come in order, and none is lost.
-func TestRandomHistories(t *testing.T) {
+// Runs random operations on the queue and, after each one, compares it with a model that keeps plain
+// lists of the queued, ready and deferred requests. Verifies that each subqueue finds the same best
+// request as a search through all requests that belong to it; that each ready request is in one
+// subqueue of its owner and, unless the owner is isolated, in one shared subqueue; that expired
+// requests are returned in order; and that no request is lost.
+func TestRandomOperations(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &model{T: t, queue: New[*request, int, string](byTag, byLatencyDeadline), isolated: map[string]bool{}, now: 1}
 		for sequence := range rapid.IntRange(1, 120).Draw(t, "steps") {
@@ -52,7 +53,7 @@
 	})
 }
 
-// model drives a queue and keeps what must be in it.
+// model runs operations on a queue and records the requests that must be in it, by state.
 type model struct {
 	*rapid.T
 	queue                   *Queue[*request, int, string]
@@ -65,15 +66,15 @@
 	return slices.DeleteFunc(slices.Clone(list), func(other *request) bool { return other == r })
 }
 
-// drawOne returns one of the list, nil if it is empty.
-func (m *model) drawOne(list []*request) *request {
+// drawRequest returns a random request of the list, nil if the list is empty.
+func (m *model) drawRequest(list []*request) *request {
 	if len(list) == 0 {
 		return nil
 	}
 	return list[rapid.IntRange(0, len(list)-1).Draw(m.T, "which")]
 }
 
-func (m *model) add(sequence int, deferIt bool) {
+func (m *model) add(sequence int, shouldDefer bool) {
 	r := &request{
 		owner:   rapid.SampledFrom([]string{"a", "b", "c"}).Draw(m.T, "owner"),
 		profile: rapid.IntRange(0, 2).Draw(m.T, "profile"),
@@ -85,7 +86,7 @@
 	r.ExpiresAt = r.LatencyDeadline + Time(rapid.IntRange(0, 8).Draw(m.T, "expiry"))
 	m.queue.Add(r, sequence)
 	m.queued = append(m.queued, r)
-	if deferIt {
+	if shouldDefer {
 		m.queue.Defer(r, m.now+5)
 		m.deferred = append(m.deferred, r)
 		return
@@ -98,7 +99,7 @@
 	m.ready = append(m.ready, r)
 }
 
-// suspended notes that a request is no longer ready or deferred.
+// suspended updates the model after a request has left the subqueues or ended its deferral.
 func (m *model) suspended(r *request) {
 	m.ready, m.deferred = without(m.ready, r), without(m.deferred, r)
 	if !slices.ContainsFunc(m.ready, func(other *request) bool { return other.owner == r.owner }) {
@@ -106,27 +107,28 @@
 	}
 }
 
+// removed updates the model after a request was removed from the queue.
 func (m *model) removed(r *request) {
 	m.queued = without(m.queued, r)
 	m.suspended(r)
 }
 
 func (m *model) remove() {
-	if r := m.drawOne(m.queued); r != nil {
+	if r := m.drawRequest(m.queued); r != nil {
 		m.queue.Remove(r)
 		m.removed(r)
 	}
 }
 
 func (m *model) suspend() {
-	if r := m.drawOne(m.ready); r != nil {
+	if r := m.drawRequest(m.ready); r != nil {
 		m.queue.Suspend(r)
 		m.suspended(r)
 	}
 }
 
 func (m *model) isolate() {
-	if r := m.drawOne(m.ready); r != nil && !m.isolated[r.owner] {
+	if r := m.drawRequest(m.ready); r != nil && !m.isolated[r.owner] {
 		m.queue.Isolate(r.owner)
 		m.isolated[r.owner] = true
 	}
@@ -135,7 +137,7 @@
 func (m *model) popDeferred() {
 	for r, ok := m.queue.PopDeferred(m.now); ok; r, ok = m.queue.PopDeferred(m.now) {
 		if !slices.Contains(m.deferred, r) {
-			m.Fatal("returned one that was not deferred")
+			m.Fatal("PopDeferred returned a request that was not deferred")
 		}
 		m.suspended(r)
 		m.makeReady(r)
@@ -143,25 +145,26 @@
 	m.queue.Sweep()
 }
 
-// removeExpired extends the expiry of one profile's requests to their deadline.
+// removeExpired calls RemoveExpired with an extend function that moves the expiry of the requests of
+// one profile to their deadline.
 func (m *model) removeExpired() {
-	extended := rapid.IntRange(0, 2).Draw(m.T, "extended profile")
+	extendedProfile := rapid.IntRange(0, 2).Draw(m.T, "extended profile")
 	expired := m.queue.RemoveExpired(m.now, func(r *request) Time {
-		if r.profile == extended && r.ExpiresAt < r.Deadline {
+		if r.profile == extendedProfile && r.ExpiresAt < r.Deadline {
 			return r.Deadline
 		}
 		return 0
 	})
 	for i, r := range expired {
-		isExtended := r.profile == extended && r.ExpiresAt < r.Deadline && r.Deadline >= m.now
-		if r.ExpiresAt >= m.now || isExtended || i > 0 && expired[i-1].Sequence > r.Sequence {
-			m.Fatal("removed too early, or out of order")
+		canExtend := r.profile == extendedProfile && r.ExpiresAt < r.Deadline && r.Deadline >= m.now
+		if r.ExpiresAt >= m.now || canExtend || i > 0 && expired[i-1].Sequence > r.Sequence {
+			m.Fatal("a request was removed before its expiry, or out of order")
 		}
 		m.removed(r)
 	}
 	for _, r := range m.queued {
 		if r.ExpiresAt < m.now {
-			m.Fatal("kept too long")
+			m.Fatal("an expired request is still queued")
 		}
 	}
 }
@@ -180,61 +183,62 @@
 }
 
 func (m *model) checkSubqueues() {
-	sharedOfProfile := map[int]int{}
+	sharedCounts := map[int]int{}
 	for _, sub := range m.queue.Shared {
-		sharedOfProfile[sub.Profile]++
+		sharedCounts[sub.Profile]++
 		m.checkSubqueue("shared", sub, func(r *request) bool { return !m.isolated[r.owner] })
 	}
 	for _, r := range m.ready {
-		if sharedOfProfile[r.profile] != 1 && !m.isolated[r.owner] {
-			m.Fatalf("profile %d has %d shared subqueues", r.profile, sharedOfProfile[r.profile])
+		if sharedCounts[r.profile] != 1 && !m.isolated[r.owner] {
+			m.Fatalf("profile %d has %d shared subqueues", r.profile, sharedCounts[r.profile])
 		}
 		for _, sub := range m.queue.SubqueuesOf(r.owner) {
 			m.checkSubqueue("own", sub, func(other *request) bool { return other.owner == r.owner })
 		}
 		if *r.Profile() != r.profile || r.QueueState() != Ready {
-			m.Fatal("a ready request does not know where it stands")
+			m.Fatal("a ready request has a wrong profile or state")
 		}
 	}
 	for _, r := range m.deferred {
 		if r.QueueState() != Deferred {
-			m.Fatalf("a deferred request is %v", r.QueueState())
+			m.Fatalf("a deferred request has state %v", r.QueueState())
 		}
 	}
 	if len(m.queue.Isolated) != len(m.isolated) {
-		m.Fatalf("%d owners isolated, want %v", len(m.queue.Isolated), m.isolated)
+		m.Fatalf("%d owners are isolated, want %v", len(m.queue.Isolated), m.isolated)
 	}
 }
 
-// checkSubqueue compares the best of a subqueue with the best of all that belong to it.
+// checkSubqueue compares the best requests that a subqueue returns with those found by a search
+// through all ready requests of its profile for which belongs returns true.
 func (m *model) checkSubqueue(name string, sub *subqueue, belongs func(r *request) bool) {
 	for order, better := range []func(a, b *request) bool{byTag, byLatencyDeadline} {
-		for _, from := range []Time{0, m.now, m.now + 4} {
-			var meetsObjective, meetsDeadline *request
+		for _, earliest := range []Time{0, m.now, m.now + 4} {
+			var bestByObjective, bestByDeadline *request
 			for _, r := range m.ready {
 				if r.profile != sub.Profile || !belongs(r) {
 					continue
 				}
-				if r.LatencyDeadline >= from && (meetsObjective == nil || better(r, meetsObjective)) {
-					meetsObjective = r
+				if r.LatencyDeadline >= earliest && (bestByObjective == nil || better(r, bestByObjective)) {
+					bestByObjective = r
 				}
-				if r.Deadline >= from && (meetsDeadline == nil || better(r, meetsDeadline)) {
-					meetsDeadline = r
+				if r.Deadline >= earliest && (bestByDeadline == nil || better(r, bestByDeadline)) {
+					bestByDeadline = r
 				}
 			}
-			if r, _ := sub.BestByLatencyDeadline(order, from); r != meetsObjective {
-				m.Fatalf("%s subqueue %d, order %d: best by latency deadline is %v, want %v", name, sub.Profile, order, r, meetsObjective)
+			if r, _ := sub.BestByLatencyDeadline(order, earliest); r != bestByObjective {
+				m.Fatalf("%s subqueue of profile %d, order %d: best by latency deadline is %v, want %v", name, sub.Profile, order, r, bestByObjective)
 			}
-			if r, _ := sub.BestByDeadline(order, from); r != meetsDeadline {
-				m.Fatalf("%s subqueue %d, order %d: best by deadline is %v, want %v", name, sub.Profile, order, r, meetsDeadline)
+			if r, _ := sub.BestByDeadline(order, earliest); r != bestByDeadline {
+				m.Fatalf("%s subqueue of profile %d, order %d: best by deadline is %v, want %v", name, sub.Profile, order, r, bestByDeadline)
 			}
 		}
 	}
 }
 
-// Every request may have a profile of its own. Empty subqueues and owners without requests must
-// not pile up meanwhile.
-func TestEmptySubqueuesAndOwnersAreForgotten(t *testing.T) {
+// Verifies that empty subqueues and owners without requests do not accumulate when every request has
+// a profile of its own.
+func TestEmptySubqueuesAndOwnersAreReleased(t *testing.T) {
 	q := New[*request, int, string](byTag, byLatencyDeadline)
 	for i := range 10_000 {
 		r := &request{owner: "v", profile: i}
@@ -244,13 +248,13 @@
 		q.MakeReady(r, r.owner, r.profile)
 		q.Remove(r)
 	}
-	if len(q.Shared) > maxEmptyShared || len(q.SubqueuesOf("v")) > maxEmptyShared ||
-		len(q.reusable) > maxReusable || len(q.sharedByProfile) > maxEmptyShared {
-		t.Errorf("%d shared subqueues, %d of one owner, %d reusable, %d by profile",
-			len(q.Shared), len(q.SubqueuesOf("v")), len(q.reusable), len(q.sharedByProfile))
+	if len(q.Shared) > maxEmptySharedSubqueues || len(q.SubqueuesOf("v")) > maxEmptySharedSubqueues ||
+		len(q.freeSubqueues) > maxFreeSubqueues || len(q.sharedByProfile) > maxEmptySharedSubqueues {
+		t.Errorf("%d shared subqueues, %d of one owner, %d free, %d shared by profile",
+			len(q.Shared), len(q.SubqueuesOf("v")), len(q.freeSubqueues), len(q.sharedByProfile))
 	}
 	q.Sweep()
 	if len(q.owners) != 0 {
-		t.Errorf("%d owners that have nothing", len(q.owners))
+		t.Errorf("%d owners without ready requests remain after Sweep", len(q.owners))
 	}
 }
