--- a/internal/orderedset/orderedset.go
+++ b/internal/orderedset/orderedset.go
@@ -1,41 +1,43 @@
-// Package orderedset provides a set ordered by an integer key that also finds the best item, by
-// another order, among those whose key is at least some value. It is a treap in which each
-// subtree keeps its best item by each of the other orders. Add, Remove and Best take expected
-// time logarithmic in the size. The same calls give the same tree.
+// Package orderedset provides a set that is sorted by an integer key. Best also finds the best item
+// by another order among the items whose key is at least a given value.
+//
+// The set is a treap in which each node stores the best item of its subtree by each of the other
+// orders. Add, Remove and Best take expected time logarithmic in the size of the set. The priorities
+// are pseudo-random numbers from a fixed seed, so the same calls always build the same tree.
 package orderedset
 
-// MaxOrders is how many orders a set may have. A constant, so that a node needs no allocation
-// of its own for its best items.
+// MaxOrders is the largest number of orders that a set can have. It is a constant so that a node
+// stores its best items in an array, without a separate allocation.
 const MaxOrders = 2
 
-// Set is a set of items. Items with equal keys are ordered by tie, which must be unique among
-// them. Use New. A set is not safe for concurrent use.
+// Set is a set of items sorted by key. Items with equal keys are sorted by a tie-breaker (tie), which
+// must be unique among them. Use New. A Set is not safe for concurrent use.
 type Set[T any] struct {
 	root        *node[T]
-	orders      []func(a, b T) bool // whether a is better than b
+	orders      []func(a, b T) bool // each reports whether a is better than b
 	size        int
-	freeNodes   *node[T] // removed nodes for use again, linked by left
-	randomState uint64   // of an xorshift generator
+	freeNodes   *node[T] // list of removed nodes for reuse, linked by left
+	randomState uint64   // state of the xorshift generator of the priorities
 }
 
-// node is a node of the treap: keys are ordered as in a binary search tree, and no node has a
-// higher priority than its parent.
+// node is a node of the treap. Nodes are sorted by key and tie-breaker as in a binary search tree,
+// and no node has a higher priority than its parent.
 type node[T any] struct {
 	key, tie    int64
 	item        T
-	best        [MaxOrders]T // of the subtree, by each order
+	best        [MaxOrders]T // best item of the subtree by each order
 	priority    uint64
 	left, right *node[T]
 }
 
-// randomSeed is any number but 0, at which xorshift would stay.
+// randomSeed is an arbitrary number other than 0. From 0, xorshift yields only zeros.
 const randomSeed = 0x9e3779b97f4a7c15
 
-// New returns an empty set. Each order reports whether a is better than b and must be strict; an
-// item's place in the orders must not change while it is in the set. It panics if there are more
-// than MaxOrders.
+// New returns an empty set. Each order must be a strict order that reports whether a is better than
+// b. An item's place in the orders must not change while the item is in the set. New panics if there
+// are more than MaxOrders orders.
 func New[T any](orders ...func(a, b T) bool) *Set[T] {
-	if len(orders) > MaxOrders { // a mistake in the calling code
+	if len(orders) > MaxOrders { // a programming error of the caller
 		panic("orderedset: too many orders")
 	}
 	return &Set[T]{orders: orders, randomState: randomSeed}
@@ -44,7 +46,7 @@
 // Len returns the number of items.
 func (s *Set[T]) Len() int { return s.size }
 
-// Add adds an item. The set must not hold one with this key and tie.
+// Add adds an item. The set must not hold an item with the same key and tie.
 func (s *Set[T]) Add(key, tie int64, item T) {
 	n := s.newNode()
 	*n = node[T]{key: key, tie: tie, item: item, priority: s.nextRandom()}
@@ -52,6 +54,7 @@
 	s.root = s.add(s.root, n)
 }
 
+// newNode returns a free node if there is one, or a new node. The caller overwrites all its fields.
 func (s *Set[T]) newNode() *node[T] {
 	n := s.freeNodes
 	if n == nil {
@@ -61,7 +64,7 @@
 	return n
 }
 
-// nextRandom is xorshift64.
+// nextRandom returns the next number of the xorshift64 generator.
 func (s *Set[T]) nextRandom() uint64 {
 	s.randomState ^= s.randomState << 13
 	s.randomState ^= s.randomState >> 7
@@ -69,70 +72,73 @@
 	return s.randomState
 }
 
+// before reports whether n is before the given key and tie-breaker.
 func (n *node[T]) before(key, tie int64) bool { return n.key < key || n.key == key && n.tie < tie }
 
-// add inserts n into the subtree at and returns its new root.
-func (s *Set[T]) add(at, n *node[T]) *node[T] {
+// add inserts n into a subtree and returns the subtree's new root.
+func (s *Set[T]) add(root, n *node[T]) *node[T] {
 	switch {
-	case at == nil:
-	case n.priority > at.priority:
-		n.left, n.right = s.split(at, n.key, n.tie)
-	case at.before(n.key, n.tie):
-		at.right = s.add(at.right, n)
-		s.updateBest(at)
-		return at
+	case root == nil:
+	case n.priority > root.priority:
+		n.left, n.right = s.split(root, n.key, n.tie)
+	case root.before(n.key, n.tie):
+		root.right = s.add(root.right, n)
+		s.updateBest(root)
+		return root
 	default:
-		at.left = s.add(at.left, n)
-		s.updateBest(at)
-		return at
+		root.left = s.add(root.left, n)
+		s.updateBest(root)
+		return root
 	}
 	s.updateBest(n)
 	return n
 }
 
-// split divides a subtree into the nodes before a key and tie, and the rest.
-func (s *Set[T]) split(at *node[T], key, tie int64) (low, high *node[T]) {
-	if at == nil {
+// split divides a subtree into the nodes before a key and tie-breaker, and the other nodes.
+func (s *Set[T]) split(root *node[T], key, tie int64) (low, high *node[T]) {
+	if root == nil {
 		return nil, nil
 	}
-	if at.before(key, tie) {
-		at.right, high = s.split(at.right, key, tie)
-		s.updateBest(at)
-		return at, high
+	if root.before(key, tie) {
+		root.right, high = s.split(root.right, key, tie)
+		s.updateBest(root)
+		return root, high
 	}
-	low, at.left = s.split(at.left, key, tie)
-	s.updateBest(at)
-	return low, at
+	low, root.left = s.split(root.left, key, tie)
+	s.updateBest(root)
+	return low, root
 }
 
-// Remove removes an item and reports whether it was there.
+// Remove removes the item with the given key and tie and reports whether the set held it.
 func (s *Set[T]) Remove(key, tie int64) bool {
-	before := s.size
+	oldSize := s.size
 	s.root = s.remove(s.root, key, tie)
-	return s.size < before
+	return s.size < oldSize
 }
 
-// remove removes a node from the subtree at and returns its new root.
-func (s *Set[T]) remove(at *node[T], key, tie int64) *node[T] {
+// remove removes a node from a subtree and returns the subtree's new root. It changes nothing if the
+// subtree has no node with the key and tie-breaker.
+func (s *Set[T]) remove(root *node[T], key, tie int64) *node[T] {
 	switch {
-	case at == nil:
+	case root == nil:
 		return nil
-	case at.key == key && at.tie == tie:
-		rest := s.join(at.left, at.right)
-		*at = node[T]{left: s.freeNodes}
-		s.freeNodes = at
+	case root.key == key && root.tie == tie:
+		rest := s.join(root.left, root.right)
+		*root = node[T]{left: s.freeNodes}
+		s.freeNodes = root
 		s.size--
 		return rest
-	case at.before(key, tie):
-		at.right = s.remove(at.right, key, tie)
+	case root.before(key, tie):
+		root.right = s.remove(root.right, key, tie)
 	default:
-		at.left = s.remove(at.left, key, tie)
+		root.left = s.remove(root.left, key, tie)
 	}
-	s.updateBest(at)
-	return at
+	s.updateBest(root)
+	return root
 }
 
-// join makes one subtree of two, of which all of low is before high.
+// join joins two subtrees and returns the root of the result. Every node of low must be before every
+// node of high.
 func (s *Set[T]) join(low, high *node[T]) *node[T] {
 	switch {
 	case low == nil:
@@ -149,7 +155,7 @@
 	return high
 }
 
-// updateBest sets the best of a subtree from its root and its children.
+// updateBest recomputes the best items of n's subtree from n's own item and its children.
 func (s *Set[T]) updateBest(n *node[T]) {
 	for i, better := range s.orders {
 		best := n.item
@@ -163,7 +169,7 @@
 	}
 }
 
-// First returns the item with the least key, if any.
+// First returns the item with the lowest key, if the set is not empty.
 func (s *Set[T]) First() (item T, ok bool) {
 	n := s.root
 	if n == nil {
@@ -175,8 +181,8 @@
 	return n.item, true
 }
 
-// Best returns the best item, by the order of that number in New, among those whose key is at
-// least minKey.
+// Best returns the best item among the items whose key is at least minKey, if there are any. The
+// order is the index of one of the orders passed to New.
 func (s *Set[T]) Best(order int, minKey int64) (best T, ok bool) {
 	consider := func(item T) {
 		if !ok || s.orders[order](item, best) {
@@ -197,10 +203,11 @@
 	return best, ok
 }
 
-// All calls yield for every item, by key, until it returns false. The set must not change
-// meanwhile.
+// All calls yield for each item, in order of key and tie, until yield returns false. The set
+// must not change during the iteration.
 func (s *Set[T]) All(yield func(T) bool) { s.root.all(yield) }
 
+// all calls yield for each item of n's subtree. It reports false if yield returned false.
 func (n *node[T]) all(yield func(T) bool) bool {
 	return n == nil || n.left.all(yield) && yield(n.item) && n.right.all(yield)
 }
--- a/internal/orderedset/orderedset_test.go
+++ b/internal/orderedset/orderedset_test.go
@@ -11,14 +11,14 @@
 
 type item struct{ key, tie, a, b int64 }
 
-// The set is used at random and compared with a sorted slice after each step.
-func TestRandomHistories(t *testing.T) {
+// Runs random operations on the set and compares it with a sorted slice after each one.
+func TestRandomOperations(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		byA := func(x, y item) bool { return cmp.Or(cmp.Compare(x.a, y.a), cmp.Compare(x.tie, y.tie)) < 0 }
 		byB := func(x, y item) bool { return cmp.Or(cmp.Compare(y.b, x.b), cmp.Compare(x.tie, y.tie)) < 0 }
 		s := New(byA, byB)
 		var want []item
-		num := rapid.Int64Range(0, 12)
+		smallNumber := rapid.Int64Range(0, 12)
 		for tie := range rapid.Int64Range(1, 120).Draw(t, "steps") {
 			if len(want) > 0 && rapid.IntRange(0, 2).Draw(t, "remove") == 0 {
 				i := rapid.IntRange(0, len(want)-1).Draw(t, "which")
@@ -27,7 +27,7 @@
 				}
 				want = slices.Delete(want, i, i+1)
 			} else {
-				x := item{num.Draw(t, "key"), tie, num.Draw(t, "a"), num.Draw(t, "b")}
+				x := item{smallNumber.Draw(t, "key"), tie, smallNumber.Draw(t, "a"), smallNumber.Draw(t, "b")}
 				s.Add(x.key, x.tie, x)
 				want = append(want, x)
 			}
@@ -38,19 +38,19 @@
 				t.Fatalf("%v, want %v", got, want)
 			}
 			if x, ok := s.First(); ok != (len(want) > 0) || ok && x != want[0] {
-				t.Fatalf("first is %v of %v", x, want)
+				t.Fatalf("First returned %v, want the first of %v", x, want)
 			}
-			from := num.Draw(t, "from")
+			minKey := smallNumber.Draw(t, "from")
 			for i, better := range []func(x, y item) bool{byA, byB} {
 				var best item
-				there := false
+				found := false
 				for _, x := range want {
-					if x.key >= from && (!there || better(x, best)) {
-						best, there = x, true
+					if x.key >= minKey && (!found || better(x, best)) {
+						best, found = x, true
 					}
 				}
-				if x, ok := s.Best(i, from); ok != there || x != best {
-					t.Fatalf("best by %d from %d is %v, want %v", i, from, x, best)
+				if x, ok := s.Best(i, minKey); ok != found || x != best {
+					t.Fatalf("best by order %d with a key of at least %d is %v, want %v", i, minKey, x, best)
 				}
 			}
 		}
--- a/internal/orderedset/seed_test.go
+++ b/internal/orderedset/seed_test.go
@@ -2,5 +2,5 @@
 
 import "flag"
 
-// Random histories are the same in every run; -rapid.seed=0 draws new ones.
+// init fixes rapid's seed, so that every run draws the same random operations; -rapid.seed=0 draws new ones.
 func init() { flag.Set("rapid.seed", "20261201") }
