--- a/internal/settings/convert.go
+++ b/internal/settings/convert.go
@@ -6,24 +6,24 @@
 	"maddergap/scheduler"
 )
 
-// discoveryPoll is the value of Site.Discovery where the endpoint list has to be asked for.
+// discoveryPoll is the value of Site.Discovery for sites whose instances must poll for the endpoint list.
 const discoveryPoll = "ask"
 
-// effects are the values of Class.Effect.
+// effects maps the JSON values of Class.Effect to effects.
 var effects = map[string]scheduler.Effect{
 	"retryable": scheduler.Safe,
 	"dedup":     scheduler.Idempotent,
 	"fragile":   scheduler.NonIdempotent,
 }
 
-// deduplicationScopes are the values of Class.DeduplicationScope.
+// deduplicationScopes maps the JSON values of Class.DeduplicationScope to scopes.
 var deduplicationScopes = map[string]scheduler.DeduplicationScope{
 	"all":  scheduler.ScopeAll,
 	"zone": scheduler.ScopeZone,
 	"cell": scheduler.ScopeShard,
 }
 
-// Settings returns the scheduler's settings of a valid site.
+// Settings converts the site to the settings of the scheduler. The site must have passed Validate.
 func (site *Site) Settings() scheduler.Settings {
 	return scheduler.Settings{
 		Instances:     site.Instances,
@@ -58,6 +58,7 @@
 	return classes
 }
 
+// plans returns the site's plans, or a single plan for all volumes if the site has none.
 func (site *Site) plans() (plans []scheduler.Plan) {
 	if len(site.Plans) == 0 {
 		return []scheduler.Plan{{Weight: 1, PriorityFactor: 1}}
@@ -86,7 +87,7 @@
 	}
 }
 
-// retryBudget returns nil where there is none.
+// retryBudget returns nil if the site has no retry budget.
 func (g *Guarantees) retryBudget() *scheduler.RetryBudget {
 	if g.RetryBudgetWindow <= 0 {
 		return nil
@@ -98,6 +99,7 @@
 	}
 }
 
+// maxRetryAfter returns 0 if rejections carry no Retry-After.
 func (l *Limits) maxRetryAfter() time.Duration {
 	if !l.SendRetryAfter {
 		return 0
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,25 +1,26 @@
-// Package settings reads the settings object of a site, which is the same on the simulator's wire
-// and in a platform's configuration, and makes scheduler.Settings of it. It is the one place where
-// the object's words are mapped to the terms of the code; it holds no default and no decision.
+// Package settings defines the JSON settings object of a site, validates it and converts it to
+// scheduler.Settings. The simulator's protocol and the platform's configuration use the same object.
+// This is the only package that maps the JSON keys and values to the terms of the code. It contains
+// no policy and, apart from the single plan of a site without plans, no defaults.
 package settings
 
 import "time"
 
-// Site is the settings object as it is in JSON. The keys are the users' words, the fields the terms
-// that the scheduler has for them; see scheduler.Settings for their meaning. Times are in
-// microseconds, see Microseconds. Keys that are not here are ignored.
+// Site is the settings object. The JSON keys are the names that users know, the fields have the names
+// that the scheduler uses; scheduler.Settings describes their meaning. All times are in microseconds
+// (see Microseconds). Unknown keys are ignored.
 type Site struct {
 	Instances  int        `json:"fleetSize"`
-	Discovery  string     `json:"discovery"` // discoveryPoll, or anything else for pushed updates
+	Discovery  string     `json:"discovery"` // discoveryPoll; any other value means pushed updates
 	Classes    []Class    `json:"classes"`
-	Plans      []Plan     `json:"grades"` // none: all volumes have the same plan
+	Plans      []Plan     `json:"grades"` // if empty, all volumes have the same plan
 	Workload   Workload   `json:"familyInfo"`
 	Guarantees Guarantees `json:"guarantees"`
 	Limits     Limits     `json:"limits"`
-	Zones      []string   `json:"zones"`
+	Zones      []string   `json:"zones"` // zone names; a zone's number is its index
 }
 
-// Class is a class of requests, see scheduler.Class.
+// Class is a class of requests. See scheduler.Class.
 type Class struct {
 	Name                string  `json:"name"`
 	LatencyObjective    int64   `json:"target"`
@@ -32,7 +33,7 @@
 	LateWeightFactor    float64 `json:"lateWorth"`
 }
 
-// Plan is what a volume bought, see scheduler.Plan.
+// Plan is the service level that a volume has bought. See scheduler.Plan.
 type Plan struct {
 	Name           string  `json:"name"`
 	Rate           float64 `json:"nominal"`
@@ -43,25 +44,26 @@
 	LimitBurst     float64 `json:"limitBurst"`
 }
 
-// Workload describes the requests and the data.
+// Workload describes the sizes of requests, the number of shards and the value of excess load.
 type Workload struct {
 	SlowStartMinUnits float64 `json:"coldUnits"`
 	MaxUnits          float64 `json:"unitsTop"`
 	MeanUnits         float64 `json:"usualUnits"`
 	ExcessWeight      float64 `json:"fairWorth"`
-	Shards            int     `json:"nShards"` // number of shards
-	// Writes says of each class whether its requests write; empty where that is unknown.
+	Shards            int     `json:"nShards"` // number of shards; 0 if unknown
+	// Writes reports for each class, by its index, whether its requests are writes; empty if unknown.
 	Writes []bool `json:"writes"`
 }
 
-// Guarantees are what the nodes and the site's rules ask of an instance.
+// Guarantees are the rules that an instance must follow towards the nodes: slow start, the cooldown
+// of ordered keys and the retry budget.
 type Guarantees struct {
 	WarmupDuration  int64   `json:"cold"`
 	InitialFraction float64 `json:"coldFrom"`
 	OverloadFactor  float64 `json:"fallMultiple"`
 	OverloadWindow  int64   `json:"overloadFor"`
 	KeyCooldown     int64   `json:"orderSettle"`
-	// A RetryBudgetWindow of 0 means that there is no retry budget.
+	// If RetryBudgetWindow is 0, there is no retry budget.
 	RetryBudgetWindow     int64   `json:"countedOver"`
 	RetryBudgetMinRetries float64 `json:"freeResends"`
 	RetryBudgetRatio      float64 `json:"furtherRatio"`
@@ -69,13 +71,14 @@
 
 // Limits bound attempts and connections.
 type Limits struct {
-	MaxAttempts int `json:"maxAttempts"` // 0 for no bound
-	// MaxRetryAfter is the Retry-After of rejections, sent where SendRetryAfter is set.
+	MaxAttempts int `json:"maxAttempts"` // attempts per request; 0 for no limit
+	// MaxRetryAfter is the Retry-After time of rejections. It is sent only if SendRetryAfter is set.
 	MaxRetryAfter  int64 `json:"maxRetryAfter"`
 	SendRetryAfter bool  `json:"retryAfter"`
-	ConnectionIdle int64 `json:"connIdle"`       // after which nodes close a connection
-	ConnectTimeout int64 `json:"connectTimeout"` // 0 for the default
+	ConnectionIdle int64 `json:"connIdle"`       // idle time after which nodes close a connection; 0 if unknown
+	ConnectTimeout int64 `json:"connectTimeout"` // time to open a connection to a node; 0 for the default
 }
 
-// Microseconds returns a duration of so many microseconds.
+// Microseconds converts a number of microseconds, the unit of all times in the settings, to a
+// time.Duration.
 func Microseconds(n int64) time.Duration { return time.Duration(n) * time.Microsecond }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -10,7 +10,8 @@
 	"maddergap/scheduler"
 )
 
-const everyKey = `{
+// allKeysJSON is a valid settings object with every key that the package knows.
+const allKeysJSON = `{
 	"fleetSize": 3, "discovery": "ask",
 	"classes": [
 		{"name": "read", "target": 200000, "deadline": 1500000, "effect": "retryable", "gain": 2, "lateWorth": 0.1},
@@ -24,7 +25,7 @@
 	"zones": ["a", "b"]
 }`
 
-func parse(t *testing.T, text string) *Site {
+func decodeSite(t *testing.T, text string) *Site {
 	t.Helper()
 	site := &Site{}
 	if err := json.Unmarshal([]byte(text), site); err != nil {
@@ -33,9 +34,9 @@
 	return site
 }
 
-// Every key of the settings object reaches the scheduler's setting of that meaning.
-func TestSettingsOfEveryKey(t *testing.T) {
-	site := parse(t, everyKey)
+// Verifies that each key of the settings object is converted to the scheduler setting it stands for.
+func TestSettingsMapsEveryKey(t *testing.T) {
+	site := decodeSite(t, allKeysJSON)
 	if err := site.Validate(); err != nil {
 		t.Fatal(err)
 	}
@@ -64,9 +65,9 @@
 	}
 }
 
-// A site may have no plans, no retry budget, and not tell clients when to retry.
+// Verifies the conversion of a site without plans, without a retry budget window and without Retry-After.
 func TestSettingsOfMinimalSite(t *testing.T) {
-	site := parse(t, `{"fleetSize": 1, "classes": [{"name": "read", "target": 1000, "effect": "retryable", "gain": 1}],
+	site := decodeSite(t, `{"fleetSize": 1, "classes": [{"name": "read", "target": 1000, "effect": "retryable", "gain": 1}],
 		"familyInfo": {"unitsTop": 1, "usualUnits": 1}, "limits": {"maxRetryAfter": 500000}, "guarantees": {"freeResends": 4}}`)
 	if err := site.Validate(); err != nil {
 		t.Fatal(err)
@@ -80,20 +81,21 @@
 	}
 }
 
-func TestValidateNamesTheKey(t *testing.T) {
-	for _, c := range []struct{ name, old, changed, want string }{
+// Verifies that the error for each kind of invalid value contains its JSON key.
+func TestValidateReportsKey(t *testing.T) {
+	for _, c := range []struct{ name, old, replacement, want string }{
 		{"no instances", `"fleetSize": 3`, `"fleetSize": 0`, "settings: fleetSize is 0, want at least 1"},
 		{"unknown effect", `"effect": "fragile"`, `"effect": "odd"`, `settings: classes[2] append: effect "odd" is unknown`},
 		{"unknown scope", `"group": "cell"`, `"group": "odd"`, `settings: classes[1] put: group "odd" is unknown`},
 		{"no target", `"target": 300000`, `"target": 0`, `settings: classes[2] "append": want a name, a target above 0 and a gain of at least 0`},
-		{"no burst", `"limitBurst": 60`, `"limitBurst": 0`, "settings: grades[0] gold: limitBurst is 0 under a ceilingRate of 50: nothing could ever be sent"},
+		{"no burst", `"limitBurst": 60`, `"limitBurst": 0`, "settings: grades[0] gold: limitBurst is 0 with a ceilingRate of 50, so no request could ever be sent"},
 		{"negative share", `"shares": 4`, `"shares": -4`, "settings: grades[0] gold: shares is -4, want at least 0"},
 		{"plan without a name", `"gold"`, `""`, "settings: grades[0] has no name"},
-		{"too few writes", `[false, true, true]`, `[true]`, "settings: familyInfo.writes tells of 1 classes, there are 3"},
-		{"no units", `"unitsTop": 8`, `"unitsTop": 0`, "settings: familyInfo.unitsTop is 0 and usualUnits 2, want more than 0"},
+		{"too few writes", `[false, true, true]`, `[true]`, "settings: familyInfo.writes has 1 entries, but there are 3 classes"},
+		{"no units", `"unitsTop": 8`, `"unitsTop": 0`, "settings: familyInfo.unitsTop is 0 and usualUnits is 2, want both above 0"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			err := parse(t, strings.Replace(everyKey, c.old, c.changed, 1)).Validate()
+			err := decodeSite(t, strings.Replace(allKeysJSON, c.old, c.replacement, 1)).Validate()
 			if err == nil || err.Error() != c.want {
 				t.Errorf("got %v, want %s", err, c.want)
 			}
--- a/internal/settings/validate.go
+++ b/internal/settings/validate.go
@@ -5,10 +5,10 @@
 	"fmt"
 )
 
-// Error is a value of the settings object that an instance cannot work with.
+// Error describes an invalid value in the settings object.
 type Error struct {
-	Key     string // as classes[1] read: the key, and the name of what it belongs to
-	Problem string
+	Key     string // JSON key; for list elements with index and name, as in "classes[1] read"
+	Problem string // text that follows the key in the message, with its leading space or colon
 }
 
 func (e *Error) Error() string { return "settings: " + e.Key + e.Problem }
@@ -20,8 +20,8 @@
 	*p = append(*p, &Error{Key: key, Problem: fmt.Sprintf(format, args...)})
 }
 
-// Validate returns an *Error for each value that an instance cannot work with, joined, or nil. An
-// unknown effect is among them: taken for the zero value, it would let writes run twice.
+// Validate returns nil, or a joined error with one *Error for each invalid value. It rejects unknown
+// effects because their zero value, scheduler.Safe, would let writes run twice.
 func (site *Site) Validate() error {
 	var p problems
 	for i := range site.Classes {
@@ -60,7 +60,7 @@
 	}
 	key += " " + plan.Name
 	if plan.Limit > 0 && plan.LimitBurst <= 0 {
-		p.add(key, ": limitBurst is %v under a ceilingRate of %v: nothing could ever be sent", plan.LimitBurst, plan.Limit)
+		p.add(key, ": limitBurst is %v with a ceilingRate of %v, so no request could ever be sent", plan.LimitBurst, plan.Limit)
 	}
 	for _, field := range [...]struct {
 		key   string
@@ -81,9 +81,9 @@
 
 func (w *Workload) validate(p *problems, classes int) {
 	if n := len(w.Writes); n > 0 && n != classes {
-		p.add("familyInfo.writes", " tells of %d classes, there are %d", n, classes)
+		p.add("familyInfo.writes", " has %d entries, but there are %d classes", n, classes)
 	}
 	if w.MaxUnits <= 0 || w.MeanUnits <= 0 {
-		p.add("familyInfo.unitsTop", " is %v and usualUnits %v, want more than 0", w.MaxUnits, w.MeanUnits)
+		p.add("familyInfo.unitsTop", " is %v and usualUnits is %v, want both above 0", w.MaxUnits, w.MeanUnits)
 	}
 }
