--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -1,9 +1,9 @@
-// Package membership holds the node list that is in force and computes what each update changes
-// of it, so that applying an update costs by what changed and not by the length of the list. It
-// also converts the start times of nodes, which are wall-clock times, to the gateway's monotonic
+// Package membership holds the current node list and computes the changes that each update makes to
+// it. The rest of the gateway then has to process only the nodes that changed, not the whole list.
+// The package also converts the start times of nodes from wall-clock time to the gateway's monotonic
 // clock. It does no I/O and reads no clock.
 //
-// membership.go holds the list, start_time.go converts start times.
+// membership.go holds the list; start_time.go converts start times.
 package membership
 
 import (
@@ -18,53 +18,56 @@
 // Time is a reading of the gateway's monotonic clock.
 type Time = scheduler.Time
 
-// Update is a full node list, or the changes of one.
+// Update is a full node list or a list of changed nodes.
 type Update struct {
-	// Nodes are the listed nodes, or those that changed; a removed one has that state.
+	// Nodes lists all nodes if Full is set, otherwise the changed nodes. Nodes to remove have state
+	// Removed.
 	Nodes []nodelist.Node
-	// Full: nodes that are not in Nodes are removed.
+	// Full is set if Nodes is the complete list. Nodes that are missing from it are then removed.
 	Full bool
-	// PreviousConfirmedAt is when the list before the update was known to be in force: a node
-	// that only the update lists was not listed then. 0: when that list was applied.
+	// PreviousConfirmedAt is the latest time at which the previous list was known to be current. A
+	// node that is new in this update was not listed at that time. 0 means the time at which the
+	// previous list was applied.
 	PreviousConfirmedAt Time
 }
 
 // Change is a node that an update adds, changes or removes.
 type Change struct {
-	Endpoint scheduler.Endpoint // the node as the scheduler knows it
+	Endpoint scheduler.Endpoint // new state of the node, for the scheduler
 	Addr     string             // host:port
-	// AddressChanged: the node is new, is missing from a full list, or has another address or start
-	// time than before. Its connections and cached addresses then lead elsewhere, or to an
-	// incarnation that is over. A node that an update of changes removes is not marked: its state says so.
+	// AddressChanged is set if the node is new, has a new address or start time, or is missing from a
+	// full list. Connections opened and addresses cached before the change then lead to another
+	// address or to an incarnation that has ended. A removal by an update that is not Full does not
+	// set AddressChanged.
 	AddressChanged bool
 }
 
-// Table is the node list in force. It is not safe for concurrent use.
+// Table is the current node list. It is not safe for concurrent use.
 type Table struct {
 	startTimes startTimeConverter
-	members    map[string]*member // by name; none is in state Removed
-	generation int                // the number of updates applied
+	members    map[string]*member // by name; no member has state Removed
+	generation int                // number of updates applied, including the update in progress
 }
 
 // member is a node on the list.
 type member struct {
 	node      nodelist.Node
-	startedAt Time // 0: long ago
-	// generation is that of the last update that listed the node.
+	startedAt Time // 0 means long ago
+	// generation is the generation of the last update that listed the node.
 	generation int
 }
 
-// New returns an empty table. monotonicZero is the wall-clock time at which the monotonic clock
-// read zero, by the wall clock at the gateway's start.
+// New returns an empty table. monotonicZero is the wall-clock time at which the monotonic clock read
+// zero, computed from readings of both clocks at the gateway's start.
 func New(monotonicZero time.Time) *Table {
 	return &Table{startTimes: startTimeConverter{monotonicZero: monotonicZero}, members: map[string]*member{}}
 }
 
-// Len returns how many nodes are listed.
+// Len returns the number of listed nodes.
 func (t *Table) Len() int { return len(t.members) }
 
-// Apply applies an update that came at now and returns the nodes that it changes: those of the
-// update in their order, then those that a full list leaves out, by name.
+// Apply applies an update that was received at now and returns the nodes that it changes: first the
+// changed nodes of the update, in its order, then the nodes missing from a full list, sorted by name.
 func (t *Table) Apply(now Time, update Update) []Change {
 	t.generation++
 	previousConfirmedAt := update.PreviousConfirmedAt
@@ -80,10 +83,11 @@
 	if update.Full {
 		changes = append(changes, t.removeUnlisted()...)
 	}
-	t.startTimes.updated(now)
+	t.startTimes.recordUpdate(now)
 	return changes
 }
 
+// applyNode applies one node of an update. It reports false if the node is listed and unchanged.
 func (t *Table) applyNode(now, previousConfirmedAt Time, node nodelist.Node) (Change, bool) {
 	m := t.members[node.Name]
 	if m != nil && sameNode(&m.node, &node) {
@@ -92,27 +96,28 @@
 	}
 	isNew := m == nil
 	restarted := isNew || !m.node.Started.Equal(node.Started)
-	addrChanged := isNew || m.node.Addr != node.Addr
+	addressChanged := isNew || m.node.Addr != node.Addr
 	if isNew {
 		m = &member{}
 		t.members[node.Name] = m
 	}
 	if restarted {
-		m.startedAt = t.startTimes.monotonic(now, previousConfirmedAt, node.Started)
+		m.startedAt = t.startTimes.toMonotonic(now, previousConfirmedAt, node.Started)
 	}
 	m.node = node
 	m.generation = t.generation
 	if node.State == scheduler.Removed {
 		delete(t.members, node.Name)
 	}
-	return Change{Endpoint: m.endpoint(), Addr: node.Addr, AddressChanged: addrChanged || restarted}, true
+	return Change{Endpoint: m.endpoint(), Addr: node.Addr, AddressChanged: addressChanged || restarted}, true
 }
 
 func (m *member) endpoint() scheduler.Endpoint {
 	return scheduler.Endpoint{Node: m.node.Name, Zone: m.node.Zone, Shard: m.node.Shard, State: m.node.State, Started: m.startedAt}
 }
 
-// sameNode compares start times as instants: two readings of one list may differ in location.
+// sameNode reports whether two entries are equal. It compares start times with Equal because two
+// reads of the same list may yield the same instant in different time zones.
 func sameNode(a, b *nodelist.Node) bool {
 	return a.Name == b.Name && a.Addr == b.Addr && a.Zone == b.Zone && a.Shard == b.Shard && a.State == b.State && a.Started.Equal(b.Started)
 }
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -10,58 +10,59 @@
 	"maddergap/scheduler"
 )
 
-// gatewayStart is the reading of the monotonic clock at the gateway's start.
+// gatewayStart is the monotonic time at which the gateway starts.
 const gatewayStart = 24 * time.Hour
 
-// wallAtStart is the true time at the gateway's start.
-var wallAtStart = time.Date(2026, 12, 2, 12, 0, 0, 0, time.UTC)
+// wallTimeAtStart is the correct wall-clock time at the gateway's start.
+var wallTimeAtStart = time.Date(2026, 12, 2, 12, 0, 0, 0, time.UTC)
 
 func node(name string, state scheduler.NodeState, started time.Time) nodelist.Node {
 	return nodelist.Node{Name: name, Addr: "10.0.0.1:1", State: state, Started: started}
 }
 
-// newTable returns the table of a gateway whose wall clock was ahead by an error at its start.
+// newTable returns the table of a gateway whose wall clock was ahead by clockError at its start.
 func newTable(clockError time.Duration) *Table {
-	return New(wallAtStart.Add(clockError - gatewayStart))
+	return New(wallTimeAtStart.Add(clockError - gatewayStart))
 }
 
+// Verifies that Apply returns exactly the nodes that an update adds, changes or removes.
 func TestApplyReturnsOnlyChanges(t *testing.T) {
 	table := newTable(0)
-	started := wallAtStart.Add(-time.Minute)
+	started := wallTimeAtStart.Add(-time.Minute)
 	list := []nodelist.Node{node("a", scheduler.Serving, time.Time{}), node("b", scheduler.Serving, started), node("c", scheduler.Draining, time.Time{})}
 	if got := table.Apply(gatewayStart, Update{Nodes: list, Full: true}); len(got) != 3 || !got[0].AddressChanged {
-		t.Fatalf("the first list: %+v", got)
+		t.Fatalf("changes of the first list: %+v, want 3 with new addresses", got)
 	}
 	if got := table.Apply(gatewayStart+1, Update{Nodes: list, Full: true}); len(got) != 0 {
-		t.Fatalf("the same list: %+v", got)
+		t.Fatalf("changes of an identical list: %+v, want none", got)
 	}
 	list[0].State = scheduler.Draining
 	list[1].Addr = "10.0.0.2:1"
 	got := table.Apply(gatewayStart+2, Update{Nodes: list[:2], Full: true})
 	if len(got) != 3 || got[0].AddressChanged || !got[1].AddressChanged || got[2].Endpoint.Node != "c" || got[2].Endpoint.State != scheduler.Removed || table.Len() != 2 {
-		t.Fatalf("%+v, %d listed", got, table.Len())
+		t.Fatalf("changes %+v, %d nodes listed; want a changed state, a new address, c removed and 2 listed", got, table.Len())
 	}
 	got = table.Apply(gatewayStart+3, Update{Nodes: []nodelist.Node{node("b", scheduler.Removed, started)}})
 	if len(got) != 1 || got[0].Endpoint.State != scheduler.Removed || table.Len() != 1 {
-		t.Fatalf("%+v, %d listed", got, table.Len())
+		t.Fatalf("changes %+v, %d nodes listed; want b removed and 1 listed", got, table.Len())
 	}
 }
 
-// Full lists and changes come in any order. A scheduler that applies the changes it is given has
-// the same nodes as the list, at each step.
-func TestChangesAddUpToList(t *testing.T) {
+// Applies random sequences of full lists and updates of changed nodes. Verifies after each update that
+// a scheduler that applies the returned changes has the same nodes as the list.
+func TestAppliedChangesMatchList(t *testing.T) {
 	for seed := range uint64(200) {
-		draw := rand.New(rand.NewPCG(seed, 3))
+		random := rand.New(rand.NewPCG(seed, 3))
 		table, applied := newTable(0), map[string]scheduler.NodeState{}
 		want := map[string]scheduler.NodeState{}
 		for step := range 40 {
-			update := Update{Full: draw.IntN(3) == 0 || step == 0}
+			update := Update{Full: random.IntN(3) == 0 || step == 0}
 			if update.Full {
 				clear(want)
 			}
 			for i := range 6 {
-				if draw.IntN(2) == 0 {
-					n := node(fmt.Sprint("n", i), scheduler.NodeState(draw.IntN(3)), wallAtStart.Add(time.Duration(draw.IntN(3))*time.Second))
+				if random.IntN(2) == 0 {
+					n := node(fmt.Sprint("n", i), scheduler.NodeState(random.IntN(3)), wallTimeAtStart.Add(time.Duration(random.IntN(3))*time.Second))
 					update.Nodes = append(update.Nodes, n)
 					setState(want, n.Name, n.State)
 				}
@@ -76,6 +77,7 @@
 	}
 }
 
+// setState records the state of a node, or deletes the node if it was removed.
 func setState(nodes map[string]scheduler.NodeState, name string, state scheduler.NodeState) {
 	nodes[name] = state
 	if state == scheduler.Removed {
@@ -83,44 +85,45 @@
 	}
 }
 
-// A node is restarted while the gateway serves, and is listed up to 1.4 s later. Whatever the
-// error of the gateway's wall clock, the node is warming up for about as long as it should.
+// Guards against treating a restarted node as warm, or as cold for too long, because the gateway's wall
+// clock is wrong. A node restarts while the gateway is running and is listed up to 1.4 s later. Its
+// converted start time must stay close to the real one for each error of the wall clock.
 func TestStartTimeWithWrongClock(t *testing.T) {
 	const warmup = 8 * time.Second
-	const confirmedBefore = 150 * time.Millisecond
+	const confirmationAge = 150 * time.Millisecond
 	for _, clockError := range []time.Duration{0, time.Second, 3 * time.Second, time.Hour, -time.Second, -3 * time.Second, -time.Hour} {
 		for _, listingDelay := range []time.Duration{0, 300 * time.Millisecond, 1400 * time.Millisecond} {
 			table := newTable(clockError)
 			table.Apply(gatewayStart, Update{Nodes: []nodelist.Node{node("a", scheduler.Serving, time.Time{})}, Full: true})
 			listedAt := gatewayStart + time.Minute
-			restarted := []nodelist.Node{node("a", scheduler.Serving, wallAtStart.Add(time.Minute-listingDelay))}
-			changes := table.Apply(listedAt, Update{Nodes: restarted, PreviousConfirmedAt: listedAt - confirmedBefore})
+			restarted := []nodelist.Node{node("a", scheduler.Serving, wallTimeAtStart.Add(time.Minute-listingDelay))}
+			changes := table.Apply(listedAt, Update{Nodes: restarted, PreviousConfirmedAt: listedAt - confirmationAge})
 			want, got := listedAt-listingDelay, changes[0].Endpoint.Started
-			if early := want - got; early > maxListingDelay+confirmedBefore {
-				t.Errorf("clock wrong by %v, listed after %v: the start is %v early", clockError, listingDelay, early)
+			if early := want - got; early > maxListingDelay+confirmationAge {
+				t.Errorf("clock wrong by %v, listed after %v: the start time is %v too early", clockError, listingDelay, early)
 			}
 			if got > listedAt || got < listedAt-warmup {
-				t.Errorf("clock wrong by %v, listed after %v: started %v after it was listed", clockError, listingDelay, got-listedAt)
+				t.Errorf("clock wrong by %v, listed after %v: the start time is %v after the listing", clockError, listingDelay, got-listedAt)
 			}
 			if clockError == 0 && got != want {
-				t.Errorf("with a right clock the start is wrong by %v", got-want)
+				t.Errorf("with a correct clock the start time is wrong by %v", got-want)
 			}
 		}
 	}
 }
 
-// A gateway starts and gets its first list. Start times on it are taken as they are, but for
-// those in the future.
+// Verifies that start times on a gateway's first list are used as they are, except for start times in
+// the future, which count as now.
 func TestStartTimeOnFirstList(t *testing.T) {
 	for clockError, want := range map[time.Duration]Time{
 		0:          gatewayStart - 2*time.Second,
 		-time.Hour: gatewayStart,
 		time.Hour:  gatewayStart - time.Hour - 2*time.Second,
 	} {
-		list := []nodelist.Node{node("a", scheduler.Serving, wallAtStart.Add(-2*time.Second))}
+		list := []nodelist.Node{node("a", scheduler.Serving, wallTimeAtStart.Add(-2*time.Second))}
 		changes := newTable(clockError).Apply(gatewayStart, Update{Nodes: list, Full: true})
 		if got := changes[0].Endpoint.Started; got != want {
-			t.Errorf("clock wrong by %v: %v, want %v", clockError, got, want)
+			t.Errorf("clock wrong by %v: start time %v, want %v", clockError, got, want)
 		}
 	}
 }
