--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -31,7 +31,7 @@
 	started := wallTimeAtStart.Add(-time.Minute)
 	list := []nodelist.Node{node("a", scheduler.Serving, time.Time{}), node("b", scheduler.Serving, started), node("c", scheduler.Draining, time.Time{})}
 	if got := table.Apply(gatewayStart, Update{Nodes: list, Full: true}); len(got) != 3 || !got[0].AddressChanged {
-		t.Fatalf("changes of the first list: %+v, want 3 with new addresses", got)
+		t.Fatalf("changes of the first list: %+v, want 3, the first with AddressChanged", got)
 	}
 	if got := table.Apply(gatewayStart+1, Update{Nodes: list, Full: true}); len(got) != 0 {
 		t.Fatalf("changes of an identical list: %+v, want none", got)
--- a/internal/nodelist/nodelist.go
+++ b/internal/nodelist/nodelist.go
@@ -1,9 +1,11 @@
-// Package nodelist reads and writes the list of storage nodes in its file form, a node a line,
+// Package nodelist reads and writes files that list the storage nodes, one node per line:
 //
 //	node NAME ADDRESS zone N shard N state serving|draining|gone [started UNIX-SECONDS]
 //
-// The file's owner replaces it as a whole. A list with a mistake is not used at all: a node that
-// was left out for its mistake would look as if it had been removed.
+// The keywords may be in any order. Without a zone, a node is in zone 0.
+//
+// The owner of the file always replaces the whole file. A list with a mistake is rejected as a whole: if
+// only the faulty line was skipped, its node would seem to have been removed.
 package nodelist
 
 import (
@@ -19,10 +21,10 @@
 )
 
 const (
-	// MaxNodes bounds the nodes of a list.
+	// MaxNodes is the largest number of nodes in a list.
 	MaxNodes = 10000
-	// maxNumber bounds the number of a zone or shard.
-	maxNumber = 100000
+	// maxZoneOrShard is the largest zone or shard number.
+	maxZoneOrShard = 100000
 )
 
 // Node is a storage node on the list.
@@ -30,30 +32,32 @@
 	Name, Addr  string // Addr is host:port
 	Zone, Shard int
 	State       scheduler.NodeState
-	Started     time.Time // of its process, by the wall clock; zero: long ago
+	Started     time.Time // wall-clock time at which the node's process started; zero means long ago
 }
 
-// stateWords are the words of the file, by scheduler.NodeState.
+// stateWords are the words for the node states in the file, indexed by scheduler.NodeState.
 var stateWords = []string{
 	scheduler.Serving:  "serving",
 	scheduler.Draining: "draining",
 	scheduler.Removed:  "gone",
 }
 
-// Parse reads a list; file is its name, for errors. The error joins a *config.Error for each
-// mistake, in the file's order.
+// Parse parses a list. The file name is used in errors only. The returned error joins one
+// *config.Error for each faulty line: first the errors of lines that are not valid text, then all
+// others, each group in the order of the file. A file that is too large or lists no node yields a
+// single error.
 func Parse(file string, data []byte) ([]Node, error) {
 	lines, err := config.Lines(file, data)
 	errs := []error{err}
 	var nodes []Node
-	lineOf := map[string]int{} // by name
+	lineByName := map[string]int{} // number of the line that lists a node, by the node's name
 	for _, line := range lines {
 		node, err := parseLine(line)
-		first, listed := lineOf[node.Name]
+		firstLine, listed := lineByName[node.Name]
 		switch {
 		case err != nil:
 		case listed:
-			err = fmt.Errorf("node %s is already in line %d", node.Name, first)
+			err = fmt.Errorf("node %s is already in line %d", node.Name, firstLine)
 		case len(nodes) >= MaxNodes:
 			err = fmt.Errorf("more than %d nodes", MaxNodes)
 		}
@@ -61,20 +65,21 @@
 			errs = append(errs, &config.Error{File: file, Line: line.Number, Reason: err.Error()})
 			continue
 		}
-		lineOf[node.Name] = line.Number
+		lineByName[node.Name] = line.Number
 		nodes = append(nodes, node)
 	}
 	if err := errors.Join(errs...); err != nil {
 		return nil, err
 	}
 	if len(nodes) == 0 {
-		// Guards against a file that was truncated: by it every node would be removed, and all
-		// requests would fail.
+		// Guards against a truncated file: an empty list would remove every node, and all requests
+		// would fail.
 		return nil, &config.Error{File: file, Reason: "lists no node"}
 	}
 	return nodes, nil
 }
 
+// parseLine parses the line of one node and returns the first mistake as an error.
 func parseLine(line config.Line) (node Node, err error) {
 	if line.Words[0] != "node" {
 		return node, fmt.Errorf("unknown directive %.40q, want node", line.Words[0])
@@ -94,9 +99,9 @@
 		seen[keyword] = true
 		switch keyword {
 		case "zone":
-			node.Zone = args.Int(keyword, 0, maxNumber)
+			node.Zone = args.Int(keyword, 0, maxZoneOrShard)
 		case "shard":
-			node.Shard = args.Int(keyword, 0, maxNumber)
+			node.Shard = args.Int(keyword, 0, maxZoneOrShard)
 		case "state":
 			node.State = scheduler.NodeState(args.OneOf(keyword, stateWords...))
 		case "started":
@@ -113,7 +118,8 @@
 	return node, args.Err()
 }
 
-// Format returns a list in the form that Parse reads. Start times are rounded to milliseconds.
+// Format returns the text of a list in the form that Parse reads. Start times are rounded down to
+// milliseconds.
 func Format(nodes []Node) []byte {
 	var b strings.Builder
 	for _, node := range nodes {
@@ -126,8 +132,8 @@
 	return []byte(b.String())
 }
 
-// Replace writes a list in place of a file, by a rename: a reader sees the old list or the new
-// one, never a part. The errors are those of package os.
+// Replace atomically replaces the contents of a file by a list, using a rename. Readers see either the
+// old list or the new one, never a part. The errors are those of package os.
 func Replace(file string, nodes []Node) error {
 	return atomicfile.Replace(file, Format(nodes))
 }
--- a/internal/nodelist/nodelist_test.go
+++ b/internal/nodelist/nodelist_test.go
@@ -14,11 +14,11 @@
 		{Name: "n2", Addr: "127.0.0.1:2", Shard: 3, Started: time.UnixMilli(1700000000123)}}
 	got, err := Parse("l", Format(want))
 	if err != nil || !reflect.DeepEqual(got, want) {
-		t.Fatalf("%+v %v", got, err)
+		t.Fatalf("got %+v, error %v", got, err)
 	}
 }
 
-// Each mistake is named with its line, and the list is not used.
+// Verifies that Parse rejects a list with a mistake and reports its line and cause.
 func TestParseMistakes(t *testing.T) {
 	const line = "node n1 127.0.0.1:1 zone 0 shard 0 state serving\n"
 	for text, want := range map[string]string{
@@ -35,12 +35,13 @@
 		"node n1 127.0.0.1:1 shard 1 state gone started 1 more": "l:1: unknown keyword \"more\"",
 	} {
 		if _, err := Parse("l", []byte(text)); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%q: %v, want %s", text, err, want)
+			t.Errorf("%q: got error %v, want %s", text, err, want)
 		}
 	}
 }
 
-// FuzzParse checks that whatever is read is read alike once it was written.
+// FuzzParse verifies that the formatted text of each list that Parse accepts is accepted again, with the
+// same number of nodes.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte("node n1 127.0.0.1:1 zone 0 shard 0 state serving started 1.5\n"))
 	f.Fuzz(func(t *testing.T, p []byte) {
@@ -49,7 +50,7 @@
 			return
 		}
 		if reread, err := Parse("l", Format(nodes)); err != nil || len(reread) != len(nodes) {
-			t.Fatalf("%q: %v", Format(nodes), err)
+			t.Fatalf("reparsing %q: error %v, or another number of nodes", Format(nodes), err)
 		}
 	})
 }
