--- a/internal/invariant/invariant_test.go
+++ b/internal/invariant/invariant_test.go
@@ -9,23 +9,23 @@
 
 const now = 24 * time.Hour
 
-// permittedAttempt violates no rule.
-func permittedAttempt() Attempt {
+// allowedAttempt returns an attempt that violates no rule.
+func allowedAttempt() Attempt {
 	return Attempt{Request: 7, Node: "n", MembershipKnown: true, Serving: true, StateChangedAt: now - time.Hour, Deadline: now + time.Second, Timeout: time.Second}
 }
 
-// ruleTest is an attempt that violates a rule, or just does not.
-type ruleTest struct {
+// ruleCase is an attempt that violates a rule or is close to violating one.
+type ruleCase struct {
 	name   string
-	change func(a *Attempt) // of a permitted attempt
-	want   Rule             // before the write
-	// violated: want is violated after the write as well, past the tolerance for a late write.
-	violated bool
+	change func(a *Attempt) // turns an allowed attempt into that of the test case
+	want   Rule             // expected result of the check before the write
+	// violatesAfterWrite is true if the check after the write, which tolerates a delay, also returns want.
+	violatesAfterWrite bool
 }
 
-func ruleTests() []ruleTest {
+func ruleCases() []ruleCase {
 	idempotent := PriorAttempts{Effect: scheduler.Idempotent, MayHaveRun: true, SameDeduplicationScope: true, RetryBefore: now + time.Second}
-	return []ruleTest{
+	return []ruleCase{
 		{"permitted", func(a *Attempt) {}, None, false},
 		{"no node list", func(a *Attempt) { a.MembershipKnown = false }, MembershipKnown, true},
 		{"draining for a moment", func(a *Attempt) { a.Serving, a.StateChangedAt = false, now-100*time.Millisecond }, NodeServing, false},
@@ -48,20 +48,20 @@
 	}
 }
 
-// Each rule is violated on purpose. Before the write the attempt is withheld at once. After the
-// write it counts as a violation only past what a process that was held up may take.
+// Verifies that each rule is checked. Before the write an attempt that would violate a rule is withheld.
+// After the write a violation counts only if it exceeds the tolerance for a delayed process.
 func TestRules(t *testing.T) {
-	for _, test := range ruleTests() {
+	for _, test := range ruleCases() {
 		t.Run(test.name, func(t *testing.T) {
 			var reports []Violation
 			checker := Checker{OnViolation: func(v Violation) { reports = append(reports, v) }}
-			attempt := permittedAttempt()
+			attempt := allowedAttempt()
 			test.change(&attempt)
 			if got := checker.CheckBeforeWrite(now, &attempt); got != test.want {
 				t.Errorf("before the write: %v, want %v", got, test.want)
 			}
 			wantAfter := None
-			if test.violated {
+			if test.violatesAfterWrite {
 				wantAfter = test.want
 			}
 			if got := checker.CheckAfterWrite(now, &attempt); got != wantAfter {
@@ -71,19 +71,20 @@
 			if test.want != None {
 				wantCounts.Withheld[test.want] = 1
 			}
-			if test.violated {
+			if test.violatesAfterWrite {
 				wantCounts.Violated[test.want] = 1
 			}
 			if got := checker.Counts(); got != wantCounts {
 				t.Errorf("counted %+v, want %+v", got, wantCounts)
 			}
-			if n := len(reports); test.want != None && (n == 0 || reports[0].Request != 7 || reports[0].Node != "n") || test.violated && n != 2 {
-				t.Errorf("reported %v", reports)
+			if n := len(reports); test.want != None && (n == 0 || reports[0].Request != 7 || reports[0].Node != "n") || test.violatesAfterWrite && n != 2 {
+				t.Errorf("wrong reports: %v", reports)
 			}
 		})
 	}
 }
 
+// Verifies that the violations recorded by the gateway are counted under their rule.
 func TestDuplicateResponseAndUnansweredClose(t *testing.T) {
 	var checker Checker
 	checker.RecordDuplicateResponse(now, 7)
@@ -93,7 +94,7 @@
 	}
 }
 
-// The labels are part of the metrics: dashboards and alerts select by them.
+// Verifies the labels of the rules, which are part of the metrics: dashboards and alerts select by them.
 func TestRuleLabels(t *testing.T) {
 	want := map[Rule]string{None: "none", MembershipKnown: "start", NodeServing: "drain", ClientConnected: "cancelled",
 		WithinDeadline: "deadline", SafeRetry: "repeat", SingleResponse: "answer", ResponseBeforeClose: "close"}
