--- a/internal/waitqueue/subqueue.go
+++ b/internal/waitqueue/subqueue.go
@@ -9,13 +9,13 @@
 // While usesSets is false, count is 0 or 1 and single holds the request, if any. While usesSets is
 // true, both sets hold all count requests.
 type Subqueue[R any, P comparable] struct {
-	Profile           P
-	count             int
-	single            R
-	singleKeys        itemKeys
+	Profile           P        // profile of all requests in the subqueue
+	count             int      // number of requests
+	single            R        // the only request, if usesSets is false
+	singleKeys        itemKeys // keys of single
 	usesSets          bool
-	byLatencyDeadline *orderedset.Set[R]
-	byDeadline        *orderedset.Set[R]
+	byLatencyDeadline *orderedset.Set[R] // nil until the subqueue first holds two requests
+	byDeadline        *orderedset.Set[R] // nil until the subqueue first holds two requests
 }
 
 // itemKeys are the keys of a request in the sets: two times in nanoseconds, and the sequence number
@@ -70,6 +70,7 @@
 	sub.insert(request, keys)
 }
 
+// insert adds a request to both sets.
 func (sub *Subqueue[R, P]) insert(request R, keys itemKeys) {
 	sub.byLatencyDeadline.Add(keys.latencyDeadline, keys.sequence, request)
 	sub.byDeadline.Add(keys.deadline, keys.sequence, request)
--- a/internal/waitqueue/waitqueue_test.go
+++ b/internal/waitqueue/waitqueue_test.go
@@ -62,6 +62,7 @@
 	now                     Time
 }
 
+// without returns a copy of the list without r.
 func without(list []*request, r *request) []*request {
 	return slices.DeleteFunc(slices.Clone(list), func(other *request) bool { return other == r })
 }
@@ -99,31 +100,31 @@
 	m.ready = append(m.ready, r)
 }
 
-// suspended updates the model after a request has left the subqueues or ended its deferral.
-func (m *model) suspended(r *request) {
+// markSuspended updates the model after a request has left the subqueues or ended its deferral.
+func (m *model) markSuspended(r *request) {
 	m.ready, m.deferred = without(m.ready, r), without(m.deferred, r)
 	if !slices.ContainsFunc(m.ready, func(other *request) bool { return other.owner == r.owner }) {
 		delete(m.isolated, r.owner)
 	}
 }
 
-// removed updates the model after a request was removed from the queue.
-func (m *model) removed(r *request) {
+// markRemoved updates the model after a request was removed from the queue.
+func (m *model) markRemoved(r *request) {
 	m.queued = without(m.queued, r)
-	m.suspended(r)
+	m.markSuspended(r)
 }
 
 func (m *model) remove() {
 	if r := m.drawRequest(m.queued); r != nil {
 		m.queue.Remove(r)
-		m.removed(r)
+		m.markRemoved(r)
 	}
 }
 
 func (m *model) suspend() {
 	if r := m.drawRequest(m.ready); r != nil {
 		m.queue.Suspend(r)
-		m.suspended(r)
+		m.markSuspended(r)
 	}
 }
 
@@ -139,7 +140,7 @@
 		if !slices.Contains(m.deferred, r) {
 			m.Fatal("PopDeferred returned a request that was not deferred")
 		}
-		m.suspended(r)
+		m.markSuspended(r)
 		m.makeReady(r)
 	}
 	m.queue.Sweep()
@@ -160,7 +161,7 @@
 		if r.ExpiresAt >= m.now || canExtend || i > 0 && expired[i-1].Sequence > r.Sequence {
 			m.Fatal("a request was removed before its expiry, or out of order")
 		}
-		m.removed(r)
+		m.markRemoved(r)
 	}
 	for _, r := range m.queued {
 		if r.ExpiresAt < m.now {
