--- a/internal/orderedset/orderedset_test.go
+++ b/internal/orderedset/orderedset_test.go
@@ -35,7 +35,7 @@
 			var got []item
 			s.All(func(x item) bool { got = append(got, x); return true })
 			if !slices.Equal(got, want) || s.Len() != len(want) {
-				t.Fatalf("%v, want %v", got, want)
+				t.Fatalf("items are %v, want %v", got, want)
 			}
 			if x, ok := s.First(); ok != (len(want) > 0) || ok && x != want[0] {
 				t.Fatalf("First returned %v, want the first of %v", x, want)
--- a/internal/waitqueue/waitqueue_test.go
+++ b/internal/waitqueue/waitqueue_test.go
@@ -191,7 +191,7 @@
 	}
 	for _, r := range m.ready {
 		if sharedCounts[r.profile] != 1 && !m.isolated[r.owner] {
-			m.Fatalf("profile %d has %d shared subqueues", r.profile, sharedCounts[r.profile])
+			m.Fatalf("profile %d has %d shared subqueues, want 1", r.profile, sharedCounts[r.profile])
 		}
 		for _, sub := range m.queue.SubqueuesOf(r.owner) {
 			m.checkSubqueue("own", sub, func(other *request) bool { return other.owner == r.owner })
