--- a/internal/nodelist/nodelist.go
+++ b/internal/nodelist/nodelist.go
@@ -5,7 +5,7 @@
 // The keywords may be in any order. Without a zone, a node is in zone 0.
 //
 // The owner of the file always replaces the whole file. A list with a mistake is rejected as a whole: if
-// only the faulty line was skipped, its node would seem to have been removed.
+// only the faulty line were skipped, its node would seem to have been removed.
 package nodelist
 
 import (
