--- a/internal/gateway/accept.go
+++ b/internal/gateway/accept.go
@@ -8,26 +8,26 @@
 	"maddergap/internal/http1"
 )
 
-// AcceptResult is the decision on a new connection.
+// AcceptResult tells the driver whether to keep a new client connection.
 type AcceptResult struct {
-	ID       ConnID // of a connection that is admitted
+	ID       ConnID // id of the connection; set if it is admitted
 	Admitted bool
-	// Answer is the response to a connection that is not admitted. The driver writes as
-	// much of it as goes at once, shuts down the sending side, and closes the connection
-	// after Linger. It is valid until the next call. Empty: the connection is closed
-	// without a response.
+	// Answer is the response to a rejected connection, valid until the next call of Accept.
+	// The driver writes it with a single write, even if that takes only a part of it. Then it
+	// shuts down the sending side, and closes the connection after Linger. If Answer is
+	// empty, the driver closes the connection at once.
 	Answer []byte
 	Linger time.Duration
 }
 
-// Accept is called with a new client connection of a listener. A connection that is not
-// admitted gets no slot, no timer and no further event, so that rejecting it is cheap.
+// Accept decides whether to admit a new client connection of a listener. A rejected
+// connection gets no slot, no timer and no further event, so that rejecting it is cheap.
 func (g *Gateway) Accept(now Time, remote netip.AddrPort, listener int) AcceptResult {
 	g.clock.advance(now)
 	decision := g.admission.Admit(g.clock.now, uint64(g.conns.nextID()), listener, remote.Addr())
 	if decision.Preempt {
 		if preempted := g.conns.findClient(ConnID(decision.PreemptID)); preempted != nil {
-			preempted.admitted = false // admission has counted its end already
+			preempted.admitted = false // admission has already removed it
 			g.preempt(preempted)
 		}
 	}
@@ -52,23 +52,23 @@
 	return AcceptResult{ID: c.id, Admitted: true}
 }
 
-// SetAcceptDelay sets how long a new connection, and the first request on it, may have
-// waited to be accepted. The time of its client runs since then.
+// SetAcceptDelay sets how long a new connection may have waited to be accepted. The delay is
+// subtracted from the time remaining for the first request, which may have waited as long.
 func (g *Gateway) SetAcceptDelay(id ConnID, delay time.Duration) {
 	if c := g.conns.findClient(id); c != nil {
 		c.acceptDelay = delay
 	}
 }
 
-// preempt closes a connection to make room: for a new one, or before there is none left. It is
-// idle, or has a request that was not submitted.
+// preempt closes a client connection to make room for a new one, or to keep some connections
+// free for later ones. The connection is idle, or its request was not submitted yet.
 func (g *Gateway) preempt(c *clientConn) {
 	g.counts.Preempted++
 	g.dropClient(c, Close, Dropped)
 }
 
-// recordRejection counts and reports a connection that was not admitted, or a request that
-// was not, which ends its connection too.
+// recordRejection counts a connection that was not admitted, and reports it to the observer.
+// A request that was not admitted is recorded in the same way, as its connection is closed too.
 func (g *Gateway) recordRejection(client netip.AddrPort, reason admission.Reason, responseSent bool) {
 	g.counts.ConnectionsRejected[reason]++
 	if g.observer != nil {
@@ -76,23 +76,23 @@
 	}
 }
 
-// rejectionResponses caches the response to connections that are not admitted, by reason.
+// rejectionResponses caches the responses to rejected connections, by the reason.
 type rejectionResponses [admission.ReasonCount]struct {
 	text       []byte
-	dateSecond int64 // of its Date field
+	unixSecond int64 // wall-clock second in the Date field of text
 }
 
-// rejectionResponse returns the response to a connection that is not admitted (RFC 9110
-// section 15.6.4). It is formatted once a second for each reason.
+// rejectionResponse returns the 503 response to a rejected connection (RFC 9110 section
+// 15.6.4). For each reason, it is formatted at most once a second.
 func (g *Gateway) rejectionResponse(reason admission.Reason) []byte {
 	cached := &g.rejections[reason]
-	if second := g.clock.dateSecond(); cached.text == nil || cached.dateSecond != second {
+	if second := g.clock.unixSecond(); cached.text == nil || cached.unixSecond != second {
 		text := rejectionText(reason) + "\n"
 		b := g.clock.appendDate(http1.AppendStatus(cached.text[:0], 503))
 		b = http1.AppendField(b, "Content-Type", []byte("text/plain; charset=utf-8"))
 		b = appendRetryAfter(http1.AppendIntField(b, "Content-Length", int64(len(text))), time.Second)
 		b = append(b, "Connection: close\r\n\r\n"...)
-		cached.text, cached.dateSecond = append(b, text...), second
+		cached.text, cached.unixSecond = append(b, text...), second
 	}
 	return cached.text
 }
@@ -103,7 +103,7 @@
 
 // reportAdmittedRequestEnd notifies admission that the response to a request was written,
 // or that the next request has arrived. Until then the connection is not preempted, as
-// that would lose what is still to be written.
+// closing it would lose the unwritten part of the response.
 func (g *Gateway) reportAdmittedRequestEnd(c *clientConn) {
 	if c.requestEndDue {
 		c.requestEndDue = false
--- a/internal/gateway/actions.go
+++ b/internal/gateway/actions.go
@@ -1,6 +1,6 @@
 package gateway
 
-// Op is what the driver has to do with a connection.
+// Op is an operation that the driver carries out on a connection.
 type Op uint8
 
 // Operations on connections.
@@ -8,27 +8,27 @@
 	Dial       Op = iota // connect to Addr, then call Connected or Closed
 	Flush                // write the bytes that Out returns and call Wrote
 	Pause                // stop reading
-	Resume               // read again
+	Resume               // start reading again
 	CloseWrite           // shut down the sending side
-	Close                // close the connection; no further event of it is expected
-	Abort                // close the connection with a reset; no further event of it is expected
+	Close                // close the connection; further events of it are ignored
+	Abort                // close the connection with a reset; further events of it are ignored
 )
 
 func (o Op) String() string {
 	return [...]string{"dial", "flush", "pause", "resume", "close-write", "close", "abort"}[o]
 }
 
-// Action is an operation that the driver has to carry out. Actions are carried
-// out in the order in which Advance returns them.
+// Action is an operation on one connection. The driver carries out actions in the order in
+// which Advance returns them.
 type Action struct {
 	Op   Op
 	Conn ConnID
 	Addr string // host:port; set for Dial only
 }
 
-// actionQueue collects the actions that the next return of Advance hands to the
-// driver. It has two buffers, as the driver still reads the actions of the last
-// call while those of the next one are collected.
+// actionQueue collects the actions that the next call of Advance returns. It alternates
+// between two buffers, because the driver still reads the actions of the last call while
+// new actions are added.
 type actionQueue struct {
 	pending []Action
 	spare   []Action
@@ -39,7 +39,7 @@
 	q.pending = append(q.pending, Action{Op: op, Conn: id})
 }
 
-// dial queues the making of a connection.
+// dial queues a Dial of addr for a new connection.
 func (q *actionQueue) dial(id ConnID, addr string) {
 	q.pending = append(q.pending, Action{Op: Dial, Conn: id, Addr: addr})
 }
--- a/internal/gateway/admission_test.go
+++ b/internal/gateway/admission_test.go
@@ -7,18 +7,18 @@
 	"time"
 )
 
-// acceptFrom opens a client connection from an address.
+// acceptFrom opens a client connection from an address, which must be admitted.
 func (h *harness) acceptFrom(addr string) ConnID {
 	result := h.gateway.Accept(h.now, netip.MustParseAddrPort(addr), 0)
 	if !result.Admitted {
-		h.t.Fatalf("%s is not admitted: %q", addr, result.Answer)
+		h.t.Fatalf("the connection from %s was rejected with %q", addr, result.Answer)
 	}
 	h.runActions()
 	return result.ID
 }
 
-// A client sends a byte of its body now and then, so that it is never without progress. It
-// is answered 408 for being below the minimum rate.
+// Verifies that an upload below the minimum rate is answered 408. The client sends a byte of
+// its body each second, so that the timeout between bytes never ends the upload.
 func TestUploadBelowMinRateIsEnded(t *testing.T) {
 	h := newHarness(t, "pace body 100 after 5s\n")
 	c := h.connectClient("PUT /feed-a/s/x HTTP/1.1\r\nHost: h\r\nContent-Length: 1000\r\n\r\n")
@@ -27,18 +27,17 @@
 		h.deliver(c, "x")
 		if got := h.takeWritten(c); got != "" {
 			if i < 4 || i > 6 {
-				t.Errorf("ended after %d s, want 5", i)
+				t.Errorf("upload ended after %d s, want about 5 s", i)
 			}
 			h.wantContains("the response", got, "408 ")
 			return
 		}
 	}
-	t.Error("it is never ended")
+	t.Error("the upload was not ended")
 }
 
-// A client sends a long body slowly, and above the minimum rate. It is not ended, however
-// long it takes.
-func TestUploadAboveMinRateGoesOn(t *testing.T) {
+// Verifies that a slow upload above the minimum rate is not ended, however long it takes.
+func TestUploadAboveMinRateContinues(t *testing.T) {
 	h := newHarness(t, "pace body 100 after 2s\n")
 	c := h.connectClient("PUT /feed-a/s/x HTTP/1.1\r\nHost: h\r\nContent-Length: 3000\r\n\r\n")
 	for range 20 {
@@ -46,12 +45,12 @@
 		h.deliver(c, strings.Repeat("x", 150))
 	}
 	if h.closedBy[c] != 0 || h.takeWritten(c) != "" {
-		t.Error("ended though it is above the minimum rate")
+		t.Error("the upload was ended although its rate is above the minimum")
 	}
 }
 
-// A client takes a few bytes of its response now and then. It is dropped for being below
-// the minimum rate, as it would hold the node for ever.
+// Verifies that a client is disconnected that reads its response below the minimum rate, a few
+// bytes each second. Otherwise it would occupy a connection to a node for ever.
 func TestDownloadBelowMinRateIsEnded(t *testing.T) {
 	h := newHarness(t, "pace answer 1k after 5s\n")
 	c := h.connectClient(getRequest("/feed-a/s/x"))
@@ -69,11 +68,11 @@
 		h.gateway.Wrote(h.now, c, 100)
 		h.runActions()
 	}
-	t.Error("it is never ended")
+	t.Error("the download was not ended")
 }
 
-// A client connection may have two requests. The response to the second says that the
-// connection ends, and the gateway closes it.
+// Verifies the limit on requests per client connection, here 2: the response to the last request
+// announces that the connection is closed, and the gateway closes it.
 func TestRequestsPerConnectionLimit(t *testing.T) {
 	h := newHarness(t, "requests 2\n")
 	c := h.connectClient(getRequest("/feed-a/s/x"))
@@ -87,9 +86,9 @@
 	h.wantLingeringClose(c)
 }
 
-// All places are taken when known clients come. A request that was not received whole is
-// preempted, and so is an idle connection; a request that was submitted and a response
-// that is still to be written are not.
+// Verifies which connections are preempted when known clients connect at the connection limit:
+// one whose request was not received completely, and an idle one, but neither one whose request
+// was submitted nor one whose response is not written completely.
 func TestPreemption(t *testing.T) {
 	h := newHarness(t, "clients 3\nadmit reserve 1\nknown 10.0.0.0/8\n")
 	slow := h.acceptFrom("1.1.1.1:1")
@@ -100,26 +99,26 @@
 	h.deliver(third, getRequest("/feed-a/s/x"))
 	h.acceptFrom("10.0.0.2:1")
 	if _, closed := h.closedBy[slow]; !closed {
-		t.Fatal("the request that was not submitted was not preempted")
+		t.Fatal("the connection whose request was not submitted was not preempted")
 	}
 	h.blocked[submitted] = true
 	h.deliver(h.nodeConn(0), okResponse("answer"))
 	if result := h.gateway.Accept(h.now, netip.MustParseAddrPort("10.0.0.3:1"), 0); result.Admitted {
-		t.Error("a response that is still to be written was preempted")
+		t.Error("a connection whose response is not written completely was preempted")
 	}
 	h.blocked[submitted] = false
 	h.flush(submitted)
 	h.runActions()
 	h.wantContains("the response", h.takeWritten(submitted), "answer")
-	h.acceptFrom("10.0.0.4:1") // now it is idle
+	h.acceptFrom("10.0.0.4:1") // the submitted request has its response, and its connection is idle
 	if h.closedBy[submitted] != Close {
-		t.Errorf("the idle connection was not preempted: %v", h.closedBy)
+		t.Errorf("the idle connection was not preempted; closed: %v", h.closedBy)
 	}
 }
 
-// Clients that do not read fill the buffers. At the limit over all connections no request
-// of an unknown client begins, and each connection keeps its minimum. When the buffers
-// have drained, all is as before.
+// Verifies the limit on the buffers of all connections, which clients that do not read reach.
+// At the limit, new requests of unknown clients are rejected, and each connection may still
+// buffer its minimum. Once the buffers have drained, requests are served again.
 func TestTotalBufferLimit(t *testing.T) {
 	h := newHarness(t, "clients 4\nadmit reserve 1\nbuffers 40k\nknown 10.0.0.0/8\n")
 	var readers []ConnID
@@ -136,10 +135,10 @@
 		}
 	}
 	if n := h.gateway.Counts().BufferedBytes; n < 30<<10 || n > 50<<10 {
-		t.Errorf("%d bytes buffered, the limit is 40k and some", n)
+		t.Errorf("%d bytes buffered, want 30 to 50 KiB at a limit of 40 KiB", n)
 	}
 	if !h.paused[h.nodeConn(1)] {
-		t.Error("the second node is read on beyond the limit")
+		t.Error("the gateway reads from the second node beyond the limit")
 	}
 	other := h.acceptFrom("1.1.1.3:1")
 	h.deliver(other, getRequest("/feed-a/s/x"))
@@ -154,11 +153,11 @@
 			}
 		}
 		if got := strings.Count(h.takeWritten(c), "y"); got != 100000 {
-			t.Errorf("reader %d got %d bytes", i, got)
+			t.Errorf("reader %d got %d bytes, want 100000", i, got)
 		}
 	}
 	if n := h.gateway.Counts().BufferedBytes; n != 0 {
-		t.Errorf("%d bytes are still accounted", n)
+		t.Errorf("%d bytes are still accounted for, want 0", n)
 	}
 	again := h.acceptFrom("1.1.1.4:1")
 	h.deliver(again, getRequest("/feed-a/s/x"))
@@ -167,11 +166,11 @@
 			h.deliver(h.nodeConn(i), okResponse("well"))
 		}
 	}
-	h.wantContains("the response after it", h.takeWritten(again), "200 OK", "well")
+	h.wantContains("the response after the buffers have drained", h.takeWritten(again), "200 OK", "well")
 }
 
-// A flood of connections beyond the limit. A rejected connection takes no slot and no
-// timer, and gets a response only as often as configured.
+// Verifies that a connection rejected during a flood takes no slot and no timer, and that
+// responses to rejected connections are sent only at the configured rate.
 func TestRejectedConnectionTakesNoSlot(t *testing.T) {
 	h := newHarness(t, "clients 1\nadmit answers 1 answers-burst 2\n")
 	h.acceptFrom("1.1.1.1:1")
@@ -180,7 +179,7 @@
 	for range 1000 {
 		result := h.gateway.Accept(h.now, netip.MustParseAddrPort("1.1.1.2:1"), 0)
 		if result.Admitted {
-			t.Fatal("admitted beyond the limit")
+			t.Fatal("a connection was admitted beyond the limit")
 		}
 		if len(result.Answer) > 0 {
 			responses++
@@ -188,18 +187,18 @@
 		}
 	}
 	if responses != 2 || len(h.gateway.conns.slots) != slots || len(h.gateway.timers.heap) != timers {
-		t.Errorf("%d responses, %d slots, %d timers", responses, len(h.gateway.conns.slots), len(h.gateway.timers.heap))
+		t.Errorf("%d responses, %d slots, %d timers; want 2 responses, and slots and timers as before", responses, len(h.gateway.conns.slots), len(h.gateway.timers.heap))
 	}
 }
 
-// The machine is too busy to call the gateway in time. It takes twice the delay from its
-// clients' deadlines, once for reading the request and once for writing the response, so
-// that the response is in time. Half of the deadline is left in any case, and the delay is
-// forgotten after a while.
+// Verifies that responses are in time on a machine that is too busy to call the gateway in time.
+// The gateway subtracts twice the delay from its clients' deadlines, once for reading the request
+// and once for writing the response. Half of the deadline always remains, and the estimate of
+// the delay decays with time.
 func TestLagShortensDeadlines(t *testing.T) {
-	last := func(lateBy, after time.Duration) time.Duration {
+	rejectionDelay := func(lateBy, after time.Duration) time.Duration {
 		h := newHarness(t, "")
-		h.refuseDials = true // no node is reached: the gateway rejects the request at its deadline
+		h.refuseDials = true // no node can be reached, so that the gateway rejects the request at its deadline
 		first := h.connectClient(getRequest("/feed-a/s/x"))
 		if lateBy > 0 {
 			h.now = h.next + lateBy
@@ -208,24 +207,24 @@
 		h.advanceTime(after)
 		h.gateway.Closed(h.now, first)
 		h.runActions()
-		c, began := h.connectClient(getRequest("/feed-a/s/y")), h.now
+		c, start := h.connectClient(getRequest("/feed-a/s/y")), h.now
 		for range 10000 {
 			if h.takeWritten(c) != "" {
-				return h.now - began
+				return h.now - start
 			}
 			h.advanceTime(time.Millisecond)
 		}
-		t.Fatal("no response")
+		t.Fatal("no response within 10 s")
 		return 0
 	}
-	onTime, late, veryLate, recovered := last(0, 0), last(60*time.Millisecond, 0), last(5*time.Second, 0), last(60*time.Millisecond, 30*time.Second)
+	onTime, late, veryLate, recovered := rejectionDelay(0, 0), rejectionDelay(60*time.Millisecond, 0), rejectionDelay(5*time.Second, 0), rejectionDelay(60*time.Millisecond, 30*time.Second)
 	if d := onTime - late; d < 100*time.Millisecond || d > 130*time.Millisecond {
-		t.Errorf("rejected after %v, %v when called 60 ms late: want 120 ms sooner", onTime, late)
+		t.Errorf("rejected after %v, and after %v when called 60 ms late; want 120 ms sooner", onTime, late)
 	}
 	if veryLate < onTime/3 {
-		t.Errorf("rejected after %v: half of %v is left in any case", veryLate, onTime)
+		t.Errorf("rejected after %v when called 5 s late, want at least a third of %v", veryLate, onTime)
 	}
 	if d := onTime - recovered; d > 5*time.Millisecond || d < -5*time.Millisecond {
-		t.Errorf("rejected after %v long after a delay, %v without one", recovered, onTime)
+		t.Errorf("rejected after %v long after a late call, want %v as without a late call", recovered, onTime)
 	}
 }
--- a/internal/gateway/bench_test.go
+++ b/internal/gateway/bench_test.go
@@ -9,8 +9,8 @@
 	"maddergap/internal/nodelist"
 )
 
-// BenchmarkRequest is one GET on open connections, from a client to a node and back, the
-// scheduler included.
+// BenchmarkRequest measures one GET on open connections, from a client to a node and back,
+// including the work of the scheduler.
 func BenchmarkRequest(b *testing.B) {
 	c, err := config.Parse("harness", []byte(harnessConfig))
 	if err != nil {
--- a/internal/gateway/buffered_protocol.go
+++ b/internal/gateway/buffered_protocol.go
@@ -7,11 +7,12 @@
 	"maddergap/scheduler"
 )
 
-// SetProtocol has the gateway speak another protocol than WebDAV with clients and nodes.
-// It is called before any event.
+// SetProtocol sets the protocol that the gateway uses with clients and nodes instead of
+// WebDAV. It must be called before any event.
 func (g *Gateway) SetProtocol(p Protocol) { g.protocol = bufferedProtocol{p} }
 
-// bufferedProtocol carries a Protocol, whose messages are buffered until they are complete.
+// bufferedProtocol implements protocol on top of a Protocol. It buffers each request and
+// response until it is complete.
 type bufferedProtocol struct{ p Protocol }
 
 func (b bufferedProtocol) beginRequest(g *Gateway, c *clientConn, req *request) {
@@ -46,8 +47,9 @@
 
 func (b bufferedProtocol) parseResponse(r *http1.Response) ResponseInfo { return b.p.ParseResponse(r) }
 
-// beginResponse begins to buffer a response. A response without a length is complete when
-// its node ends the connection in order; after a reset, or while nothing comes, it is not.
+// beginResponse begins to buffer a response. It returns false if the announced length exceeds
+// the limit. A response that is delimited by the end of the connection is complete after an
+// EOF, but not after a reset or a timeout.
 func (b bufferedProtocol) beginResponse(g *Gateway, _ *request, attempt *nodeAttempt) bool {
 	if !b.beginUnwantedResponse(attempt) {
 		return false
@@ -56,7 +58,7 @@
 	return true
 }
 
-// beginUnwantedResponse sets the same limits as beginResponse, and buffers nothing.
+// beginUnwantedResponse sets the same limits as beginResponse, but allocates no buffer.
 func (b bufferedProtocol) beginUnwantedResponse(attempt *nodeAttempt) bool {
 	attempt.bufferResponse = true
 	attempt.noProgressTimeout = b.p.ResponseNoProgressTimeout()
@@ -66,7 +68,7 @@
 
 func (b bufferedProtocol) responseData(g *Gateway, _ *request, attempt *nodeAttempt, data []byte) bool {
 	limit, totalLimit := b.p.MaxResponseBytes()
-	g.buffers.responseBytes += int64(len(data)) // given back when the attempt ends
+	g.buffers.responseBytes += int64(len(data)) // subtracted when the attempt ends
 	attempt.responseBody = append(attempt.responseBody, data...)
 	return int64(len(attempt.responseBody)) <= limit && g.buffers.responseBytes <= totalLimit
 }
@@ -85,14 +87,16 @@
 	g.responseQueued(req)
 }
 
-// maxDiscardedBytes is the limit of any response: connections to nodes are scarce, and one that is
-// closed has to be made again.
+// maxDiscardedBytes returns the limit on response bodies, so that every permitted response is
+// read to its end and its connection can be reused. Connections to nodes are scarce, and each
+// one that is closed has to be established anew.
 func (b bufferedProtocol) maxDiscardedBytes() int64 {
 	limit, _ := b.p.MaxResponseBytes()
 	return limit
 }
 
-// A node executes only a complete request, so that one it received in part was not executed.
+// truncatedRequestOutcome returns ConnectFailed: a node executes only complete requests, so
+// that a request of which it received only a part was not executed.
 func (bufferedProtocol) truncatedRequestOutcome() scheduler.Outcome { return scheduler.ConnectFailed }
 
 func (bufferedProtocol) brokenResponseOutcome() scheduler.Outcome { return scheduler.Failed }
--- a/internal/gateway/buffers.go
+++ b/internal/gateway/buffers.go
@@ -1,23 +1,23 @@
 package gateway
 
-// Free buffers and requests are kept for reuse up to these limits. What is above them is
-// left to the garbage collector, so that the memory of a surge is not kept for good.
+// Limits on the free buffers and requests that are kept for reuse. Anything beyond them is
+// left to the garbage collector, so that memory allocated under peak load is released.
 const (
-	maxPooled          = 256      // buffers, and requests
-	maxPooledBuffer    = 64 << 10 // bytes; a larger buffer is not kept
-	initialBufferBytes = 2 << 10
+	maxPooled          = 256      // number of free buffers, and of free requests
+	maxPooledBuffer    = 64 << 10 // capacity in bytes of the largest buffer that is kept
+	initialBufferBytes = 2 << 10  // capacity of a new buffer
 )
 
-// bufferPool has the free buffers, and counts the bytes in use that are limited over all
-// connections.
+// bufferPool holds the free buffers. It also counts the buffered bytes for which there is a
+// limit over all connections.
 type bufferPool struct {
 	free [][]byte
 
-	clientBytes   int64 // held for all client connections; see accountClientBytes
-	responseBytes int64 // of responses that are buffered until they are complete
+	clientBytes   int64 // bytes buffered for all client connections; see accountClientBytes
+	responseBytes int64 // bytes of the responses that are buffered until they are complete
 }
 
-// get returns an empty buffer; put takes it back.
+// get returns an empty buffer. The caller returns it with put.
 func (p *bufferPool) get() []byte {
 	if n := len(p.free); n > 0 {
 		b := p.free[n-1]
@@ -35,7 +35,7 @@
 	return b
 }
 
-// put takes back a buffer that is no longer in use. A nil buffer is ignored.
+// put returns a buffer that is no longer in use to the pool. A nil buffer is ignored.
 func (p *bufferPool) put(b []byte) {
 	if cap(b) > 0 && cap(b) <= maxPooledBuffer && len(p.free) < maxPooled {
 		p.free = append(p.free, b[:0])
--- a/internal/gateway/client_conn.go
+++ b/internal/gateway/client_conn.go
@@ -7,18 +7,18 @@
 	"maddergap/internal/invariant"
 )
 
-// firstRequestGrace is how long a connection that may have a request on its way has
-// to deliver it when the instance is stopping.
+// firstRequestGrace is how long an instance that is shutting down waits for a request on a
+// connection that may have one on its way.
 const firstRequestGrace = 200 * time.Millisecond
 
-// clientPhase is the phase of a client connection. It only advances.
+// clientPhase is the phase of a client connection. Phases are entered in ascending order only.
 type clientPhase uint8
 
 const (
 	clientOpen       clientPhase = iota // requests are read
-	clientClosing                       // the connection ends after the response to the current request
-	clientOverflowed                    // closing, and the client has pipelined too much: its input is dropped
-	clientDiscarding                    // closing, and the input cannot be parsed as requests any more
+	clientClosing                       // the connection is closed after the response to the current request
+	clientOverflowed                    // closing, and the client has exceeded maxPipelinedBytes: its input is dropped
+	clientDiscarding                    // closing, and the input can no longer be parsed as requests
 	clientLingering                     // the sending side is shut down; input is dropped until the client closes
 )
 
@@ -26,58 +26,58 @@
 	return [...]string{"open", "closing", "overflowed", "discarding", "lingering"}[p]
 }
 
-// peerState is the state of the client's end of a connection.
+// peerState is the state of the client's side of a connection.
 type peerState uint8
 
 const (
 	peerConnected    peerState = iota
-	peerHalfClosed             // it sends no more, and still reads
-	peerDisconnected           // it has left
+	peerHalfClosed             // the client has shut down its sending side, but still reads
+	peerDisconnected           // the client has disconnected
 )
 
 func (s peerState) String() string {
 	return [...]string{"connected", "half-closed", "disconnected"}[s]
 }
 
-// clientConn is a connection of a client. It carries one request at a time: what the
-// client pipelines is left in unread until the complete response to the request is in the
-// write buffer.
+// clientConn is a connection from a client. It processes one request at a time: pipelined
+// requests stay in unread until the complete response to the current one is in the write
+// buffer.
 type clientConn struct {
 	bufferedConn
 	remote netip.AddrPort
 	phase  clientPhase
 	peer   peerState
 
-	req             *request // under way; nil: none
-	requestCount    int      // requests read so far
-	headerStartedAt Time     // when the first byte of a header arrived; 0: none
-	inReadyClients  bool     // it is in Gateway.readyClients
-	acceptDelay     Time     // how long it may have waited to be accepted
+	req             *request // request under way; nil: none
+	requestCount    int      // number of requests read so far
+	headerStartedAt Time     // time at which the first byte of an incomplete header arrived; 0: none
+	inReadyClients  bool     // set while the connection is in Gateway.readyClients
+	acceptDelay     Time     // how long the connection may have waited to be accepted
 
-	admitted bool // admission counts it
-	// requestEndDue: admission is to be notified of the end of its request as soon as
-	// the response was written; requestServed is its result.
+	admitted bool // set while admission counts the connection
+	// requestEndDue is set if admission has yet to be notified of the end of a request; see
+	// reportAdmittedRequestEnd. requestServed is the result to report.
 	requestEndDue, requestServed bool
 
-	// mayHaveUnreadRequest: a system call on the connection was deferred for lack of
-	// local resources, and nothing was read since, so that a request may be waiting in
-	// the socket. The driver does not say whether the call was a read or a write. After
-	// a write the flag is set without need; the only consequence is that a stopping
-	// instance gives the connection firstRequestGrace before it closes it.
+	// mayHaveUnreadRequest is set when a system call on the connection was deferred for lack
+	// of local resources, and reset when data is read. While it is set, a request may be
+	// waiting in the socket. The driver does not say whether the call was a read or a write.
+	// After a write the flag is set without need; the only consequence is that Shutdown gives
+	// the connection firstRequestGrace before it closes it.
 	mayHaveUnreadRequest bool
 
-	upload         transferProgress // of the request body
-	download       transferProgress // of the response
-	readBy         Time             // when the client has to have read more of what is pending, if anything is
-	outputWritten  int64            // bytes written since the connection was accepted
-	accountedBytes int              // its part of bufferPool.clientBytes
+	upload         transferProgress // progress of the request body
+	download       transferProgress // progress of the response
+	readDeadline   Time             // time by which the client has to read more of the pending bytes, if there are any
+	outputWritten  int64            // number of bytes written since the connection was accepted
+	accountedBytes int              // share of this connection in bufferPool.clientBytes
 }
 
-// enter moves the connection on to a phase, unless it is further already.
+// enter advances the connection to a phase, unless it is already past that phase.
 func (c *clientConn) enter(phase clientPhase) { c.phase = max(c.phase, phase) }
 
-// responseDue reports whether the connection has a submitted request without a final
-// response, and a client that waits for it.
+// responseDue reports whether the client waits for the response to a submitted request that
+// has no final response yet.
 func (c *clientConn) responseDue() bool {
 	return c.req != nil && c.req.id != 0 && !c.req.response.final && c.peer != peerDisconnected
 }
@@ -90,8 +90,8 @@
 	}
 }
 
-// handleWritten resumes the node if it was paused for the client, and detects that a
-// response was written completely.
+// handleWritten restarts the timeout for reading the response, or stops it if everything is
+// written. It resumes the node's connection if that was paused because the client reads slowly.
 func (c *clientConn) handleWritten(g *Gateway, n int) {
 	c.outputWritten += int64(n)
 	c.download.bytes += int64(n)
@@ -101,8 +101,8 @@
 		c.download = transferProgress{}
 		g.reportAdmittedRequestEnd(c)
 	} else {
-		c.readBy = g.downloadDeadline(c)
-		g.setDeadline(c, c.readBy)
+		c.readDeadline = g.downloadDeadline(c)
+		g.setDeadline(c, c.readDeadline)
 	}
 	if req := c.req; req != nil {
 		if req.response.source != nil && len(c.pending()) <= g.bufferAllowance()/2 {
@@ -125,7 +125,7 @@
 	case c.phase >= clientDiscarding, c.req == nil && len(c.pending()) == 0 && !c.inReadyClients:
 		g.closeConn(c, Close)
 	case c.req != nil && c.peer == peerDisconnected:
-		g.dropClient(c, Close, ClientDisconnected) // nobody reads the response
+		g.dropClient(c, Close, ClientDisconnected) // no one would read the response
 	case c.req != nil && !c.req.body.complete:
 		g.rejectMalformedBody(c, c.req, errBodyCutOff)
 	default: // a half-close: the response is still due
@@ -141,12 +141,12 @@
 func (c *clientConn) handleTimer(g *Gateway) {
 	req := c.req
 	switch {
-	case c.phase >= clientDiscarding, len(c.pending()) > 0 && g.clock.now >= c.readBy: // the client does not read its response
+	case c.phase >= clientDiscarding, len(c.pending()) > 0 && g.clock.now >= c.readDeadline: // the client does not read its response
 		g.dropClient(c, Abort, Dropped)
 	case req != nil && !req.body.complete && !req.response.final:
 		g.uploadTimedOut(c, req)
-	case len(c.pending()) > 0: // the timer was that of the body
-		g.setDeadline(c, c.readBy)
+	case len(c.pending()) > 0: // the timer had been set for the request body
+		g.setDeadline(c, c.readDeadline)
 	case req != nil: // the scheduler's deadline for the request applies
 	case c.headerStartedAt > 0:
 		g.counts.Malformed++
@@ -156,13 +156,14 @@
 	}
 }
 
-// handleRemoved has a close while a response is due checked against ResponseBeforeClose.
+// handleRemoved removes the connection from the counts. A close while a response is due is
+// checked against the invariant ResponseBeforeClose.
 func (c *clientConn) handleRemoved(g *Gateway) {
 	if c.responseDue() {
 		g.invariants.CheckUnansweredClose(g.clock.now, &invariant.UnansweredClose{
 			Request:   c.req.id,
 			Unwritten: len(c.pending()),
-			ReadBy:    c.readBy,
+			ReadBy:    c.readDeadline,
 		})
 	}
 	g.buffers.clientBytes -= int64(c.accountedBytes)
@@ -173,14 +174,16 @@
 	}
 }
 
-// responseQueued ends the request of a client whose response is complete in the buffers.
+// responseQueued is called when the complete response to a request has been queued. If the
+// client is still connected, it detaches the request from the connection, and schedules the
+// connection's next request.
 func (g *Gateway) responseQueued(req *request) {
 	c := req.client
 	if c == nil {
 		g.recycle(req)
 		return
 	}
-	if !req.body.complete { // RFC 9112 section 9.3: the rest of the body cannot be distinguished from a request
+	if !req.body.complete { // RFC 9112 section 9.3: the rest of the body cannot be distinguished from a next request
 		c.enter(clientDiscarding)
 	}
 	c.requestEndDue = true
@@ -189,8 +192,8 @@
 	g.recycle(req)
 	g.flushClient(c)
 	if len(c.pending()) > 0 {
-		c.readBy = g.downloadDeadline(c)
-		g.setDeadline(c, c.readBy)
+		c.readDeadline = g.downloadDeadline(c)
+		g.setDeadline(c, c.readDeadline)
 	} else {
 		g.reportAdmittedRequestEnd(c)
 	}
@@ -200,15 +203,15 @@
 	}
 }
 
-// startNextRequest parses what a client has pipelined behind its last request.
+// startNextRequest processes the input that a client has pipelined behind its last request.
 func (g *Gateway) startNextRequest(c *clientConn) {
 	c.inReadyClients = false
 	if c.closed || c.req != nil {
 		return
 	}
 	if c.phase >= clientClosing || g.intake == intakeClosed || c.peer == peerDisconnected {
-		// No further request is read. What the client has pipelined is dropped without a
-		// response; it may repeat that on another connection (RFC 9112 section 9.3.2).
+		// No further request is read. Pipelined requests are dropped without a response; the
+		// client may repeat them on another connection (RFC 9112 section 9.3.2).
 		c.unread = c.unread[:0]
 	}
 	if c.phase < clientDiscarding {
@@ -222,10 +225,11 @@
 	}
 }
 
-// clientIdle is called for a client that has no request and nothing to be written.
+// clientIdle is called for a client connection without a request and without pending output.
+// It starts the idle timeout, or ends the connection if no further request is read from it.
 func (g *Gateway) clientIdle(c *clientConn) {
 	switch {
-	case c.inReadyClients: // startNextRequest looks first
+	case c.inReadyClients: // startNextRequest processes pipelined input first
 	case c.phase >= clientClosing, g.intake == intakeClosed, c.peer != peerConnected:
 		g.lingeringClose(c)
 	default:
--- a/internal/gateway/client_disconnect_test.go
+++ b/internal/gateway/client_disconnect_test.go
@@ -7,31 +7,30 @@
 	"time"
 )
 
-// A client leaves in the middle of a long body. The connection to the node is reset before
-// the body is complete, so that the node cannot execute the request, and its capacity is
-// free at once.
+// Verifies that the connection to the node is reset when a client disconnects in the middle of a
+// long body. The node then cannot execute the request, and its capacity is free at once.
 func TestClientDisconnectsDuringUpload(t *testing.T) {
 	h := newHarness(t, "")
 	long := strings.Repeat("x", 40<<10)
 	c := h.connectClient(putRequest("/feed-a/s/x", long)[:20<<10])
 	n := h.nodeConn(0)
-	h.wantContains("at the node", h.takeWritten(n), "Content-Length: 40960")
+	h.wantContains("the request at the node", h.takeWritten(n), "Content-Length: 40960")
 	h.gateway.Closed(h.now, c)
 	h.runActions()
 	if h.closedBy[n] != Abort {
-		t.Error("the node's connection stays open")
+		t.Error("the connection to the node was not reset")
 	}
 	h.wantOutcomes(map[Outcome]int{ClientDisconnected: 1})
-	for i := range 2 { // the initial window is 2: both places are free
+	for i := range 2 { // the initial concurrency window is 2, and no attempt is under way
 		h.connectClient(getRequest(fmt.Sprint("/feed-a/s/", i)))
 	}
 	if len(h.dialed) != 3 {
-		t.Errorf("%d connections, want 3", len(h.dialed))
+		t.Errorf("%d connections to nodes, want 3", len(h.dialed))
 	}
 }
 
-// A client leaves while a node, which has the whole request, executes it. The attempt goes
-// on, and the node's capacity is free only when it responds.
+// Verifies that an attempt continues when the client disconnects after the node has received the
+// complete request. The node may be executing it, so its capacity is free only when it responds.
 func TestClientDisconnectsWhileNodeExecutes(t *testing.T) {
 	h := newHarness(t, "")
 	c := h.connectClient(putRequest("/feed-a/s/x", "segment"))
@@ -39,22 +38,22 @@
 	h.gateway.Closed(h.now, c)
 	h.runActions()
 	if _, closed := h.closedBy[n]; closed {
-		t.Fatal("the attempt was aborted though the node has the whole request")
+		t.Fatal("the attempt was aborted although the node has the complete request")
 	}
 	if len(h.gateway.requests.byID) != 1 {
-		t.Fatalf("%d requests with an attempt out, want 1", len(h.gateway.requests.byID))
+		t.Fatalf("%d requests with an attempt in flight, want 1", len(h.gateway.requests.byID))
 	}
 	h.advanceTime(50 * time.Millisecond)
 	h.deliver(n, okResponse("x"))
 	h.wantOutcomes(map[Outcome]int{ClientDisconnected: 1})
 	h.connectClient(getRequest("/feed-a/s/y"))
 	if len(h.dialed) != 1 {
-		t.Error("the connection is not reused")
+		t.Error("the connection to the node was not reused")
 	}
 }
 
-// A client leaves in the middle of a response. The node would stream the rest to nobody:
-// its connection is reset.
+// Verifies that the connection to the node is reset when a client disconnects in the middle of a
+// response, as the node would go on sending a response that no one reads.
 func TestClientDisconnectsDuringResponse(t *testing.T) {
 	h := newHarness(t, "")
 	c := h.connectClient(getRequest("/feed-a/s/x"))
@@ -63,13 +62,13 @@
 	h.gateway.Closed(h.now, c)
 	h.runActions()
 	if h.closedBy[n] != Abort {
-		t.Error("the node streams to nobody")
+		t.Error("the connection to the node was not reset")
 	}
 	h.wantOutcomes(map[Outcome]int{ClientDisconnected: 1})
 }
 
-// A client shuts down its sending side behind two requests. It still gets both responses,
-// and then the connection is closed.
+// Verifies that a client that shuts down its sending side after two pipelined requests gets both
+// responses, and that the connection is closed then.
 func TestHalfClosedClientGetsItsResponses(t *testing.T) {
 	h := newHarness(t, "")
 	c := h.connectClient(getRequest("/feed-a/s/1") + getRequest("/feed-a/s/2"))
--- a/internal/gateway/client_end.go
+++ b/internal/gateway/client_end.go
@@ -2,14 +2,15 @@
 
 import "time"
 
-// How the gateway ends a client's request, or its connection, before the client does.
+// The functions in this file end a client's request or connection on the gateway's initiative.
 
-// lingerTimeout is how long a client that does not close is still read after the last
-// response; see lingeringClose.
+// lingerTimeout is how long the gateway waits for a client to close its connection after the
+// last response; see lingeringClose.
 const lingerTimeout = 2 * time.Second
 
-// uploadTimedOut ends a request whose body has stopped, or is too slow. A request that was
-// submitted is cancelled, and the client is answered here.
+// uploadTimedOut ends a request whose body makes no progress, or is slower than the minimum
+// rate. A submitted request is cancelled. The client is answered with 408, or its connection
+// is reset if a part of a node's response was already written.
 func (g *Gateway) uploadTimedOut(c *clientConn, req *request) {
 	if req.id != 0 {
 		g.cancelRequest(req, AnsweredLocally)
@@ -20,13 +21,13 @@
 	}
 	c.enter(clientClosing)
 	req.body.complete = true
-	req.response.reason = "the body stopped"
+	req.response.reason = "the body did not come in time"
 	g.counts.Malformed++
 	g.writeLocalResponse(req, 408, []byte("the body did not come in time\n"), nil)
 }
 
-// respondHeaderTimeout answers a client that has not sent the header of its request in
-// time, and ends the connection. As there is no request yet, one is made for the response.
+// respondHeaderTimeout answers 408 to a client that has not sent the header of its request in
+// time, and ends the connection. As there is no request yet, it creates one for the response.
 func (g *Gateway) respondHeaderTimeout(c *clientConn) {
 	const reason = "the header did not come in time"
 	req := g.requests.create()
@@ -40,7 +41,8 @@
 	g.writeLocalResponse(req, 408, []byte(reason+"\n"), nil)
 }
 
-// dropClient closes a client connection by op, and ends its request with the outcome.
+// dropClient closes a client connection with op, which is Close or Abort, and ends its
+// request with the outcome.
 func (g *Gateway) dropClient(c *clientConn, op Op, outcome Outcome) {
 	if !c.closed {
 		g.closeConn(c, op)
@@ -48,7 +50,7 @@
 	}
 }
 
-// cancelClientRequest ends the request of a client connection that is closed.
+// cancelClientRequest ends the request, if any, of a client connection that was closed.
 func (g *Gateway) cancelClientRequest(c *clientConn, outcome Outcome) {
 	req := c.req
 	if req == nil {
@@ -61,10 +63,10 @@
 	g.recycle(req)
 }
 
-// lingeringClose shuts down the sending side of a client connection, and reads and drops
-// what still comes until the client has closed too, or lingerTimeout has passed. A close
-// with unread bytes in the socket would reset the connection, and the client would lose
-// the last response.
+// lingeringClose shuts down the sending side of a client connection. Further input is read
+// and dropped until the client closes the connection too, or lingerTimeout has passed. If
+// the gateway closed a socket with unread bytes in it, the connection would be reset, and the
+// client would lose the last response.
 func (g *Gateway) lingeringClose(c *clientConn) {
 	switch {
 	case c.peer != peerConnected:
--- a/internal/gateway/client_flow.go
+++ b/internal/gateway/client_flow.go
@@ -2,16 +2,17 @@
 
 import "time"
 
-// transferProgress is how far a body or a response has come.
+// transferProgress is the progress of the transfer of a request body or a response.
 type transferProgress struct {
-	since Time // when it began; 0: it has not
-	bytes int64
+	since Time  // time at which the transfer began; 0: it has not begun
+	bytes int64 // number of bytes transferred
 }
 
-// deadline returns when a transfer times out: when it has made no progress for noProgress,
-// or when it is slower than rate bytes a second after grace. The rate guards against peers
-// that transfer a byte now and then, which never reach a timeout between bytes, and would
-// occupy a connection for ever. A rate of 0 sets no minimum.
+// deadline returns when a transfer that has just made progress times out: after noProgress,
+// or earlier if its average rate, in bytes a second, falls below rate. The average is taken
+// over the time since the start of the transfer, less grace. The minimum rate guards against
+// peers that transfer a byte now and then: they never exceed a timeout between bytes, and
+// would occupy a connection for ever. A rate of 0 sets no minimum.
 func (p *transferProgress) deadline(now Time, noProgress, grace time.Duration, rate int64) Time {
 	if rate <= 0 {
 		return now + noProgress
@@ -19,33 +20,33 @@
 	return min(now+noProgress, p.since+grace+Time(float64(p.bytes)/float64(rate)*float64(time.Second)))
 }
 
-// uploadDeadline and downloadDeadline return when the transfer of a request body, or of a
-// response, times out.
+// uploadDeadline returns when the transfer of the client's request body times out.
 func (g *Gateway) uploadDeadline(c *clientConn) Time {
 	return c.upload.deadline(g.clock.now, g.config.Timeouts.NoProgress, g.config.MinRates.Grace, g.config.MinRates.Body)
 }
 
+// downloadDeadline returns when the transfer of the response to the client times out.
 func (g *Gateway) downloadDeadline(c *clientConn) Time {
 	return c.download.deadline(g.clock.now, g.config.Timeouts.NoProgress, g.config.MinRates.Grace, g.config.MinRates.Response)
 }
 
-// stopUploadTimer ends the wait for the body of a client. What is pending for it still has to be
-// read in time.
+// stopUploadTimer stops the timeout for a client's request body. If output is pending, the
+// timeout for reading it stays in force.
 func (g *Gateway) stopUploadTimer(c *clientConn) {
 	if len(c.pending()) > 0 && c.download.since > 0 {
-		g.setDeadline(c, c.readBy)
+		g.setDeadline(c, c.readDeadline)
 	} else {
 		g.setDeadline(c, never)
 	}
 }
 
-// bufferAllowance returns how many bytes of a response or a body a connection may hold
-// now. A transfer is paused above it and resumed below half of it.
+// bufferAllowance returns how many bytes of a response or a request body may be buffered for a
+// connection at present. A transfer is paused above this number, and resumed at half of it.
 func (g *Gateway) bufferAllowance() int {
 	return g.admission.BufferAllowance(g.buffers.clientBytes, g.config.Limits.ConnBuffer)
 }
 
-// accountClientBytes updates the account of the bytes that are held for clients.
+// accountClientBytes updates the number of bytes buffered for clients after a change at c.
 func (g *Gateway) accountClientBytes(c *clientConn) {
 	n := len(c.unread) + len(c.out)
 	if req := c.req; req != nil {
@@ -58,7 +59,8 @@
 	c.accountedBytes = n
 }
 
-// flushClient has what is pending written to a client, which has to take it in time.
+// flushClient asks the driver to write the pending bytes to a client, and starts the timeout
+// for the client to read them.
 func (g *Gateway) flushClient(c *clientConn) {
 	if c.closed {
 		return
@@ -67,16 +69,17 @@
 	if !c.flushPending && len(c.pending()) > 0 {
 		if c.download.since == 0 {
 			c.download = transferProgress{since: g.clock.now}
-			c.readBy = g.downloadDeadline(c)
+			c.readDeadline = g.downloadDeadline(c)
 		}
 		if c.timer.deadline == never {
-			g.setDeadline(c, c.readBy)
+			g.setDeadline(c, c.readDeadline)
 		}
 	}
 	g.flush(c)
 }
 
-// resumeClientInput reads a paused client again, and uses what was read before the pause.
+// resumeClientInput resumes reading from a paused client, and processes the bytes that were
+// read before the pause.
 func (g *Gateway) resumeClientInput(c *clientConn) {
 	if !c.paused {
 		return
--- a/internal/gateway/client_input.go
+++ b/internal/gateway/client_input.go
@@ -1,28 +1,29 @@
 package gateway
 
-// maxPipelinedBytes limits what a client may pipeline if its EOF means that it has left.
-// Such a client is not paused while its request is under way, as the EOF is behind what
-// it has pipelined: unread, a client that has left would go unnoticed, and its request
-// would be sent all the same. Beyond the limit its input is dropped, and the connection
-// ends with the response. 16 KiB has room for several requests with headers of the usual
-// size, and bounds what such a client can have buffered beside its request.
+// maxPipelinedBytes limits the pipelined input of a client in protocols where EOF means that
+// the client has disconnected. Reading from such a client is not paused while its request is
+// under way: the EOF arrives behind the pipelined input, and while that is unread, the
+// gateway would not notice the disconnect and would still send the request. Input beyond the
+// limit is dropped, and the connection is closed after the response. 16 KiB has room for
+// several requests with headers of the usual size, and bounds the memory that such a client
+// takes up in addition to its request.
 const maxPipelinedBytes = 16 << 10
 
-// clientInput is what the next bytes of a client connection are.
+// clientInput is the kind of the next bytes of a client connection.
 type clientInput uint8
 
 const (
-	inputDiscarded clientInput = iota // not to be used
+	inputDiscarded clientInput = iota // input that is dropped
 	inputHeader                       // the header of a request
 	inputBody                         // the body of the request under way
-	inputPipelined                    // requests behind the request under way
+	inputPipelined                    // requests that follow the request under way
 )
 
 func (i clientInput) String() string {
 	return [...]string{"discarded", "header", "body", "pipelined"}[i]
 }
 
-// nextInput returns what the next bytes of the connection are.
+// nextInput returns the kind of the next bytes of the connection.
 func (c *clientConn) nextInput() clientInput {
 	switch {
 	case c.phase >= clientOverflowed, c.phase >= clientClosing && c.req == nil:
@@ -35,7 +36,8 @@
 	return inputPipelined
 }
 
-// consumeClientData uses the bytes of a client and returns those that cannot be used yet.
+// consumeClientData processes bytes from a client, and returns the rest that cannot be
+// processed yet.
 func (g *Gateway) consumeClientData(c *clientConn, data []byte) []byte {
 	for more := true; more && len(data) > 0 && !c.closed; {
 		switch c.nextInput() {
@@ -46,14 +48,14 @@
 		case inputBody:
 			data, more = g.consumeBody(c, data)
 		case inputPipelined:
-			return g.holdPipelined(c, data)
+			return g.bufferPipelined(c, data)
 		}
 	}
 	return data
 }
 
-// consumeHeader takes the header of a request, if it is complete. It returns what is
-// behind it, and whether that can be used now.
+// consumeHeader processes the header of a request, if it is complete. It returns the rest of
+// data, and whether the rest can be processed now.
 func (g *Gateway) consumeHeader(c *clientConn, data []byte) (rest []byte, more bool) {
 	if data[0] == '\r' || data[0] == '\n' { // RFC 9112 section 2.2: empty lines before a request
 		c.headerScanned = 0
@@ -72,8 +74,8 @@
 	return data[n:], true
 }
 
-// consumeBody takes a piece of the body of the request under way, or pauses the client
-// if there is no room for it.
+// consumeBody processes a piece of the body of the request under way, or pauses reading from
+// the client if there is no room for it. It returns the same as consumeHeader.
 func (g *Gateway) consumeBody(c *clientConn, data []byte) (rest []byte, more bool) {
 	req := c.req
 	if g.uploadBlocked(req) {
@@ -93,7 +95,8 @@
 }
 
 // uploadBlocked reports whether there is no room for more of a request body: a submitted
-// request has filled its buffer, or the node takes the body more slowly than it comes.
+// request has filled its buffer, or the node takes the body more slowly than the client
+// sends it.
 func (g *Gateway) uploadBlocked(req *request) bool {
 	if uploading := req.attempts.uploading; uploading != nil {
 		return len(uploading.conn.pending()) > g.bufferAllowance()
@@ -101,8 +104,10 @@
 	return req.id != 0 && len(req.body.data) >= g.config.Limits.BodyBuffer
 }
 
-// holdPipelined keeps what a client has pipelined, or drops what is beyond the limit.
-func (g *Gateway) holdPipelined(c *clientConn, data []byte) (rest []byte) {
+// bufferPipelined returns the input that a client has pipelined, which is processed after the
+// current request. It pauses reading from the client, or drops the input if EOF means a
+// disconnect and the input exceeds maxPipelinedBytes.
+func (g *Gateway) bufferPipelined(c *clientConn, data []byte) (rest []byte) {
 	switch {
 	case !g.protocol.eofMeansDisconnect():
 		g.pauseReading(c)
--- a/internal/gateway/conn.go
+++ b/internal/gateway/conn.go
@@ -1,39 +1,39 @@
 package gateway
 
-// connection is a connection of any role: of a client (clientConn), to a storage node
-// (nodeConn) or to discovery (discoveryConn). The connection table and the timers
-// dispatch the events of an open connection to it.
+// connection is a connection of any role: from a client (clientConn), to a storage node
+// (nodeConn) or to discovery (discoveryConn). Its methods handle the events of an open
+// connection.
 type connection interface {
-	// base returns the state that connections of all roles have.
+	// base returns the state that connections of all roles have in common.
 	base() *bufferedConn
-	// handleData takes bytes that were read; they are valid during the call alone.
+	// handleData processes bytes that were read. They are valid only during the call.
 	handleData(g *Gateway, data []byte)
 	// handleWritten is called when n bytes were written.
 	handleWritten(g *Gateway, n int)
-	// handleEOF is called when the peer sends no more.
+	// handleEOF is called when the peer has shut down its sending side.
 	handleEOF(g *Gateway)
-	// handleClosed is called when the connection is lost, or could not be made.
+	// handleClosed is called when the connection is lost, or could not be established.
 	handleClosed(g *Gateway)
 	// handleTimer is called when the connection's timer has expired.
 	handleTimer(g *Gateway)
-	// handleRemoved takes the connection out of the counts of its role. It is called
+	// handleRemoved removes the connection from the counts of its role. It is called
 	// once, when the connection is closed. It must not close connections itself: the caller
-	// of closeConn may be ranging over the connection table (Shutdown) or over the idle
-	// connections of a node (closeIdleConns), which would change under it.
+	// of closeConn may be iterating over the connection table (Shutdown) or over the idle
+	// connections of a node (closeIdleConns), which must not change in the meantime.
 	handleRemoved(g *Gateway)
 }
 
-// bufferedConn is what connections of all roles have: buffers for reading and writing,
-// flow control, and a timer. Once closed is set, the connection is in no table,
+// bufferedConn is the common part of connections of all roles: buffers for reading and
+// writing, flow control, and a timer. Once closed is set, the connection is in no table,
 // has no buffers and no timer, and no action is requested for it.
 type bufferedConn struct {
 	id            ConnID
-	unread        []byte // received and not consumed yet
-	headerScanned int    // bytes of unread that were searched for the end of a header
-	out           []byte // to be written
-	written       int    // bytes of out that are written
-	paused        bool   // the driver was asked to read no more
-	flushPending  bool   // a Flush was requested, and Out was not called since
+	unread        []byte // bytes received and not consumed yet
+	headerScanned int    // number of bytes of unread already searched for the end of a header
+	out           []byte // output buffer, including bytes that are already written
+	written       int    // number of bytes of out that are already written
+	paused        bool   // set while the driver is asked not to read
+	flushPending  bool   // set from the request of a Flush to the next call of Out
 	closed        bool
 	timer         connTimer
 }
@@ -43,7 +43,7 @@
 // pending returns the bytes that are still to be written.
 func (c *bufferedConn) pending() []byte { return c.out[c.written:] }
 
-// withUnread returns data behind the bytes that were received before and not consumed.
+// withUnread returns the bytes that were received before and not consumed, followed by data.
 func (c *bufferedConn) withUnread(data []byte) []byte {
 	if len(c.unread) == 0 {
 		return data
@@ -52,7 +52,8 @@
 	return c.unread
 }
 
-// storeUnread keeps what was not consumed of withUnread's bytes; rest is their end.
+// storeUnread keeps the bytes that were not consumed: rest, the tail of the slice that
+// withUnread returned.
 func (g *Gateway) storeUnread(c connection, rest []byte) {
 	base := c.base()
 	switch {
@@ -67,8 +68,8 @@
 	}
 }
 
-// removeWritten removes n written bytes from what is pending. The rest is moved to the
-// front of the buffer only if more than ConnBuffer bytes are free there.
+// removeWritten removes n written bytes from the pending output. To save copies, the rest is
+// moved to the front of the buffer only if more than ConnBuffer written bytes precede it.
 func (g *Gateway) removeWritten(c connection, n int) {
 	base := c.base()
 	if base.written += n; base.written == len(base.out) {
@@ -79,14 +80,14 @@
 	}
 }
 
-// discardOutput drops what was to be written.
+// discardOutput drops the pending output, and releases its buffer.
 func (g *Gateway) discardOutput(c connection) {
 	base := c.base()
 	g.buffers.put(base.out)
 	base.out, base.written = nil, 0
 }
 
-// flush asks the driver to write what is pending.
+// flush asks the driver to write the pending output, if there is any.
 func (g *Gateway) flush(c connection) {
 	base := c.base()
 	if !base.flushPending && !base.closed && len(base.pending()) > 0 {
@@ -95,7 +96,7 @@
 	}
 }
 
-// pauseReading asks the driver to read no more from a connection (flow control).
+// pauseReading asks the driver to stop reading from a connection (flow control).
 func (g *Gateway) pauseReading(c connection) {
 	base := c.base()
 	if !base.paused && !base.closed {
@@ -104,8 +105,8 @@
 	}
 }
 
-// resumeReading asks the driver to read from a paused connection again. Bytes that were
-// read before the pause stay in unread: resumeClientInput and resumeNodeInput use those too.
+// resumeReading asks the driver to read from a paused connection again. Bytes that were read
+// before the pause stay in unread; resumeClientInput and resumeNodeInput process those too.
 func (g *Gateway) resumeReading(c connection) {
 	base := c.base()
 	if base.paused && !base.closed {
@@ -114,7 +115,8 @@
 	}
 }
 
-// setDeadline sets when the timer of a connection expires; never stops it.
+// setDeadline sets when the timer of a connection expires. If deadline is the constant never,
+// the timer is stopped.
 func (g *Gateway) setDeadline(c connection, deadline Time) {
 	base := c.base()
 	if !base.closed {
@@ -122,14 +124,15 @@
 	}
 }
 
-// openConn gives a new connection its id and timer.
+// openConn adds a new connection to the table, and initializes its id and timer.
 func (g *Gateway) openConn(c connection) {
 	base := c.base()
 	base.timer = newConnTimer(c)
 	base.id = g.conns.add(c)
 }
 
-// closeConn has the driver close a connection by op, Close or Abort.
+// closeConn removes a connection, and has the driver close it with op, which is Close or
+// Abort. It does nothing if the connection is already closed.
 func (g *Gateway) closeConn(c connection, op Op) {
 	base := c.base()
 	if base.closed {
@@ -139,8 +142,8 @@
 	g.removeConn(c, false)
 }
 
-// removeLost removes a connection that was lost. After a reset, and if it could not be made,
-// the driver has closed it already; after an EOF it has not.
+// removeLost removes a connection that was lost. closedByDriver is true after a reset or a
+// failed dial, when the driver has already closed the connection, and false after an EOF.
 func (g *Gateway) removeLost(c connection, closedByDriver bool) {
 	if closedByDriver {
 		g.removeConn(c, true)
@@ -149,8 +152,8 @@
 	}
 }
 
-// removeConn takes a connection out of all tables. closedByDriver: the driver has closed
-// it already, so that its slot is free at once.
+// removeConn removes a connection from all tables, and releases its buffers. If closedByDriver
+// is true, the driver has already closed the connection, and its slot is free at once.
 func (g *Gateway) removeConn(c connection, closedByDriver bool) {
 	base := c.base()
 	if base.closed {
--- a/internal/gateway/conn_events.go
+++ b/internal/gateway/conn_events.go
@@ -11,8 +11,8 @@
 	}
 }
 
-// Data is called with bytes that were read from a connection. They are not used after
-// the call.
+// Data is called with bytes that were read from a connection. The gateway does not keep data
+// after the call.
 func (g *Gateway) Data(now Time, id ConnID, data []byte) {
 	g.clock.advance(now)
 	if c := g.conns.find(id); c != nil && len(data) > 0 {
@@ -20,9 +20,10 @@
 	}
 }
 
-// Out returns the bytes that are to be written to a connection, and nil if there are
-// none. It is the one place where bytes are handed out. The invariants, checked when an attempt was
-// decided, are checked here once more before its first byte.
+// Out returns the bytes that are to be written to a connection, or nil if there are none. All
+// output goes through Out. Before the first byte of an attempt, Out repeats the invariant
+// checks that were made when the attempt was started. If a check fails now, the attempt is
+// withheld, and Out returns nil.
 func (g *Gateway) Out(now Time, id ConnID) []byte {
 	g.clock.advance(now)
 	c := g.conns.find(id)
@@ -37,7 +38,7 @@
 	return base.pending()
 }
 
-// Wrote is called when the first n bytes of Out were written.
+// Wrote is called when the first n of the bytes that Out returned were written.
 func (g *Gateway) Wrote(now Time, id ConnID, n int) {
 	g.clock.advance(now)
 	c := g.conns.find(id)
@@ -48,7 +49,7 @@
 	c.handleWritten(g, n)
 }
 
-// EOF is called when the peer of a connection sends no more.
+// EOF is called when the peer of a connection has shut down its sending side.
 func (g *Gateway) EOF(now Time, id ConnID) {
 	g.clock.advance(now)
 	if c := g.conns.find(id); c != nil {
@@ -56,8 +57,8 @@
 	}
 }
 
-// Closed is called when a connection is lost or could not be made. The driver has
-// closed it.
+// Closed is called when a connection is lost or could not be established. The driver has
+// already closed it.
 func (g *Gateway) Closed(now Time, id ConnID) {
 	g.clock.advance(now)
 	if c := g.conns.find(id); c != nil {
@@ -65,8 +66,8 @@
 	}
 }
 
-// DialShort is Stalled for a dial that is deferred as descriptors, memory or ports are short. No
-// peer can cause that.
+// DialShort is called instead of Stalled for a dial that is deferred because descriptors,
+// memory or ports have run out. No peer can cause such a shortage.
 func (g *Gateway) DialShort(now Time, id ConnID) {
 	g.Stalled(now, id)
 	if c, ok := g.conns.find(id).(*nodeConn); ok {
@@ -74,10 +75,11 @@
 	}
 }
 
-// Stalled is called when a system call on a connection (dialing, reading or writing)
-// failed for lack of local resources, such as descriptors, ports or memory, and is retried
-// later. The peer is not to blame for the delay. Only this is called a stall here: a peer
-// that sends or takes nothing makes no progress, and a late call of Advance is lag.
+// Stalled is called when a system call on a connection (connect, read or write) has failed
+// because of a local condition, such as a lack of memory or an unreachable network, and will
+// be retried later. The peer is not to blame for the delay. This package uses the word stall
+// for this case only: a peer that sends or reads nothing makes no progress, and a late call
+// of Advance is lag.
 func (g *Gateway) Stalled(now Time, id ConnID) {
 	g.clock.advance(now)
 	switch c := g.conns.find(id).(type) {
--- a/internal/gateway/fake_protocol_test.go
+++ b/internal/gateway/fake_protocol_test.go
@@ -9,8 +9,8 @@
 	"maddergap/scheduler"
 )
 
-// fakeProtocol is a Protocol, whose messages are buffered until they are complete. A
-// request names itself in its id field, which is its path at the node.
+// fakeProtocol is a Protocol for tests. A request has its id in the header field id, and the id
+// is the path of the request at the node.
 type fakeProtocol struct{}
 
 func (fakeProtocol) ParseRequest(r *http1.Request) RequestInfo {
@@ -29,9 +29,9 @@
 
 func (fakeProtocol) EndRequest(string, Outcome) {}
 
-func (fakeProtocol) AppendRequest(b []byte, r *http1.Request, left time.Duration) []byte {
+func (fakeProtocol) AppendRequest(b []byte, r *http1.Request, remaining time.Duration) []byte {
 	b = append(append(append(b, r.Method...), " /"...), r.Get("id")...)
-	return http1.AppendIntField(append(b, " HTTP/1.1\r\n"...), "Left-Ms", int64(left/time.Millisecond))
+	return http1.AppendIntField(append(b, " HTTP/1.1\r\n"...), "Left-Ms", int64(remaining/time.Millisecond))
 }
 
 func (fakeProtocol) ParseResponse(*http1.Response) ResponseInfo {
@@ -40,11 +40,11 @@
 
 func (fakeProtocol) AppendRetryAfter(b []byte, _ time.Duration) []byte { return b }
 
-func (fakeProtocol) MaxResponseBytes() (one, all int64) { return 1 << 16, 1 << 18 }
+func (fakeProtocol) MaxResponseBytes() (perResponse, total int64) { return 1 << 16, 1 << 18 }
 
 func (fakeProtocol) ResponseNoProgressTimeout() time.Duration { return 250 * time.Millisecond }
 
-// newProtocolHarness returns a harness whose gateway speaks fakeProtocol.
+// newProtocolHarness returns a harness whose gateway uses fakeProtocol.
 func newProtocolHarness(t *testing.T) *harness {
 	h := newHarness(t, "")
 	h.gateway.SetProtocol(fakeProtocol{})
@@ -53,7 +53,7 @@
 
 func requestWithID(id string) string { return getRequest("/", "id: "+id) }
 
-// setNodeState replaces the nodes by n0, in the state, and n2.
+// setNodeState replaces the endpoint list by n0, in the given state, and n2.
 func (h *harness) setNodeState(state scheduler.NodeState) {
 	h.gateway.SetNodes(h.now, []nodelist.Node{{Name: "n0", Addr: "node:0", State: state}, {Name: "n2", Addr: "node:2"}})
 	h.runActions()
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,16 +1,16 @@
-// Package gateway is the state machine of one instance. It takes what happens on the
-// connections of clients, storage nodes and discovery, notifies the scheduler of it, and
-// carries out what the scheduler decides. It decides nothing itself about routing, order,
-// limits, retries or the health of nodes.
+// Package gateway implements the state machine of one instance. It processes the events of
+// the connections to clients, storage nodes and discovery, notifies the scheduler of them,
+// and carries out the scheduler's decisions. It makes no decisions of its own about routing,
+// order, limits, retries or the health of nodes.
 //
 // It does no I/O: it opens no descriptor, reads no clock, starts no goroutine, and draws
 // all random numbers from its seed. Bytes, clock readings and events go in; bytes and
 // actions come out. The same events therefore give the same actions, on epoll or on a
 // simulated network.
 //
-// A driver, which is package eventloop in production, calls Accept, Connected, Data, EOF,
-// Closed, Wrote, Stalled and SetNodes as things happen. Then it calls Advance until that
-// returns no action, and again not later than the time that Advance has returned.
+// A driver, which is package eventloop in production, reports events by calling Accept,
+// Connected, Data, EOF, Closed, Wrote, Stalled and SetNodes. Then it calls Advance until that
+// returns no more actions, and again no later than at the time that Advance has returned.
 package gateway
 
 import (
@@ -29,24 +29,24 @@
 // Time is a reading of the driver's monotonic clock, as in the scheduler.
 type Time = scheduler.Time
 
-// never is a time that does not come: the greatest Time. The constants of that name in
-// packages scheduler, admission and discovery (whose client returns it from Step) have the
-// same value. The event loop compares what Advance returns with a lower value of its own, and
-// takes every time from there on for never.
+// never is the greatest Time. As the time of an event it means that the event does not occur.
+// The constants of that name in packages scheduler, admission and discovery (whose client
+// returns it from Step) have the same value. The event loop has a lower constant of its own,
+// and treats every time that Advance returns from that value on as never.
 const never = Time(math.MaxInt64)
 
 // ErrRestartRequired is returned by Reload if the new configuration changes settings of
 // the scheduler, which take effect at a restart only.
 var ErrRestartRequired = errors.New("classes, plans, heads, cold, budget, units and attempts change with a restart only")
 
-// Gateway is one instance. It is not safe for concurrent use.
+// Gateway is the state of one instance. It is not safe for concurrent use.
 type Gateway struct {
 	config     *config.Config
 	routes     *route.Table
 	admission  *admission.Admission
 	scheduler  schedulerClient
 	protocol   protocol
-	observer   Observer // nil: there is none
+	observer   Observer // may be nil
 	invariants invariant.Checker
 	membership membershipClient
 
@@ -58,19 +58,20 @@
 
 	conns        connTable
 	timers       timerQueue
-	readyClients []*clientConn // whose response is complete, and whose next request may be parsed
-	clientConns  int           // open connections of clients
+	readyClients []*clientConn // connections whose response is complete and whose next request can be parsed
+	clientConns  int           // number of open client connections
 	nodes        nodeTable
 	requests     requestTable
 	buffers      bufferPool
 
 	counts     Counts
-	span       Span // what the observer is called with
+	span       Span // argument of the observer's calls, reused to avoid allocations
 	rejections rejectionResponses
 }
 
-// New returns an instance. seed is that of all its random numbers, those of the scheduler
-// included. origin is the wall-clock time of Time zero. observer may be nil.
+// New returns an instance with a scheduler.Scheduler. All random numbers, including the
+// scheduler's, are derived from seed. origin is the wall-clock time of Time zero. observer may
+// be nil.
 func New(c *config.Config, seed uint64, now Time, origin time.Time, observer Observer) (*Gateway, error) {
 	s, err := scheduler.New(c.Scheduler, seed, now)
 	if err != nil {
@@ -79,13 +80,12 @@
 	return NewWithScheduler(s, c, seed, now, origin, observer), nil
 }
 
-// NewWithScheduler returns an instance with another scheduler. The configuration must have
-// passed its checks.
+// NewWithScheduler returns an instance that uses s as its scheduler. It panics if the admission
+// settings of c are invalid; config.Parse rejects such settings.
 func NewWithScheduler(s Scheduler, c *config.Config, seed uint64, now Time, origin time.Time, observer Observer) *Gateway {
 	admission, err := admission.New(c.Admission, seed)
 	if err != nil {
-		// Parsing a configuration validates its admission part, so this one was not parsed.
-		// It is a fault of the caller.
+		// config.Parse validates the admission settings. Invalid ones are a fault of the caller.
 		panic(err)
 	}
 	g := &Gateway{
@@ -106,8 +106,8 @@
 	return g
 }
 
-// Reload replaces the configuration. Requests under way keep the volume and the class they
-// were given. On an error, for instance ErrRestartRequired, nothing is changed.
+// Reload replaces the configuration. Requests under way keep their volume and class. If it
+// returns an error, for instance ErrRestartRequired, the previous configuration stays in force.
 func (g *Gateway) Reload(c *config.Config) error {
 	if !reflect.DeepEqual(c.Scheduler, g.config.Scheduler) {
 		return ErrRestartRequired
@@ -120,9 +120,9 @@
 	return nil
 }
 
-// Advance runs expired timers, and hands the events since the last call to the scheduler.
-// It returns what is to be done, and the time by which it has to be called again. The
-// actions are valid until the next call.
+// Advance runs expired timers, and passes the events since the last call to the scheduler.
+// It returns the actions for the driver, which are valid until the next call, and the time by
+// which it has to be called again.
 func (g *Gateway) Advance(now Time) ([]Action, Time) {
 	g.clock.advance(now)
 	g.lag.observe(g.clock.now)
@@ -147,8 +147,8 @@
 	g.scheduler.runTimer(g.clock.now)
 }
 
-// startNextRequests parses what clients have pipelined behind a response that is complete
-// now.
+// startNextRequests starts the next pipelined request of each client connection whose last
+// response has become complete.
 func (g *Gateway) startNextRequests() {
 	for len(g.readyClients) > 0 {
 		last := len(g.readyClients) - 1
@@ -158,8 +158,8 @@
 	}
 }
 
-// runScheduler has the scheduler handle the events, and carries its decisions out, which
-// may lead to further events.
+// runScheduler passes the collected events to the scheduler, and carries out its decisions.
+// That may cause further events.
 func (g *Gateway) runScheduler() {
 	if !g.scheduler.hasEvents() {
 		return
@@ -169,9 +169,9 @@
 	}
 }
 
-// applyDecision carries out a decision of the scheduler. WatchEndpoints is ignored: the
-// membership source, or the caller of SetNodes, keeps the endpoint list current unasked.
-// Only the simulator's driver (internal/simwire) carries that action out.
+// applyDecision carries out a decision of the scheduler. It ignores WatchEndpoints, because the
+// membership source, or the caller of SetNodes, keeps the endpoint list current in any case.
+// Only the simulator's driver (internal/simwire) carries out that action.
 func (g *Gateway) applyDecision(action scheduler.Action) {
 	switch a := action.(type) {
 	case scheduler.Send:
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -13,17 +13,17 @@
 	"maddergap/scheduler"
 )
 
-// One request goes through the gateway to a node, and its response back, with no
-// descriptor and no real clock: the fields that are added, the trace, a response that
-// arrives in pieces, and the reuse of both connections.
+// Verifies the path of one request through the gateway to a node, and of its response back: the
+// header fields that are added, the trace, a response that arrives in pieces, and the reuse of
+// both connections.
 func TestRequestReachesNodeAndResponseReturns(t *testing.T) {
 	h := newHarness(t, "")
 	c := h.connectClient(getRequest("/feed-a/s/x", "traceparent: 00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01"))
 	n := h.nodeConn(0)
 	got := h.takeWritten(n)
-	h.wantContains("at the node", got, "GET /feed-a/s/x HTTP/1.1\r\n", "Host: h\r\n", "Via: 1.1 maddergap", "X-Request-Id: ", "Maddergap-Attempt: 0", "traceparent: 00-0af7651916cd43dd8448eb211c80319c-")
+	h.wantContains("the request at the node", got, "GET /feed-a/s/x HTTP/1.1\r\n", "Host: h\r\n", "Via: 1.1 maddergap", "X-Request-Id: ", "Maddergap-Attempt: 0", "traceparent: 00-0af7651916cd43dd8448eb211c80319c-")
 	if strings.Contains(got, "b7ad6b7169203331") {
-		t.Error("the attempt goes under the client's span, not its own")
+		t.Error("the attempt was sent with the client's span id, not with one of its own")
 	}
 	h.now += 5 * time.Millisecond
 	h.deliver(n, "HTTP/1.1 200 OK\r\nContent-Le")
@@ -32,17 +32,17 @@
 	h.wantContains("the response", h.takeWritten(c), "HTTP/1.1 200 OK\r\n", "Content-Length: 6\r\n", "ETag: \"e\"", "X-Request-Id: ", "\r\n\r\nabcdef")
 	h.wantOutcomes(map[Outcome]int{Served: 1})
 	if s := h.spans[0]; s.Node != "n0" || s.AttemptOutcome != scheduler.OK || s.Parent != h.spans[1].ID || fmt.Sprintf("%x", h.spans[1].Parent) != "b7ad6b7169203331" {
-		t.Errorf("spans %+v", h.spans)
+		t.Errorf("spans %+v, want the attempt at n0, and then the request with the client's span as parent", h.spans)
 	}
 	// Both connections are reused for the next request.
 	h.deliver(c, getRequest("/feed-a/s/y"))
 	if len(h.dialed) != 1 {
-		t.Errorf("%d connections, want the first one again", len(h.dialed))
+		t.Errorf("%d connections to nodes, want 1, which is reused", len(h.dialed))
 	}
 }
 
-// An incident is replayed from its seed and events, which needs the gateway to be
-// deterministic: the same seed and events give the same actions.
+// Verifies that the same seed and events give the same actions. Replaying an incident from its
+// seed and events relies on that.
 func TestSameEventsSameActions(t *testing.T) {
 	run := func() string {
 		h := newHarness(t, "")
@@ -62,11 +62,11 @@
 		return h.actionLog.String()
 	}
 	if a, b := run(), run(); a != b || len(a) < 500 {
-		t.Errorf("two runs differ, or did nothing:\n%.500s\n%.500s", a, b)
+		t.Errorf("the actions of two runs differ, or are too few:\n%.500s\n%.500s", a, b)
 	}
 }
 
-// The hot path: a request on open connections takes few allocations, most of them the
+// Verifies that a request on open connections needs only a few allocations, most of them the
 // scheduler's.
 func TestAllocationsPerRequest(t *testing.T) {
 	h := newHarness(t, "")
@@ -76,11 +76,11 @@
 	response, request := []byte(okResponse("hello")), []byte(getRequest("/feed-a/s/x"))
 	runActions := func() {
 		for {
-			acts, _ := h.gateway.Advance(h.now)
-			if len(acts) == 0 {
+			actions, _ := h.gateway.Advance(h.now)
+			if len(actions) == 0 {
 				return
 			}
-			for _, a := range acts {
+			for _, a := range actions {
 				if a.Op == Flush {
 					h.gateway.Wrote(h.now, a.Conn, len(h.gateway.Out(h.now, a.Conn)))
 				}
@@ -97,48 +97,49 @@
 		runActions()
 	})
 	if allocs > 12 {
-		t.Errorf("%v allocations a request, want 12 at most (most are the scheduler's)", allocs)
+		t.Errorf("%v allocations per request, want at most 12 (most are the scheduler's)", allocs)
 	}
-	t.Logf("%v allocations a request", allocs)
+	t.Logf("%v allocations per request", allocs)
 }
 
-// timerScheduler is a Scheduler that sets one of the timers at each event.
+// timerScheduler is a Scheduler that sets its timer to the next of timers at each event, and
+// records when the timer fires.
 type timerScheduler struct {
 	timers  []time.Duration
 	firedAt []Time
 }
 
-func (c *timerScheduler) Handle(now Time, events []scheduler.Event) (acts []scheduler.Action) {
+func (s *timerScheduler) Handle(now Time, events []scheduler.Event) (actions []scheduler.Action) {
 	for _, e := range events {
 		if _, ok := e.(scheduler.TimerFired); ok {
-			c.firedAt = append(c.firedAt, now)
-		} else if len(c.timers) > 0 {
-			acts = append(acts, scheduler.SetTimer{After: c.timers[0]})
-			c.timers = c.timers[1:]
+			s.firedAt = append(s.firedAt, now)
+		} else if len(s.timers) > 0 {
+			actions = append(actions, scheduler.SetTimer{After: s.timers[0]})
+			s.timers = s.timers[1:]
 		}
 	}
-	return acts
+	return actions
 }
 
-// A timer of the scheduler replaces the one before, also by a later time. Were the earlier
-// one kept, the scheduler would take its firing for the timer that it waits for, and would
-// set no other.
+// Verifies that SetTimer replaces the scheduler's previous timer, also by a later time. If the
+// earlier timer fired as well, the scheduler would take it for the one that it waits for, and
+// would not set another.
 func TestSchedulerTimerIsReplaced(t *testing.T) {
 	h := newHarness(t, "")
 	timers := &timerScheduler{timers: []time.Duration{10 * time.Millisecond, 20 * time.Millisecond}}
 	h.gateway.scheduler.impl = timers
-	began := h.now
+	start := h.now
 	h.connectClient(getRequest("/feed-a/s/x"))
 	h.connectClient(getRequest("/feed-a/s/y"))
 	h.advanceTime(100 * time.Millisecond)
-	if len(timers.firedAt) != 1 || timers.firedAt[0] != began+20*time.Millisecond {
-		t.Errorf("fired at %v, want once after 20ms", timers.firedAt)
+	if len(timers.firedAt) != 1 || timers.firedAt[0] != start+20*time.Millisecond {
+		t.Errorf("the timer fired at %v, want once after 20ms", timers.firedAt)
 	}
 }
 
-// A client that leaves in the middle of a long body ends its request on two ways. The
-// request must be given back for reuse once: given back twice, it would serve two clients
-// at once.
+// Verifies that a request object is recycled once when its client disconnects in the middle of
+// a long body, which ends the request in two ways. An object that was recycled twice would be
+// used for two clients at the same time.
 func TestRequestIsRecycledOnce(t *testing.T) {
 	h := newHarness(t, "")
 	for i := range 5 {
@@ -156,18 +157,18 @@
 	}
 }
 
-// A configuration without a volume is loaded while a request to that volume is under way.
-// That request is completed, and the next one is answered 404. What only a restart can
-// change is rejected.
+// Verifies that a request is completed if a reload removes its volume while the request is under
+// way, and that the next request to the volume is answered 404. A reload that changes settings of
+// the scheduler must be rejected.
 func TestReloadDuringRequest(t *testing.T) {
 	h := newHarness(t, "")
 	c := h.connectClient(getRequest("/feed-b/s/x"))
 	n := h.nodeConn(0)
-	less, err := config.Parse("harness", []byte(strings.Replace(harnessConfig, "volume feed-b plan p shards 0,1\n", "", 1)))
+	withoutVolume, err := config.Parse("harness", []byte(strings.Replace(harnessConfig, "volume feed-b plan p shards 0,1\n", "", 1)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := h.gateway.Reload(less); err != nil {
+	if err := h.gateway.Reload(withoutVolume); err != nil {
 		t.Fatal(err)
 	}
 	h.deliver(n, okResponse("still"))
@@ -177,18 +178,18 @@
 	if h.spans[1].Volume != "feed-b" {
 		t.Errorf("%+v", h.spans[1])
 	}
-	other, err := config.Parse("harness", []byte(harnessConfig+"heads 3\n"))
+	otherInstances, err := config.Parse("harness", []byte(harnessConfig+"heads 3\n"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := h.gateway.Reload(other); !errors.Is(err, ErrRestartRequired) {
-		t.Errorf("a reload that changes the number of instances gives %v", err)
+	if err := h.gateway.Reload(otherInstances); !errors.Is(err, ErrRestartRequired) {
+		t.Errorf("a reload that changes the number of instances returned %v, want ErrRestartRequired", err)
 	}
 }
 
-// A connection is preempted for a new one. The driver has yet to close the old one, so the
-// new one must not get its slot: the driver would close it in place of the old one. Later
-// the slot is used again.
+// Verifies that a new connection does not get the slot of a connection that was preempted for it
+// before the driver has closed that one: the driver would close the new connection instead of the
+// old one. Afterwards the slot must be reused.
 func TestSlotIsReusedOnlyAfterClose(t *testing.T) {
 	h := newHarness(t, "clients 2\nadmit reserve 1\nknown 10.0.0.0/8\n")
 	first := h.gateway.Accept(h.now, netip.MustParseAddrPort("127.0.0.1:1"), 0).ID
@@ -196,7 +197,7 @@
 	h.runActions()
 	known := h.gateway.Accept(h.now, netip.MustParseAddrPort("10.0.0.1:3"), 0).ID // the first is preempted, and its Close is queued
 	if known.Slot() == first.Slot() {
-		t.Error("the driver would close the new connection for the old, or neither")
+		t.Error("the slot was reused before the driver has closed the preempted connection")
 	}
 	h.runActions()
 	if h.closedBy[first] != Close {
@@ -204,12 +205,12 @@
 	}
 	h.runActions()
 	if again := h.gateway.Accept(h.now, netip.MustParseAddrPort("10.0.0.1:4"), 0).ID; again.Slot() != first.Slot() {
-		t.Error("the slot is lost")
+		t.Error("the slot was not reused")
 	}
 }
 
-// Nodes come and go for a long time, as with a rolling upgrade each hour. Nothing is kept
-// of those that have gone, nor of their connections.
+// Verifies that nothing is kept of removed nodes and their connections. Otherwise frequent
+// rolling upgrades would increase the memory use without limit.
 func TestReplacedNodesAreForgotten(t *testing.T) {
 	h := newHarness(t, "")
 	for i := range 3000 {
@@ -222,12 +223,12 @@
 		h.advanceTime(time.Millisecond)
 	}
 	if len(h.gateway.nodes.byName) > 3 || len(h.gateway.conns.slots) > 16 || len(h.gateway.requests.byID) > 0 || h.gateway.Counts().NodeConns > 2 {
-		t.Errorf("%d nodes, %d slots, %d requests, %d connections are left", len(h.gateway.nodes.byName), len(h.gateway.conns.slots), len(h.gateway.requests.byID), h.gateway.Counts().NodeConns)
+		t.Errorf("%d nodes, %d slots, %d requests and %d connections to nodes are left, want at most 3, 16, 0 and 2", len(h.gateway.nodes.byName), len(h.gateway.conns.slots), len(h.gateway.requests.byID), h.gateway.Counts().NodeConns)
 	}
 }
 
-// A node moves or restarts while a request to it is under way. The connection leads to
-// what it was before, and is not used for the next request.
+// Verifies that a connection is not reused if its node has moved or restarted while a request was
+// under way on it, as it leads to the previous address or incarnation.
 func TestConnectionToPreviousAddressIsNotReused(t *testing.T) {
 	for name, n := range map[string]nodelist.Node{"moved": {Name: "n0", Addr: "node:9"}, "new start": {Name: "n0", Addr: "node:0", Started: time.Unix(2e9, 0)}} {
 		h := newHarness(t, "")
@@ -237,7 +238,7 @@
 		h.deliver(h.nodeConn(0), okResponse("a"))
 		h.connectClient(getRequest("/feed-a/s/y"))
 		if len(h.dialed) != 2 || h.closedBy[h.nodeConn(0)] != Close {
-			t.Errorf("%s: %d connections were made, want another; the first ended by %v", name, len(h.dialed), h.closedBy[h.nodeConn(0)])
+			t.Errorf("%s: %d connections, want 2; the first was closed by %v, want close", name, len(h.dialed), h.closedBy[h.nodeConn(0)])
 		}
 	}
 }
--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -36,39 +36,39 @@
 
 const (
 	harnessSeed = 7
-	// harnessStart is the time at which a harness begins.
+	// harnessStart is the initial time of a harness.
 	harnessStart = 24 * time.Hour
-	// maxAdvances is how often Advance may return actions before the gateway is taken to
-	// spin.
+	// maxAdvances is the number of calls of Advance in a row that may return actions. With
+	// more, the gateway is taken to be in an endless loop.
 	maxAdvances = 1000
 )
 
-// harness is the environment of one Gateway: its driver, clients, storage nodes, clock and
-// observer. Clients and nodes are played by the test, which delivers their bytes and takes
-// what was written to them. By default connections to nodes are established at once, and
-// everything is written as soon as the gateway wants it to be.
+// harness simulates the environment of one Gateway: its driver, clients, storage nodes, clock and
+// observer. The test acts as the clients and nodes: it delivers the bytes that they send, and
+// takes the bytes that were written to them. By default, connections to nodes are established
+// at once, and all output is written as soon as the gateway requests it.
 type harness struct {
 	t       *testing.T
 	gateway *Gateway
 	now     Time
-	next    Time // by when Advance has to be called
+	next    Time // time by which Advance has to be called next
 
-	// Faults.
-	deferConnects bool            // dialed connections stay so until the test calls Connected
+	// Faults that a test can set.
+	deferConnects bool            // connections stay in the dialing state until the test calls Connected
 	refuseDials   bool            // dialed connections are refused
-	blocked       map[ConnID]bool // nothing can be written to the connection
+	blocked       map[ConnID]bool // connections to which nothing can be written
 
 	// What the gateway did.
-	dialed      []ConnID                    // connections to nodes, in order
-	written     map[ConnID]*strings.Builder // bytes by connection, up to the last takeWritten
+	dialed      []ConnID                    // connections to nodes, in the order of their dials
+	written     map[ConnID]*strings.Builder // bytes written to each connection since the last takeWritten
 	paused      map[ConnID]bool
-	writeClosed map[ConnID]bool // the sending side was shut down
-	closedBy    map[ConnID]Op   // Close or Abort
-	actionLog   strings.Builder // every action, a line each
+	writeClosed map[ConnID]bool // connections whose sending side was shut down
+	closedBy    map[ConnID]Op   // the operation that closed a connection, Close or Abort
+	actionLog   strings.Builder // one line for each action
 
 	// What the observer was notified of.
 	spans      []Span
-	rejections []string // reasons of the connections that were not admitted
+	rejections []string // reasons for the rejected connections and requests
 	violations []invariant.Violation
 }
 
@@ -83,7 +83,7 @@
 	h.rejections = append(h.rejections, reason.String())
 }
 
-// newHarness returns a harness with node n0 of shard 0 and n1 of shard 1. moreConfig is
+// newHarness returns a harness with the nodes n0 in shard 0 and n1 in shard 1. moreConfig is
 // appended to harnessConfig.
 func newHarness(t *testing.T, moreConfig string) *harness {
 	t.Helper()
@@ -108,7 +108,7 @@
 	return h
 }
 
-// runActions calls Advance and carries out its actions until there are none.
+// runActions calls Advance and carries out its actions until it returns none.
 func (h *harness) runActions() {
 	for range maxAdvances {
 		actions, next := h.gateway.Advance(h.now)
@@ -120,7 +120,7 @@
 			h.runAction(a)
 		}
 	}
-	h.t.Fatal("the gateway always has more actions")
+	h.t.Fatal("Advance still returns actions after maxAdvances calls")
 }
 
 func (h *harness) runAction(a Action) {
@@ -149,7 +149,7 @@
 	}
 }
 
-// flush writes what a connection has pending, unless it is blocked.
+// flush writes the pending output of a connection, unless the connection is blocked.
 func (h *harness) flush(id ConnID) {
 	p := h.gateway.Out(h.now, id)
 	if len(p) == 0 || h.blocked[id] {
@@ -162,7 +162,7 @@
 	h.gateway.Wrote(h.now, id, len(p))
 }
 
-// takeWritten returns what was written to a connection since the last call.
+// takeWritten returns the bytes written to a connection since the last call.
 func (h *harness) takeWritten(id ConnID) string {
 	b := h.written[id]
 	if b == nil {
@@ -172,7 +172,8 @@
 	return b.String()
 }
 
-// advanceTime lets time pass, and stops wherever the gateway has to be called.
+// advanceTime advances the clock by d, and calls the gateway at each time that Advance has
+// returned.
 func (h *harness) advanceTime(d time.Duration) {
 	end := h.now + d
 	for h.next <= end {
@@ -183,20 +184,20 @@
 	h.runActions()
 }
 
-// connectClient opens a client connection and delivers text on it.
+// connectClient opens a client connection, and delivers text on it.
 func (h *harness) connectClient(text string) ConnID {
 	id := h.gateway.Accept(h.now, netip.MustParseAddrPort("127.0.0.1:1000"), 0).ID
 	h.deliver(id, text)
 	return id
 }
 
-// deliver has the gateway read text from the client or node of a connection.
+// deliver passes text to the gateway as data from the client or node of a connection.
 func (h *harness) deliver(id ConnID, text string) {
 	h.gateway.Data(h.now, id, []byte(text))
 	h.runActions()
 }
 
-// nodeConn returns the n-th connection that was dialed to a node.
+// nodeConn returns the n-th connection that was dialed to a node, counted from 0.
 func (h *harness) nodeConn(n int) ConnID {
 	h.t.Helper()
 	if n >= len(h.dialed) {
@@ -205,13 +206,13 @@
 	return h.dialed[n]
 }
 
-// findNodeConn returns an open connection to a node, or nil if it is closed.
+// findNodeConn returns the open connection to a node with an id, or nil if it is closed.
 func (h *harness) findNodeConn(id ConnID) *nodeConn {
 	c, _ := h.gateway.conns.find(id).(*nodeConn)
 	return c
 }
 
-// wantContains checks that a text has all the parts.
+// wantContains checks that text contains all the parts.
 func (h *harness) wantContains(what, text string, parts ...string) {
 	h.t.Helper()
 	for _, part := range parts {
@@ -221,21 +222,21 @@
 	}
 }
 
-// wantLingeringClose checks that a client connection is ended without a reset: the gateway
-// shuts down its sending side first, and closes when the client has closed too.
+// wantLingeringClose checks that a client connection is closed without a reset: the gateway
+// first shuts down its sending side, and closes the connection after the client's EOF.
 func (h *harness) wantLingeringClose(c ConnID) {
 	h.t.Helper()
 	if op, closed := h.closedBy[c]; closed || !h.writeClosed[c] {
-		h.t.Errorf("closed %v by %v before its client has closed; its sending side is shut down: %v", closed, op, h.writeClosed[c])
+		h.t.Errorf("before the client's EOF: closed %v by %v, sending side shut down %v; want not closed, but shut down", closed, op, h.writeClosed[c])
 	}
 	h.gateway.EOF(h.now, c)
 	h.runActions()
 	if h.closedBy[c] != Close {
-		h.t.Error("the connection stays open after its client has closed")
+		h.t.Error("the connection was not closed after the client's EOF")
 	}
 }
 
-// outcomes counts the submitted requests that have ended, by outcome.
+// outcomes returns the numbers of submitted requests that have ended, by outcome.
 func (h *harness) outcomes() map[Outcome]int {
 	counts := map[Outcome]int{}
 	for _, s := range h.spans {
@@ -246,14 +247,14 @@
 	return counts
 }
 
-// wantOutcomes checks how the submitted requests have ended, and that none is left.
+// wantOutcomes checks the outcomes of the submitted requests, and that no request is left.
 func (h *harness) wantOutcomes(want map[Outcome]int) {
 	h.t.Helper()
 	if got := h.outcomes(); !maps.Equal(got, want) {
 		h.t.Errorf("outcomes %v, want %v", got, want)
 	}
 	if n := len(h.gateway.requests.byID); n != 0 {
-		h.t.Errorf("%d requests are left", n)
+		h.t.Errorf("%d requests are left, want 0", n)
 	}
 }
 
--- a/internal/gateway/http_test.go
+++ b/internal/gateway/http_test.go
@@ -7,17 +7,17 @@
 	"time"
 )
 
-// A client sends three requests at once. They are sent one after the other, and the
-// responses come in the same order.
+// Verifies that three pipelined requests are sent to nodes one after the other, and that the
+// responses arrive in the same order.
 func TestPipelinedRequests(t *testing.T) {
 	h := newHarness(t, "")
 	c := h.connectClient(getRequest("/feed-a/s/1") + putRequest("/feed-a/s/2", "two") + getRequest("/feed-a/s/3"))
 	for i, sent := range []struct {
 		text string
-		conn int // the write is sent on a connection of its own, as the other is fresh
+		conn int // the write gets a new connection, as the other has not been idle for reuseDelay
 	}{{"GET /feed-a/s/1", 0}, {"PUT /feed-a/s/2", 1}, {"GET /feed-a/s/3", 0}} {
 		n := h.nodeConn(sent.conn)
-		h.wantContains("at the node", h.takeWritten(n), sent.text)
+		h.wantContains("the request at the node", h.takeWritten(n), sent.text)
 		h.deliver(n, okResponse(fmt.Sprint("answer", i)))
 	}
 	got := h.takeWritten(c)
@@ -26,8 +26,8 @@
 	}
 }
 
-// A client that waits for 100 (Continue) is asked for a short body at once, and for a long
-// one only when a node takes it: not before a rejection.
+// Verifies that a client that waits for 100 (Continue) is asked for a short body at once, but for
+// a long one only when the request is sent to a node.
 func TestExpectContinue(t *testing.T) {
 	h := newHarness(t, "")
 	c := h.connectClient("PUT /feed-a/s/x HTTP/1.1\r\nHost: h\r\nContent-Length: 7\r\nExpect: 100-continue\r\n\r\n")
@@ -35,7 +35,7 @@
 	h.deliver(c, "segment")
 	h.deliver(h.nodeConn(0), okResponse(""))
 	h.wantContains("the response", h.takeWritten(c), "HTTP/1.1 200")
-	// A long body is not invited before a node takes it, and never after a rejection.
+	// The client is not asked for a long body if the request is rejected.
 	h = newHarness(t, "")
 	h.refuseDials = true
 	c = h.connectClient("PUT /feed-a/s/x HTTP/1.1\r\nHost: h\r\nContent-Length: 7000000\r\nExpect: 100-continue\r\n\r\n")
@@ -43,12 +43,12 @@
 	got := h.takeWritten(c)
 	h.wantContains("the response", got, "HTTP/1.1 503")
 	if strings.Contains(got, "100 Continue") {
-		t.Error("a body was asked for in vain")
+		t.Error("the client was asked for the body of a request that was rejected")
 	}
 }
 
-// Chunked bodies: a short one is sent on with its length, a long one in chunks as it
-// comes, and a chunked response is passed on in chunks.
+// Verifies that a short chunked body is forwarded with its length, a long one in chunks as it
+// arrives, and a chunked response in chunks.
 func TestChunkedBodies(t *testing.T) {
 	h := newHarness(t, "")
 	c := h.connectClient("PUT /feed-a/s/x HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n")
@@ -57,18 +57,19 @@
 	h.deliver(n, "HTTP/1.1 201 Created\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n")
 	h.wantContains("the response", h.takeWritten(c), "Transfer-Encoding: chunked", "2\r\nhi\r\n", "0\r\n\r\n")
 	h.advanceTime(reuseDelay) // so that the write reuses the connection
-	// A long one streams on in chunks.
+	// A long body is forwarded in chunks.
 	h.deliver(c, "PUT /feed-a/s/x HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n5000\r\n"+strings.Repeat("y", 0x5000)+"\r\n")
 	h.wantContains("a long body at the node", h.takeWritten(n), "Transfer-Encoding: chunked", "yyy")
 	h.deliver(c, "3\r\nend\r\n0\r\n\r\n")
-	h.wantContains("its end", h.takeWritten(n), "3\r\nend\r\n0\r\n\r\n")
+	h.wantContains("the end of the body at the node", h.takeWritten(n), "3\r\nend\r\n0\r\n\r\n")
 	h.deliver(n, okResponse(""))
 	h.wantContains("the response", h.takeWritten(c), "200 OK")
 	h.wantOutcomes(map[Outcome]int{Served: 2})
 }
 
-// The response to HEAD has no body whatever its length says. An HTTP/1.0 client gets no
-// chunks, and its connection ends with the response.
+// Verifies that the response to HEAD is forwarded with its Content-Length and without a body, and
+// that an HTTP/1.0 client gets a chunked response without chunks and its connection is closed
+// after it.
 func TestHeadAndHTTP10(t *testing.T) {
 	h := newHarness(t, "")
 	c := h.connectClient("HEAD /feed-a/s/x HTTP/1.1\r\nHost: h\r\n\r\n")
@@ -78,7 +79,7 @@
 		t.Errorf("%q", got)
 	}
 	c = h.connectClient("GET /feed-a/s/x HTTP/1.0\r\n\r\n")
-	h.wantContains("at the node", h.takeWritten(n), "Host: node:0")
+	h.wantContains("the request at the node", h.takeWritten(n), "Host: node:0")
 	h.deliver(n, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n")
 	if got := h.takeWritten(c); strings.Contains(got, "chunked") || !strings.HasSuffix(got, "\r\n\r\nhi") {
 		t.Errorf("%q", got)
@@ -86,8 +87,8 @@
 	h.wantLingeringClose(c)
 }
 
-// Malformed requests are answered as RFC 9112 says, reach no node, and end the connection
-// where it cannot be read on.
+// Verifies that malformed requests are answered as RFC 9112 requires, do not reach a node, and
+// end the connection if the input behind them cannot be parsed.
 func TestMalformedRequestsReachNoNode(t *testing.T) {
 	for text, status := range map[string]string{
 		"PUT /feed-a/s/x HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n": "400",
@@ -108,24 +109,24 @@
 		if status == "400" && !strings.Contains(text, "..") && h.closedBy[c] != Close {
 			h.advanceTime(3 * time.Second)
 			if _, closed := h.closedBy[c]; !closed {
-				t.Errorf("%.40q: the connection goes on", text)
+				t.Errorf("%.40q: the connection was not closed", text)
 			}
 		}
 	}
-	// A chunk that turns bad once the body streams: the node never has it whole.
+	// A malformed chunk in a body that is already being forwarded: the node must not get a complete request.
 	h := newHarness(t, "")
 	c := h.connectClient("PUT /feed-a/s/x HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n5000\r\n" + strings.Repeat("y", 0x5000) + "\r\n")
 	h.deliver(c, "zz\r\n")
 	if h.closedBy[h.nodeConn(0)] != Abort {
-		t.Error("the node's connection goes on")
+		t.Error("the connection to the node was not reset")
 	}
 	h.wantContains("the response", h.takeWritten(c), "HTTP/1.1 400")
 	h.wantOutcomes(map[Outcome]int{AnsweredLocally: 1})
 }
 
-// Clients that send a byte a second, or stop in the middle of a body, are answered 408 in
-// time and hold no connection to a node. A client that does not take its response has the
-// node paused, and is then dropped.
+// Verifies that a client that sends its header too slowly, or stops in the middle of a body, is
+// answered 408 and occupies no connection to a node. If a client does not read its response,
+// reading from the node is paused, and the client is dropped after a timeout.
 func TestSlowClients(t *testing.T) {
 	h := newHarness(t, "")
 	c := h.connectClient("G")
@@ -138,16 +139,16 @@
 	h.advanceTime(4 * time.Second)
 	h.wantContains("the response", h.takeWritten(c), "HTTP/1.1 408 ")
 	if len(h.dialed) > 0 {
-		t.Error("a slow body holds a connection to a node")
+		t.Error("a client with an incomplete request occupies a connection to a node")
 	}
-	// One that does not read its response: the node is paused, then the client dropped.
+	// A client that does not read its response: the node is paused, then the client is dropped.
 	c = h.connectClient(getRequest("/feed-a/s/x"))
 	h.blocked[c] = true
 	n := h.nodeConn(0)
 	h.deliver(n, "HTTP/1.1 200 OK\r\nContent-Length: 1000000\r\n\r\n"+strings.Repeat("x", 40<<10))
 	h.deliver(n, strings.Repeat("x", 10<<10))
 	if !h.paused[n] || len(h.gateway.Out(h.now, c)) > 64<<10 {
-		t.Errorf("the node is not paused; %d bytes are left", len(h.gateway.Out(h.now, c)))
+		t.Errorf("the node is not paused, or too much is buffered: %d bytes, want at most 64 KiB", len(h.gateway.Out(h.now, c)))
 	}
 	h.advanceTime(4 * time.Second)
 	if h.closedBy[c] != Abort || h.closedBy[n] != Abort {
@@ -156,8 +157,9 @@
 	h.wantOutcomes(map[Outcome]int{Dropped: 1})
 }
 
-// A node takes a long body more slowly than the client sends it. The client is paused at
-// the limit of the buffer, and read again when the node has taken what was sent.
+// Verifies that reading from a client is paused at the limit of the buffer if the node takes a
+// long body more slowly than the client sends it, and resumed when the node has taken the
+// buffered part.
 func TestUploadIsPausedAtBufferLimit(t *testing.T) {
 	h := newHarness(t, "")
 	c := h.connectClient(putRequest("/feed-a/s/x", strings.Repeat("x", 1<<20))[:20<<10])
@@ -172,7 +174,7 @@
 		sent += 8 << 10
 	}
 	if !h.paused[c] || sent > 120<<10 {
-		t.Fatalf("%d bytes taken for a node that reads none", sent)
+		t.Fatalf("%d bytes were read for a node that takes none, want the client paused at 120 KiB or less", sent)
 	}
 	h.blocked[n] = false
 	h.flush(n)
@@ -181,27 +183,27 @@
 		h.deliver(c, strings.Repeat("x", min(8<<10, rest)))
 	}
 	if got := h.takeWritten(n); len(got) < 1<<20 {
-		t.Fatalf("%d bytes at the node", len(got))
+		t.Fatalf("%d bytes at the node, want at least 1 MiB", len(got))
 	}
 	h.deliver(n, okResponse(""))
 	h.wantContains("the response", h.takeWritten(c), "200 OK")
 }
 
-// A client lists Host in its Connection field, and so asks for it to be removed. The field
-// is for fields of one connection alone: Host is kept, the others listed are removed.
+// Verifies that Host is forwarded even if the client lists it in the Connection field. The fields
+// listed there apply to one connection only and are removed, but Host must not be.
 func TestConnectionFieldCannotRemoveHost(t *testing.T) {
 	h := newHarness(t, "")
 	h.connectClient(getRequest("/feed-a/s/x", "Connection: Host, X-Own", "X-Own: 1"))
 	got := h.takeWritten(h.nodeConn(0))
-	h.wantContains("at the node", got, "Host: h\r\n")
+	h.wantContains("the request at the node", got, "Host: h\r\n")
 	if strings.Contains(got, "X-Own") {
-		t.Error("a field of one connection was forwarded")
+		t.Error("the field X-Own was forwarded although Connection lists it")
 	}
 }
 
-// Guards against a log in which the gateway's own errors count as served, and clients that it cut
-// off as clients that left.
-func TestOutcomesNameWhoEndedRequest(t *testing.T) {
+// Verifies the reported outcomes: the gateway's own error responses must not be logged as served,
+// and clients that the gateway disconnected must not be logged as clients that left.
+func TestOutcomeIdentifiesWhoEndedRequest(t *testing.T) {
 	begun := putRequest("/feed-a/s/x", strings.Repeat("x", 40<<10))[:20<<10]
 	for _, test := range []struct {
 		name, request string
@@ -210,8 +212,8 @@
 	}{
 		{"unknown volume", getRequest("/feed-z/x"), func(*harness, ConnID) {}, AnsweredLocally},
 		{"slow header", "GET ", func(h *harness, _ ConnID) { h.advanceTime(3 * time.Second) }, AnsweredLocally},
-		{"cut off body", begun, func(h *harness, c ConnID) { h.gateway.EOF(h.now, c) }, AnsweredLocally},
-		{"cut off body, in the response", begun, func(h *harness, c ConnID) {
+		{"incomplete body, before the response", begun, func(h *harness, c ConnID) { h.gateway.EOF(h.now, c) }, AnsweredLocally},
+		{"incomplete body, during the response", begun, func(h *harness, c ConnID) {
 			h.deliver(h.nodeConn(0), sizedHeader+"hello")
 			h.gateway.EOF(h.now, c)
 		}, Dropped},
@@ -220,7 +222,7 @@
 			h.deliver(h.nodeConn(0), sizedHeader+"hello")
 			h.advanceTime(4 * time.Second)
 		}, Dropped},
-		{"client that leaves", getRequest("/feed-a/s/x"), func(h *harness, c ConnID) { h.gateway.Closed(h.now, c) }, ClientDisconnected},
+		{"client disconnects", getRequest("/feed-a/s/x"), func(h *harness, c ConnID) { h.gateway.Closed(h.now, c) }, ClientDisconnected},
 		{"response of a node", getRequest("/feed-a/s/x"), func(h *harness, c ConnID) { h.deliver(h.nodeConn(0), okResponse("x")) }, Served},
 	} {
 		h := newHarness(t, "")
--- a/internal/gateway/idle_conns.go
+++ b/internal/gateway/idle_conns.go
@@ -8,23 +8,25 @@
 	"maddergap/scheduler"
 )
 
-// reuseDelay is how long a connection is left idle before it is reused, as long as another
-// one can be used. It guards against nodes that respond twice, the second time some
-// milliseconds later: the second response would be taken for that of the next request. On
-// an idle connection it is recognized as unsolicited. 20 ms is several times those
-// milliseconds, and little beside Timeouts.NodeIdle, so that connections are still reused.
+// reuseDelay is how long a connection is left idle before it is reused, if another one can be
+// used instead. It guards against nodes that send a second response to a request some
+// milliseconds after the first. On a reused connection, that would be taken for the response to
+// the next request; on an idle connection it is recognized as unsolicited. 20 ms is several
+// times that delay, and short compared with Timeouts.NodeIdle, so that connections are still
+// reused.
 const reuseDelay = 20 * time.Millisecond
 
-// selectIdleConn returns the idle connection to a node that a request is sent on, or nil if
-// it needs a new one. Of the connections that were idle for reuseDelay it is the one used
-// last, so that those not needed reach their idle timeout; if there is none, it is the one
-// that was idle longest. To find one that was idle for reuseDelay also shows that the node
-// keeps connections open, which is noted here.
+// selectIdleConn returns the idle connection to a node on which a request is sent, or nil if
+// the request needs a new connection. It selects the most recently used of the connections
+// that have been idle for reuseDelay, so that surplus connections reach their idle timeout. If
+// there is none, it selects the connection that has been idle longest. A connection that is
+// still open after reuseDelay also proves that the node keeps connections open, which is
+// recorded here.
 //
-// A non-idempotent request gets a new connection rather than one that was not idle for
-// reuseDelay, until the node is known to keep connections open. That guards against a
-// node that closes a connection right behind a response: the next request meets the
-// reset, and it is unknown whether it was executed.
+// Until that is known of the node, a non-idempotent request gets a new connection, if one can
+// be added, instead of a connection that has been idle for less than reuseDelay. This guards
+// against nodes that close a connection right after a response: the next request on it would
+// fail with a reset, and it would be unknown whether the request was executed.
 func (g *Gateway) selectIdleConn(req *request, n *node) *nodeConn {
 	if n == nil || len(n.idleConns) == 0 {
 		return nil
@@ -39,8 +41,8 @@
 	return n.idleConns[0]
 }
 
-// longIdleConn returns the connection used last of those that were idle for reuseDelay, or
-// nil if there is none.
+// longIdleConn returns the most recently used of the connections that have been idle for
+// reuseDelay, or nil if there is none.
 func (n *node) longIdleConn(now Time) *nodeConn {
 	for _, c := range slices.Backward(n.idleConns) {
 		if now-c.idleSince >= reuseDelay {
@@ -50,30 +52,31 @@
 	return nil
 }
 
-// noteEarlyClose notes that a node may not keep connections open, if it has closed this one
-// less than reuseDelay after it was last made idle. The node has closed it right behind a
-// response then. As idleSince stays set when the connection is reused, a connection that is
-// lost within reuseDelay with its next attempt on it counts too.
+// noteEarlyClose is called when a connection to a node is lost. If that was less than
+// reuseDelay after the connection was last made idle, the node has closed it right after a
+// response, and is no longer assumed to keep connections open. As idleSince stays set when the
+// connection is reused, this includes a connection that is already carrying its next attempt.
 func (g *Gateway) noteEarlyClose(c *nodeConn) {
 	if c.idleSince > 0 && g.clock.now-c.idleSince < reuseDelay {
 		c.node.keepsConnsOpen = false
 	}
 }
 
-// canAddConn reports whether a connection to a node may be added without closing another.
+// canAddConn reports whether a connection to a node can be opened without closing another.
 func (g *Gateway) canAddConn(n *node) bool {
 	return n.conns < g.config.Limits.ConnsPerNode && g.belowNodeConnLimit()
 }
 
-// belowNodeConnLimit reports whether one more connection fits into the limit over all
-// nodes; a limit of 0 is none.
+// belowNodeConnLimit reports whether the number of connections to all nodes is below its
+// limit. A limit of 0 means no limit.
 func (g *Gateway) belowNodeConnLimit() bool {
 	limit := g.config.Limits.NodeConns
 	return limit == 0 || g.nodes.conns < limit
 }
 
-// makeRoomForNodeConn reports whether one more connection to any node may be opened. At the
-// limit the connection that was idle longest is closed for it.
+// makeRoomForNodeConn reports whether another connection to any node can be opened. At the
+// limit, it first closes the connection that has been idle longest, and returns false if there
+// is no idle connection.
 func (g *Gateway) makeRoomForNodeConn() bool {
 	if g.belowNodeConnLimit() {
 		return true
@@ -87,8 +90,8 @@
 	return true
 }
 
-// makeIdle keeps a connection for the next request. It is closed instead if its node has
-// left the list, moved or restarted while a request was under way.
+// makeIdle keeps a connection open for the next request. It closes the connection instead if
+// the node has left the endpoint list, or has moved or restarted since the dial.
 func (g *Gateway) makeIdle(c *nodeConn) {
 	if !c.node.listed || c.closed || !c.current() {
 		g.closeConn(c, Close)
@@ -101,14 +104,14 @@
 }
 
 // addIdle adds a connection to both lists of idle connections: its node's idleConns, and
-// idleByAge of the table. makeIdle and removeIdle keep the two in step.
+// idleByAge of the table. Both lists always contain the same connections.
 func (t *nodeTable) addIdle(now Time, c *nodeConn) {
 	c.idleSince = now
 	c.node.idleConns = append(c.node.idleConns, c)
 	t.idleByAge.add(c)
 }
 
-// removeIdle takes a connection out of both lists of idle connections, if it is in them.
+// removeIdle removes a connection from both lists of idle connections, if it is in them.
 func (t *nodeTable) removeIdle(c *nodeConn) {
 	t.idleByAge.remove(c)
 	if i := slices.Index(c.node.idleConns, c); i >= 0 {
@@ -116,8 +119,8 @@
 	}
 }
 
-// idleList has the idle connections of all nodes in the order in which they became idle,
-// so that the oldest is found at once, however many nodes there are.
+// idleList holds the idle connections of all nodes in the order in which they became idle, so
+// that the oldest is found in constant time.
 type idleList struct{ conns list.List }
 
 func (l *idleList) add(c *nodeConn) { c.idleElement = l.conns.PushBack(c) }
@@ -129,7 +132,7 @@
 	}
 }
 
-// oldest returns the connection that was idle longest, or nil if there is none.
+// oldest returns the connection that has been idle longest, or nil if there is none.
 func (l *idleList) oldest() *nodeConn {
 	if e := l.conns.Front(); e != nil {
 		return e.Value.(*nodeConn)
--- a/internal/gateway/ids.go
+++ b/internal/gateway/ids.go
@@ -7,15 +7,15 @@
 	"strconv"
 )
 
-// idGenerator draws the ids of traces and spans, and forms request ids. A request
-// id is a random prefix of the instance and the number of the request.
+// idGenerator generates trace and span ids, and formats request ids. A request id consists of
+// a prefix, which is random for each instance, and the number of the request.
 type idGenerator struct {
 	random *rand.Rand
 	prefix uint32
 }
 
-// idStream keeps the gateway's random numbers apart from those that other packages
-// draw from the same seed.
+// idStream is the gateway's second seed value for PCG. It makes the gateway's random numbers
+// differ from those that other packages derive from the same seed.
 const idStream = 0x6d616464
 
 func newIDGenerator(seed uint64) idGenerator {
@@ -23,13 +23,13 @@
 	return idGenerator{random: random, prefix: random.Uint32()}
 }
 
-// fill sets the first 8 bytes of a trace or span id; they are never all zero, which
-// W3C Trace Context forbids.
+// fill sets the first 8 bytes of a trace or span id to a random value. It is never zero, as
+// W3C Trace Context forbids ids of zeros only.
 func (g *idGenerator) fill(id []byte) {
 	binary.LittleEndian.PutUint64(id, g.random.Uint64()|1)
 }
 
-// requestID returns the id under which clients and nodes see a request, and "" for a
+// requestID returns the id of a request that clients and nodes see. It returns "" for a
 // request that was not submitted to the scheduler (id 0).
 func (g *idGenerator) requestID(id uint64) string {
 	if id == 0 {
@@ -38,7 +38,8 @@
 	return fmt.Sprintf("%08x-%x", g.prefix, id)
 }
 
-// appendRequestID appends what requestID returns, without allocating.
+// appendRequestID appends the same text that requestID returns for an id other than 0, without
+// allocating a string.
 func (g *idGenerator) appendRequestID(b []byte, id uint64) []byte {
 	for shift := 28; shift >= 0; shift -= 4 {
 		b = append(b, "0123456789abcdef"[g.prefix>>shift&15])
--- a/internal/gateway/lag_estimate.go
+++ b/internal/gateway/lag_estimate.go
@@ -5,28 +5,28 @@
 	"time"
 )
 
-// lagEstimate estimates how late the driver calls Advance: the recent maximum of the
-// delay, which decays by half every lagHalfLife. On a machine that is too busy to run
-// the gateway in time, a request is read that much later than it arrived, and its response
-// is written that much later than it is due; clientTimeRemaining allows for both.
+// lagEstimate estimates how late the driver calls Advance. The estimate is the maximum of the
+// recent delays, which decays by half every lagHalfLife. On a machine that is too busy to run
+// the gateway in time, a request is read that much later than it arrives, and its response is
+// written that much later than it is due; clientTimeRemaining allows for both.
 type lagEstimate struct {
-	nextAdvance Time // when Advance has to be called at the latest; 0: not known
-	peak        Time // of the delay, at measuredAt
+	nextAdvance Time // time by which Advance has to be called next; 0: not known
+	peak        Time // estimate at the time measuredAt
 	measuredAt  Time
 }
 
 const (
 	lagHalfLife = 2 * time.Second
-	minLag      = 2 * time.Millisecond // less is the granularity of the driver's timer
+	minLag      = 2 * time.Millisecond // shorter delays are within the resolution of the driver's timer
 )
 
-// current returns the estimate.
+// current returns the estimate at the time now.
 func (s *lagEstimate) current(now Time) Time {
 	halfLives := float64(now-s.measuredAt) / float64(lagHalfLife)
 	return Time(float64(s.peak) * math.Exp2(-halfLives))
 }
 
-// observe is called with the time at which Advance was called.
+// observe updates the estimate when Advance is called.
 func (s *lagEstimate) observe(now Time) {
 	if s.nextAdvance == 0 {
 		return
@@ -36,8 +36,9 @@
 	}
 }
 
-// clientTimeRemaining returns what is left of a client's deadline: less the estimated
-// delay of reading its request and of writing its response, and half of it at least.
+// clientTimeRemaining returns the part of a client's deadline that is left for its request
+// after the estimated delays in reading the request and in writing the response. It is at least
+// half of the deadline.
 func (g *Gateway) clientTimeRemaining(deadline time.Duration) time.Duration {
 	return max(deadline-2*g.lag.current(g.clock.now), deadline/2)
 }
--- a/internal/gateway/listing.go
+++ b/internal/gateway/listing.go
@@ -10,30 +10,31 @@
 	"maddergap/internal/webdav"
 )
 
-// Reasons that the gateway gives for its own responses to a PROPFIND.
+// Texts of the gateway's own responses to a PROPFIND.
 const (
 	reasonListingBodyTooLong = "the body of a PROPFIND is longer than can be held"
 	reasonListingRejected    = "a part of the listing was refused; trying again does no harm"
 )
 
-// listing is a PROPFIND that the gateway answers itself: of the volumes, or of the root of
-// a volume, to which each shard contributes a part. A part is a request of its own to the
-// scheduler, with its own final response. The parent is never submitted.
+// listing is a PROPFIND request that the gateway answers itself. It lists either the volumes,
+// or the root of one volume. In the second case each shard contributes a part. The parts are
+// submitted to the scheduler as separate requests, each with its own final response. The
+// client's request, which is their parent, is never submitted.
 type listing struct {
-	ofVolumes bool // it lists the volumes, and has no parts
-	parent    *request
-	parts     []*request // nil: the part has its final response
-	bodies    [][]byte   // of the parts' responses
-	bytes     int        // of all bodies
-	pending   int        // parts without a final response
+	isVolumeList bool       // true: a list of the volumes, without parts
+	parent       *request   // the client's request; nil: it has its response, or was cancelled
+	parts        []*request // nil element: the part has its final response
+	bodies       [][]byte   // response bodies of the parts, in the order of parts
+	bytes        int        // total length of bodies
+	pending      int        // number of parts without a final response
 
-	rejected    int           // parts that were rejected
-	retryAfter  time.Duration // the longest of theirs
-	errorStatus int           // of the first part that failed otherwise; 0: none did
-	errorReason string
+	rejected    int           // number of parts that were rejected
+	retryAfter  time.Duration // longest retry-after time of the parts that were rejected
+	errorStatus int           // status of the first part that failed in another way, 507 if the listing is too long; 0: no failure
+	errorReason string        // response text for errorStatus
 }
 
-// receiveListingBody takes a piece of the body of a PROPFIND.
+// receiveListingBody buffers a piece of the body of a PROPFIND.
 func (g *Gateway) receiveListingBody(req *request, data []byte) {
 	if len(req.body.data)+len(data) > g.config.Limits.BodyBuffer {
 		g.respondLocally(req, 413, reasonListingBodyTooLong)
@@ -49,7 +50,7 @@
 func (g *Gateway) beginListing(req *request) {
 	depth := string(req.header.Get("depth"))
 	req.listing.parent = req
-	if req.listing.ofVolumes {
+	if req.listing.isVolumeList {
 		g.listVolumes(req, depth)
 		return
 	}
@@ -57,7 +58,7 @@
 	req.volume = &g.config.Volumes[req.location.Volume]
 	shards := req.volume.Shards
 	if depth == "0" {
-		shards = shards[:1] // each shard has the root of the volume
+		shards = shards[:1] // every shard holds the root of the volume
 	}
 	req.listing.bodies = make([][]byte, len(shards))
 	req.listing.pending = len(shards)
@@ -68,9 +69,9 @@
 	}
 }
 
-// listVolumes answers a PROPFIND of the root, which the gateway knows without a node.
+// listVolumes answers a PROPFIND of the root from the configuration, without a node.
 func (g *Gateway) listVolumes(req *request, depth string) {
-	find, err := webdav.ParsePropfind(req.body.data)
+	propfind, err := webdav.ParsePropfind(req.body.data)
 	if err != nil {
 		g.respondLocally(req, 400, err.Error())
 		return
@@ -81,10 +82,10 @@
 	}
 	req.response.reason = "list of volumes"
 	g.counts.Local++
-	g.writeLocalResponse(req, 207, webdav.ListVolumes(find, names, depth), nil)
+	g.writeLocalResponse(req, 207, webdav.ListVolumes(propfind, names, depth), nil)
 }
 
-// newListingPart returns the request to one shard of a listing, a copy of its parent.
+// newListingPart returns the request to one shard of a listing, which is a copy of its parent.
 func (g *Gateway) newListingPart(parent *request, index, shard int) *request {
 	part := g.requests.create()
 	part.method = parent.method
@@ -94,7 +95,7 @@
 	part.listing = parent.listing
 	part.listingPart = index
 	part.rawHeader = append(g.buffers.get(), parent.rawHeader...)
-	http1.ParseRequest(part.rawHeader, &part.header, g.config.HeaderLimits) // the parent's header parsed well
+	http1.ParseRequest(part.rawHeader, &part.header, g.config.HeaderLimits) // cannot fail: the parent's header was valid
 	part.body.data = append(g.buffers.get(), parent.body.data...)
 	part.body.received = int64(len(part.body.data))
 	part.body.complete = true
@@ -112,7 +113,7 @@
 	return part
 }
 
-// cancelListing ends a listing before its response, and its parts; see cancelRequest.
+// cancelListing cancels a listing that has no response yet, and its parts; see cancelRequest.
 func (g *Gateway) cancelListing(req *request, outcome Outcome) {
 	req.listing.parent = nil
 	req.response.final = true
@@ -125,8 +126,8 @@
 	}
 }
 
-// receivePartData takes a piece of the response to a part. It returns false if the listing
-// gets too long.
+// receivePartData buffers a piece of the response to a part. It returns false if the listing
+// exceeds Limits.ListingBytes.
 func (g *Gateway) receivePartData(part *request, data []byte) bool {
 	l := part.listing
 	if l.bytes += len(data); l.bytes > g.config.Limits.ListingBytes {
@@ -140,20 +141,21 @@
 	return true
 }
 
-// endPart counts the final response of a part. The last one completes the listing.
+// endPart records the final response of a part. When all parts have one, it answers the
+// listing, unless that was cancelled.
 func (g *Gateway) endPart(part *request) {
 	l := part.listing
 	if part.listingPart < len(l.parts) {
 		l.parts[part.listingPart] = nil
 	}
-	l.count(part)
+	l.recordPartResult(part)
 	if l.pending--; l.pending <= 0 && l.parent != nil {
 		g.respondWithListing(l)
 	}
 }
 
-// count notes how a part ended.
-func (l *listing) count(part *request) {
+// recordPartResult records whether a part was rejected or failed.
+func (l *listing) recordPartResult(part *request) {
 	fromNode := part.response.source != nil
 	switch {
 	case part.response.status == 207:
@@ -169,11 +171,12 @@
 	}
 }
 
-// respondWithListing merges the parts of a listing, if all are there. A listing that lacks
-// a part is never sent, as a client would take the missing resources for deleted.
+// respondWithListing answers a listing with its merged parts, or with an error if a part was
+// rejected or failed. A listing without one of its parts is never sent, because the client
+// would conclude that the missing resources have been deleted.
 func (g *Gateway) respondWithListing(l *listing) {
 	req := l.parent
-	l.parent = nil // its object is reused after the response
+	l.parent = nil // the request object may be reused after the response
 	if l.errorStatus != 0 {
 		g.respondLocally(req, l.errorStatus, l.errorReason)
 		return
--- a/internal/gateway/local_response.go
+++ b/internal/gateway/local_response.go
@@ -7,23 +7,23 @@
 	"maddergap/internal/webdav"
 )
 
-// Texts of the responses that the gateway itself makes for the scheduler's decisions.
+// Texts of the gateway's own responses to requests that the scheduler rejects or fails.
 const (
 	reasonRejected = "not now; trying again does no harm"
 	reasonFailed   = "the storage node failed; whether the request took effect is not known"
 	reasonTimedOut = "no answer in time; whether the request took effect is not known"
 )
 
-// noteExpiryReason notes, for the report, what kept a request from being sent that the scheduler
-// has decided to end.
+// noteExpiryReason records, for the report to the observer, what kept a request from being sent
+// before the scheduler decided to reject or fail it.
 func (g *Gateway) noteExpiryReason(id uint64) {
 	if req := g.requests.byID[id]; req != nil {
 		req.response.waitReason = g.scheduler.expiryReason(id)
 	}
 }
 
-// reject ends a request with 503: it was not executed, or a repeat does no harm, and the client may
-// retry it, after retryAfter if that is not 0.
+// reject ends a request with 503: it was not executed, or executing it again does no harm. The
+// client may retry it. If retryAfter is not 0, the response asks the client to wait that long.
 func (g *Gateway) reject(req *request, retryAfter time.Duration) {
 	if req == nil || req.response.final {
 		return
@@ -34,7 +34,8 @@
 	g.finishRequest(req, Rejected, retryAfter)
 }
 
-// fail ends a request with 502 or 504: it is unknown whether it was executed.
+// fail ends a request with 504 after a timeout, and with 502 otherwise: it is unknown whether
+// the request was executed.
 func (g *Gateway) fail(req *request) {
 	if req == nil || req.response.final {
 		return
@@ -49,7 +50,8 @@
 	g.finishRequest(req, Failed, 0)
 }
 
-// finishRequest reports the end of a request without a node's response, and responds.
+// finishRequest reports the end of a request for which the gateway itself has decided the final
+// response, and sends that response if it still can.
 func (g *Gateway) finishRequest(req *request, outcome Outcome, retryAfter time.Duration) {
 	g.reportRequestEnd(req, outcome)
 	switch {
@@ -59,7 +61,7 @@
 		g.recycle(req)
 	case req.client == nil:
 		g.recycle(req)
-	case req.response.source != nil: // the header of a node's response was sent; only a reset can tell the client that the rest is missing
+	case req.response.source != nil: // a part of a node's response was sent; only a reset can tell the client that the rest is missing
 		g.dropClient(req.client, Abort, Dropped)
 	default:
 		g.writeLocalResponse(req, req.response.status, []byte(req.response.reason+"\n"), func(b []byte) []byte {
@@ -69,7 +71,7 @@
 }
 
 // appendRetryAfter appends a Retry-After field in whole seconds, rounded up (RFC 9110
-// section 10.2.3), and none for 0.
+// section 10.2.3). It appends nothing if after is not positive.
 func appendRetryAfter(b []byte, after time.Duration) []byte {
 	if after <= 0 {
 		return b
@@ -77,7 +79,8 @@
 	return http1.AppendIntField(b, "Retry-After", int64((after+time.Second-1)/time.Second))
 }
 
-// respondLocally answers a request that is not submitted to the scheduler.
+// respondLocally answers a request that is not submitted to the scheduler. The reason is the
+// body of the response.
 func (g *Gateway) respondLocally(req *request, status int, reason string) {
 	g.counts.Local++
 	req.response.reason = reason
@@ -89,8 +92,9 @@
 	})
 }
 
-// writeLocalResponse writes a complete response of the gateway's own; req must not be
-// used after it. appendFields appends header fields of the response; nil: there are none.
+// writeLocalResponse writes a complete response of the gateway's own. appendFields appends
+// further header fields; it may be nil. The caller must not use req afterwards, as the object
+// may be reused.
 func (g *Gateway) writeLocalResponse(req *request, status int, body []byte, appendFields func([]byte) []byte) {
 	c := req.client
 	req.response.status = status
@@ -122,8 +126,8 @@
 	g.responseQueued(req)
 }
 
-// localContentType returns the media type of a response of the gateway's own: a listing,
-// or a line of text.
+// localContentType returns the media type of a response of the gateway's own: XML for a listing
+// (207), and plain text otherwise.
 func localContentType(status int) string {
 	if status == 207 {
 		return "application/xml; charset=utf-8"
@@ -136,8 +140,9 @@
 	return append(g.ids.appendRequestID(b, req.id), "\r\n"...)
 }
 
-// appendHeaderEnd ends the header of a client's response with the field that announces
-// whether the connection stays open.
+// appendHeaderEnd appends the Connection field, where it is needed, and the empty line that
+// ends the header of a response. It also decides that the connection is closed after the
+// response if the gateway drains, or has not received the complete request body.
 func (g *Gateway) appendHeaderEnd(b []byte, c *clientConn, req *request) []byte {
 	if g.intake >= intakeLastRequests || !req.body.complete {
 		c.enter(clientClosing)
--- a/internal/gateway/protocol.go
+++ b/internal/gateway/protocol.go
@@ -7,91 +7,96 @@
 	"maddergap/scheduler"
 )
 
-// protocol is what differs between WebDAV, whose messages stream, and a Protocol, whose
-// messages are buffered: how requests are read and sent, and how responses are passed on.
-// Connections, limits, timers and the scheduler's part are the same for all.
+// protocol abstracts the differences between WebDAV, whose messages are streamed, and a
+// Protocol, whose messages are buffered: how requests are read and sent, and how responses
+// are forwarded. Connections, limits, timers and scheduling are the same for both.
 type protocol interface {
-	// beginRequest handles a request whose header was read: it responds, waits for the
-	// body, or submits it.
+	// beginRequest handles a request whose header was read: it answers the request, waits
+	// for the body, or submits the request.
 	beginRequest(g *Gateway, c *clientConn, req *request)
-	// prepareArrival fills in the Arrival event of a request. A request with an
-	// error is answered with it, and not submitted.
+	// prepareArrival fills in the Arrival event of a request that is to be submitted. If it
+	// returns an error, the request is answered with that error instead.
 	prepareArrival(g *Gateway, req *request) *http1.Error
-	// appendRequest appends the request line and the fields of an attempt, without those
-	// that give the length of the body.
+	// appendRequest appends the request line and the header fields of an attempt, except the
+	// fields that give the length of the body.
 	appendRequest(g *Gateway, b []byte, req *request, attempt *nodeAttempt) []byte
-	// parseResponse reads the header of a node's response.
+	// parseResponse evaluates the header of a node's response.
 	parseResponse(r *http1.Response) ResponseInfo
 
-	// beginUnwantedResponse begins a response to a request that has its final response or whose
-	// client has left. It is read and dropped. Where it returns false, the attempt ends with
-	// brokenResponseOutcome.
+	// beginUnwantedResponse begins a response to a request that already has its final response,
+	// or whose client has left. The response is read and dropped. If beginUnwantedResponse
+	// returns false, the attempt ends with brokenResponseOutcome.
 	beginUnwantedResponse(attempt *nodeAttempt) bool
-	// beginResponse, responseData and endResponse pass a response on whose outcome is OK, to a
-	// request that has no final response. They are not called once it has one. Where the first
-	// two return false, the attempt ends with brokenResponseOutcome.
+	// beginResponse, responseData and endResponse forward a response whose outcome is OK. They
+	// are called only while the request has no final response. If beginResponse or
+	// responseData returns false, the attempt ends with brokenResponseOutcome.
 	beginResponse(g *Gateway, req *request, attempt *nodeAttempt) bool
 	responseData(g *Gateway, req *request, attempt *nodeAttempt, data []byte) bool
 	endResponse(g *Gateway, req *request, attempt *nodeAttempt)
 
-	// maxDiscardedBytes returns how much of a response that is not passed on is read, so that its
-	// connection can be reused. A longer response ends the connection.
+	// maxDiscardedBytes returns how many bytes of an unwanted response body are read in order to
+	// reuse its connection. A connection with a longer response is closed.
 	maxDiscardedBytes() int64
-	// truncatedRequestOutcome is the outcome of an attempt of which only a part was
-	// written when its connection was lost.
+	// truncatedRequestOutcome returns the outcome of an attempt whose connection was lost when
+	// only a part of the request was written.
 	truncatedRequestOutcome() scheduler.Outcome
-	// brokenResponseOutcome is the outcome of an attempt whose response cannot be read, or
+	// brokenResponseOutcome returns the outcome of an attempt whose response cannot be read, or
 	// makes no progress once it has begun.
 	brokenResponseOutcome() scheduler.Outcome
 	// allowsEarlyResponse reports whether a node may respond before it has the complete request.
 	allowsEarlyResponse() bool
-	// eofMeansDisconnect reports whether a client that sends no more has left.
+	// eofMeansDisconnect reports whether a client that shuts down its sending side has left, so
+	// that it needs no response.
 	eofMeansDisconnect() bool
-	// appendRetryAfter appends the fields that tell a client when to retry.
+	// appendRetryAfter appends the header fields that tell a client when to retry.
 	appendRetryAfter(b []byte, after time.Duration) []byte
-	// requestEnded is called with the end of each request.
+	// requestEnded is called when a request has ended.
 	requestEnded(req *request, outcome Outcome)
 }
 
-// ResponseInfo is what a protocol reads out of the header of a response.
+// ResponseInfo is the information that a protocol extracts from the header of a response.
 type ResponseInfo struct {
-	Outcome       scheduler.Outcome
-	ReportedLoad  float64 // requests that the node said it holds or has waiting, if HasLoadReport
+	Outcome       scheduler.Outcome // what the header says of the attempt; OK: the response is for the client
+	ReportedLoad  float64           // number of requests that the node reports as running or waiting; valid if HasLoadReport
 	HasLoadReport bool
 }
 
-// RequestInfo is what a protocol reads out of the header of a request.
+// RequestInfo is the information that a protocol extracts from the header of a request.
 type RequestInfo struct {
-	// Status and Reason are the gateway's own response. 0: the request is submitted.
+	// Status and Reason are the gateway's own response to the request. If Status is 0, the
+	// request is submitted to the scheduler instead.
 	Status int
 	Reason string
-	Close  bool   // the client's connection ends with that response
-	ID     string // the client's id of the request; empty: none
-	// Arrival is the event for the scheduler; the gateway sets its ID.
-	// TimeRemaining counts from the last byte of the request.
+	Close  bool   // whether the client's connection is closed after the gateway's own response
+	ID     string // id that the client gave the request; empty: none
+	// Arrival is the event for the scheduler. The gateway sets its ID. Its TimeRemaining
+	// counts from the last byte of the request.
 	Arrival scheduler.Arrival
 }
 
-// Protocol is a protocol whose messages are small: requests and responses are buffered
-// until they are complete, and checked, before anything of them is passed on. It does no
-// I/O and reads no clock.
+// Protocol is a protocol with small messages. The gateway buffers each request and response,
+// and forwards it only when it is complete and has been checked. A Protocol does no I/O and
+// reads no clock.
 type Protocol interface {
+	// ParseRequest evaluates the header of a request.
 	ParseRequest(r *http1.Request) RequestInfo
-	// BeginRequest takes the id of a complete request. It returns the error with which a
-	// request is answered whose id is taken already.
-	BeginRequest(a *RequestInfo) *http1.Error
+	// BeginRequest reserves the id of a complete request. If the id is already in use, it
+	// returns the error with which the request is answered.
+	BeginRequest(info *RequestInfo) *http1.Error
 	// EndRequest releases the id of a request that has ended with the outcome.
-	EndRequest(id string, o Outcome)
-	// AppendRequest appends the request line and the fields of an attempt, without those
-	// that give the length of the body. left is for how long the gateway will wait.
-	AppendRequest(b []byte, r *http1.Request, left time.Duration) []byte
+	EndRequest(id string, outcome Outcome)
+	// AppendRequest appends the request line and the header fields of an attempt, except the
+	// fields that give the length of the body. remaining is how long the gateway will wait for
+	// the response.
+	AppendRequest(b []byte, r *http1.Request, remaining time.Duration) []byte
+	// ParseResponse evaluates the header of a node's response.
 	ParseResponse(r *http1.Response) ResponseInfo
-	// AppendRetryAfter appends the fields that tell a client when to retry.
+	// AppendRetryAfter appends the header fields that tell a client when to retry.
 	AppendRetryAfter(b []byte, after time.Duration) []byte
-	// MaxResponseBytes returns the limits of a response body, and of all response bodies
-	// that are buffered at a time.
-	MaxResponseBytes() (one, all int64)
-	// ResponseNoProgressTimeout returns how long a response that has begun may be without
+	// MaxResponseBytes returns the limit on one response body, and the limit on all response
+	// bodies that are buffered at the same time.
+	MaxResponseBytes() (perResponse, total int64)
+	// ResponseNoProgressTimeout returns how long a response that has begun may make no
 	// progress.
 	ResponseNoProgressTimeout() time.Duration
 }
--- a/internal/gateway/seed_test.go
+++ b/internal/gateway/seed_test.go
@@ -2,5 +2,5 @@
 
 import "flag"
 
-// Random histories are the same in every run; -rapid.seed=0 draws new ones.
+// A fixed seed makes the random histories the same in every run. -rapid.seed=0 draws new ones.
 func init() { flag.Set("rapid.seed", "20261201") }
--- a/internal/gateway/shutdown.go
+++ b/internal/gateway/shutdown.go
@@ -6,29 +6,29 @@
 	"maddergap/scheduler"
 )
 
-// intakePhase says which requests an instance takes. It only advances: to
-// intakeLastRequests by Drain, and to intakeClosed by Shutdown.
+// intakePhase tells which requests an instance accepts. Drain advances it to
+// intakeLastRequests, and Shutdown to intakeClosed. It never goes back.
 type intakePhase uint8
 
 const (
 	intakeOpen         intakePhase = iota
-	intakeLastRequests             // each response asks its client to close the connection; requests are still taken
-	intakeClosed                   // requests under way are answered; new ones are read for firstRequestGrace at most
+	intakeLastRequests             // each response asks its client to close the connection; requests are still accepted
+	intakeClosed                   // requests under way are answered; new ones are accepted for firstRequestGrace at most
 )
 
 func (p intakePhase) String() string { return [...]string{"open", "last requests", "closed"}[p] }
 
-// Drain asks clients, with the next response to each, to close their connections. Requests
-// are still taken, so that none is lost that is on its way to the instance before its
-// clients know that it stops.
+// Drain asks each client, in the next response to it, to close its connection. Requests are
+// still accepted: some may be on their way from clients that do not know yet that the
+// instance is going to stop, and must not be lost.
 func (g *Gateway) Drain(now Time) {
 	g.clock.advance(now)
 	g.intake = max(g.intake, intakeLastRequests)
 }
 
-// Shutdown stops reading requests. Requests under way are answered, and connections
-// without one are closed. A connection that may have a request on its way, or unread in
-// its socket, has firstRequestGrace to deliver it.
+// Shutdown stops accepting requests. Requests under way are answered, and client connections
+// without a request are closed. If a request may be on its way on a connection, or unread in
+// its socket, the gateway waits firstRequestGrace for it.
 func (g *Gateway) Shutdown(now Time) {
 	g.clock.advance(now)
 	g.intake = intakeClosed
@@ -44,8 +44,8 @@
 	}
 }
 
-// AbortRemaining gives every request that has no final response one: it is rejected if no
-// attempt of it was made, and failed otherwise.
+// AbortRemaining ends every submitted request that has no final response yet. The request is
+// rejected if no attempt of it was made, and failed otherwise.
 func (g *Gateway) AbortRemaining(now Time) {
 	g.clock.advance(now)
 	for _, id := range g.requests.sortedIDs() {
@@ -62,11 +62,11 @@
 	}
 }
 
-// Idle reports whether nothing is under way: there is no request and no client connection.
+// Idle reports whether there is neither a submitted request nor a client connection.
 func (g *Gateway) Idle() bool { return len(g.requests.byID) == 0 && g.clientConns == 0 }
 
-// EachPendingRequest calls report with the id and age of each request that has no final
-// response, in no particular order.
+// EachPendingRequest calls report for each submitted request that has no final response, in
+// no particular order. The age is the time since the request was submitted.
 func (g *Gateway) EachPendingRequest(report func(id, method, path string, age time.Duration)) {
 	for _, req := range g.requests.byID {
 		if !req.response.final {
--- a/internal/gateway/shutdown_test.go
+++ b/internal/gateway/shutdown_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// An instance stops. Requests under way, those whose header has begun, and the first of a
-// connection just accepted are answered; idle connections are closed without a reset; no
-// further request is taken.
+// Verifies which requests are still answered after Shutdown: those under way, those whose header
+// has begun to arrive, and the first one of a connection just accepted. Idle connections are
+// closed without a reset, and no other request is accepted.
 func TestShutdown(t *testing.T) {
 	h := newHarness(t, "")
 	idle := h.connectClient(getRequest("/feed-a/s/0"))
@@ -21,9 +21,9 @@
 	h.gateway.Shutdown(h.now)
 	h.runActions()
 	if h.gateway.Idle() {
-		t.Error("idle with a request under way")
+		t.Error("Idle returned true with a request under way")
 	}
-	h.deliver(idle, getRequest("/feed-a/s/9")) // crosses the shutdown
+	h.deliver(idle, getRequest("/feed-a/s/9")) // arrives after the shutdown, and is not accepted
 	h.wantLingeringClose(idle)
 	h.deliver(h.nodeConn(0), okResponse("one"))
 	h.wantContains("the response", h.takeWritten(c), "200 OK", "Connection: close")
@@ -40,28 +40,28 @@
 	}
 	h.advanceTime(firstRequestGrace)
 	if h.closedBy[silent] != Close || !h.gateway.Idle() || h.gateway.Counts().Received != 5 {
-		t.Errorf("a silent connection ended by %v, idle %v after %d taken, want 5", h.closedBy[silent], h.gateway.Idle(), h.gateway.Counts().Received)
+		t.Errorf("connection without a request closed by %v, want close; Idle %v, want true; %d requests received, want 5", h.closedBy[silent], h.gateway.Idle(), h.gateway.Counts().Received)
 	}
 }
 
-// The time for a shutdown is over. Every request that has no response gets one: it is
-// rejected if nothing was sent of it, and failed otherwise. A response that comes later is
-// dropped.
+// Verifies that AbortRemaining answers every request that has no response yet when the time for a
+// graceful shutdown is over: 503 if no attempt was made, and 502 otherwise. A node's response that
+// arrives later is dropped.
 func TestAbortRemainingAnswersEveryRequest(t *testing.T) {
 	h := newHarness(t, "")
-	out := h.connectClient(getRequest("/feed-a/s/1"))
+	sent := h.connectClient(getRequest("/feed-a/s/1"))
 	h.gateway.SetNodes(h.now, nil)
-	waits := h.connectClient(getRequest("/feed-a/s/2"))
+	waiting := h.connectClient(getRequest("/feed-a/s/2"))
 	h.gateway.Shutdown(h.now)
 	h.runActions()
 	h.advanceTime(100 * time.Millisecond)
 	h.gateway.AbortRemaining(h.now)
 	h.runActions()
-	h.wantContains("of the request that was sent", h.takeWritten(out), "HTTP/1.1 502 ", "Connection: close")
-	h.wantContains("of the request that waited", h.takeWritten(waits), "HTTP/1.1 503 ", "Connection: close")
+	h.wantContains("the response to the request that was sent", h.takeWritten(sent), "HTTP/1.1 502 ", "Connection: close")
+	h.wantContains("the response to the request that waited", h.takeWritten(waiting), "HTTP/1.1 503 ", "Connection: close")
 	h.deliver(h.nodeConn(0), okResponse("too late"))
-	if got := h.takeWritten(out); got != "" {
-		t.Errorf("a second response: %q", got)
+	if got := h.takeWritten(sent); got != "" {
+		t.Errorf("second response %q, want none", got)
 	}
 	h.wantOutcomes(map[Outcome]int{Failed: 1, Rejected: 1})
 }
--- a/internal/gateway/states_test.go
+++ b/internal/gateway/states_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// A state whose name is missing would panic where it is logged, and one that has another's
-// name would mislead. Each state has a name of its own.
+// Verifies that each state has a name, and that no two states of a type share one. A missing
+// name would panic when the state is logged, and a shared one would be misleading.
 func TestStateNames(t *testing.T) {
 	states := map[string][]fmt.Stringer{
 		"operation":       {Dial, Flush, Pause, Resume, CloseWrite, Close, Abort},
@@ -22,7 +22,7 @@
 		for _, value := range values {
 			name := value.String()
 			if name == "" || names[name] {
-				t.Errorf("%s: %q is empty or the name of two states", kind, name)
+				t.Errorf("%s: the name %q is empty or belongs to two states", kind, name)
 			}
 			names[name] = true
 		}
--- a/internal/gateway/unsent_response.go
+++ b/internal/gateway/unsent_response.go
@@ -1,15 +1,16 @@
 package gateway
 
-// A node's response that breaks off is withdrawn as long as nothing of it was written to the
-// client: the request may then have another attempt, and a response of the gateway's own. Guards
-// against a client whose connection is reset though a status could still be sent to it.
+// If a node's response breaks off before any byte of it was written to the client, it is
+// withdrawn. The request can then have another attempt, or a response of the gateway's own.
+// Otherwise the gateway would have to reset the client's connection although it could still send
+// a status.
 
-// outputEnd returns the position of the next byte that is queued for the client, counted from the
-// first byte of the connection.
+// outputEnd returns the number of bytes that were written to the client or are pending, since the
+// connection was accepted. That is the position of the next byte to be queued.
 func (c *clientConn) outputEnd() int64 { return c.outputWritten + int64(len(c.pending())) }
 
-// withdrawResponse takes back what was queued of an attempt's incomplete response, if nothing of
-// it was written.
+// withdrawResponse removes the queued part of an attempt's incomplete response, if no byte of it
+// was written.
 func (g *Gateway) withdrawResponse(req *request, attempt *nodeAttempt) {
 	switch {
 	case req.response.source != attempt:
@@ -24,15 +25,15 @@
 	req.response.chunked = false
 }
 
-// withdrawOutput drops what is queued for a client from a position on. It returns false if some
-// of that was written.
+// withdrawOutput removes the output of a client from the position start on. It returns false, and
+// removes nothing, if some of that output was already written.
 func (g *Gateway) withdrawOutput(c *clientConn, start int64) bool {
 	if c.outputWritten > start {
 		return false
 	}
 	c.out = c.out[:c.written+int(start-c.outputWritten)]
 	if len(c.pending()) > 0 {
-		return true // of the response before
+		return true // the rest belongs to the previous response
 	}
 	g.discardOutput(c)
 	c.download = transferProgress{}
@@ -42,7 +43,7 @@
 	return true
 }
 
-// discardPart drops what was received for a part.
+// discardPart drops the received part of the response to a listing's part.
 func (l *listing) discardPart(index int) {
 	l.bytes -= len(l.bodies[index])
 	l.bodies[index] = nil
--- a/internal/gateway/unsent_response_test.go
+++ b/internal/gateway/unsent_response_test.go
@@ -6,20 +6,20 @@
 	"time"
 )
 
-// Guards against a client whose connection is reset without a byte, though its request was not
-// answered yet: the node's response breaks off before its header was written. A request that
-// may be tried again is, and any other gets a status.
+// Verifies that a client's connection is not reset when a node's response breaks off before any
+// byte of it was written to the client. The request is retried if that is safe, and answered with
+// an error status otherwise.
 func TestResponseBreaksBeforeHeaderIsWritten(t *testing.T) {
-	long := strings.Repeat("x", 20<<10) // its body is streamed, so that it cannot be sent again
+	long := strings.Repeat("x", 20<<10) // longer than the body buffer: it is streamed, and cannot be sent again
 	for _, test := range []struct {
 		name, request, response, want string
 	}{
-		{"reset behind the header", putRequest("/feed-a/s/x", "segment"), sizedHeader, "HTTP/1.1 502 "},
+		{"reset after the header", putRequest("/feed-a/s/x", "segment"), sizedHeader, "HTTP/1.1 502 "},
 		{"reset within the body", putRequest("/feed-a/s/x", "segment"), sizedHeader + "hello", "HTTP/1.1 502 "},
 		{"malformed chunk", putRequest("/feed-a/s/x", "segment"), chunkedHeader + "zz\r\n", "HTTP/1.1 502 "},
-		{"of a streamed body", putRequest("/feed-a/s/x", long), sizedHeader + "hello", "HTTP/1.1 502 "},
-		{"of a read", getRequest("/feed-a/s/x"), sizedHeader + "hello", "HTTP/1.1 503 "},
-		{"of a part of a listing", listRequest, listingHeader + firstChunk, "HTTP/1.1 503 "},
+		{"request with a streamed body", putRequest("/feed-a/s/x", long), sizedHeader + "hello", "HTTP/1.1 502 "},
+		{"safe request, which is retried", getRequest("/feed-a/s/x"), sizedHeader + "hello", "HTTP/1.1 503 "},
+		{"part of a listing", listRequest, listingHeader + firstChunk, "HTTP/1.1 503 "},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			h := newHarness(t, "")
@@ -34,16 +34,16 @@
 			got := h.takeWritten(c)
 			h.wantContains("the response", got, test.want)
 			if strings.Count(got, "HTTP/1.1 ") != 1 || h.closedBy[c] == Abort {
-				t.Errorf("%q, closed by %v", got, h.closedBy[c])
+				t.Errorf("the responses are %q, want one; the connection was closed by %v", got, h.closedBy[c])
 			}
 			h.wantReportsOfRequests()
 		})
 	}
 }
 
-// The same when a part of the header was written: only a reset can tell the client that the rest
-// is missing, as before.
-func TestResponseBreaksWhenPartOfItIsWritten(t *testing.T) {
+// Verifies that a client's connection is reset when a node's response breaks off after a part of
+// its header was written to the client: only a reset tells the client that the rest is missing.
+func TestResponseBreaksAfterPartIsWritten(t *testing.T) {
 	h := newHarness(t, "")
 	c := h.connectClient(putRequest("/feed-a/s/x", "segment"))
 	h.blocked[c] = true
@@ -52,14 +52,14 @@
 	h.gateway.Closed(h.now, h.nodeConn(0))
 	h.runActions()
 	if h.closedBy[c] != Abort {
-		t.Errorf("closed by %v", h.closedBy[c])
+		t.Errorf("closed by %v, want abort", h.closedBy[c])
 	}
 }
 
-// Guards against violations of `close` by what clients do: an invariant that is reported each time
-// is believed by nobody. One that ends its body early gets a status; one that does not read its
-// response is cut off.
-func TestClientsFaultIsNoViolation(t *testing.T) {
+// Verifies that a close caused by the client is not reported as a violation of the invariant
+// `close`; frequent false reports would make the invariant useless. A client that ends its body
+// early gets an error status. A client that does not read its response is disconnected.
+func TestClientFaultIsNotViolation(t *testing.T) {
 	begun := putRequest("/feed-a/s/x", strings.Repeat("x", 40<<10))[:20<<10]
 	for _, test := range []struct {
 		name, request string
@@ -67,7 +67,7 @@
 		want          string
 	}{
 		{"body ends early, before the response", begun, func(h *harness, c ConnID) { h.gateway.EOF(h.now, c) }, "HTTP/1.1 400 "},
-		{"body ends early, in the response", begun, func(h *harness, c ConnID) {
+		{"body ends early, during the response", begun, func(h *harness, c ConnID) {
 			h.deliver(h.nodeConn(0), sizedHeader+"hello")
 			h.gateway.EOF(h.now, c)
 		}, "HTTP/1.1 200 "},
@@ -86,18 +86,18 @@
 			h.wantContains("what the client got", h.takeWritten(c), test.want)
 			h.advanceTime(10 * time.Second)
 			if _, closed := h.closedBy[c]; !closed {
-				t.Error("the connection stays open")
+				t.Error("the connection was not closed")
 			}
 			if len(h.violations) > 0 {
-				t.Errorf("violated: %v", h.violations)
+				t.Errorf("violations %v, want none", h.violations)
 			}
 		})
 	}
 }
 
-// A close while the response is due stays a violation, also for a client that still has time to
-// read what it was sent.
-func TestCloseWithinReadTimeIsViolation(t *testing.T) {
+// Verifies that a close while the response is due is reported as a violation if the client still
+// has time to read the part that it was sent.
+func TestCloseBeforeReadDeadlineIsViolation(t *testing.T) {
 	h := newHarness(t, "")
 	c := h.connectClient(getRequest("/feed-a/s/x"))
 	h.blocked[c] = true
@@ -105,6 +105,6 @@
 	h.advanceTime(time.Second)
 	h.gateway.closeConn(h.gateway.conns.find(c), Close)
 	if len(h.violations) != 1 {
-		t.Errorf("violated: %v", h.violations)
+		t.Errorf("violations %v, want one", h.violations)
 	}
 }
--- a/internal/gateway/webdav_protocol.go
+++ b/internal/gateway/webdav_protocol.go
@@ -12,13 +12,13 @@
 	"maddergap/scheduler"
 )
 
-// executedHeader is the field with which a node states, by the value "no" in a 503
-// response, that it has rejected the request without executing it. After a 503 without the
-// field it is unknown whether the request was executed.
+// executedHeader is a field of a node's 503 response. The value "no" states that the node has
+// rejected the request without executing it. After a 503 without the field it is unknown
+// whether the request was executed.
 const executedHeader = "Maddergap-Ran"
 
-// webdavProtocol is WebDAV: bodies and responses stream, and a listing may be merged from
-// several nodes.
+// webdavProtocol implements protocol for WebDAV. Requests and responses are streamed, and a
+// listing may be merged from the responses of several nodes.
 type webdavProtocol struct{}
 
 func (webdavProtocol) beginRequest(g *Gateway, c *clientConn, req *request) {
@@ -55,7 +55,7 @@
 			g.respondLocally(req, 413, reasonListingBodyTooLong)
 			return
 		}
-		req.listing = &listing{ofVolumes: decision.Handling == webdav.ListRoot}
+		req.listing = &listing{isVolumeList: decision.Handling == webdav.ListRoot}
 		g.sendContinue(c, req)
 		if req.body.complete {
 			g.beginListing(req)
@@ -75,9 +75,11 @@
 	})
 }
 
-// beginForward takes a request that is forwarded to a node. It is submitted when its body
-// is complete or fills its buffer. A client that waits for 100 (Continue) with a longer
-// body is asked for it only once a node takes it, so that it sends none for a rejection.
+// beginForward begins a request that is to be forwarded to a node. The request is submitted
+// when its body is complete or fills its buffer. A request with a longer body whose client
+// waits for 100 (Continue) is submitted at once, and the client is asked for the body only when
+// the request is sent to a node. Otherwise the client might send the body only to have the
+// request rejected.
 func (g *Gateway) beginForward(c *clientConn, req *request) {
 	req.volume = &g.config.Volumes[req.location.Volume]
 	req.classification = g.classify(req, req.header.ContentLength)
@@ -92,7 +94,7 @@
 }
 
 func (webdavProtocol) prepareArrival(g *Gateway, req *request) *http1.Error {
-	if req.listing == nil && req.body.complete && req.header.ContentLength < 0 { // now the length is known
+	if req.listing == nil && req.body.complete && req.header.ContentLength < 0 { // a chunked body, whose length is known only now
 		req.classification = g.classify(req, req.body.received)
 	}
 	class := &req.classification
@@ -114,7 +116,7 @@
 	b = append(append(b, req.method...), ' ')
 	b = append(append(b, originForm(header.Target)...), " HTTP/1.1\r\n"...)
 	b = http1.AppendEndToEndFields(b, &header.Message, "expect", "traceparent", "x-request-id", "maddergap-attempt")
-	if len(header.Host) == 0 { // HTTP/1.0 may leave it out, HTTP/1.1 may not
+	if len(header.Host) == 0 { // Host is optional in HTTP/1.0, but required in HTTP/1.1
 		b = http1.AppendField(b, "Host", []byte(attempt.conn.node.addr))
 	}
 	b = append(b, "Via: 1.1 maddergap\r\n"...)
@@ -124,8 +126,9 @@
 	return append(appendTraceparent(b, req.trace.id, attempt.spanID, req.trace.sampled), "\r\n"...)
 }
 
-// parseResponse takes 500, 502, 503 and 504 for faults of the node. Any other status is a
-// response for the client.
+// parseResponse treats the statuses 500, 502, 503 and 504 as failures of the attempt, except that
+// a 503 with the value "no" in executedHeader means that the node's queue is full. Any other
+// status is a response for the client.
 func (webdavProtocol) parseResponse(r *http1.Response) (info ResponseInfo) {
 	info.ReportedLoad, info.HasLoadReport = parseLoadReport(r.Get("endpoint-load-metrics"))
 	switch r.Status {
@@ -140,15 +143,15 @@
 	return info
 }
 
-// beginResponse sends the header of the first usable response on to the client. A further
-// one is read and dropped.
+// beginResponse forwards the header of the first usable response to the client. A further
+// response to the same request is read and dropped.
 func (webdavProtocol) beginResponse(g *Gateway, req *request, attempt *nodeAttempt) bool {
 	if req.response.source != nil {
 		return true
 	}
 	req.response.source = attempt
 	req.response.status = attempt.conn.response.Status
-	if req.attempts.uploading == attempt { // an early response: no more of the body is sent
+	if req.attempts.uploading == attempt { // an early response: the rest of the body is not sent
 		req.attempts.uploading = nil
 		attempt.fullyQueued = false
 	}
@@ -160,7 +163,7 @@
 
 func (webdavProtocol) beginUnwantedResponse(*nodeAttempt) bool { return true }
 
-// writeResponseHeader sends the header of a node's response to a client.
+// writeResponseHeader writes the header of a node's response to a client.
 func (g *Gateway) writeResponseHeader(c *clientConn, req *request, r *http1.Response) {
 	req.response.outputStart = c.outputEnd()
 	b := http1.AppendStatus(g.buffers.orNew(c.out), r.Status)
@@ -178,7 +181,7 @@
 		req.response.chunked = true
 		b = append(b, "Transfer-Encoding: chunked\r\n"...)
 	default:
-		c.enter(clientClosing) // the body ends with the connection
+		c.enter(clientClosing) // the body is delimited by the end of the connection
 	}
 	c.out = g.appendHeaderEnd(b, c, req)
 	g.flushClient(c)
@@ -220,7 +223,7 @@
 	g.responseQueued(req)
 }
 
-// maxDiscardedBytes is little beside what a stream may bring.
+// maxDiscardedBytes returns a limit that is small compared with the length of a streamed response.
 func (webdavProtocol) maxDiscardedBytes() int64 { return 64 << 10 }
 
 func (webdavProtocol) truncatedRequestOutcome() scheduler.Outcome { return scheduler.Reset }
@@ -237,7 +240,7 @@
 
 func (webdavProtocol) requestEnded(*request, Outcome) {}
 
-// learnSize remembers the size of a resource, by which later requests are classified.
+// learnSize records the size of a resource, which is used to classify later requests.
 func (g *Gateway) learnSize(req *request, r *http1.Response) {
 	switch {
 	case req.method == "GET" && r.Status == 200 && r.ContentLength >= 0:
@@ -247,7 +250,7 @@
 	}
 }
 
-// originForm turns a request target in absolute form into a path (RFC 9112 section 3.2).
+// originForm converts a request target from absolute form to origin form (RFC 9112 section 3.2).
 func originForm(target []byte) []byte {
 	if target[0] == '/' {
 		return target
@@ -260,11 +263,12 @@
 	return []byte("/")
 }
 
-// maxReportedLoad bounds what a load report with a fraction may say; more is taken for an error.
+// maxReportedLoad bounds a reported load that is not a plain integer. A value that is not below
+// it is treated as an error.
 const maxReportedLoad = 1e9
 
-// parseLoadReport reads the text form of ORCA's endpoint-load-metrics. What counts is the
-// named metric inflight, which is how many requests the node holds.
+// parseLoadReport parses the text form of ORCA's endpoint-load-metrics field. It returns the
+// named metric inflight, which is the number of requests at the node.
 func parseLoadReport(v []byte) (load float64, ok bool) {
 	v, ok = bytes.CutPrefix(v, []byte("TEXT "))
 	if !ok {
