--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -6,50 +6,52 @@
 	"maddergap/scheduler"
 )
 
-// nodeAttempt is one sending of a request to a node. It begins when the scheduler decides
-// to send, and ends exactly once, with an outcome that the scheduler is notified of. conn
-// is nil if the attempt ended before it had a connection. While it is in flight,
-// conn.attempt is this attempt; afterwards the connection may carry another one.
+// nodeAttempt is an attempt to have a node execute a request. It begins when the scheduler
+// decides to send the request, and ends exactly once, with an outcome that is reported to
+// the scheduler.
 //
-// An attempt may outlive its request: a node that may be executing it is waited for. Its
-// response is read and dropped then; see requestRef.
+// An attempt may outlive its request: as long as the node may be executing it, the gateway
+// waits for its outcome. The response is then read and discarded; see requestRef.
 type nodeAttempt struct {
-	req         requestRef
-	identity    requestIdentity
-	number      int // of the request's attempts, from 0
-	nodeName    string
+	req      requestRef
+	identity requestIdentity
+	number   int // index among the request's attempts, from 0
+	nodeName string
+	// conn is nil if the attempt ended before it had a connection. While the attempt is in
+	// flight, conn.attempt is this attempt; afterwards the connection may carry another one.
 	conn        *nodeConn
 	spanID      [8]byte
 	startedAt   Time
-	startBefore Time // its first byte has to be written before this; 0: at any time
+	startBefore Time // time before which the first byte has to be written; 0: no limit
 	ended       bool
 
-	// The request, on the connection.
-	fullyQueued      bool // the whole request is in the connection's buffer, or was written
+	// State of the request on the connection.
+	fullyQueued      bool // the whole request is in the connection's write buffer, or was written
 	firstByteWritten bool
-	chunked          bool          // the request body is sent in chunks
-	stalled          bool          // the scheduler was notified that this machine holds it up
-	announcedTimeout time.Duration // the timeout sent to the node with the request; 0: none
+	chunked          bool          // the request body is sent with chunked transfer coding
+	stalled          bool          // AttemptStalled was sent to the scheduler, AttemptResumed not yet
+	announcedTimeout time.Duration // timeout sent to the node with the request; 0: none
 
-	// The response.
-	outcome           scheduler.Outcome // by its header
+	// State of the response.
+	outcome           scheduler.Outcome // as the response header reports it
 	hasLoadReport     bool
-	responseStarted   bool          // the scheduler was notified that the response streams
-	bufferResponse    bool          // the response is buffered until it is complete
-	status            int           // 0: there is none
-	reportedLoad      float64       // requests that the node said it has, if hasLoadReport
-	discardedBytes    int64         // of a response that is not passed on
-	responseBody      []byte        // of a buffered response
-	noProgressTimeout time.Duration // of a buffered response
+	responseStarted   bool          // ResponseStarted was sent to the scheduler
+	bufferResponse    bool          // the protocol passes the response on only when it is complete
+	status            int           // HTTP status; 0: no response header was read
+	reportedLoad      float64       // number of requests at the node by its load report, if hasLoadReport
+	discardedBytes    int64         // number of body bytes read and discarded
+	responseBody      []byte        // body read so far, if bufferResponse
+	noProgressTimeout time.Duration // how long the response may make no progress, if bufferResponse
 }
 
-// requestWritten reports whether the whole request was written.
+// requestWritten reports whether the whole request was written to the connection.
 func (a *nodeAttempt) requestWritten() bool {
 	return a.fullyQueued && len(a.conn.pending()) == 0
 }
 
-// responseConsumer returns the request that the attempt's response is for, as it has none
-// yet or this one is being passed on. nil: the response is read and dropped.
+// responseConsumer returns the request that the attempt's response is passed on to, or nil
+// if the response is read and discarded. A buffered response has a consumer until the
+// request gets its final response, a streamed one only while it is being passed on.
 func (a *nodeAttempt) responseConsumer() *request {
 	req := a.req.live()
 	if req == nil || !a.bufferResponse && req.response.source != a {
@@ -58,8 +60,8 @@
 	return req
 }
 
-// streamingClient returns the client that the attempt's response is streamed to, or nil if it is
-// not streamed to one.
+// streamingClient returns the client that the attempt's response is streamed to, or nil if
+// there is none.
 func (a *nodeAttempt) streamingClient() *clientConn {
 	if req := a.req.live(); req != nil && req.response.source == a {
 		return req.client
@@ -67,9 +69,9 @@
 	return nil
 }
 
-// responseTimedOut reports whether the timer of the attempt's connection, which has expired,
-// was that of a response that has begun and makes no progress. If not, it was that of the
-// request's deadline, which also bounds the timer of a buffered response.
+// responseTimedOut is called when the timer of the attempt's connection has expired. It
+// reports whether a response that has begun made no progress. Otherwise the deadline of the
+// request has passed, which also bounds the timer of a buffered response.
 func (a *nodeAttempt) responseTimedOut(now Time) bool {
 	if a.bufferResponse {
 		return now < a.identity.deadline
@@ -77,7 +79,8 @@
 	return a.responseConsumer() != nil
 }
 
-// newAttempt begins an attempt.
+// newAttempt begins an attempt of a request at a node, and counts it. The attempt has no
+// connection yet.
 func (g *Gateway) newAttempt(req *request, nodeName string, startBefore Time) *nodeAttempt {
 	attempt := &nodeAttempt{
 		req:         refTo(req),
@@ -95,8 +98,8 @@
 	return attempt
 }
 
-// endAttempt ends an attempt and notifies the scheduler of its outcome. A second call is
-// ignored.
+// endAttempt ends an attempt and reports its outcome to the scheduler and the observer. A
+// second call is ignored.
 func (g *Gateway) endAttempt(attempt *nodeAttempt, outcome scheduler.Outcome) {
 	if attempt.ended {
 		return
@@ -127,24 +130,25 @@
 	g.releaseRequest(attempt)
 }
 
-// releaseRequest ends an attempt's use of its request's object.
+// releaseRequest drops an attempt's reference to its request, and recycles the request if
+// nothing else uses it.
 func (g *Gateway) releaseRequest(attempt *nodeAttempt) {
 	req := attempt.req.request
 	req.attempts.inFlight--
 	g.recycle(req)
 }
 
-// stopUpload ends the forwarding of the body to an attempt, if it is forwarded to that one.
+// stopUpload stops forwarding the request body to an attempt, if that attempt receives it.
 func (r *request) stopUpload(attempt *nodeAttempt) {
 	if r.attempts.uploading == attempt {
 		r.attempts.uploading = nil
 	}
 }
 
-// cancelAttempts ends the attempts of a request that is about to end without a node's response.
-// One that a node may be executing is left to its outcome, as it occupies the node's
-// capacity until then. One is ended if the node cannot execute it, because the body is
-// incomplete, or if its response was being passed on.
+// cancelAttempts is called when a request is about to end without a complete response of a
+// node. It aborts an attempt that the node cannot execute because the body is incomplete,
+// and one whose response was being passed on. An attempt that a node may be executing goes
+// on until it has an outcome, because it occupies the node's capacity until then.
 func (g *Gateway) cancelAttempts(req *request) {
 	switch attempts := &req.attempts; {
 	case attempts.uploading != nil && !req.body.complete:
@@ -156,17 +160,17 @@
 	}
 }
 
-// abortAttempt ends an attempt that is of no use any more, with its connection.
+// abortAttempt ends an attempt whose response is no longer needed, and resets its connection.
 func (g *Gateway) abortAttempt(attempt *nodeAttempt) {
 	if !attempt.ended {
 		g.abortNodeConn(attempt.conn, scheduler.Cancelled)
 	}
 }
 
-// cancelAttempt ends an attempt whose client has left, unless the complete request was
-// written: then the node may be executing it, and its outcome is awaited. An incomplete
-// request is never executed. A connection that is still being dialed is kept for the next
-// request.
+// cancelAttempt ends an attempt whose request is about to end, unless the complete request
+// was written: then the node may be executing it, and its outcome is awaited. A node never
+// executes an incomplete request. A connection that is still being dialed is kept for the
+// next request.
 func (g *Gateway) cancelAttempt(attempt *nodeAttempt) {
 	c := attempt.conn
 	switch {
--- a/internal/gateway/invariant_checks.go
+++ b/internal/gateway/invariant_checks.go
@@ -5,7 +5,7 @@
 	"maddergap/scheduler"
 )
 
-// invariantAttempt describes an attempt to the invariants.
+// invariantAttempt returns the state of an attempt that the invariants are checked against.
 func (g *Gateway) invariantAttempt(attempt *nodeAttempt) invariant.Attempt {
 	a := invariant.Attempt{
 		Request:              attempt.identity.id,
@@ -36,7 +36,7 @@
 	return &g.config.Scheduler.Classes[req.info.Arrival.Class]
 }
 
-// priorAttempts describes what became of a request's attempts before this one.
+// priorAttempts returns the state of the attempts that a request had before this one.
 func (g *Gateway) priorAttempts(req *request, attempt *nodeAttempt) invariant.PriorAttempts {
 	executed, class := &req.attempts.mayHaveExecuted, attempt.identity.class
 	prior := invariant.PriorAttempts{
@@ -60,7 +60,8 @@
 	return prior
 }
 
-// notePossibleExecution notes that an attempt may have been executed, by its outcome.
+// notePossibleExecution records that an attempt may have been executed, unless its outcome
+// proves that it was not. Only the first such attempt of a request is recorded.
 func (g *Gateway) notePossibleExecution(req *request, attempt *nodeAttempt, outcome scheduler.Outcome) {
 	executed := &req.attempts.mayHaveExecuted
 	if executed.known || outcome.ProvesNotRun() {
@@ -72,7 +73,8 @@
 	}
 }
 
-// reportViolation reports a violated invariant, with the request id that the client knows.
+// reportViolation notifies the observer of a violated invariant, and adds the request id
+// that the client knows.
 func (g *Gateway) reportViolation(v invariant.Violation) {
 	if req := g.requests.byID[v.Request]; req != nil {
 		v.RequestID = g.clientRequestID(req)
@@ -80,7 +82,8 @@
 	g.observer.InvariantViolated(v)
 }
 
-// clientRequestID returns the client's id of a request, or the gateway's if it has none.
+// clientRequestID returns the id that the client gave to a request, or the gateway's id if
+// the client gave none.
 func (g *Gateway) clientRequestID(req *request) string {
 	if req.info.ID != "" {
 		return req.info.ID
@@ -88,16 +91,17 @@
 	return g.ids.requestID(req.id)
 }
 
-// mayStartAttempt reports whether an attempt may start, when the scheduler has decided it.
+// mayStartAttempt reports whether the invariants permit an attempt that the scheduler has
+// decided on.
 func (g *Gateway) mayStartAttempt(attempt *nodeAttempt) bool {
 	a := g.invariantAttempt(attempt)
 	return g.invariants.CheckBeforeWrite(g.clock.now, &a) == invariant.None
 }
 
-// mayWrite reports whether bytes may be written to a node's connection. Before the first
-// byte of an attempt the invariants are checked again, as time has passed since the
-// scheduler decided: the connection was dialed, or its socket was full. An attempt that
-// may not start any more is withheld.
+// mayWrite reports whether the pending bytes of a node's connection may be written. Before
+// the first byte of an attempt it checks the invariants again, because time has passed
+// since the scheduler's decision: the connection had to be dialed, or its socket was full.
+// An attempt that may no longer start is withheld.
 func (g *Gateway) mayWrite(c *nodeConn) bool {
 	attempt := c.attempt
 	if attempt == nil || attempt.firstByteWritten || len(c.pending()) == 0 {
@@ -116,15 +120,15 @@
 	return false
 }
 
-// announcedTimeoutOutdated reports whether an attempt would announce more time to its node
-// than is left, so that it has to be encoded anew.
+// announcedTimeoutOutdated reports whether the timeout in an encoded request exceeds the
+// time that is left until the deadline, so that the request has to be encoded again.
 func (g *Gateway) announcedTimeoutOutdated(attempt *nodeAttempt) bool {
 	timeout, deadline := attempt.announcedTimeout, attempt.identity.deadline
 	return timeout > 0 && g.clock.now < deadline && invariant.TimeoutOutdated(g.clock.now, deadline, timeout)
 }
 
-// withholdAttempt ends an attempt of which nothing was written. Its connection is kept for
-// the next one.
+// withholdAttempt ends an attempt of which no byte was written. Its connection is kept for
+// the next attempt.
 func (g *Gateway) withholdAttempt(c *nodeConn) {
 	attempt := c.attempt
 	c.attempt = nil
@@ -133,8 +137,8 @@
 	g.makeIdle(c)
 }
 
-// checkFirstByteWritten checks the invariants again when the first byte of an attempt was
-// written, which finds violations by what happened between mayWrite and the write.
+// checkFirstByteWritten checks the invariants again after the first byte of an attempt was
+// written. It detects violations by a change between mayWrite and the write.
 func (g *Gateway) checkFirstByteWritten(attempt *nodeAttempt) {
 	a := g.invariantAttempt(attempt)
 	g.invariants.CheckAfterWrite(g.clock.now, &a)
--- a/internal/gateway/membership_source.go
+++ b/internal/gateway/membership_source.go
@@ -2,42 +2,46 @@
 
 import "maddergap/internal/membership"
 
-// MembershipSource is a client of discovery, from which the endpoint list comes. Like the
-// gateway it does no I/O: it takes clock readings and bytes, and returns operations and
-// watch events. It numbers its connections itself.
+// MembershipSource is a client of the discovery service, which provides the endpoint list.
+// Like the gateway it does no I/O: it takes clock readings and bytes, and returns operations
+// and watch events. It chooses the numbers of its connections itself.
 type MembershipSource interface {
 	// Step returns the next operation, and the time by which Step has to be called again.
-	// The gateway calls it until it returns the zero SourceOp.
+	// The gateway calls it until it returns no operation.
 	Step(now Time) (SourceOp, Time)
+	// Connected is called when connection conn is established.
 	Connected(now Time, conn int)
+	// Data is called with bytes read from connection conn. They are valid during the call only.
 	Data(now Time, conn int, p []byte)
+	// Closed is called when connection conn is lost or could not be established. It is not
+	// called for a connection that the source itself has closed.
 	Closed(now Time, conn int)
 	// TakeUpdate returns the watch event since the last call, if there was one.
 	TakeUpdate() (update membership.Update, ok bool)
 }
 
-// SourceOp is an operation on connection Conn of a MembershipSource: to dial an address,
-// to write bytes, or to close it. The zero value of the other fields is no operation.
+// SourceOp is an operation on a connection of a MembershipSource. At most one of Dial,
+// Write and Close is set; if none is, there is no operation.
 type SourceOp struct {
-	Conn  int
-	Dial  string
-	Write []byte
-	Close bool
+	Conn  int    // number of the connection
+	Dial  string // host:port to connect to
+	Write []byte // bytes to write
+	Close bool   // close the connection
 }
 
-// membershipClient is the membership source and its connections.
+// membershipClient holds the membership source and its connections.
 type membershipClient struct {
-	source MembershipSource // nil: the endpoint list is set by SetNodes
-	conns  map[int]*discoveryConn
+	source MembershipSource       // nil: the endpoint list is set by SetNodes
+	conns  map[int]*discoveryConn // by the source's numbers
 }
 
-// SetMembershipSource has the endpoint list come from a source.
+// SetMembershipSource makes the gateway take its endpoint list from source.
 func (g *Gateway) SetMembershipSource(source MembershipSource) {
 	g.membership = membershipClient{source: source, conns: map[int]*discoveryConn{}}
 }
 
-// advanceMembershipSource carries out what the source wants, and returns when it has to
-// be called again.
+// advanceMembershipSource carries out the operations of the membership source and applies
+// its updates. It returns the time by which it has to be called again.
 func (g *Gateway) advanceMembershipSource() Time {
 	client := &g.membership
 	if client.source == nil {
@@ -67,11 +71,11 @@
 	}
 }
 
-// discoveryConn is a connection of the membership source. It has no timer: the source
-// has its own timeouts.
+// discoveryConn is a connection of the membership source to the discovery service. Its
+// timer is never set: the source has its own timeouts.
 type discoveryConn struct {
 	bufferedConn
-	sourceConn int // the source's number for it
+	sourceConn int // number that the source gave to the connection
 	connected  bool
 }
 
@@ -94,7 +98,7 @@
 	g.flush(c)
 }
 
-// discoveryConnLost notifies the source that a connection was lost.
+// discoveryConnLost removes a connection that was lost, and notifies the source.
 func (g *Gateway) discoveryConnLost(c *discoveryConn, closedByDriver bool) {
 	g.removeLost(c, closedByDriver)
 	if g.membership.conns[c.sourceConn] == c {
--- a/internal/gateway/node_conn.go
+++ b/internal/gateway/node_conn.go
@@ -11,35 +11,35 @@
 type nodeConnState uint8
 
 const (
-	nodeDialing          nodeConnState = iota // it is not established yet
-	nodeIdle                                  // it has no attempt
-	nodeAwaitingResponse                      // an attempt is sent, and the header of its response is not complete
-	nodeReadingBody                           // the body of a response is read
+	nodeDialing          nodeConnState = iota // the connection is not established yet
+	nodeIdle                                  // the connection has no attempt
+	nodeAwaitingResponse                      // a request is being sent, or its response header is incomplete
+	nodeReadingBody                           // the response body is being read
 )
 
 func (s nodeConnState) String() string {
 	return [...]string{"dialing", "idle", "awaiting response", "reading body"}[s]
 }
 
-// nodeConn is a connection to a storage node. It carries one attempt at a time, and is
-// dialed for an attempt. If that attempt is cancelled first, the connection has none
-// while it is dialed, and is idle once it is established.
+// nodeConn is a connection to a storage node. It carries at most one attempt at a time. It
+// is dialed for an attempt; if that attempt is cancelled before the connection is
+// established, the connection becomes idle once it is.
 type nodeConn struct {
 	bufferedConn
 	node        *node
-	addr        string // where it leads
-	incarnation Time   // of the node that it leads to; see node.started
+	addr        string // address that was dialed
+	incarnation Time   // incarnation of the node when it was dialed; see node.started
 	state       nodeConnState
 	attempt     *nodeAttempt // nil: none
 	dialStalled bool         // dialing was deferred for a failure of this machine or its network
-	dialShort   bool         // it was for a lack of descriptors, memory or ports
+	dialShort   bool         // dialing was deferred for lack of descriptors, memory or ports
 
-	idleSince   Time          // when it was last made idle, also while it is reused; 0: never
-	idleElement *list.Element // in nodeTable.idleByAge; nil: it is not idle
+	idleSince   Time          // when the connection last became idle, also while it is reused; 0: never
+	idleElement *list.Element // element of nodeTable.idleByAge; nil: the connection is not idle
 
-	response         http1.Response // of the attempt, if state is nodeReadingBody
+	response         http1.Response // header of the attempt's response, if state is nodeReadingBody
 	responseBody     http1.BodyDecoder
-	interimResponses int // 1xx responses to the attempt
+	interimResponses int // number of 1xx responses to the attempt
 }
 
 // current reports whether the connection leads to the present address and incarnation of
@@ -58,8 +58,8 @@
 	g.setDeadline(c, min(g.clock.now+g.config.Timeouts.Dial, attempt.identity.deadline))
 }
 
-// nodeConnected is called when a connection is established. Its attempt is sent, unless
-// it came too late for it.
+// nodeConnected is called when a connection is established. It sends the connection's
+// attempt, unless the request has its final response or the time to start has passed.
 func (g *Gateway) nodeConnected(c *nodeConn) {
 	if c.state != nodeDialing {
 		return
@@ -80,7 +80,8 @@
 	g.sendRequest(c, req)
 }
 
-// resumeNodeInput reads a paused connection again, and uses what was read before the pause.
+// resumeNodeInput resumes reading from a paused connection, and processes the bytes that
+// were read before the pause.
 func (g *Gateway) resumeNodeInput(c *nodeConn) {
 	if !c.paused {
 		return
@@ -95,8 +96,8 @@
 	g.storeUnread(c, g.consumeNodeData(c, c.withUnread(data)))
 }
 
-// handleWritten notes that an attempt has begun, and resumes a client whose upload was
-// paused for the node.
+// handleWritten records the first write of an attempt, and resumes a client whose upload
+// was paused until the node takes more.
 func (c *nodeConn) handleWritten(g *Gateway, _ int) {
 	attempt := c.attempt
 	if attempt == nil {
@@ -118,7 +119,7 @@
 }
 
 func (c *nodeConn) handleEOF(g *Gateway) {
-	if c.attempt != nil && c.state == nodeReadingBody && c.responseBody.InputEnded() { // a body that ends with the connection
+	if c.attempt != nil && c.state == nodeReadingBody && c.responseBody.InputEnded() { // the body ends with the connection
 		g.noteEarlyClose(c)
 		g.responseComplete(c)
 		return
@@ -128,7 +129,8 @@
 
 func (c *nodeConn) handleClosed(g *Gateway) { g.nodeConnLost(c, true) }
 
-// nodeConnLost ends a connection that was lost, and its attempt.
+// nodeConnLost removes a connection that was lost, and ends its attempt. closedByDriver
+// says that the driver has closed the connection already.
 func (g *Gateway) nodeConnLost(c *nodeConn, closedByDriver bool) {
 	g.noteEarlyClose(c)
 	attempt := c.attempt
@@ -143,16 +145,16 @@
 	g.endAttempt(attempt, outcome)
 }
 
-// connLossOutcome returns the outcome of an attempt whose connection is lost now.
+// connLossOutcome returns the outcome of an attempt whose connection was just lost.
 func (g *Gateway) connLossOutcome(c *nodeConn, attempt *nodeAttempt) scheduler.Outcome {
 	switch {
 	case c.state == nodeReadingBody && attempt.outcome != scheduler.OK:
 		return attempt.outcome
-	case c.state == nodeDialing && c.dialShort: // the dial was made in the end, and refused
+	case c.state == nodeDialing && c.dialShort: // the deferred dial was made, and refused
 		return scheduler.ConnectFailed
 	case c.state == nodeDialing:
 		return g.dialFailureOutcome(c, attempt)
-	case !attempt.firstByteWritten: // an idle connection was closed just then: the request was not executed
+	case !attempt.firstByteWritten: // the node closed an idle connection before the write: the request was not executed
 		return scheduler.NotSent
 	case !attempt.requestWritten():
 		return g.protocol.truncatedRequestOutcome()
@@ -161,10 +163,11 @@
 }
 
 // dialFailureOutcome returns the outcome of an attempt whose connection was not
-// established. That is a fault of the node, unless dialing was deferred for a failure of this
-// machine or its network. If other connections were established meanwhile, it is the node's
-// fault all the same, for instance because there is no route to it. A lack of resources, of which
-// others may have got the last, never is.
+// established. The failure counts against the node, unless dialing was deferred for a
+// failure of this machine or its network. If another connection was established since the
+// attempt began, a deferred dial counts against the node too: there may be no route to it.
+// A dial deferred for lack of resources never does, because other connections may have
+// taken the last of them.
 func (g *Gateway) dialFailureOutcome(c *nodeConn, attempt *nodeAttempt) scheduler.Outcome {
 	if c.dialShort || c.dialStalled && g.nodes.lastConnected <= attempt.startedAt {
 		return scheduler.NotSent
@@ -182,13 +185,13 @@
 		c.attempt = nil
 		g.closeConn(c, Abort)
 		g.endAttempt(attempt, g.dialFailureOutcome(c, attempt))
-	case !attempt.firstByteWritten: // the machine was too busy to write it: the request was not executed
+	case !attempt.firstByteWritten: // this machine was too busy to write the request: it was not executed
 		c.attempt = nil
 		g.closeConn(c, Abort)
 		g.endAttempt(attempt, scheduler.NotSent)
 	case attempt.responseTimedOut(g.clock.now):
 		g.abortNodeConn(c, g.protocol.brokenResponseOutcome())
-	default: // the deadline of the request has passed; a later response would be of no use
+	default: // the deadline of the request has passed, so that a later response is useless
 		if req := attempt.req.live(); req != nil {
 			req.attempts.timedOut = true
 		}
@@ -198,8 +201,9 @@
 
 func (c *nodeConn) handleRemoved(g *Gateway) { g.nodes.connClosed(c.node) }
 
-// nodeConnStalled notes that a system call on a connection was deferred for lack of local
-// resources, and notifies the scheduler, which does not blame the node for the delay.
+// nodeConnStalled is called when a system call on a connection was deferred for lack of
+// local resources. It notifies the scheduler, so that the delay does not count against the
+// node.
 func (g *Gateway) nodeConnStalled(c *nodeConn) {
 	if c.state == nodeDialing {
 		c.dialStalled = true
@@ -210,8 +214,7 @@
 	}
 }
 
-// attemptUnstalled notifies the scheduler that an attempt held up by this machine has made
-// progress.
+// attemptUnstalled notifies the scheduler that a stalled attempt has made progress.
 func (g *Gateway) attemptUnstalled(attempt *nodeAttempt) {
 	if attempt != nil && attempt.stalled {
 		attempt.stalled = false
@@ -219,8 +222,9 @@
 	}
 }
 
-// abortNodeConn resets a connection that cannot be used any more, and ends its attempt
-// with the outcome, unless the header of the response has reported a fault already.
+// abortNodeConn resets a connection that can no longer be used, and ends its attempt with
+// the outcome. If the response header has already reported a fault, the attempt ends with
+// the outcome from that header instead.
 func (g *Gateway) abortNodeConn(c *nodeConn, outcome scheduler.Outcome) {
 	attempt := c.attempt
 	c.attempt = nil
--- a/internal/gateway/node_response.go
+++ b/internal/gateway/node_response.go
@@ -5,7 +5,8 @@
 	"maddergap/scheduler"
 )
 
-// consumeNodeData uses the bytes of a node and returns those that cannot be used yet.
+// consumeNodeData processes bytes received from a node and returns the bytes that cannot be
+// processed yet.
 func (g *Gateway) consumeNodeData(c *nodeConn, data []byte) []byte {
 	g.attemptUnstalled(c.attempt)
 	for more := true; more && len(data) > 0 && !c.closed; {
@@ -29,8 +30,8 @@
 	return data
 }
 
-// consumeResponseHeader takes the header of a response, if it is complete. It returns
-// what is behind it, and whether that can be used now.
+// consumeResponseHeader parses the header of a response if data holds all of it. It returns
+// the bytes after the header, and whether they can be processed now.
 func (g *Gateway) consumeResponseHeader(c *nodeConn, data []byte) (rest []byte, more bool) {
 	attempt := c.attempt
 	n := g.config.HeaderLimits.HeaderBlock(data, &c.headerScanned)
@@ -42,7 +43,7 @@
 		return nil, false
 	}
 	// A response that arrives before the complete request was written belongs to an earlier
-	// request: the node has responded twice.
+	// request, to which the node has responded twice.
 	if !g.protocol.allowsEarlyResponse() && !attempt.requestWritten() {
 		g.abortNodeConn(c, g.protocol.truncatedRequestOutcome())
 		return nil, false
@@ -63,9 +64,9 @@
 	return data[n:], true
 }
 
-// beginResponse reads the header of a response. A response that reports a fault is for the
-// scheduler alone; any other is passed on to the client. It returns false if the response
-// cannot be used.
+// beginResponse evaluates the header of a response. If the outcome is not OK, only the
+// scheduler gets it; otherwise the response is passed on to the client. beginResponse
+// returns false if the response cannot be used.
 func (g *Gateway) beginResponse(attempt *nodeAttempt) bool {
 	response := &attempt.conn.response
 	info := g.protocol.parseResponse(response)
@@ -83,13 +84,13 @@
 	return g.protocol.beginResponse(g, req, attempt)
 }
 
-// consumeResponseBody takes a piece of the body of a response, or pauses the node if the
-// client has not taken what came before.
+// consumeResponseBody processes a piece of a response body. If too much of the response is
+// still to be written to the client, it pauses reading from the node instead.
 func (g *Gateway) consumeResponseBody(c *nodeConn, data []byte) (rest []byte, more bool) {
 	attempt := c.attempt
 	if client := attempt.streamingClient(); client != nil && len(client.pending()) > g.bufferAllowance() {
 		g.pauseReading(c)
-		g.setDeadline(c, never) // the node waits for the client
+		g.setDeadline(c, never) // no timeout while the node waits for the client
 		return data, false
 	}
 	piece, rest, err := c.responseBody.Next(data)
@@ -101,7 +102,8 @@
 	return rest, true
 }
 
-// receiveResponseData takes a piece of the body of a response.
+// receiveResponseData passes a piece of a response body on, or counts and discards it if no
+// request takes the response. It aborts the connection if the response exceeds a limit.
 func (g *Gateway) receiveResponseData(attempt *nodeAttempt, data []byte) {
 	if len(data) == 0 {
 		return
@@ -118,7 +120,8 @@
 	}
 }
 
-// responseProgressed sets how long a response that has begun may be without progress.
+// responseProgressed restarts the no-progress timeout of a response that has begun. It
+// notifies the scheduler once when a response starts to be streamed to the client.
 func (g *Gateway) responseProgressed(c *nodeConn) {
 	attempt := c.attempt
 	if attempt.bufferResponse {
@@ -137,8 +140,8 @@
 	}
 }
 
-// responseComplete ends an attempt whose response was read to its end, and makes the
-// connection idle if it can be reused.
+// responseComplete ends an attempt whose response was read completely. It makes the
+// connection idle if it can be reused, and closes it otherwise.
 func (g *Gateway) responseComplete(c *nodeConn) {
 	attempt := c.attempt
 	c.attempt = nil
--- a/internal/gateway/node_table.go
+++ b/internal/gateway/node_table.go
@@ -8,45 +8,45 @@
 	"maddergap/scheduler"
 )
 
-// node is a storage node: where it is reached, and the connections to it. It stays
-// after it has left the endpoint list until its last connection is closed.
+// node is a storage node: its address and state, and the connections to it. A node that
+// has left the endpoint list is kept until its last connection is closed.
 type node struct {
 	name, addr     string
 	zone, shard    int
-	started        Time // identifies the incarnation of the node; a restart changes it
-	listed         bool // it is in the endpoint list
+	started        Time // start time of the node's process, which identifies its incarnation
+	listed         bool // the node is in the endpoint list
 	state          scheduler.NodeState
-	stateChangedAt Time // when the gateway was notified of this state or address
+	stateChangedAt Time // when the gateway was notified of the present state or address
 
-	conns     int         // open connections, those being dialed included
-	idleConns []*nodeConn // connections without an attempt, the last used last; see addIdle
-	// keepsConnsOpen: an idle connection was still open after reuseDelay, and no connection
-	// was lost sooner since; see noteEarlyClose.
+	conns     int         // number of open connections, including those being dialed
+	idleConns []*nodeConn // connections without an attempt, most recently used last; see addIdle
+	// keepsConnsOpen is set when an idle connection is found open after reuseDelay, and
+	// cleared when a connection is lost sooner (see noteEarlyClose) or the node moves.
 	keepsConnsOpen bool
 }
 
-// nodeTable holds the storage nodes, and what is counted or ordered over all of them.
+// nodeTable holds the storage nodes, and the counts and lists that cover all of them.
 type nodeTable struct {
 	membership    *membership.Table
 	known         bool // an endpoint list was received
 	byName        map[string]*node
-	idleByAge     idleList // the connections in all nodes' idleConns, the longest idle first
-	conns         int      // open connections to all nodes
-	lastConnected Time     // when a connection to a node was established last
+	idleByAge     idleList // idle connections of all nodes, longest idle first
+	conns         int      // number of open connections to all nodes
+	lastConnected Time     // when a connection to any node was last established
 }
 
 func newNodeTable(origin time.Time) nodeTable {
 	return nodeTable{membership: membership.New(origin), byName: map[string]*node{}}
 }
 
-// connOpened counts a connection to a node that is being dialed.
+// connOpened counts a new connection to a node. It is called when dialing begins.
 func (t *nodeTable) connOpened(n *node) {
 	n.conns++
 	t.conns++
 }
 
-// connClosed counts the end of a connection to a node, and forgets a node that is no
-// longer listed with its last connection.
+// connClosed counts the end of a connection to a node. It removes a node that is no longer
+// listed when its last connection is closed.
 func (t *nodeTable) connClosed(n *node) {
 	n.conns--
 	t.conns--
@@ -55,13 +55,14 @@
 	}
 }
 
+// removeUnused removes a node that is not listed and has no connection.
 func (t *nodeTable) removeUnused(n *node) {
 	if !n.listed && n.conns == 0 {
 		delete(t.byName, n.name)
 	}
 }
 
-// apply updates a node from a change of the endpoint list.
+// apply adds or updates the node of a change of the endpoint list, and returns it.
 func (t *nodeTable) apply(now Time, c *membership.Change) *node {
 	n := t.byName[c.Endpoint.Node]
 	if n == nil {
@@ -89,8 +90,8 @@
 	g.updateMembership(membership.Update{Nodes: list, Full: true})
 }
 
-// updateMembership applies a watch event of the endpoint list, and notifies the
-// scheduler of what has changed.
+// updateMembership applies an update of the endpoint list, and notifies the observer and
+// the scheduler of the nodes that it changes.
 func (g *Gateway) updateMembership(update membership.Update) {
 	g.nodes.known = true
 	changes := g.nodes.membership.Apply(g.clock.now, update)
@@ -108,8 +109,8 @@
 	g.scheduler.notify(scheduler.EndpointUpdate{Endpoints: endpoints})
 }
 
-// updateNode applies a change of one node. Its idle connections are closed if they
-// lead to a previous address or incarnation, or to a node that was removed.
+// updateNode applies the change of one node. It closes the node's idle connections if they
+// lead to a previous address or incarnation, or if the node was removed.
 func (g *Gateway) updateNode(c *membership.Change) {
 	n := g.nodes.apply(g.clock.now, c)
 	if c.AddressChanged || !n.listed {
--- a/internal/gateway/observer.go
+++ b/internal/gateway/observer.go
@@ -17,29 +17,30 @@
 const (
 	// Served: a node's response was passed on.
 	Served Outcome = iota
-	// Rejected: the scheduler, or AbortRemaining, rejected the request, which was not
-	// executed and may be retried.
+	// Rejected: the scheduler, or AbortRemaining, rejected the request, and the client may
+	// safely retry it.
 	Rejected
-	// Failed: it is not known whether the request was executed.
+	// Failed: the request failed, and it is not known whether it was executed.
 	Failed
 	// ClientDisconnected: the client left before the final response.
 	ClientDisconnected
-	// Dropped: the gateway ended the client's connection before the final response, for
-	// instance as the client did not read it.
+	// Dropped: the gateway closed the client's connection before the final response, for
+	// instance because the client did not read it.
 	Dropped
-	// AnsweredLocally: the gateway itself responded, without a decision of the scheduler. That may
-	// be an error, such as 408, 413, or the 503 for a request that was not admitted.
+	// AnsweredLocally: the gateway itself responded, without a decision of the scheduler. The
+	// response may be an error, such as 408, 413, or the 503 for a request that was not admitted.
 	AnsweredLocally
 )
 
-// String returns the outcome as it stands in metric labels.
+// String returns the value of the outcome's metric label.
 func (o Outcome) String() string {
 	return [...]string{"served", "refused", "failed", "left", "dropped", "local"}[o]
 }
 
-// Span describes an attempt or a request.
+// Span describes a request, or one attempt of a request, that has ended. Its fields are for
+// both unless the comment says otherwise.
 type Span struct {
-	Request        string // the request id that clients and nodes see; empty: the request was not submitted
+	Request        string // request id that clients and nodes see; empty: the request was not submitted
 	Trace          [16]byte
 	ID             [8]byte
 	Parent         [8]byte
@@ -50,42 +51,45 @@
 	Path           string
 	Volume         string
 	Class          string
-	Status         int // of the response; 0: none
-	Outcome        Outcome
-	Client         string // the client's address; empty for an attempt
-	Attempts       int    // how many a request had
-	Attempt        int    // the number of an attempt, from 0
-	Node           string // of an attempt; empty for a request
-	AttemptOutcome scheduler.Outcome
-	Reason         string // why the gateway itself responded to a request; empty: it did not
-	WaitReason     string // what kept a request from being sent that was rejected or failed; empty: nothing did
+	Status         int               // HTTP status of the response; 0: there was none
+	Outcome        Outcome           // of a request
+	Client         string            // address of a request's client; empty for an attempt
+	Attempts       int               // number of attempts of a request
+	Attempt        int               // index of an attempt among those of its request, from 0
+	Node           string            // name of an attempt's node; empty for a request
+	AttemptOutcome scheduler.Outcome // of an attempt
+	Reason         string            // why the gateway itself responded to a request; empty: it did not
+	WaitReason     string            // what kept a rejected or failed request from being sent; empty: nothing
 }
 
-// Observer is notified of what the gateway has done. It must not keep a span after the call.
+// Observer is notified of events in the gateway. It must not keep a span after the call.
 type Observer interface {
+	// Request is called at the end of each request.
 	Request(*Span)
+	// Attempt is called at the end of each attempt.
 	Attempt(*Span)
 	// MembersChanged is called with the changes of the endpoint list.
 	MembersChanged([]membership.Change)
-	// InvariantViolated is called with an invariant that was violated, or that would have
-	// been by an attempt that was withheld.
+	// InvariantViolated is called with an invariant that was violated, or that an attempt
+	// would have violated if it had not been withheld.
 	InvariantViolated(invariant.Violation)
-	// ConnectionRejected is called with a connection or request that was not admitted;
+	// ConnectionRejected is called for a connection or request that was not admitted;
 	// responseSent reports whether the client gets a response.
 	ConnectionRejected(client netip.AddrPort, reason admission.Reason, responseSent bool)
 }
 
-// Counts are counters since the start, and gauges.
+// Counts holds counters since the start, and gauges.
 type Counts struct {
 	// Requests submitted to the scheduler, and how they ended. Disconnected counts the requests
 	// that cancelRequest ended.
 	Received, Served, Rejected, Failed, Disconnected uint64
-	Dropped                                          uint64 // of Disconnected: the gateway ended them, not the client
+	// Dropped is the part of Disconnected that was ended by the gateway and not by the client.
+	Dropped uint64
 
-	Attempts  uint64 // attempts, those included that ended before anything was sent
+	Attempts  uint64 // attempts, including those that ended before anything was sent
 	Local     uint64 // requests that the gateway answered without the scheduler
-	Malformed uint64 // requests rejected as malformed or too slow
-	Preempted uint64 // client connections closed for others
+	Malformed uint64 // requests rejected as malformed, or as received too slowly
+	Preempted uint64 // client connections closed to make room for others
 
 	// ConnectionsRejected counts connections and requests that were not admitted.
 	ConnectionsRejected [admission.ReasonCount]uint64
@@ -93,8 +97,8 @@
 	Invariants          invariant.Counts // attempts withheld, and invariants violated
 
 	Clients, NodeConns int           // open connections
-	BufferedBytes      int64         // held for clients
-	Lag                time.Duration // estimate of how late Advance is called; see lagEstimate
+	BufferedBytes      int64         // bytes buffered for clients
+	Lag                time.Duration // estimated delay of the calls of Advance; see lagEstimate
 }
 
 // Counts returns the counters and gauges.
@@ -134,7 +138,8 @@
 	g.observer.Attempt(&g.span)
 }
 
-// reportRequestEnd notifies the protocol and the observer of the end of a request.
+// reportRequestEnd notifies the protocol and the observer of the end of a request. A second
+// call for a submitted request is recorded as a violated invariant.
 func (g *Gateway) reportRequestEnd(req *request, outcome Outcome) {
 	if req.response.reported && req.id != 0 {
 		g.invariants.RecordDuplicateResponse(g.clock.now, req.id)
--- a/internal/gateway/request_lifecycle.go
+++ b/internal/gateway/request_lifecycle.go
@@ -8,7 +8,8 @@
 	"maddergap/scheduler"
 )
 
-// beginRequest takes the header of a request.
+// beginRequest is called with the complete header of a request. It parses the header, has
+// the request admitted, and hands it to the protocol.
 func (g *Gateway) beginRequest(c *clientConn, header []byte) {
 	req := g.requests.create()
 	req.client = c
@@ -28,12 +29,12 @@
 	if g.isLastRequest(c, req) {
 		c.enter(clientClosing)
 	}
-	// The response before this request may still be in the write buffer. Admission counts one
-	// request of a connection at a time, so that the earlier one ends here.
+	// The response to the previous request may still be in the write buffer. Admission counts
+	// at most one request of a connection, so the previous one ends here.
 	g.reportAdmittedRequestEnd(c)
 	if ok, reason := g.admission.BeginRequest(g.clock.now, uint64(c.id), g.buffers.clientBytes, req.body.complete); !ok {
 		c.enter(clientClosing)
-		// Counted and logged as a rejected connection: the connection ends with the response.
+		// Counted and logged as a rejected connection, as the connection ends with the response.
 		g.recordRejection(c.remote, reason, true)
 		g.respondLocally(req, 503, rejectionText(reason))
 		return
@@ -42,14 +43,14 @@
 }
 
 // isLastRequest reports whether a client connection is closed after the response to a
-// request: the instance drains, the client asks for it, or the connection has had its
-// number of requests.
+// request: the instance is draining, the client asked for it, or the connection has reached
+// its limit of requests.
 func (g *Gateway) isLastRequest(c *clientConn, req *request) bool {
 	limit := g.config.Limits.RequestsPerConn
 	return g.intake >= intakeLastRequests || req.header.Close || limit > 0 && c.requestCount >= limit
 }
 
-// internMethod returns a method; a known one does not allocate.
+// internMethod returns a method as a string, without allocating if it is a known one.
 func internMethod(method []byte) string {
 	for _, m := range [...]string{"GET", "HEAD", "PUT", "PROPFIND", "OPTIONS", "DELETE", "MKCOL", "COPY", "MOVE", "PROPPATCH", "LOCK", "UNLOCK"} {
 		if string(method) == m {
@@ -59,8 +60,8 @@
 	return string(method)
 }
 
-// classify finds the class, key, deadline and cost of a request whose body has the length
-// in bytes; -1: the length is not known.
+// classify returns the class, ordering key, timeout and cost of a request. length is that of
+// its body in bytes; -1: not known.
 func (g *Gateway) classify(req *request, length int64) route.Classification {
 	return g.routes.Classify(route.RequestHeader{
 		Method:         req.method,
@@ -72,8 +73,8 @@
 	})
 }
 
-// sendContinue asks a client that waits for it to send the body (RFC 9110 section
-// 10.1.1).
+// sendContinue sends 100 (Continue) to a client that waits for it (RFC 9110 section 10.1.1),
+// and starts the timer for the body if that is not complete yet.
 func (g *Gateway) sendContinue(c *clientConn, req *request) {
 	if !req.body.continueHandled && !req.body.complete {
 		c.out = append(c.out, "HTTP/1.1 100 Continue\r\n\r\n"...)
@@ -85,14 +86,14 @@
 	}
 }
 
-// restartUploadTimer begins to wait for the body of a client, or does so anew after the
-// client was paused.
+// restartUploadTimer starts the timer and the minimum rate for the upload of a body, or
+// restarts them after the client was paused.
 func (g *Gateway) restartUploadTimer(c *clientConn) {
 	c.upload = transferProgress{since: g.clock.now}
 	g.setDeadline(c, g.uploadDeadline(c))
 }
 
-// receiveBody takes a piece of the body of a request.
+// receiveBody processes a piece of a request body.
 func (g *Gateway) receiveBody(c *clientConn, req *request, data []byte) {
 	g.noteBodyReceived(c, req, len(data))
 	if req.listing != nil && req.id == 0 {
@@ -103,20 +104,20 @@
 	g.submitWhenBuffered(c, req)
 }
 
-// noteBodyReceived counts n decoded bytes of a body, and stops the upload's timer at its
-// end.
+// noteBodyReceived counts n decoded bytes of a body, and stops the upload timer at the end of
+// the body.
 func (g *Gateway) noteBodyReceived(c *clientConn, req *request, n int) {
 	req.body.received += int64(n)
 	req.body.complete = req.body.decoder.Done()
-	req.body.continueHandled = true // a client that sends its body does not wait for 100
+	req.body.continueHandled = true // a client that sends its body does not wait for 100 (Continue)
 	if req.body.complete {
 		g.stopUploadTimer(c)
 	}
 }
 
-// bufferOrForwardBody forwards a piece of a body to the node that the body is uploaded to,
-// or buffers it until there is one. Forwarded bytes are not kept, so that there can be no
-// retry.
+// bufferOrForwardBody forwards a piece of a body to the node that the body is uploaded to, or
+// buffers it if there is none yet. Forwarded bytes are not kept, so that the request cannot
+// be retried.
 func (g *Gateway) bufferOrForwardBody(req *request, data []byte) {
 	if req.attempts.uploading != nil {
 		req.body.consumed = true
@@ -126,8 +127,8 @@
 	req.body.data = append(req.body.data, data...)
 }
 
-// submitWhenBuffered submits a request whose body is complete or fills its buffer. If the
-// body has to be buffered as a whole, one that is longer than the buffer is rejected.
+// submitWhenBuffered submits a request once its body is complete or fills the buffer. If the
+// whole body has to be buffered, a body that is longer than the buffer is rejected.
 func (g *Gateway) submitWhenBuffered(c *clientConn, req *request) {
 	limit := g.config.Limits.BodyBuffer
 	switch {
@@ -139,14 +140,15 @@
 	}
 }
 
-// rejectLongBody answers a request whose body has to be buffered and is too long for it.
+// rejectLongBody responds with 413 to a request whose body has to be buffered and is longer
+// than the buffer.
 func (g *Gateway) rejectLongBody(c *clientConn, req *request) {
 	c.enter(clientClosing)
 	g.respondLocally(req, 413, "the body is longer than any may be")
 }
 
-// submit hands a request to the scheduler. From then on it has to get exactly one final
-// response.
+// submit hands a request to the scheduler. From then on the request has to get exactly one
+// final response.
 func (g *Gateway) submit(req *request) {
 	if err := g.protocol.prepareArrival(g, req); err != nil {
 		g.respondLocally(req, err.Status, err.Reason)
@@ -168,16 +170,16 @@
 	g.scheduler.notify(*arrival)
 }
 
-// cancelRequest ends a request before its final response. It is called
+// cancelRequest ends a request that has no final response yet. It is called when
 //
-//   - when the client has left;
-//   - when the gateway drops the client, for instance as it does not read its response, or
-//     has closed its sending side within the body;
-//   - when the body is malformed or too slow, which the gateway answers itself;
-//   - for the parts of a listing whose parent is cancelled.
+//   - the client has left;
+//   - the gateway drops the client, for instance because the client does not read its
+//     response;
+//   - the body is malformed, cut off or too slow, to which the gateway itself responds;
+//   - the request is a part of a listing whose parent is cancelled.
 //
-// The outcome says which. The scheduler does not distinguish these: it is notified that the
-// client has disconnected.
+// The outcome tells the observer which of these it was. The scheduler does not distinguish
+// them: it is notified that the client has disconnected.
 func (g *Gateway) cancelRequest(req *request, outcome Outcome) {
 	if req.id == 0 {
 		if req.listing != nil {
@@ -187,7 +189,7 @@
 	}
 	g.scheduler.notify(scheduler.ClientDisconnected{ID: req.id})
 	g.cancelAttempts(req)
-	if outcome == AnsweredLocally && req.response.source != nil { // a part of a node's response was written
+	if outcome == AnsweredLocally && req.response.source != nil { // part of a node's response was written to the client
 		outcome = Dropped
 	}
 	req.response.final = true
@@ -199,11 +201,12 @@
 	g.reportRequestEnd(req, outcome)
 }
 
-// errBodyCutOff is the error of a body whose client has closed its sending side within it.
+// errBodyCutOff reports that the client closed its sending side before the end of the body.
 var errBodyCutOff = &http1.Error{Status: 400, Reason: "the body ended early"}
 
-// rejectMalformedBody ends a request whose body is malformed, so that none of it is
-// executed.
+// rejectMalformedBody ends a request whose body is malformed. As no node gets the complete
+// request, it is not executed. The client gets an error response, or is dropped if part of a
+// node's response was written to it.
 func (g *Gateway) rejectMalformedBody(c *clientConn, req *request, err error) {
 	g.counts.Malformed++
 	if req.id != 0 && !req.response.final {
@@ -220,8 +223,8 @@
 	g.dropClient(c, Abort, Dropped)
 }
 
-// rejectMalformedHeader answers a request whose header is malformed. What follows it
-// cannot be read.
+// rejectMalformedHeader responds to a request whose header is malformed. The bytes that follow
+// cannot be parsed, and are discarded.
 func (g *Gateway) rejectMalformedHeader(c *clientConn, req *request, err error) {
 	g.counts.Malformed++
 	c.enter(clientDiscarding)
--- a/internal/gateway/request_ref.go
+++ b/internal/gateway/request_ref.go
@@ -6,17 +6,18 @@
 	"maddergap/scheduler"
 )
 
-// requestRef is an attempt's reference to its request. It leads to the request only up to the
-// request's final response: from then on, an attempt that is still in flight has no way to the
-// client, the response or the report of the request, and the object may serve another request.
+// requestRef is an attempt's reference to its request. It gives access to the request only
+// until the final response is decided: from then on, an attempt that is still in flight must
+// not change the client, the response or the report of the request. After the attempt has
+// ended, the object may be reused for another request.
 type requestRef struct {
 	request *request
-	id      uint64 // ids are not reused, so that a reused object is told from the request
+	id      uint64 // id of the request; ids are never reused, so it differs from that of a reused object
 }
 
 func refTo(req *request) requestRef { return requestRef{request: req, id: req.id} }
 
-// live returns the request, or nil once its final response is decided.
+// live returns the request, or nil if its final response is decided or the object was recycled.
 func (r requestRef) live() *request {
 	if r.request.id != r.id || r.request.response.final {
 		return nil
@@ -24,12 +25,12 @@
 	return r.request
 }
 
-// cancelledAt returns when the request was cancelled, 0 if it was not. It may be called while the
-// attempt is in flight, for so long the object is in use.
+// cancelledAt returns when the request was cancelled; 0: it was not. It must be called only
+// while the attempt is in flight, as the object may be reused afterwards.
 func (r requestRef) cancelledAt() Time { return r.request.cancelledAt }
 
-// requestIdentity is what an attempt keeps of its request, and needs also after its end. None
-// of it changes.
+// requestIdentity holds the properties of a request that an attempt needs also after the
+// request has ended. They do not change during the attempt.
 type requestIdentity struct {
 	id       uint64
 	method   string
@@ -52,7 +53,8 @@
 	}
 }
 
-// timeRemaining returns for how long the gateway waits for an attempt that is sent now.
+// timeRemaining returns how long the gateway waits for the response to an attempt that is
+// sent now: until the deadline, and 1ms at least.
 func (r *requestIdentity) timeRemaining(now Time) time.Duration {
 	return max(r.deadline-now, time.Millisecond)
 }
--- a/internal/gateway/request_table.go
+++ b/internal/gateway/request_table.go
@@ -34,8 +34,8 @@
 	t.byID[req.id] = req
 }
 
-// recycle takes back a request that is no longer in use. It must not be called twice
-// for one request, as it would serve two clients at once then.
+// recycle takes back the object of a request that is no longer in use. It must not be called
+// twice for one request: the object would then serve two clients at once.
 func (t *requestTable) recycle(req *request) {
 	if req.id != 0 {
 		delete(t.byID, req.id)
--- a/internal/gateway/scheduler_client.go
+++ b/internal/gateway/scheduler_client.go
@@ -2,24 +2,25 @@
 
 import "maddergap/scheduler"
 
-// Scheduler decides what is sent where and when: scheduler.Scheduler, or what a test or a
-// comparison puts in its place.
+// Scheduler decides which request is sent to which node, and when. It is implemented by
+// scheduler.Scheduler, and by substitutes for tests and comparisons.
 type Scheduler interface {
-	// Handle takes the events since the last call, in their order, and returns what is to
-	// be done. It must not keep the events, and the gateway does not keep the actions.
+	// Handle takes the events since the last call, in their order, and returns the actions
+	// to carry out. It must not keep the events, and the gateway does not keep the actions.
 	Handle(now Time, events []scheduler.Event) []scheduler.Action
 }
 
-// schedulerClient collects the events for the scheduler, and has its timer. It has two
-// buffers, as carrying out the scheduler's decisions leads to further events.
+// schedulerClient collects the events for the scheduler and keeps its timer. It has two
+// event buffers, because carrying out the scheduler's decisions leads to further events.
 type schedulerClient struct {
 	impl    Scheduler
-	pending []scheduler.Event // for the next call of decide
-	spare   []scheduler.Event
-	wakeAt  Time // when the scheduler's timer fires
+	pending []scheduler.Event // events for the next call of decide
+	spare   []scheduler.Event // buffer of the last call, to be reused
+	wakeAt  Time              // time at which the scheduler's timer fires; never: it is not set
 }
 
-// expiryReporter is a Scheduler that says what kept a request from being sent that it has ended.
+// expiryReporter is implemented by a Scheduler that can tell what kept a request from being
+// sent until the scheduler ended it.
 type expiryReporter interface {
 	ExpiryReason(id uint64) scheduler.Reason
 }
@@ -33,11 +34,11 @@
 	s.pending = append(s.pending, event)
 }
 
-// setTimer sets when the scheduler's timer fires. It replaces the timer before, also by a
-// later time.
+// setTimer sets the time at which the scheduler's timer fires. It replaces an earlier or
+// later time that was set before.
 func (s *schedulerClient) setTimer(at Time) { s.wakeAt = at }
 
-// runTimer notifies the scheduler if its timer has expired.
+// runTimer adds a TimerFired event if the scheduler's timer has expired.
 func (s *schedulerClient) runTimer(now Time) {
 	if now >= s.wakeAt {
 		s.wakeAt = never
@@ -45,11 +46,11 @@
 	}
 }
 
-// hasEvents reports whether decide has to be called.
+// hasEvents reports whether there are events, so that decide has to be called.
 func (s *schedulerClient) hasEvents() bool { return len(s.pending) > 0 }
 
-// expiryReason returns what kept a request from being sent that a decision of the last call of
-// decide has ended.
+// expiryReason returns what kept a request from being sent that the decisions of the last call
+// of decide have ended. It returns ReasonAllowed if the scheduler reports no reasons.
 func (s *schedulerClient) expiryReason(id uint64) scheduler.Reason {
 	if reporter, ok := s.impl.(expiryReporter); ok {
 		return reporter.ExpiryReason(id)
--- a/internal/gateway/send.go
+++ b/internal/gateway/send.go
@@ -5,11 +5,11 @@
 	"maddergap/scheduler"
 )
 
-// startAttempt sends a request to a node, as the scheduler decided. The first byte must
-// be written before startBefore, if that is not 0. An attempt that may not start, or for
-// which there is no connection, ends at once, and the scheduler decides anew.
+// startAttempt starts an attempt of a request at a node, as the scheduler decided. The first
+// byte must be written before startBefore, unless that is 0. An attempt that may not start,
+// or that gets no connection, ends at once as not sent, and the scheduler decides again.
 func (g *Gateway) startAttempt(req *request, nodeName string, startBefore Time) {
-	if req == nil { // the scheduler sends no request that has its final response
+	if req == nil { // not expected: the scheduler sends no request that has its final response
 		return
 	}
 	attempt := g.newAttempt(req, nodeName, startBefore)
@@ -33,8 +33,8 @@
 	}
 }
 
-// sendRequest sends the attempt of an established connection: the header, and as much of
-// the body as is buffered. The rest of the body is forwarded as it comes.
+// sendRequest sends the request of an attempt on its established connection: the header, and
+// as much of the body as is buffered. The rest of the body is forwarded as it arrives.
 func (g *Gateway) sendRequest(c *nodeConn, req *request) {
 	g.encodeRequest(c, req)
 	c.state = nodeAwaitingResponse
@@ -50,8 +50,8 @@
 	g.flush(c)
 }
 
-// encodeRequest encodes the header of a connection's attempt, and as much of the body as
-// is buffered, in place of what was encoded before.
+// encodeRequest encodes the header of the request that a connection carries, and as much of
+// the body as is buffered. It replaces the content of the connection's write buffer.
 func (g *Gateway) encodeRequest(c *nodeConn, req *request) {
 	attempt := c.attempt
 	c.out = c.out[:0]
@@ -65,7 +65,8 @@
 	}
 }
 
-// appendRequestFraming appends the field that gives the length of a request's body.
+// appendRequestFraming appends the header field that delimits the body of a request, if one
+// is needed: Content-Length or Transfer-Encoding.
 func appendRequestFraming(b []byte, req *request) []byte {
 	header, body := &req.header, &req.body
 	hasBody := body.received > 0 || header.ContentLength > 0 || header.Chunked || req.listing != nil
@@ -82,6 +83,8 @@
 	return b
 }
 
+// appendBody appends a piece of a request body to the write buffer of a connection, as a chunk
+// if the attempt uses chunked transfer coding.
 func appendBody(c *nodeConn, data []byte) {
 	if c.attempt.chunked {
 		c.out = http1.AppendChunk(c.out, data)
@@ -90,7 +93,8 @@
 	}
 }
 
-// forwardBody sends a piece of a request body on as it comes.
+// forwardBody forwards a piece of a request body to the node that the body is uploaded to, and
+// ends the upload if the body is complete.
 func (g *Gateway) forwardBody(req *request, data []byte) {
 	attempt := req.attempts.uploading
 	c := attempt.conn
--- a/internal/gateway/status.go
+++ b/internal/gateway/status.go
@@ -2,14 +2,14 @@
 
 import "maddergap/scheduler"
 
-// NodeConnections counts the connections to a node.
+// NodeConnections counts the open connections to a node.
 type NodeConnections struct {
-	Active int // connections with an attempt, those being dialed included
-	Unsent int // of these, those whose request was not written completely
+	Active int // connections with an attempt, including those being dialed
+	Unsent int // active connections whose request was not completely written
 	Idle   int // connections without an attempt
 }
 
-// NodeStatus is what the scheduler knows of a node, and the connections to it.
+// NodeStatus is the scheduler's status of a node, and the number of connections to it.
 type NodeStatus struct {
 	scheduler.NodeStatus
 	NodeConnections
@@ -18,8 +18,8 @@
 // statusReporter is a Scheduler that reports the status of its nodes.
 type statusReporter interface{ Status() []scheduler.NodeStatus }
 
-// Status returns the status of each node that the scheduler knows. A node that it has
-// forgotten, and that still has an attempt, follows with its name alone.
+// Status returns the status of each node that the scheduler knows. Nodes that the scheduler
+// has forgotten and that still have an attempt follow, with their name and connections only.
 func (g *Gateway) Status() []NodeStatus {
 	connections := g.nodeConnections()
 	var all []NodeStatus
--- a/internal/gateway/timers.go
+++ b/internal/gateway/timers.go
@@ -2,26 +2,26 @@
 
 import "container/heap"
 
-// connTimer is the one timer of a connection.
+// connTimer is the timer of a connection, which has only one.
 //
-// Moving the deadline later leaves the heap entry where it is, so that a deadline
-// that moves with each read costs nothing: armed, which orders the heap, is never
-// later than deadline, and an entry that comes up too early is moved then.
+// A deadline that moves later does not move the heap entry, so that a deadline that is
+// extended with each read costs nothing. The key of the heap, armed, is therefore at or before
+// deadline. An entry that comes to the top before its deadline is moved then.
 type connTimer struct {
 	conn      connection
-	deadline  Time // when the timer expires; never: it does not
-	armed     Time // position in the heap, if it is in it
-	heapIndex int  // -1: not in the heap
+	deadline  Time // time at which the timer expires; never: it is stopped
+	armed     Time // key in the heap, if the timer is in the heap
+	heapIndex int  // index in the heap; -1: not in the heap
 }
 
 func newConnTimer(c connection) connTimer {
 	return connTimer{conn: c, deadline: never, armed: never, heapIndex: -1}
 }
 
-// timerQueue is the heap of the connections' timers by the time they are armed for.
+// timerQueue holds the timers of all connections in a heap, ordered by connTimer.armed.
 type timerQueue struct{ heap timerHeap }
 
-// set sets when a timer expires; never stops it.
+// set sets the time at which a timer expires; never stops the timer.
 func (q *timerQueue) set(t *connTimer, deadline Time) {
 	t.deadline = deadline
 	switch {
@@ -35,7 +35,7 @@
 	}
 }
 
-// remove takes the timer of a connection that is closed out of the heap.
+// remove removes the timer of a connection that is closed.
 func (q *timerQueue) remove(t *connTimer) {
 	if t.heapIndex >= 0 {
 		heap.Remove(&q.heap, t.heapIndex)
@@ -47,7 +47,7 @@
 func (q *timerQueue) popExpired(now Time) connection {
 	for len(q.heap) > 0 && q.heap[0].armed <= now {
 		t := q.heap[0]
-		if t.deadline > now { // the deadline was moved since
+		if t.deadline > now { // the deadline was moved after the entry was placed
 			t.armed = t.deadline
 			heap.Fix(&q.heap, 0)
 			continue
@@ -59,7 +59,7 @@
 	return nil
 }
 
-// next returns when popExpired has to be called again at the latest.
+// next returns the time by which popExpired has to be called again.
 func (q *timerQueue) next() Time {
 	if len(q.heap) == 0 {
 		return never
--- a/internal/gateway/trace.go
+++ b/internal/gateway/trace.go
@@ -7,7 +7,7 @@
 )
 
 // startTrace continues the trace of a request's traceparent field (W3C Trace Context), or
-// begins one if it has none that is valid.
+// begins a sampled trace if the field is missing or invalid.
 func (g *Gateway) startTrace(req *request) {
 	t := &req.trace
 	g.ids.fill(t.span[:])
@@ -20,11 +20,12 @@
 	t.sampled = true
 }
 
-// traceparentLength is the length of version 00 of the field:
+// traceparentLength is the length of version 00 of the traceparent field:
 // version-traceid-spanid-flags, of 2, 32, 16 and 2 hexadecimal digits. A later version
 // may be longer; version ff is invalid.
 const traceparentLength = 55
 
+// parseTraceparent parses the value of a traceparent field; ok is false if it is invalid.
 func parseTraceparent(v []byte) (id [16]byte, parent [8]byte, sampled, ok bool) {
 	if len(v) < traceparentLength || v[2] != '-' || v[35] != '-' || v[52] != '-' {
 		return id, parent, false, false
