--- a/internal/gateway/invariant_checks.go
+++ b/internal/gateway/invariant_checks.go
@@ -11,7 +11,7 @@
 		Request:              attempt.identity.id,
 		Node:                 attempt.nodeName,
 		Number:               attempt.number,
-		MembershipKnown:      g.nodes.known,
+		MembershipKnown:      g.nodes.membershipKnown,
 		ClientDisconnectedAt: attempt.req.cancelledAt(),
 		Deadline:             attempt.identity.deadline,
 		Timeout:              attempt.announcedTimeout,
@@ -38,22 +38,22 @@
 
 // priorAttempts returns the state of the attempts that a request had before this one.
 func (g *Gateway) priorAttempts(req *request, attempt *nodeAttempt) invariant.PriorAttempts {
-	executed, class := &req.attempts.mayHaveExecuted, attempt.identity.class
+	execution, class := &req.attempts.mayHaveExecuted, attempt.identity.class
 	prior := invariant.PriorAttempts{
 		Effect:     class.Effect,
 		InFlight:   req.attempts.inFlight - 1,
-		MayHaveRun: executed.known,
+		MayHaveRun: execution.known,
 	}
-	if class.Effect != scheduler.Idempotent || !executed.known {
+	if class.Effect != scheduler.Idempotent || !execution.known {
 		return prior
 	}
-	prior.RetryBefore = executed.startedAt + class.DeduplicationWindow
+	prior.RetryBefore = execution.startedAt + class.DeduplicationWindow
 	n := g.nodes.byName[attempt.nodeName]
 	switch class.DeduplicationScope {
 	case scheduler.ScopeZone:
-		prior.SameDeduplicationScope = n != nil && n.zone == executed.zone
+		prior.SameDeduplicationScope = n != nil && n.zone == execution.zone
 	case scheduler.ScopeShard:
-		prior.SameDeduplicationScope = n != nil && n.shard == executed.shard
+		prior.SameDeduplicationScope = n != nil && n.shard == execution.shard
 	default:
 		prior.SameDeduplicationScope = true
 	}
@@ -63,13 +63,13 @@
 // notePossibleExecution records that an attempt may have been executed, unless its outcome
 // proves that it was not. Only the first such attempt of a request is recorded.
 func (g *Gateway) notePossibleExecution(req *request, attempt *nodeAttempt, outcome scheduler.Outcome) {
-	executed := &req.attempts.mayHaveExecuted
-	if executed.known || outcome.ProvesNotRun() {
+	execution := &req.attempts.mayHaveExecuted
+	if execution.known || outcome.ProvesNotRun() {
 		return
 	}
-	*executed = possibleExecution{known: true, startedAt: attempt.startedAt}
+	*execution = possibleExecution{known: true, startedAt: attempt.startedAt}
 	if n := g.nodes.byName[attempt.nodeName]; n != nil {
-		executed.zone, executed.shard = n.zone, n.shard
+		execution.zone, execution.shard = n.zone, n.shard
 	}
 }
 
--- a/internal/gateway/membership_source.go
+++ b/internal/gateway/membership_source.go
@@ -75,12 +75,12 @@
 // timer is never set: the source has its own timeouts.
 type discoveryConn struct {
 	bufferedConn
-	sourceConn int // number that the source gave to the connection
-	connected  bool
+	sourceConnID int // number that the source gave to the connection
+	connected    bool
 }
 
 func (g *Gateway) dialDiscovery(op SourceOp) {
-	c := &discoveryConn{sourceConn: op.Conn}
+	c := &discoveryConn{sourceConnID: op.Conn}
 	g.openConn(c)
 	g.membership.conns[op.Conn] = c
 	g.actions.dial(c.id, op.Dial)
@@ -89,7 +89,7 @@
 func (g *Gateway) discoveryConnected(c *discoveryConn) {
 	if !c.connected {
 		c.connected = true
-		g.membership.source.Connected(g.clock.now, c.sourceConn)
+		g.membership.source.Connected(g.clock.now, c.sourceConnID)
 	}
 }
 
@@ -101,14 +101,14 @@
 // discoveryConnLost removes a connection that was lost, and notifies the source.
 func (g *Gateway) discoveryConnLost(c *discoveryConn, closedByDriver bool) {
 	g.removeLost(c, closedByDriver)
-	if g.membership.conns[c.sourceConn] == c {
-		delete(g.membership.conns, c.sourceConn)
-		g.membership.source.Closed(g.clock.now, c.sourceConn)
+	if g.membership.conns[c.sourceConnID] == c {
+		delete(g.membership.conns, c.sourceConnID)
+		g.membership.source.Closed(g.clock.now, c.sourceConnID)
 	}
 }
 
 func (c *discoveryConn) handleData(g *Gateway, data []byte) {
-	g.membership.source.Data(g.clock.now, c.sourceConn, data)
+	g.membership.source.Data(g.clock.now, c.sourceConnID, data)
 }
 
 func (c *discoveryConn) handleWritten(*Gateway, int) {}
--- a/internal/gateway/node_conn.go
+++ b/internal/gateway/node_conn.go
@@ -103,7 +103,7 @@
 	if attempt == nil {
 		return
 	}
-	g.attemptUnstalled(attempt)
+	g.resumeStalledAttempt(attempt)
 	if !attempt.firstByteWritten {
 		attempt.firstByteWritten = true
 		g.checkFirstByteWritten(attempt)
@@ -119,8 +119,8 @@
 }
 
 func (c *nodeConn) handleEOF(g *Gateway) {
-	if c.attempt != nil && c.state == nodeReadingBody && c.responseBody.InputEnded() { // the body ends with the connection
-		g.noteEarlyClose(c)
+	if c.attempt != nil && c.state == nodeReadingBody && c.responseBody.InputEnded() {
+		g.noteEarlyClose(c) // the body ends with the connection
 		g.responseComplete(c)
 		return
 	}
@@ -154,7 +154,7 @@
 		return scheduler.ConnectFailed
 	case c.state == nodeDialing:
 		return g.dialFailureOutcome(c, attempt)
-	case !attempt.firstByteWritten: // the node closed an idle connection before the write: the request was not executed
+	case !attempt.firstByteWritten: // the connection was lost before the write: the request was not executed
 		return scheduler.NotSent
 	case !attempt.requestWritten():
 		return g.protocol.truncatedRequestOutcome()
@@ -214,8 +214,8 @@
 	}
 }
 
-// attemptUnstalled notifies the scheduler that a stalled attempt has made progress.
-func (g *Gateway) attemptUnstalled(attempt *nodeAttempt) {
+// resumeStalledAttempt notifies the scheduler that a stalled attempt has made progress.
+func (g *Gateway) resumeStalledAttempt(attempt *nodeAttempt) {
 	if attempt != nil && attempt.stalled {
 		attempt.stalled = false
 		g.scheduler.notify(scheduler.AttemptResumed{ID: attempt.identity.id, Attempt: attempt.number})
--- a/internal/gateway/node_response.go
+++ b/internal/gateway/node_response.go
@@ -8,7 +8,7 @@
 // consumeNodeData processes bytes received from a node and returns the bytes that cannot be
 // processed yet.
 func (g *Gateway) consumeNodeData(c *nodeConn, data []byte) []byte {
-	g.attemptUnstalled(c.attempt)
+	g.resumeStalledAttempt(c.attempt)
 	for more := true; more && len(data) > 0 && !c.closed; {
 		switch {
 		case c.attempt == nil: // an unsolicited response
@@ -34,11 +34,11 @@
 // the bytes after the header, and whether they can be processed now.
 func (g *Gateway) consumeResponseHeader(c *nodeConn, data []byte) (rest []byte, more bool) {
 	attempt := c.attempt
-	n := g.config.HeaderLimits.HeaderBlock(data, &c.headerScanned)
-	if n == 0 {
+	headerLength := g.config.HeaderLimits.HeaderBlock(data, &c.headerScanned)
+	if headerLength == 0 {
 		return data, false
 	}
-	if err := http1.ParseResponse(data[:n], &c.response, attempt.identity.method, g.config.HeaderLimits); err != nil {
+	if err := http1.ParseResponse(data[:headerLength], &c.response, attempt.identity.method, g.config.HeaderLimits); err != nil {
 		g.abortNodeConn(c, scheduler.Failed)
 		return nil, false
 	}
@@ -53,7 +53,7 @@
 			g.abortNodeConn(c, scheduler.Failed)
 			return nil, false
 		}
-		return data[n:], true
+		return data[headerLength:], true
 	}
 	c.state = nodeReadingBody
 	c.responseBody.Reset(&c.response.Message)
@@ -61,7 +61,7 @@
 		g.abortNodeConn(c, g.protocol.brokenResponseOutcome())
 		return nil, false
 	}
-	return data[n:], true
+	return data[headerLength:], true
 }
 
 // beginResponse evaluates the header of a response. If the outcome is not OK, only the
--- a/internal/gateway/node_table.go
+++ b/internal/gateway/node_table.go
@@ -27,12 +27,12 @@
 
 // nodeTable holds the storage nodes, and the counts and lists that cover all of them.
 type nodeTable struct {
-	membership    *membership.Table
-	known         bool // an endpoint list was received
-	byName        map[string]*node
-	idleByAge     idleList // idle connections of all nodes, longest idle first
-	conns         int      // number of open connections to all nodes
-	lastConnected Time     // when a connection to any node was last established
+	membership      *membership.Table
+	membershipKnown bool // an endpoint list was received
+	byName          map[string]*node
+	idleByAge       idleList // idle connections of all nodes, longest idle first
+	conns           int      // number of open connections to all nodes
+	lastConnected   Time     // when a connection to any node was last established
 }
 
 func newNodeTable(origin time.Time) nodeTable {
@@ -63,22 +63,22 @@
 }
 
 // apply adds or updates the node of a change of the endpoint list, and returns it.
-func (t *nodeTable) apply(now Time, c *membership.Change) *node {
-	n := t.byName[c.Endpoint.Node]
+func (t *nodeTable) apply(now Time, change *membership.Change) *node {
+	n := t.byName[change.Endpoint.Node]
 	if n == nil {
-		n = &node{name: c.Endpoint.Node}
+		n = &node{name: change.Endpoint.Node}
 		t.byName[n.name] = n
 	}
-	if n.state != c.Endpoint.State || c.AddressChanged {
+	if n.state != change.Endpoint.State || change.AddressChanged {
 		n.stateChangedAt = now
 	}
-	n.state = c.Endpoint.State
-	n.started = c.Endpoint.Started
-	n.addr = c.Addr
-	n.zone = c.Endpoint.Zone
-	n.shard = c.Endpoint.Shard
+	n.state = change.Endpoint.State
+	n.started = change.Endpoint.Started
+	n.addr = change.Addr
+	n.zone = change.Endpoint.Zone
+	n.shard = change.Endpoint.Shard
 	n.listed = n.state != scheduler.Removed
-	if c.AddressChanged {
+	if change.AddressChanged {
 		n.keepsConnsOpen = false
 	}
 	return n
@@ -93,7 +93,7 @@
 // updateMembership applies an update of the endpoint list, and notifies the observer and
 // the scheduler of the nodes that it changes.
 func (g *Gateway) updateMembership(update membership.Update) {
-	g.nodes.known = true
+	g.nodes.membershipKnown = true
 	changes := g.nodes.membership.Apply(g.clock.now, update)
 	if len(changes) == 0 {
 		return
@@ -111,9 +111,9 @@
 
 // updateNode applies the change of one node. It closes the node's idle connections if they
 // lead to a previous address or incarnation, or if the node was removed.
-func (g *Gateway) updateNode(c *membership.Change) {
-	n := g.nodes.apply(g.clock.now, c)
-	if c.AddressChanged || !n.listed {
+func (g *Gateway) updateNode(change *membership.Change) {
+	n := g.nodes.apply(g.clock.now, change)
+	if change.AddressChanged || !n.listed {
 		g.closeIdleConns(n)
 	}
 	g.nodes.removeUnused(n)
--- a/internal/gateway/request_lifecycle.go
+++ b/internal/gateway/request_lifecycle.go
@@ -189,8 +189,8 @@
 	}
 	g.scheduler.notify(scheduler.ClientDisconnected{ID: req.id})
 	g.cancelAttempts(req)
-	if outcome == AnsweredLocally && req.response.source != nil { // part of a node's response was written to the client
-		outcome = Dropped
+	if outcome == AnsweredLocally && req.response.source != nil {
+		outcome = Dropped // part of a node's response was written to the client
 	}
 	req.response.final = true
 	req.cancelledAt = g.clock.now
--- a/internal/gateway/request_ref.go
+++ b/internal/gateway/request_ref.go
@@ -7,8 +7,8 @@
 )
 
 // requestRef is an attempt's reference to its request. It gives access to the request only
-// until the final response is decided: from then on, an attempt that is still in flight must
-// not change the client, the response or the report of the request. After the attempt has
+// until the final response is decided: from then on, an attempt that is still in flight does
+// not reach the client, the response or the report of the request. After the attempt has
 // ended, the object may be reused for another request.
 type requestRef struct {
 	request *request
--- a/internal/gateway/timers.go
+++ b/internal/gateway/timers.go
@@ -4,21 +4,21 @@
 
 // connTimer is the timer of a connection, which has only one.
 //
-// A deadline that moves later does not move the heap entry, so that a deadline that is
-// extended with each read costs nothing. The key of the heap, armed, is therefore at or before
-// deadline. An entry that comes to the top before its deadline is moved then.
+// A deadline that moves later leaves the heap entry in place, so that extending it with each
+// read costs nothing. heapDeadline is therefore never later than deadline, and an entry that
+// comes to the top before its deadline is moved then.
 type connTimer struct {
-	conn      connection
-	deadline  Time // time at which the timer expires; never: it is stopped
-	armed     Time // key in the heap, if the timer is in the heap
-	heapIndex int  // index in the heap; -1: not in the heap
+	conn         connection
+	deadline     Time // time at which the timer expires; never: it is stopped
+	heapDeadline Time // key in the heap, if the timer is in the heap
+	heapIndex    int  // index in the heap; -1: not in the heap
 }
 
 func newConnTimer(c connection) connTimer {
-	return connTimer{conn: c, deadline: never, armed: never, heapIndex: -1}
+	return connTimer{conn: c, deadline: never, heapDeadline: never, heapIndex: -1}
 }
 
-// timerQueue holds the timers of all connections in a heap, ordered by connTimer.armed.
+// timerQueue holds the timers of all connections in a heap, ordered by connTimer.heapDeadline.
 type timerQueue struct{ heap timerHeap }
 
 // set sets the time at which a timer expires; never stops the timer.
@@ -27,10 +27,10 @@
 	switch {
 	case deadline == never:
 	case t.heapIndex < 0:
-		t.armed = deadline
+		t.heapDeadline = deadline
 		heap.Push(&q.heap, t)
-	case deadline < t.armed:
-		t.armed = deadline
+	case deadline < t.heapDeadline:
+		t.heapDeadline = deadline
 		heap.Fix(&q.heap, t.heapIndex)
 	}
 }
@@ -45,10 +45,10 @@
 // popExpired returns a connection whose timer has expired and stops that timer. It
 // returns nil if there is none.
 func (q *timerQueue) popExpired(now Time) connection {
-	for len(q.heap) > 0 && q.heap[0].armed <= now {
+	for len(q.heap) > 0 && q.heap[0].heapDeadline <= now {
 		t := q.heap[0]
 		if t.deadline > now { // the deadline was moved after the entry was placed
-			t.armed = t.deadline
+			t.heapDeadline = t.deadline
 			heap.Fix(&q.heap, 0)
 			continue
 		}
@@ -64,7 +64,7 @@
 	if len(q.heap) == 0 {
 		return never
 	}
-	return q.heap[0].armed
+	return q.heap[0].heapDeadline
 }
 
 // timerHeap implements heap.Interface.
@@ -72,7 +72,7 @@
 
 func (t timerHeap) Len() int { return len(t) }
 
-func (t timerHeap) Less(i, j int) bool { return t[i].armed < t[j].armed }
+func (t timerHeap) Less(i, j int) bool { return t[i].heapDeadline < t[j].heapDeadline }
 
 func (t timerHeap) Swap(i, j int) {
 	t[i], t[j] = t[j], t[i]
--- a/internal/gateway/trace.go
+++ b/internal/gateway/trace.go
@@ -34,11 +34,11 @@
 	if version == "ff" || version == "00" && len(v) != traceparentLength {
 		return id, parent, false, false
 	}
-	traceID, err1 := trace.TraceIDFromHex(string(v[3:35]))
-	spanID, err2 := trace.SpanIDFromHex(string(v[36:52]))
+	traceID, traceErr := trace.TraceIDFromHex(string(v[3:35]))
+	spanID, spanErr := trace.SpanIDFromHex(string(v[36:52]))
 	var flags [1]byte
-	_, err3 := hex.Decode(flags[:], v[53:traceparentLength])
-	if err1 != nil || err2 != nil || err3 != nil {
+	_, flagsErr := hex.Decode(flags[:], v[53:traceparentLength])
+	if traceErr != nil || spanErr != nil || flagsErr != nil {
 		return id, parent, false, false
 	}
 	return traceID, spanID, flags[0]&1 != 0, true
