--- a/internal/gateway/connection_reuse_test.go
+++ b/internal/gateway/connection_reuse_test.go
@@ -6,131 +6,133 @@
 	"time"
 )
 
-// A response without a length is complete when its node ends the connection in order.
-// After a reset, or while nothing comes, it is not, and the client must not get it.
+// Verifies that a response without a length counts as complete only if the node ends the
+// connection in order. After a reset or the no-progress timeout part of it may be missing, so
+// the client must not get it.
 func TestResponseWithoutLength(t *testing.T) {
 	const text = "HTTP/1.1 200 OK\r\n\r\nall of it"
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name string
-		end  func(h *harness, n ConnID)
+		end  func(h *harness, conn ConnID)
 		want string
 	}{
-		{"end", func(h *harness, n ConnID) { h.gateway.EOF(h.now, n) }, "all of it"},
-		{"reset", func(h *harness, n ConnID) { h.gateway.Closed(h.now, n) }, ""},
-		{"silence", func(h *harness, n ConnID) { h.advanceTime(260 * time.Millisecond) }, ""},
+		{"end", func(h *harness, conn ConnID) { h.gateway.EOF(h.now, conn) }, "all of it"},
+		{"reset", func(h *harness, conn ConnID) { h.gateway.Closed(h.now, conn) }, ""},
+		{"silence", func(h *harness, conn ConnID) { h.advanceTime(260 * time.Millisecond) }, ""},
 	} {
 		h := newProtocolHarness(t)
-		cl := h.connectClient(requestWithID("a"))
-		n := h.nodeConn(0)
-		h.takeWritten(n)
-		h.deliver(n, text)
-		if got := h.takeWritten(cl); got != "" {
-			t.Errorf("%s: %q before the end", c.name, got)
+		client := h.connectClient(requestWithID("a"))
+		conn := h.nodeConn(0)
+		h.takeWritten(conn)
+		h.deliver(conn, text)
+		if got := h.takeWritten(client); got != "" {
+			t.Errorf("%s: the client got %q before the end of the response, want nothing", test.name, got)
 		}
-		c.end(h, n)
+		test.end(h, conn)
 		h.runActions()
-		if got := h.takeWritten(cl); c.want == "" && got != "" {
-			t.Errorf("%s: %q", c.name, got)
+		if got := h.takeWritten(client); test.want == "" && got != "" {
+			t.Errorf("%s: the client got %q, want nothing", test.name, got)
 		} else {
-			h.wantContains(c.name, got, c.want)
+			h.wantContains(test.name, got, test.want)
 		}
 		h.connectClient(requestWithID("b"))
-		if h.advanceTime(100 * time.Millisecond); h.takeWritten(n) != "" {
-			t.Errorf("%s: its connection is reused", c.name)
+		if h.advanceTime(100 * time.Millisecond); h.takeWritten(conn) != "" {
+			t.Errorf("%s: the connection of the response is reused", test.name)
 		}
 	}
 }
 
-// A node responds twice, the second time some milliseconds later. The second response
-// would be taken for that of the next request on the connection. The next request is
-// therefore sent on a connection that was idle longer, and the one that brought the
-// unsolicited response is closed.
+// Guards against a node that responds twice, the second time some milliseconds later, so that
+// the second response is taken for that of the next request on the connection. The next
+// request is therefore sent on a connection that was idle longer, and a connection that
+// delivers an unsolicited response is closed.
 func TestDuplicateResponseFromNode(t *testing.T) {
 	h := newProtocolHarness(t)
-	one, two := h.connectClient(requestWithID("a")), h.connectClient(requestWithID("b"))
-	n, m := h.nodeConn(0), h.nodeConn(1)
-	h.deliver(m, okResponse("b"))
+	clientA, clientB := h.connectClient(requestWithID("a")), h.connectClient(requestWithID("b"))
+	connA, connB := h.nodeConn(0), h.nodeConn(1)
+	h.deliver(connB, okResponse("b"))
 	h.advanceTime(30 * time.Millisecond)
-	h.deliver(n, okResponse("a"))
-	h.takeWritten(one)
-	h.takeWritten(two)
-	h.takeWritten(n)
-	h.takeWritten(m)
-	c := h.connectClient(requestWithID("c"))
-	h.wantContains("on the one idle longer", h.takeWritten(m), "GET /c ")
-	h.deliver(n, okResponse("a"))
-	if _, closed := h.closedBy[n]; !closed {
-		t.Error("a connection that brought a response nobody has asked for stays open")
+	h.deliver(connA, okResponse("a"))
+	h.takeWritten(clientA)
+	h.takeWritten(clientB)
+	h.takeWritten(connA)
+	h.takeWritten(connB)
+	clientC := h.connectClient(requestWithID("c"))
+	h.wantContains("the request on the connection idle longer", h.takeWritten(connB), "GET /c ")
+	h.deliver(connA, okResponse("a"))
+	if _, closed := h.closedBy[connA]; !closed {
+		t.Error("a connection with an unsolicited response stays open")
 	}
-	h.deliver(m, okResponse("c"))
-	h.wantContains("the response", h.takeWritten(c), "c")
+	h.deliver(connB, okResponse("c"))
+	h.wantContains("the response", h.takeWritten(clientC), "c")
 }
 
-// Of the connections that were idle long enough the one used last is reused, so that those
-// not needed reach their idle timeout.
+// Verifies that of the connections that were idle long enough the most recently used one is
+// reused. The others then reach their idle timeout if they are not needed.
 func TestLastUsedConnectionIsReused(t *testing.T) {
 	h := newProtocolHarness(t)
 	h.connectClient(requestWithID("a"))
 	h.connectClient(requestWithID("b"))
-	n, m := h.nodeConn(0), h.nodeConn(1)
-	h.deliver(n, okResponse("a"))
+	connA, connB := h.nodeConn(0), h.nodeConn(1)
+	h.deliver(connA, okResponse("a"))
 	h.advanceTime(time.Millisecond)
-	h.deliver(m, okResponse("b"))
-	h.takeWritten(n)
-	h.takeWritten(m)
+	h.deliver(connB, okResponse("b"))
+	h.takeWritten(connA)
+	h.takeWritten(connB)
 	h.advanceTime(100 * time.Millisecond)
 	h.connectClient(requestWithID("c"))
-	h.wantContains("on the last used", h.takeWritten(m), "GET /c ")
+	h.wantContains("the request on the most recently used connection", h.takeWritten(connB), "GET /c ")
 }
 
-// A node closes a connection right behind a response, and the reset is under way when the
-// next request is sent. It would be unknown whether that request was executed. So a non-
-// idempotent request is not sent on a connection whose response has just come, while other
-// requests reuse it at once.
+// Guards against a node that closes a connection right after a response: whether a request
+// that is sent before the reset arrives was executed is then unknown. A non-idempotent request
+// is therefore not sent on a connection whose response has just arrived, while other requests
+// reuse it at once.
 func TestNonIdempotentRequestAvoidsFreshConnection(t *testing.T) {
 	h := newHarness(t, "")
-	c := h.connectClient(getRequest("/feed-a/s/x"))
-	n := h.nodeConn(0)
-	h.deliver(n, okResponse("x"))
-	h.takeWritten(n)
-	h.deliver(c, putRequest("/feed-a/s/x", "segment"))
-	h.gateway.Closed(h.now, n)
+	client := h.connectClient(getRequest("/feed-a/s/x"))
+	oldConn := h.nodeConn(0)
+	h.deliver(oldConn, okResponse("x"))
+	h.takeWritten(oldConn)
+	h.deliver(client, putRequest("/feed-a/s/x", "segment"))
+	h.gateway.Closed(h.now, oldConn)
 	h.runActions()
-	m := h.nodeConn(1)
-	h.wantContains("on a new connection", h.takeWritten(m), "PUT /feed-a/s/x", "Maddergap-Attempt: 0")
-	h.deliver(m, okResponse("written"))
-	h.wantContains("the responses", h.takeWritten(c), "x", "written")
-	h.deliver(c, getRequest("/feed-a/s/y"))
-	h.wantContains("a read at once", h.takeWritten(m), "GET /feed-a/s/y")
-	h.deliver(m, okResponse("y"))
-	h.takeWritten(c)
+	newConn := h.nodeConn(1)
+	h.wantContains("the write on a new connection", h.takeWritten(newConn), "PUT /feed-a/s/x", "Maddergap-Attempt: 0")
+	h.deliver(newConn, okResponse("written"))
+	h.wantContains("the responses", h.takeWritten(client), "x", "written")
+	h.deliver(client, getRequest("/feed-a/s/y"))
+	h.wantContains("the read right after the response", h.takeWritten(newConn), "GET /feed-a/s/y")
+	h.deliver(newConn, okResponse("y"))
+	h.takeWritten(client)
 }
 
-// A node is seen to keep its connections open, so that a non-idempotent request reuses one
-// at once; after it has closed one right behind a response, it does not any more.
+// Verifies that a non-idempotent request reuses a connection at once if the node is known to
+// keep connections open, and no longer does after the node has closed one right after a
+// response.
 func TestFreshConnectionIsReusedOnceNodeKeepsThemOpen(t *testing.T) {
 	h := newHarness(t, "")
-	c := h.connectClient(getRequest("/feed-a/s/x"))
+	client := h.connectClient(getRequest("/feed-a/s/x"))
 	h.deliver(h.nodeConn(0), okResponse("x"))
 	h.takeWritten(h.nodeConn(0))
 	h.advanceTime(reuseDelay) // the node keeps connections open
-	h.deliver(c, getRequest("/feed-a/s/x"))
+	h.deliver(client, getRequest("/feed-a/s/x"))
 	h.deliver(h.nodeConn(0), okResponse("x"))
 	h.takeWritten(h.nodeConn(0))
-	h.deliver(c, putRequest("/feed-a/s/x", "one"))
-	h.wantContains("on the same connection", h.takeWritten(h.nodeConn(0)), "PUT /feed-a/s/x")
+	h.deliver(client, putRequest("/feed-a/s/x", "one"))
+	h.wantContains("the write on the same connection", h.takeWritten(h.nodeConn(0)), "PUT /feed-a/s/x")
 	h.deliver(h.nodeConn(0), okResponse(""))
-	h.gateway.Closed(h.now, h.nodeConn(0)) // right behind its response: it does not
+	h.gateway.Closed(h.now, h.nodeConn(0)) // right after the response: the node does not keep it open
 	h.runActions()
-	h.deliver(c, getRequest("/feed-a/s/x"))
+	h.deliver(client, getRequest("/feed-a/s/x"))
 	h.takeWritten(h.nodeConn(1))
 	h.deliver(h.nodeConn(1), okResponse("x"))
-	h.deliver(c, putRequest("/feed-a/s/x", "two"))
-	h.wantContains("on a new connection again", h.takeWritten(h.nodeConn(2)), "PUT /feed-a/s/x")
+	h.deliver(client, putRequest("/feed-a/s/x", "two"))
+	h.wantContains("the write on a new connection", h.takeWritten(h.nodeConn(2)), "PUT /feed-a/s/x")
 }
 
-// At the limit of connections to a node a non-idempotent request is sent on a fresh
-// connection all the same.
+// Verifies that a non-idempotent request is sent on a connection whose response has just
+// arrived if the limit of connections to the node leaves no other.
 func TestFreshConnectionIsReusedAtConnectionLimit(t *testing.T) {
 	h := newHarness(t, "")
 	h.gateway.config.Limits.ConnsPerNode = 1
@@ -139,56 +141,57 @@
 	h.deliver(h.nodeConn(0), okResponse("x"))
 	h.connectClient(putRequest("/feed-a/s/x", "segment"))
 	if len(h.dialed) > 1 {
-		t.Errorf("%d connections, want 1", len(h.dialed))
+		t.Errorf("%d connections to the node, want 1", len(h.dialed))
 	}
-	h.wantContains("on the only connection", h.takeWritten(h.nodeConn(0)), "PUT /feed-a/s/x")
+	h.wantContains("the write on the only connection", h.takeWritten(h.nodeConn(0)), "PUT /feed-a/s/x")
 }
 
-// A node responds before the request was written whole. That is a late response to an
-// earlier request on the connection: this one was not executed, and is sent on another
-// connection.
+// Verifies that a response that arrives before the complete request was written is taken for a
+// late response to an earlier request on the connection. The present request was not executed
+// then, and is sent again on another connection.
 func TestResponseToAnEarlierRequest(t *testing.T) {
 	h := newProtocolHarness(t)
 	h.connectClient(requestWithID("warm"))
-	n := h.nodeConn(0)
-	h.deliver(n, okResponse(""))
-	h.takeWritten(n)
+	oldConn := h.nodeConn(0)
+	h.deliver(oldConn, okResponse(""))
+	h.takeWritten(oldConn)
 	h.advanceTime(reuseDelay) // the write reuses the connection
-	h.blocked[n] = true
-	c := h.connectClient(putRequest("/", "payload", "id: a"))
-	h.gateway.Wrote(h.now, n, 10)
-	h.deliver(n, okResponse("of another"))
-	if got := h.takeWritten(c); got != "" || h.closedBy[n] != Abort {
-		t.Fatalf("%q, %v", got, h.closedBy)
+	h.blocked[oldConn] = true
+	client := h.connectClient(putRequest("/", "payload", "id: a"))
+	h.gateway.Wrote(h.now, oldConn, 10)
+	h.deliver(oldConn, okResponse("of another"))
+	if got := h.takeWritten(client); got != "" || h.closedBy[oldConn] != Abort {
+		t.Fatalf("the client got %q, want nothing; connections closed by %v, want the node's aborted", got, h.closedBy)
 	}
 	h.advanceTime(50 * time.Millisecond)
-	m := h.nodeConn(1)
-	h.wantContains("sent again", h.takeWritten(m), "PUT /a ", "payload")
-	h.deliver(m, okResponse("its own"))
-	h.wantContains("the response", h.takeWritten(c), "200 OK", "its own")
+	newConn := h.nodeConn(1)
+	h.wantContains("the request sent again", h.takeWritten(newConn), "PUT /a ", "payload")
+	h.deliver(newConn, okResponse("its own"))
+	h.wantContains("the response", h.takeWritten(client), "200 OK", "its own")
 }
 
-// longResponses is a protocol whose responses may be longer than a stream's that is discarded.
+// longResponses is a protocol whose limit of a response is above the bytes that WebDAV discards of
+// an unwanted one.
 type longResponses struct{ fakeProtocol }
 
 func (longResponses) MaxResponseBytes() (one, all int64) { return 1 << 18, 1 << 20 }
 
-// Guards against connections that are closed since their client has left: with messages that are
-// buffered, a whole response that nobody waits for is read to its end, and its connection serves
-// the next request.
+// Guards against node connections that are closed because a client has left. With a protocol that
+// buffers its messages, an unwanted response of any permitted length is read to its end, and the
+// connection serves the next request.
 func TestConnectionOutlivesUnwantedResponse(t *testing.T) {
 	h := newProtocolHarness(t)
 	h.gateway.SetProtocol(longResponses{})
-	c := h.connectClient(requestWithID("a"))
-	n := h.nodeConn(0)
-	h.gateway.EOF(h.now, c)
+	client := h.connectClient(requestWithID("a"))
+	conn := h.nodeConn(0)
+	h.gateway.EOF(h.now, client)
 	h.runActions()
-	h.deliver(n, okResponse(strings.Repeat("x", 1<<18)))
-	if op, closed := h.closedBy[n]; closed {
-		t.Errorf("closed by %v", op)
+	h.deliver(conn, okResponse(strings.Repeat("x", 1<<18)))
+	if op, closed := h.closedBy[conn]; closed {
+		t.Errorf("the node's connection was closed by %v, want it open", op)
 	}
 	h.connectClient(requestWithID("b"))
 	if len(h.dialed) != 1 {
-		t.Errorf("%d connections, want 1", len(h.dialed))
+		t.Errorf("%d connections to the node, want 1", len(h.dialed))
 	}
 }
--- a/internal/gateway/invariant_checks_test.go
+++ b/internal/gateway/invariant_checks_test.go
@@ -11,7 +11,7 @@
 	"maddergap/scheduler"
 )
 
-// scriptedScheduler is a Scheduler that decides what the test says, right or wrong.
+// scriptedScheduler is a Scheduler that returns the actions set by the test, valid or not.
 type scriptedScheduler struct{ actions []scheduler.Action }
 
 func (s *scriptedScheduler) Handle(scheduler.Time, []scheduler.Event) []scheduler.Action {
@@ -20,8 +20,8 @@
 	return actions
 }
 
-// scriptedHarness is a harness with a scriptedScheduler, to which one write of a client is
-// submitted.
+// scriptedHarness is a harness with a scriptedScheduler. It begins with a client that has
+// submitted one write.
 type scriptedHarness struct {
 	*harness
 	scheduler *scriptedScheduler
@@ -36,12 +36,12 @@
 	return h
 }
 
-// decideToSend has the scheduler send the write to n0 at its next call.
+// decideToSend makes the scheduler send the write to n0 at its next call.
 func (h *scriptedHarness) decideToSend() {
 	h.scheduler.actions = []scheduler.Action{scheduler.Send{ID: 1, Node: "n0"}}
 }
 
-// runScheduler has the scheduler called.
+// runScheduler makes the gateway call the scheduler.
 func (h *scriptedHarness) runScheduler() {
 	h.gateway.scheduler.notify(scheduler.TimerFired{})
 	h.runActions()
@@ -59,9 +59,9 @@
 	return n
 }
 
-// The scheduler decides what it must not, or the situation has changed since it decided.
-// The attempt is withheld, counted by the invariant that it would have violated, and
-// reported with the id of its request.
+// Verifies that an attempt is withheld if the scheduler's decision was wrong, or is outdated
+// by the time of the write. The attempt is counted under the invariant that it would have
+// violated, and reported with the id of its request.
 func TestAttemptViolatingInvariantIsWithheld(t *testing.T) {
 	tests := []struct {
 		name    string
@@ -104,22 +104,22 @@
 			test.arrange(h)
 			h.runScheduler()
 			if n := h.countWritesSent(); n != 0 {
-				t.Errorf("%d requests were sent", n)
+				t.Errorf("%d requests were sent, want 0", n)
 			}
 			if counts := h.gateway.Counts().Invariants; counts.Withheld[test.want] != 1 || counts.Violated != (invariant.Counts{}).Violated {
-				t.Errorf("counted %+v, want one of %v withheld", counts, test.want)
+				t.Errorf("counts are %+v, want one attempt withheld by %v and no violation", counts, test.want)
 			}
 			if len(h.violations) != 1 || h.violations[0].Rule != test.want || h.violations[0].RequestID == "" {
-				t.Errorf("reported %v", h.violations)
+				t.Errorf("reported violations %v, want the one that was counted, with a request id", h.violations)
 			}
 		})
 	}
 }
 
-// A node drains after Out has handed out the bytes of a request, and the gateway is held up
-// before they are written; a client's connection is closed before its response; a request
-// is reported twice. All three are found after the fact, counted and reported.
-func TestViolationsAreFoundAfterTheFact(t *testing.T) {
+// Verifies that violations that could not be prevented are detected, counted and reported: a
+// node begins to drain between Out and a delayed write of the bytes; a client connection is
+// closed before its response; the end of a request is reported twice.
+func TestViolationsAreDetectedAfterwards(t *testing.T) {
 	h := newScriptedHarness(t)
 	h.deferConnects = true
 	h.decideToSend()
@@ -135,35 +135,35 @@
 	violated := h.gateway.Counts().Invariants.Violated
 	for _, rule := range []invariant.Rule{invariant.NodeServing, invariant.ResponseBeforeClose, invariant.SingleResponse} {
 		if violated[rule] != 1 {
-			t.Errorf("%v: counted %d times", rule, violated[rule])
+			t.Errorf("%v: counted %d times, want once", rule, violated[rule])
 		}
 	}
 	if len(h.violations) != 3 {
-		t.Errorf("reported %v", h.violations)
+		t.Errorf("reported violations %v, want 3", h.violations)
 	}
 }
 
-// Dialing is deferred as the machine is out of descriptors or ports. Were the node blamed,
-// a shortage on this machine would eject every node. If other connections are established
-// meanwhile, the machine had what it takes, and it is the node's fault.
+// Guards against a failure of this machine or its network that ejects every node: a dial that
+// was deferred for it must not count against the node. If another connection was established
+// meanwhile, the cause was not local, and the dial does count against the node.
 func TestStalledDialIsNotTheNodesFault(t *testing.T) {
-	for _, others := range []bool{false, true} {
+	for _, othersConnect := range []bool{false, true} {
 		h := newScriptedHarness(t)
 		h.deferConnects = true
 		h.decideToSend()
 		h.runScheduler()
 		h.gateway.Stalled(h.now, h.dialed[0])
-		if others {
+		if othersConnect {
 			h.now += time.Millisecond
 			h.gateway.nodes.lastConnected = h.now
 		}
 		h.advanceTime(h.gateway.config.Timeouts.Dial + time.Millisecond)
 		want := scheduler.NotSent
-		if others {
+		if othersConnect {
 			want = scheduler.ConnectFailed
 		}
 		if n := len(h.spans); n != 1 || h.spans[0].AttemptOutcome != want {
-			t.Errorf("others %v: %+v, want %v", others, h.spans, want)
+			t.Errorf("others connect %v: reported %+v, want one attempt with outcome %v", othersConnect, h.spans, want)
 		}
 	}
 }
--- a/internal/gateway/node_failure_test.go
+++ b/internal/gateway/node_failure_test.go
@@ -10,180 +10,181 @@
 	"maddergap/scheduler"
 )
 
-// A node takes a write and never responds. The client gets 504 in time, which does not
-// say that a retry is harmless, the write is not sent again, and the node is used again once
-// it responds.
+// Verifies what becomes of a write whose node never responds: the client gets 504 in time,
+// without a promise that a retry is harmless, and the write is not sent again. The node is
+// used again once it responds.
 func TestUnresponsiveNodeFailsNonIdempotentRequest(t *testing.T) {
 	h := newHarness(t, "")
-	c := h.connectClient(putRequest("/feed-a/s/x", "segment"))
-	n := h.nodeConn(0)
-	h.wantContains("at the node", h.takeWritten(n), "PUT /feed-a/s/x", "Content-Length: 7", "segment")
+	client := h.connectClient(putRequest("/feed-a/s/x", "segment"))
+	conn := h.nodeConn(0)
+	h.wantContains("the request at the node", h.takeWritten(conn), "PUT /feed-a/s/x", "Content-Length: 7", "segment")
 	h.advanceTime(970 * time.Millisecond)
-	if got := h.takeWritten(c); got != "" {
-		t.Fatalf("a response before the deadline: %q", got)
+	if got := h.takeWritten(client); got != "" {
+		t.Fatalf("the client got %q before the deadline, want nothing", got)
 	}
 	h.advanceTime(20 * time.Millisecond) // the deadline less the response margin
-	got := h.takeWritten(c)
+	got := h.takeWritten(client)
 	h.wantContains("the response", got, "HTTP/1.1 504 ", "not known")
 	if strings.Contains(got, "Retry-After") {
-		t.Error("a failure must not promise that a retry is harmless")
+		t.Error("a failure promises that a retry is harmless, want no Retry-After")
 	}
 	h.advanceTime(3 * time.Second)
-	if h.gateway.Counts().Attempts != 1 || h.takeWritten(c) != "" {
-		t.Errorf("%d attempts, want 1 and one answer", h.gateway.Counts().Attempts)
+	if h.gateway.Counts().Attempts != 1 || h.takeWritten(client) != "" {
+		t.Errorf("%d attempts, want 1 attempt and one response", h.gateway.Counts().Attempts)
 	}
 	h.wantOutcomes(map[Outcome]int{Failed: 1})
 	// The node responds again, and is used again.
-	h.deliver(c, putRequest("/feed-a/s/x", "again"))
+	h.deliver(client, putRequest("/feed-a/s/x", "again"))
 	h.advanceTime(time.Second / 2)
 	h.deliver(h.nodeConn(len(h.dialed)-1), okResponse(""))
-	h.wantContains("the response", h.takeWritten(c), "200 OK")
+	h.wantContains("the response", h.takeWritten(client), "200 OK")
 }
 
-// A node responds after the deadline of the request. The client has its final response by
-// then and must not get another: the connection to the node is reset at the deadline.
+// Verifies that a client that got its final response at the deadline gets no second one when the
+// node responds later: the connection to the node is reset at the deadline.
 func TestResponseAfterDeadlineIsDropped(t *testing.T) {
 	h := newHarness(t, "")
-	c := h.connectClient(putRequest("/feed-a/s/x", "segment"))
-	n := h.nodeConn(0)
+	client := h.connectClient(putRequest("/feed-a/s/x", "segment"))
+	conn := h.nodeConn(0)
 	h.advanceTime(time.Second)
-	h.takeWritten(c)
-	if h.closedBy[n] != Abort {
-		t.Error("the connection of the late attempt is open")
+	h.takeWritten(client)
+	if h.closedBy[conn] != Abort {
+		t.Error("the node connection of the late attempt was not reset")
 	}
-	h.deliver(n, okResponse("late"))
-	if got := h.takeWritten(c); got != "" {
-		t.Errorf("a second response: %q", got)
+	h.deliver(conn, okResponse("late"))
+	if got := h.takeWritten(client); got != "" {
+		t.Errorf("the client got a second response: %q", got)
 	}
 }
 
-// A node responds before it has the whole body. The client gets that response, and neither
-// connection is reused. What the client still sends is read and dropped for a while, so
-// that no reset takes the response from it.
+// Verifies that a node may respond before it has the complete body: the client gets that
+// response, and neither connection is reused. What the client still sends is read and discarded
+// for a while, because a reset would make the client lose the response.
 func TestNodeRespondsBeforeBodyIsComplete(t *testing.T) {
 	h := newHarness(t, "")
-	c := h.connectClient(putRequest("/feed-a/s/x", strings.Repeat("x", 400<<10))[:40<<10])
-	n := h.nodeConn(0)
-	h.deliver(n, "HTTP/1.1 423 Locked\r\nContent-Length: 0\r\n\r\n")
-	h.wantContains("the response", h.takeWritten(c), "HTTP/1.1 423 Locked", "Connection: close")
-	if h.closedBy[n] != Close {
-		t.Error("the node's connection is kept in the middle of a body")
+	client := h.connectClient(putRequest("/feed-a/s/x", strings.Repeat("x", 400<<10))[:40<<10])
+	conn := h.nodeConn(0)
+	h.deliver(conn, "HTTP/1.1 423 Locked\r\nContent-Length: 0\r\n\r\n")
+	h.wantContains("the response", h.takeWritten(client), "HTTP/1.1 423 Locked", "Connection: close")
+	if h.closedBy[conn] != Close {
+		t.Error("the node connection stays open in the middle of a request body")
 	}
-	h.deliver(c, strings.Repeat("x", 100<<10)) // read and dropped, so that no reset takes the response from the client
+	h.deliver(client, strings.Repeat("x", 100<<10)) // read and discarded
 	h.advanceTime(3 * time.Second)
-	if _, closed := h.closedBy[c]; !closed {
+	if _, closed := h.closedBy[client]; !closed {
 		t.Error("the client's connection stays open")
 	}
 	h.wantOutcomes(map[Outcome]int{Served: 1})
 }
 
-// A node resets the connection in the middle of a response. The client's connection is
-// reset too, so that it cannot take the response for complete, and the request is not
-// retried.
+// Guards against a client that takes a partial response for a complete one: if a node resets
+// its connection in the middle of a response, the client's connection is reset too. The request
+// is not retried.
 func TestNodeResetsDuringResponse(t *testing.T) {
 	h := newHarness(t, "")
-	c := h.connectClient(getRequest("/feed-a/s/x"))
-	n := h.nodeConn(0)
-	h.deliver(n, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n")
-	h.gateway.Closed(h.now, n)
+	client := h.connectClient(getRequest("/feed-a/s/x"))
+	conn := h.nodeConn(0)
+	h.deliver(conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n")
+	h.gateway.Closed(h.now, conn)
 	h.runActions()
 	h.advanceTime(2 * time.Second)
-	if h.closedBy[c] != Abort || strings.Contains(h.takeWritten(c), "0\r\n\r\n") {
-		t.Error("the client may take half a response for a complete one")
+	if h.closedBy[client] != Abort || strings.Contains(h.takeWritten(client), "0\r\n\r\n") {
+		t.Error("the client may take a partial response for a complete one")
 	}
 	if h.gateway.Counts().Attempts != 1 {
-		t.Errorf("%d attempts", h.gateway.Counts().Attempts)
+		t.Errorf("%d attempts, want 1", h.gateway.Counts().Attempts)
 	}
 }
 
-// A node closes an idle connection just as a request is sent on it. If no byte of the
-// request was written, it was not executed and is retried. Otherwise that is unknown, and
-// a non-idempotent request fails.
+// Verifies what happens if a node closes an idle connection just as a request is sent on it. If
+// no byte was written, the request was not executed and is retried. Otherwise its execution is
+// unknown, and a non-idempotent request fails.
 func TestIdleConnectionClosesAsRequestIsSent(t *testing.T) {
 	for _, written := range []bool{false, true} {
 		h := newHarness(t, "")
-		c := h.connectClient(getRequest("/feed-a/s/x"))
-		n := h.nodeConn(0)
-		h.deliver(n, okResponse("x"))
-		h.takeWritten(c)
-		h.advanceTime(reuseDelay) // a fresh connection would not be used for the write
-		h.blocked[n] = !written
-		h.deliver(c, putRequest("/feed-a/s/x", "segment"))
-		h.gateway.EOF(h.now, n)
+		client := h.connectClient(getRequest("/feed-a/s/x"))
+		conn := h.nodeConn(0)
+		h.deliver(conn, okResponse("x"))
+		h.takeWritten(client)
+		h.advanceTime(reuseDelay) // before that, the write would not reuse the connection
+		h.blocked[conn] = !written
+		h.deliver(client, putRequest("/feed-a/s/x", "segment"))
+		h.gateway.EOF(h.now, conn)
 		h.runActions()
 		h.advanceTime(50 * time.Millisecond)
 		if written {
-			h.wantContains("the response", h.takeWritten(c), "HTTP/1.1 502 ")
+			h.wantContains("the response", h.takeWritten(client), "HTTP/1.1 502 ")
 			h.wantOutcomes(map[Outcome]int{Served: 1, Failed: 1})
 			continue
 		}
-		n = h.nodeConn(1)
-		h.wantContains("at the node", h.takeWritten(n), "PUT /feed-a/s/x", "Maddergap-Attempt: 1", "segment")
-		h.deliver(n, okResponse(""))
-		h.wantContains("the response", h.takeWritten(c), "200 OK")
+		conn = h.nodeConn(1)
+		h.wantContains("the request at the node", h.takeWritten(conn), "PUT /feed-a/s/x", "Maddergap-Attempt: 1", "segment")
+		h.deliver(conn, okResponse(""))
+		h.wantContains("the response", h.takeWritten(client), "200 OK")
 	}
 }
 
-// A safe request whose connection was reset is retried. Both attempts are in one trace.
+// Verifies that a safe request whose connection was reset is retried, and that both attempts
+// belong to one trace.
 func TestSafeRequestIsRetriedAfterReset(t *testing.T) {
 	h := newHarness(t, "")
-	c := h.connectClient(getRequest("/feed-a/s/x"))
+	client := h.connectClient(getRequest("/feed-a/s/x"))
 	h.gateway.Closed(h.now, h.nodeConn(0))
 	h.runActions()
 	h.advanceTime(100 * time.Millisecond)
 	h.deliver(h.nodeConn(1), okResponse("x"))
-	h.wantContains("the response", h.takeWritten(c), "200 OK")
+	h.wantContains("the response", h.takeWritten(client), "200 OK")
 	if h.spans[0].Trace != h.spans[1].Trace || h.spans[0].ID == h.spans[1].ID || h.spans[1].Attempt != 1 {
 		t.Errorf("%+v", h.spans)
 	}
 }
 
-// A node rejects a request as its queue is full. A request whose body is buffered is
-// retried; one whose body was forwarded beyond the buffer cannot be, and is rejected with
-// Retry-After.
+// Verifies what becomes of a request that a node rejects because its queue is full. A request
+// with a buffered body is retried. One whose body was forwarded beyond the buffer cannot be
+// retried, and is rejected with Retry-After.
 func TestNodeQueueFull(t *testing.T) {
 	const full = "HTTP/1.1 503 Service Unavailable\r\nMaddergap-Ran: no\r\nContent-Length: 0\r\n\r\n"
 	h := newHarness(t, "")
-	c := h.connectClient(putRequest("/feed-a/s/x", "segment"))
+	client := h.connectClient(putRequest("/feed-a/s/x", "segment"))
 	h.deliver(h.nodeConn(0), full)
 	h.advanceTime(900 * time.Millisecond)
 	if h.gateway.Counts().Attempts < 2 {
-		t.Error("a rejected attempt of a buffered body was not retried")
+		t.Error("a rejected request with a buffered body was not retried")
 	}
-	_ = c
+	_ = client
 	h = newHarness(t, "retry-after 2s\n")
-	c = h.connectClient(putRequest("/feed-a/s/x", strings.Repeat("x", 400<<10))[:60<<10])
-	h.deliver(c, "xxx")
+	client = h.connectClient(putRequest("/feed-a/s/x", strings.Repeat("x", 400<<10))[:60<<10])
+	h.deliver(client, "xxx")
 	h.deliver(h.nodeConn(0), full)
-	h.wantContains("the response", h.takeWritten(c), "HTTP/1.1 503 ", "Retry-After: 2\r\n", "no harm")
+	h.wantContains("the response", h.takeWritten(client), "HTTP/1.1 503 ", "Retry-After: 2\r\n", "no harm")
 	h.advanceTime(time.Second)
 	if h.gateway.Counts().Attempts != 1 {
-		t.Error("a body that was forwarded was retried")
+		t.Error("a request whose body was forwarded beyond the buffer was retried")
 	}
 }
 
-// A node's 503 that does not say that the request was not executed leaves that unknown: a
-// write fails.
+// Verifies that a write fails if the node's 503 response does not say that the request was not
+// executed: its execution is then unknown.
 func TestPlain503IsAFailure(t *testing.T) {
 	h := newHarness(t, "")
-	c := h.connectClient(putRequest("/feed-a/s/x", "segment"))
+	client := h.connectClient(putRequest("/feed-a/s/x", "segment"))
 	h.deliver(h.nodeConn(0), "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
-	h.wantContains("the response", h.takeWritten(c), "HTTP/1.1 502 ")
+	h.wantContains("the response", h.takeWritten(client), "HTTP/1.1 502 ")
 }
 
-// No node can be reached. The request was not executed and is rejected, at the end of its
-// client's time.
+// Verifies that a request is rejected at its deadline if no node can be reached. It was not
+// executed, so that it is not failed.
 func TestUnreachableNodeIsRejectedAtDeadline(t *testing.T) {
 	h := newHarness(t, "")
 	h.refuseDials = true
-	c := h.connectClient(putRequest("/feed-a/s/x", "segment"))
+	client := h.connectClient(putRequest("/feed-a/s/x", "segment"))
 	h.advanceTime(time.Second)
-	h.wantContains("the response", h.takeWritten(c), "HTTP/1.1 503 ")
+	h.wantContains("the response", h.takeWritten(client), "HTTP/1.1 503 ")
 	h.wantOutcomes(map[Outcome]int{Rejected: 1})
 }
 
-// Forty requests wait for a node that never responds. It gets no more connections than
-// configured, and every request is rejected in time.
+// Verifies that a node that never responds gets no more connections than configured while forty
+// requests wait for it, and that every request is rejected in time.
 func TestConnectionsPerNodeAreLimited(t *testing.T) {
 	h := newHarness(t, "")
 	for i := range 40 {
@@ -192,16 +193,16 @@
 	}
 	h.advanceTime(2 * time.Second)
 	if n := h.gateway.nodes.byName["n0"].conns; n > 4 {
-		t.Errorf("%d connections to a node, want 4 at most", n)
+		t.Errorf("%d connections to the node, want 4 at most", n)
 	}
-	if f := h.outcomes(); f[Rejected] != 40 {
-		t.Errorf("%v, want 40 refused", f)
+	if got := h.outcomes(); got[Rejected] != 40 {
+		t.Errorf("outcomes %v, want 40 rejected", got)
 	}
 }
 
-// Guards against a healthy node that is ejected by this instance's own limits of connections:
-// three attempts for which there was no connection in a row opened its circuit breaker. They are
-// not sent, and served as soon as there is a connection.
+// Regression test: this instance's own limits on connections made it eject a healthy node, because
+// three attempts in a row that got no connection opened the node's circuit breaker. Such attempts
+// end as not sent, and their requests are served as soon as a connection is free.
 func TestConnectionLimitIsNotTheNodesFault(t *testing.T) {
 	for name, lower := range map[string]func(l *config.Limits){
 		"per node": func(l *config.Limits) { l.ConnsPerNode = 1 },
@@ -223,29 +224,29 @@
 			notSent := 0
 			for _, span := range h.spans {
 				if span.Node != "" && span.AttemptOutcome == scheduler.ConnectFailed {
-					t.Errorf("attempt %d of %s counts as a failed connection", span.Attempt, span.Request)
+					t.Errorf("attempt %d of %s ended as ConnectFailed, want NotSent", span.Attempt, span.Request)
 				}
 				if span.Node != "" && span.AttemptOutcome == scheduler.NotSent {
 					notSent++
 				}
 			}
 			if notSent < 3 {
-				t.Errorf("%d attempts met the limit, want 3 or more", notSent)
+				t.Errorf("%d attempts were not sent because of the limit, want 3 or more", notSent)
 			}
 			h.wantOutcomes(map[Outcome]int{Served: 5})
 		})
 	}
 }
 
-// Guards against rejections that cannot be told apart in the log: the report of a request that was
-// not sent in time names the send rule that held it back.
+// Verifies that the report of a request that was not sent in time names the send rule that kept it
+// waiting, so that rejections can be told apart in the log.
 func TestRejectionNamesSendRule(t *testing.T) {
 	for _, test := range []struct {
 		want    string
 		prepare func(h *harness)
 	}{
 		{"no-node", func(h *harness) { h.gateway.SetNodes(h.now, nil) }},
-		{"breaker-open", func(h *harness) { // the node takes what its window allows, and is silent
+		{"breaker-open", func(h *harness) { // the node gets as many requests as its window allows, and never responds
 			for i := range 10 {
 				h.connectClient(getRequest(fmt.Sprint("/feed-a/held/", i)))
 			}
@@ -263,7 +264,7 @@
 				}
 			}
 			if got != test.want {
-				t.Errorf("%q, want %q", got, test.want)
+				t.Errorf("wait reason is %q, want %q", got, test.want)
 			}
 		})
 	}
--- a/internal/gateway/races_test.go
+++ b/internal/gateway/races_test.go
@@ -8,200 +8,201 @@
 	"maddergap/scheduler"
 )
 
-// A client leaves while the connection for its request is dialed. Nothing is sent for it
-// when the connection is established, which then serves another request.
+// Verifies that nothing is sent for a client that leaves while the connection for its request is
+// being dialed. Once established, the connection serves another request.
 func TestClientDisconnectsWhileDialing(t *testing.T) {
-	for name, leave := range map[string]func(h *harness, c ConnID){
-		"end":   func(h *harness, c ConnID) { h.gateway.EOF(h.now, c) },
-		"reset": func(h *harness, c ConnID) { h.gateway.Closed(h.now, c) },
+	for name, leave := range map[string]func(h *harness, client ConnID){
+		"end":   func(h *harness, client ConnID) { h.gateway.EOF(h.now, client) },
+		"reset": func(h *harness, client ConnID) { h.gateway.Closed(h.now, client) },
 	} {
 		h := newProtocolHarness(t)
 		h.deferConnects = true
-		c := h.connectClient(requestWithID("a"))
-		n := h.nodeConn(0)
-		leave(h, c)
+		client := h.connectClient(requestWithID("a"))
+		conn := h.nodeConn(0)
+		leave(h, client)
 		h.runActions()
-		h.gateway.Connected(h.now, n)
+		h.gateway.Connected(h.now, conn)
 		h.runActions()
-		if got := h.takeWritten(n); got != "" {
-			t.Errorf("%s: %q is sent for a client that has left", name, got)
+		if got := h.takeWritten(conn); got != "" {
+			t.Errorf("%s: %q was sent for a client that has left, want nothing", name, got)
 		}
 		h.wantOutcomes(map[Outcome]int{ClientDisconnected: 1})
-		c = h.connectClient(requestWithID("b"))
-		h.wantContains(name+": the next on the connection", h.takeWritten(n), "GET /b ")
-		h.deliver(n, okResponse("hi"))
-		h.wantContains(name+": its response", h.takeWritten(c), "200 OK")
+		client = h.connectClient(requestWithID("b"))
+		h.wantContains(name+": the next request on the connection", h.takeWritten(conn), "GET /b ")
+		h.deliver(conn, okResponse("hi"))
+		h.wantContains(name+": its response", h.takeWritten(client), "200 OK")
 		if len(h.dialed) != 1 {
-			t.Errorf("%s: %d connections", name, len(h.dialed))
+			t.Errorf("%s: %d connections to the node, want 1", name, len(h.dialed))
 		}
 	}
 }
 
-// The client's EOF and the establishing of the connection are in one batch of events, in
-// either order. The request is not sent.
+// Verifies that a request is not sent if its client's EOF and the end of the dial for it are
+// handled in one batch of events, in either order.
 func TestClientDisconnectsAsConnectionIsEstablished(t *testing.T) {
-	for _, before := range []bool{true, false} {
+	for _, eofFirst := range []bool{true, false} {
 		h := newProtocolHarness(t)
 		h.deferConnects = true
-		c := h.connectClient(requestWithID("a"))
-		n := h.nodeConn(0)
-		if before {
-			h.gateway.EOF(h.now, c)
+		client := h.connectClient(requestWithID("a"))
+		conn := h.nodeConn(0)
+		if eofFirst {
+			h.gateway.EOF(h.now, client)
 		}
-		h.gateway.Connected(h.now, n)
-		if !before {
-			h.gateway.EOF(h.now, c)
+		h.gateway.Connected(h.now, conn)
+		if !eofFirst {
+			h.gateway.EOF(h.now, client)
 		}
 		h.runActions()
-		if got := h.takeWritten(n); got != "" {
-			t.Errorf("before %v: %q", before, got)
+		if got := h.takeWritten(conn); got != "" {
+			t.Errorf("EOF first %v: %q was sent, want nothing", eofFirst, got)
 		}
 		h.wantOutcomes(map[Outcome]int{ClientDisconnected: 1})
 	}
 }
 
-// A client leaves when its node has only a part of the request. The rest is not sent, and
-// the connection is reset, so that the node does not execute the request.
+// Verifies that the connection to the node is reset if a client leaves when only a part of its
+// request was written. The node then does not execute the request.
 func TestClientDisconnectsWithRequestHalfWritten(t *testing.T) {
 	h := newProtocolHarness(t)
 	h.deliver(h.connectClient(requestWithID("warm")), "")
-	n := h.nodeConn(0)
-	h.deliver(n, okResponse(""))
-	h.takeWritten(n)
-	h.blocked[n] = true
-	c := h.connectClient(requestWithID("a"))
-	h.gateway.Wrote(h.now, n, 5)
-	h.gateway.EOF(h.now, c)
+	conn := h.nodeConn(0)
+	h.deliver(conn, okResponse(""))
+	h.takeWritten(conn)
+	h.blocked[conn] = true
+	client := h.connectClient(requestWithID("a"))
+	h.gateway.Wrote(h.now, conn, 5)
+	h.gateway.EOF(h.now, client)
 	h.runActions()
-	if h.closedBy[n] != Abort {
-		t.Errorf("the node's connection goes on: %v", h.closedBy)
+	if h.closedBy[conn] != Abort {
+		t.Errorf("connections closed by %v, want the node's aborted", h.closedBy)
 	}
 	h.wantOutcomes(map[Outcome]int{Served: 1, ClientDisconnected: 1})
 }
 
-// A client pipelines requests and leaves while the first waits for a node. Its EOF is
-// behind what it has sent, so that it must be read on to be noticed; none of its requests
-// is sent. What is kept of it is limited.
+// Guards against a client that pipelines requests and leaves unnoticed while the first request
+// waits for a node: its EOF comes after the pipelined requests, so that the connection must be
+// read on. None of its requests is sent, and the bytes kept of them are limited.
 func TestClientDisconnectsBehindPipelinedRequests(t *testing.T) {
-	for _, n := range []int{1, 1000} {
+	for _, pipelined := range []int{1, 1000} {
 		h := newProtocolHarness(t)
 		h.gateway.SetNodes(h.now, nil)
-		c := h.connectClient(requestWithID("a"))
-		for range n {
-			h.deliver(c, requestWithID("b"))
+		client := h.connectClient(requestWithID("a"))
+		for range pipelined {
+			h.deliver(client, requestWithID("b"))
 		}
-		if h.paused[c] {
-			t.Errorf("it is not read on after %d more", n)
+		if h.paused[client] {
+			t.Errorf("the client is paused after %d pipelined requests", pipelined)
 		}
-		if in := len(h.gateway.conns.findClient(c).unread); in > maxPipelinedBytes {
-			t.Errorf("%d bytes are left", in)
+		if unreadBytes := len(h.gateway.conns.findClient(client).unread); unreadBytes > maxPipelinedBytes {
+			t.Errorf("%d pipelined bytes are kept, more than maxPipelinedBytes", unreadBytes)
 		}
-		h.gateway.EOF(h.now, c)
+		h.gateway.EOF(h.now, client)
 		h.runActions()
 		h.setNodeState(scheduler.Serving)
 		h.advanceTime(time.Second)
 		if len(h.dialed) != 0 {
-			t.Errorf("%q is sent for a client that has left", h.takeWritten(h.nodeConn(0)))
+			t.Errorf("%q was sent for a client that has left, want nothing", h.takeWritten(h.nodeConn(0)))
 		}
 		h.wantOutcomes(map[Outcome]int{ClientDisconnected: 1})
 	}
 }
 
-// A client that pipelines requests and stays gets its responses in order. One that has
-// pipelined more than is kept gets the first, and the connection ends with it.
+// Verifies that a client gets the responses to its pipelined requests in order. If it has
+// pipelined more than the limit, it gets the first response only, and the connection ends.
 func TestPipelinedRequestsWithinAndBeyondLimit(t *testing.T) {
 	h := newProtocolHarness(t)
-	c := h.connectClient(requestWithID("a") + requestWithID("b"))
+	client := h.connectClient(requestWithID("a") + requestWithID("b"))
 	h.deliver(h.nodeConn(0), okResponse("one"))
 	h.deliver(h.nodeConn(0), okResponse("two"))
-	h.wantContains("the responses", h.takeWritten(c), "one", "two")
-	c = h.connectClient(requestWithID("a"))
+	h.wantContains("the responses", h.takeWritten(client), "one", "two")
+	client = h.connectClient(requestWithID("a"))
 	for range 1000 {
-		h.deliver(c, requestWithID("b"))
+		h.deliver(client, requestWithID("b"))
 	}
 	h.deliver(h.nodeConn(0), okResponse("one"))
-	h.wantContains("the response", h.takeWritten(c), "one", "Connection: close")
-	h.wantLingeringClose(c)
+	h.wantContains("the response", h.takeWritten(client), "one", "Connection: close")
+	h.wantLingeringClose(client)
 }
 
-// A client leaves in the same batch of events in which the response to its first request
-// arrives. The requests that it has pipelined are not sent.
+// Verifies that pipelined requests are not sent if their client leaves in the batch of events in
+// which the response to its first request arrives.
 func TestClientDisconnectsAsResponseArrives(t *testing.T) {
 	h := newProtocolHarness(t)
-	c := h.connectClient(requestWithID("a") + requestWithID("b"))
-	n := h.nodeConn(0)
-	h.takeWritten(n)
-	h.gateway.Data(h.now, n, []byte(okResponse("one")))
-	h.gateway.EOF(h.now, c)
+	client := h.connectClient(requestWithID("a") + requestWithID("b"))
+	conn := h.nodeConn(0)
+	h.takeWritten(conn)
+	h.gateway.Data(h.now, conn, []byte(okResponse("one")))
+	h.gateway.EOF(h.now, client)
 	h.runActions()
-	if got := h.takeWritten(n); got != "" {
-		t.Errorf("%q is sent for a client that has left", got)
+	if got := h.takeWritten(conn); got != "" {
+		t.Errorf("%q was sent for a client that has left, want nothing", got)
 	}
 }
 
-// With WebDAV a client that shuts down its sending side still waits for its responses.
+// Verifies that a WebDAV client that shuts down its sending side still gets its responses.
 func TestHalfCloseIsNoDisconnectInWebDAV(t *testing.T) {
 	h := newHarness(t, "")
-	c := h.connectClient(getRequest("/feed-a/s/1") + getRequest("/feed-a/s/2"))
-	h.gateway.EOF(h.now, c)
+	client := h.connectClient(getRequest("/feed-a/s/1") + getRequest("/feed-a/s/2"))
+	h.gateway.EOF(h.now, client)
 	h.runActions()
 	h.deliver(h.nodeConn(0), okResponse("one"))
 	h.deliver(h.nodeConn(0), okResponse("two"))
-	h.wantContains("the responses", h.takeWritten(c), "one", "two")
+	h.wantContains("the responses", h.takeWritten(client), "one", "two")
 }
 
-// A node begins to drain while a connection for a request is dialed. Nothing is sent to it
-// when the connection is established; the request goes to another node.
+// Verifies that nothing is sent to a node that begins to drain while a connection to it is being
+// dialed. The request goes to another node.
 func TestNodeDrainsWhileDialing(t *testing.T) {
 	h := newProtocolHarness(t)
 	h.deferConnects = true
-	c := h.connectClient(requestWithID("a"))
-	n := h.nodeConn(0)
+	client := h.connectClient(requestWithID("a"))
+	conn := h.nodeConn(0)
 	h.setNodeState(scheduler.Draining)
-	h.gateway.Connected(h.now, n)
+	h.gateway.Connected(h.now, conn)
 	h.advanceTime(50 * time.Millisecond)
-	if got := h.takeWritten(n); got != "" {
-		t.Errorf("%q is sent to a node that drains", got)
+	if got := h.takeWritten(conn); got != "" {
+		t.Errorf("%q was sent to a draining node, want nothing", got)
 	}
 	h.gateway.Connected(h.now, h.nodeConn(1))
 	h.runActions()
-	h.wantContains("at the other node", h.takeWritten(h.nodeConn(1)), "GET /a ")
+	h.wantContains("the request at the other node", h.takeWritten(h.nodeConn(1)), "GET /a ")
 	h.deliver(h.nodeConn(1), okResponse("hi"))
-	h.wantContains("the response", h.takeWritten(c), "200 OK", "hi")
+	h.wantContains("the response", h.takeWritten(client), "200 OK", "hi")
 }
 
-// A node moves while a connection to its previous address is dialed. The request is not
-// sent there, and is rejected at its deadline if there is no other node.
+// Verifies that nothing is sent to the previous address of a node that moves while a connection is
+// being dialed. If there is no other node, the request is rejected at its deadline.
 func TestNodeMovesWhileDialing(t *testing.T) {
 	h := newProtocolHarness(t)
 	h.deferConnects = true
-	c := h.connectClient(requestWithID("a"))
-	n := h.nodeConn(0)
+	client := h.connectClient(requestWithID("a"))
+	conn := h.nodeConn(0)
 	h.gateway.SetNodes(h.now, []nodelist.Node{{Name: "n0", Addr: "node:9"}})
-	h.gateway.Connected(h.now, n)
+	h.gateway.Connected(h.now, conn)
 	h.runActions()
-	if got := h.takeWritten(n); got != "" {
-		t.Errorf("%q is sent to the previous address of its node", got)
+	if got := h.takeWritten(conn); got != "" {
+		t.Errorf("%q was sent to the previous address of the node, want nothing", got)
 	}
 	h.advanceTime(time.Second)
-	h.wantContains("the response", h.takeWritten(c), "HTTP/1.1 503 ")
+	h.wantContains("the response", h.takeWritten(client), "HTTP/1.1 503 ")
 	h.wantOutcomes(map[Outcome]int{Rejected: 1})
 }
 
-// The scheduler allows a retry of an idempotent request only within the node's
-// deduplication window. A connection that is established later must not be used for it.
+// Verifies that an attempt is sent only if its connection is established before startBefore. The
+// scheduler sets that limit to the end of the node's deduplication window for a retry of an
+// idempotent request.
 func TestAttemptStartsBeforeItsLimit(t *testing.T) {
-	for _, late := range []time.Duration{-time.Millisecond, time.Millisecond} {
+	for _, delay := range []time.Duration{-time.Millisecond, time.Millisecond} {
 		h := newProtocolHarness(t)
 		h.deferConnects = true
 		h.connectClient(requestWithID("a"))
-		n := h.nodeConn(0)
-		req := h.findNodeConn(n).attempt.req.live()
-		h.findNodeConn(n).attempt.startBefore = h.now + 100*time.Millisecond
-		h.now += 100*time.Millisecond + late
-		h.gateway.Connected(h.now, n)
-		if h.runActions(); req.attempts.inFlight == 0 && late < 0 || h.takeWritten(n) != "" && late > 0 {
-			t.Errorf("%v from its limit: %d under way", late, req.attempts.inFlight)
+		conn := h.nodeConn(0)
+		req := h.findNodeConn(conn).attempt.req.live()
+		h.findNodeConn(conn).attempt.startBefore = h.now + 100*time.Millisecond
+		h.now += 100*time.Millisecond + delay
+		h.gateway.Connected(h.now, conn)
+		if h.runActions(); req.attempts.inFlight == 0 && delay < 0 || h.takeWritten(conn) != "" && delay > 0 {
+			t.Errorf("established %v after the limit: %d attempts in flight, want it sent only before the limit", delay, req.attempts.inFlight)
 		}
 	}
 }
