--- a/internal/gateway/random_histories_test.go
+++ b/internal/gateway/random_histories_test.go
@@ -9,25 +9,25 @@
 	"pgregory.net/rapid"
 )
 
-// randomHistory is a random history of clients and nodes, in which every event is handled
-// before the next.
+// randomHistory runs a random sequence of events of clients and nodes. The gateway handles each
+// event completely before the next one.
 type randomHistory struct {
 	*harness
 	rt      *rapid.T
 	clients []ConnID
-	unsent  map[ConnID]string // the rest of the request that a client has begun, or of a node's response
-	stopped bool              // the gateway was told to shut down
+	unsent  map[ConnID]string // rest of the request that a client has begun, or of a node's response
+	stopped bool              // Shutdown was called
 }
 
 func newRandomHistory(t *testing.T, rt *rapid.T) *randomHistory {
 	return &randomHistory{harness: newHarness(t, ""), rt: rt, unsent: map[ConnID]string{}}
 }
 
-func (x *randomHistory) pick(conns []ConnID) ConnID {
+func (x *randomHistory) pickConn(conns []ConnID) ConnID {
 	return conns[rapid.IntRange(0, len(conns)-1).Draw(x.rt, "which")]
 }
 
-// event draws one event and has it handled. step is its number.
+// event draws one event and lets the gateway handle it. step is the number of the event.
 func (x *randomHistory) event(step int) {
 	switch rapid.IntRange(0, 12).Draw(x.rt, "event") {
 	case 0, 1, 2:
@@ -50,8 +50,8 @@
 	}
 }
 
-// shutdownAdvances takes the gateway one step further in its shutdown, now and then. Events go
-// on after each step, also after the abort.
+// shutdownAdvances sometimes calls Drain, Shutdown or, after Shutdown, AbortRemaining. Other events
+// go on after each of them.
 func (x *randomHistory) shutdownAdvances() {
 	switch step := rapid.IntRange(0, 7).Draw(x.rt, "shutdown"); {
 	case step == 0:
@@ -65,8 +65,8 @@
 	x.runActions()
 }
 
-// clientSendsRequest sends a request or its beginning, on a connection that has none begun
-// or on a new one.
+// clientSendsRequest sends a request or the beginning of one, on a new connection or on one that
+// has no incomplete request.
 func (x *randomHistory) clientSendsRequest(step int) {
 	path := fmt.Sprint("/feed-", rapid.SampledFrom([]string{"a", "b"}).Draw(x.rt, "volume"), "/s", step)
 	text := getRequest(path)
@@ -85,7 +85,7 @@
 		sent = rapid.IntRange(1, len(text)).Draw(x.rt, "bytes")
 	}
 	if len(x.clients) > 0 && rapid.Bool().Draw(x.rt, "reuse") {
-		if c := x.pick(x.clients); x.unsent[c] == "" {
+		if c := x.pickConn(x.clients); x.unsent[c] == "" {
 			x.deliver(c, text[:sent])
 			x.unsent[c] = text[sent:]
 		}
@@ -95,9 +95,10 @@
 	x.clients, x.unsent[c] = append(x.clients, c), text[sent:]
 }
 
+// clientSendsRest sends the rest of the request that a client has begun, if there is one.
 func (x *randomHistory) clientSendsRest() {
 	if len(x.clients) > 0 {
-		c := x.pick(x.clients)
+		c := x.pickConn(x.clients)
 		x.deliver(c, x.unsent[c])
 		x.unsent[c] = ""
 	}
@@ -107,7 +108,7 @@
 	if len(x.clients) == 0 {
 		return
 	}
-	if c := x.pick(x.clients); rapid.Bool().Draw(x.rt, "half-close") {
+	if c := x.pickConn(x.clients); rapid.Bool().Draw(x.rt, "half-close") {
 		x.gateway.EOF(x.now, c)
 	} else {
 		x.gateway.Closed(x.now, c)
@@ -115,13 +116,13 @@
 	x.runActions()
 }
 
-// nodeSendsData has a node send a response or half of it, good or bad, sometimes without a
+// nodeSendsData sends a response or a part of it from a node, valid or not, and sometimes without a
 // request.
 func (x *randomHistory) nodeSendsData() {
 	if len(x.dialed) == 0 {
 		return
 	}
-	n := x.pick(x.dialed)
+	n := x.pickConn(x.dialed)
 	if x.takeWritten(n) == "" && rapid.IntRange(0, 3).Draw(x.rt, "unrequested") > 0 {
 		return
 	}
@@ -142,7 +143,7 @@
 	x.deliver(n, text[:sent])
 }
 
-// nodeSendsRest has a node go on with a response that it has begun, up to its end or not.
+// nodeSendsRest sends the rest, or one more byte, of a response that a node has begun.
 func (x *randomHistory) nodeSendsRest() {
 	var streaming []ConnID
 	for _, n := range x.dialed {
@@ -153,7 +154,7 @@
 	if len(streaming) == 0 {
 		return
 	}
-	n := x.pick(streaming)
+	n := x.pickConn(streaming)
 	text := x.unsent[n]
 	sent := rapid.SampledFrom([]int{len(text), 1}).Draw(x.rt, "bytes")
 	x.unsent[n] = text[sent:]
@@ -164,7 +165,7 @@
 	if len(x.dialed) == 0 {
 		return
 	}
-	if n := x.pick(x.dialed); rapid.Bool().Draw(x.rt, "reset") {
+	if n := x.pickConn(x.dialed); rapid.Bool().Draw(x.rt, "reset") {
 		x.gateway.Closed(x.now, n)
 	} else {
 		x.gateway.EOF(x.now, n)
@@ -172,22 +173,22 @@
 	x.runActions()
 }
 
-// checkRequests checks that no request object serves two requests, and that every request
-// has its final response by its deadline.
+// checkRequests checks that no request object serves two requests, and that every request has its
+// final response by its deadline, or a node's response that is being passed on.
 func (x *randomHistory) checkRequests() {
 	ids := map[*request]uint64{}
 	for id, req := range x.gateway.requests.byID {
 		if other := ids[req]; other != 0 || req.id != id {
-			x.rt.Fatalf("one object serves requests %d and %d", other, id)
+			x.rt.Fatalf("the same object serves requests %d and %d", other, id)
 		}
 		ids[req] = id
 		if !req.response.final && x.now > req.deadline+time.Millisecond && req.response.source == nil {
-			x.rt.Fatalf("request %d has no response %v after its deadline", id, x.now-req.deadline)
+			x.rt.Fatalf("request %d has no final response %v after its deadline", id, x.now-req.deadline)
 		}
 	}
 }
 
-// checkNothingLeft checks that no request is left when the history is over.
+// checkNothingLeft checks that no request is left at the end of the history.
 func (x *randomHistory) checkNothingLeft() {
 	g := x.gateway
 	if len(g.requests.byID) == 0 {
@@ -198,31 +199,32 @@
 			id, req.method, req.attempts.inFlight, req.attempts.count, req.response.final, req.deadline, x.now, g.scheduler.wakeAt, x.next, len(g.timers.heap))
 	}
 	x.rt.Log(x.actionLog.String())
-	x.rt.Fatalf("%d requests are left", len(g.requests.byID))
+	x.rt.Fatalf("%d requests are left, want 0", len(g.requests.byID))
 }
 
-// checkCounts checks that each request was reported once, and that the counters add up.
+// checkCounts checks that the end of each request was reported exactly once, and that the counters
+// add up.
 func (x *randomHistory) checkCounts() {
 	reported := map[string]int{}
 	for _, s := range x.spans {
 		if s.Node == "" && s.Request != "" {
 			if reported[s.Request]++; reported[s.Request] > 1 {
-				x.rt.Fatalf("%s has two final responses", s.Request)
+				x.rt.Fatalf("the end of request %s is reported twice, want once", s.Request)
 			}
 		}
 	}
-	c := x.gateway.counts
-	if int(c.Received) != len(reported) {
-		x.rt.Fatalf("%d requests received, %d final responses", c.Received, len(reported))
+	totals := x.gateway.counts
+	if int(totals.Received) != len(reported) {
+		x.rt.Fatalf("%d requests received, but the end of %d reported", totals.Received, len(reported))
 	}
-	if c.Received != c.Served+c.Rejected+c.Failed+c.Disconnected {
-		x.rt.Fatalf("counters do not add up: %+v", c)
+	if totals.Received != totals.Served+totals.Rejected+totals.Failed+totals.Disconnected {
+		x.rt.Fatalf("received is not the sum of the outcomes: %+v", totals)
 	}
 }
 
-// Clients and nodes that leave, go silent, send half of something or nonsense must not cost
-// the gateway a request: each one submitted has one final response by its deadline, none
-// is left, no object serves two at once, and the gateway comes to rest.
+// Guards against requests that are lost or answered twice when clients and nodes leave, go silent,
+// or send incomplete or malformed messages. Each submitted request ends once and by its deadline,
+// no request is left, no object serves two requests, and the gateway runs out of actions.
 func TestRandomHistories(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		x := newRandomHistory(t, rt)
@@ -236,8 +238,8 @@
 	})
 }
 
-// FuzzClient checks that no bytes of a client crash the gateway, make it spin, or make it
-// buffer more than its limits.
+// FuzzClient checks that no input from a client makes the gateway panic, loop, leave a request
+// unanswered, or keep more unread bytes than it was sent.
 func FuzzClient(f *testing.F) {
 	f.Add([]byte(getRequest("/feed-a/s/x")), 10)
 	f.Add([]byte(putRequest("/feed-a/s/x", "segment")+getRequest("/")), 70)
@@ -256,17 +258,17 @@
 			}
 		}
 		if conn := h.gateway.conns.findClient(c); conn != nil && len(conn.unread) > len(p) {
-			t.Fatalf("%d bytes are kept of %d", len(conn.unread), len(p))
+			t.Fatalf("%d unread bytes are kept of %d sent", len(conn.unread), len(p))
 		}
 		h.advanceTime(30 * time.Second)
 		if n := len(h.gateway.requests.byID); n != 0 {
-			t.Fatalf("%d requests are left", n)
+			t.Fatalf("%d requests are left, want 0", n)
 		}
 	})
 }
 
-// FuzzNode checks the same of the bytes of a node, and that its client has a response or
-// the end of its connection.
+// FuzzNode checks that no input from a node makes the gateway panic, loop or leave a request
+// unanswered, and that the client gets a response, or a reset of its connection.
 func FuzzNode(f *testing.F) {
 	f.Add([]byte(okResponse("hello")), 20)
 	f.Add([]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n"), 40)
@@ -280,10 +282,10 @@
 		h.deliver(n, string(p[split:]))
 		h.advanceTime(30 * time.Second)
 		if n := len(h.gateway.requests.byID); n != 0 {
-			t.Fatalf("%d requests are left", n)
+			t.Fatalf("%d requests are left, want 0", n)
 		}
 		if got := h.takeWritten(c); got == "" && h.closedBy[c] != Abort {
-			t.Fatal("no response, and no end of the connection that could stand for one")
+			t.Fatal("the client got neither a response nor a reset of its connection")
 		}
 	})
 }
--- a/internal/gateway/random_races_test.go
+++ b/internal/gateway/random_races_test.go
@@ -13,33 +13,33 @@
 	"maddergap/scheduler"
 )
 
-// trackedRequest is what a raceHistory knows of one request.
+// trackedRequest is the state of one request as the test observes it.
 type trackedRequest struct {
 	id            string
 	client        ConnID
 	nonIdempotent bool
-	disconnected  bool // the gateway has handled that its client left
-	sent          int  // attempts that were written to a node
-	responses     int
+	disconnected  bool // the gateway has handled the client's disconnect
+	attemptsSent  int  // number of attempts written to a node
+	responseCount int  // number of responses written to the client
 }
 
-// raceHistory is a random history. In each of its batches the gateway gets some events in
-// any order, and is then advanced once, so that events cross: a decision of the scheduler
-// is carried out after what would have changed it.
+// raceHistory runs a random history in batches. In each batch the gateway gets several events in
+// any order before it is advanced. A decision of the scheduler may thus be carried out after an
+// event that would have changed it.
 type raceHistory struct {
 	*harness
 	rt *rapid.T
 
-	requests        []*trackedRequest
-	requestsByID    map[string]*trackedRequest
-	clients         []ConnID
-	lastRequest     map[ConnID]*trackedRequest // of a client connection
-	carried         map[ConnID]*trackedRequest // by a connection to a node
-	disconnecting   []*trackedRequest          // whose client left in this batch
-	nodeDraining    bool                       // n0 drains
-	connsToN0       map[ConnID]bool            // at the end of the batch
-	connectedBefore map[ConnID]bool            // established in this batch, before the drain
-	stopped         bool
+	requests             []*trackedRequest
+	requestsByID         map[string]*trackedRequest
+	clients              []ConnID
+	lastRequest          map[ConnID]*trackedRequest // last request of each client connection
+	carried              map[ConnID]*trackedRequest // request that each node connection carries
+	disconnecting        []*trackedRequest          // requests whose client left in this batch
+	nodeDraining         bool                       // n0 is draining
+	connsToN0            map[ConnID]bool            // open connections: whether they lead to n0, at the end of the batch
+	connectedBeforeDrain map[ConnID]bool            // connections established in this batch: whether n0 was not draining then
+	stopped              bool                       // Shutdown was called
 }
 
 func newRaceHistory(t *testing.T, rt *rapid.T) *raceHistory {
@@ -55,11 +55,11 @@
 	return x
 }
 
-func (x *raceHistory) pick(conns []ConnID) ConnID {
+func (x *raceHistory) pickConn(conns []ConnID) ConnID {
 	return conns[rapid.IntRange(0, len(conns)-1).Draw(x.rt, "which")]
 }
 
-// event draws one event and delivers it.
+// event draws one event and delivers it to the gateway.
 func (x *raceHistory) event() {
 	switch event := rapid.IntRange(0, 11).Draw(x.rt, "event"); {
 	case event < 3 && !x.stopped:
@@ -80,7 +80,8 @@
 	}
 }
 
-// clientSendsRequest sends a request, on a connection that has its response or on a new one.
+// clientSendsRequest sends a request, on a new connection or on one whose last request has its
+// response.
 func (x *raceHistory) clientSendsRequest() {
 	request := &trackedRequest{
 		id:            fmt.Sprint("r", len(x.requests)+1),
@@ -90,9 +91,9 @@
 	text := fmt.Sprintf("%s / HTTP/1.1\r\nHost: h\r\nid: %s\r\nContent-Length: 0\r\n\r\n", method, request.id)
 	request.client = x.gateway.Accept(x.now, netip.MustParseAddrPort("127.0.0.1:1000"), 0).ID
 	if len(x.clients) > 0 && rapid.Bool().Draw(x.rt, "reuse") {
-		c := x.pick(x.clients)
+		c := x.pickConn(x.clients)
 		last := x.lastRequest[c]
-		if last.responses == 1 && !last.disconnected && x.gateway.conns.find(c) != nil && !x.writeClosed[c] {
+		if last.responseCount == 1 && !last.disconnected && x.gateway.conns.find(c) != nil && !x.writeClosed[c] {
 			request.client = c
 		}
 	}
@@ -102,7 +103,7 @@
 }
 
 func (x *raceHistory) clientLeaves() {
-	c := x.pick(x.clients)
+	c := x.pickConn(x.clients)
 	if rapid.Bool().Draw(x.rt, "reset") {
 		x.gateway.Closed(x.now, c)
 	} else {
@@ -111,16 +112,16 @@
 	x.disconnecting = append(x.disconnecting, x.lastRequest[c])
 }
 
-// dialEnds establishes or refuses a connection to a node.
+// dialEnds lets the dial of a connection to a node succeed or fail.
 func (x *raceHistory) dialEnds() {
-	id := x.pick(x.dialed)
+	id := x.pickConn(x.dialed)
 	refused := rapid.IntRange(0, 3).Draw(x.rt, "refused") == 0
 	c := x.findNodeConn(id)
 	dialing := c != nil && c.state == nodeDialing
 	switch {
 	case !refused:
 		if dialing {
-			x.connectedBefore[id] = !x.nodeDraining
+			x.connectedBeforeDrain[id] = !x.nodeDraining
 		}
 		x.gateway.Connected(x.now, id)
 	case dialing:
@@ -128,9 +129,10 @@
 	}
 }
 
-// nodeResponds has a node respond to what a connection carries, or fail to.
+// nodeResponds sends the response to the request that a node connection carries, or closes the
+// connection before the response is complete.
 func (x *raceHistory) nodeResponds() {
-	id := x.pick(x.dialed)
+	id := x.pickConn(x.dialed)
 	request := x.carried[id]
 	if request == nil || x.gateway.conns.find(id) == nil {
 		return
@@ -140,9 +142,9 @@
 	case 0: // all but its last byte
 		x.gateway.Data(x.now, id, []byte(response[:len(response)-1]))
 		x.gateway.Closed(x.now, id)
-	case 1: // none
+	case 1: // no response
 		x.gateway.Closed(x.now, id)
-	case 2: // one that ends with the connection
+	case 2: // a response without a length, which ends with the connection
 		x.gateway.Data(x.now, id, []byte("HTTP/1.1 200 OK\r\n\r\nfor "+request.id+"."))
 		x.gateway.EOF(x.now, id)
 	default:
@@ -157,7 +159,7 @@
 	x.nodeDraining = state == scheduler.Draining
 }
 
-// endBatch advances the gateway over the events of a batch, and checks what it wrote.
+// endBatch advances the gateway after the events of a batch, and checks what it wrote.
 func (x *raceHistory) endBatch() {
 	x.connsToN0 = map[ConnID]bool{}
 	for _, id := range x.dialed {
@@ -173,7 +175,7 @@
 	x.disconnecting = nil
 }
 
-// checkWritten checks what the gateway has written to nodes and clients.
+// checkWritten checks the requests and responses that the gateway wrote since the last call.
 func (x *raceHistory) checkWritten() {
 	for _, id := range x.dialed {
 		for line := range strings.Lines(x.takeWritten(id)) {
@@ -191,68 +193,70 @@
 	}
 }
 
-// checkSent checks that a request may be sent to a node.
+// checkSent checks that the gateway was allowed to send a request on a node connection, and counts
+// the attempt.
 func (x *raceHistory) checkSent(conn ConnID, requestID string) {
 	request := x.requestsByID[requestID]
 	switch {
 	case request == nil:
-		x.rt.Fatalf("a node is sent %q, which no client sent", requestID)
+		x.rt.Fatalf("request %q was sent to a node, but no client sent it", requestID)
 	case request.disconnected:
-		x.rt.Fatalf("%s is sent though its client has left", requestID)
-	case request.responses > 0:
-		x.rt.Fatalf("%s is sent after its response", requestID)
-	case request.nonIdempotent && request.sent > 0:
-		x.rt.Fatalf("%s is sent again though it may have been executed", requestID)
+		x.rt.Fatalf("%s was sent although its client has left", requestID)
+	case request.responseCount > 0:
+		x.rt.Fatalf("%s was sent after its response", requestID)
+	case request.nonIdempotent && request.attemptsSent > 0:
+		x.rt.Fatalf("%s was sent again although it may have been executed", requestID)
 	case x.carried[conn] != nil:
-		x.rt.Fatalf("%s is sent on a connection that carries %s", requestID, x.carried[conn].id)
-	case x.nodeDraining && x.connsToN0[conn] && !x.connectedBefore[conn]:
-		x.rt.Fatalf("%s is sent to a node that drains", requestID)
+		x.rt.Fatalf("%s was sent on a connection that carries %s", requestID, x.carried[conn].id)
+	case x.nodeDraining && x.connsToN0[conn] && !x.connectedBeforeDrain[conn]:
+		x.rt.Fatalf("%s was sent to a draining node", requestID)
 	}
-	request.sent++
+	request.attemptsSent++
 	x.carried[conn] = request
 }
 
-// checkResponse checks that a response, without its protocol, is the one response to the
-// last request of a client connection.
+// checkResponse checks that a response, given without its HTTP version, is the only response to the
+// last request of a client connection, and that its status is permitted.
 func (x *raceHistory) checkResponse(c ConnID, response string) {
 	request := x.lastRequest[c]
 	if request == nil {
-		x.rt.Fatalf("a response %q to nobody", response)
+		x.rt.Fatalf("response %q on a connection without a request", response)
 	}
-	if request.responses++; request.responses > 1 {
-		x.rt.Fatalf("%s has two responses", request.id)
+	if request.responseCount++; request.responseCount > 1 {
+		x.rt.Fatalf("%s has two responses, want one", request.id)
 	}
 	if strings.HasPrefix(response, "200") && !strings.Contains(response, "for "+request.id+".") {
-		x.rt.Fatalf("%s is answered with %q", request.id, response)
+		x.rt.Fatalf("%s got the response %q of another request", request.id, response)
 	}
-	if strings.HasPrefix(response, "503") && request.nonIdempotent && request.sent > 0 {
-		x.rt.Fatalf("%s is rejected though it may have been executed", request.id)
+	if strings.HasPrefix(response, "503") && request.nonIdempotent && request.attemptsSent > 0 {
+		x.rt.Fatalf("%s was rejected although it may have been executed", request.id)
 	}
 }
 
-// checkEnd checks that nothing is left when the history is over.
+// checkEnd checks at the end of the history that no request is left, and that each has a response
+// unless its client has left.
 func (x *raceHistory) checkEnd() {
 	if n := len(x.gateway.requests.byID); n != 0 {
-		x.rt.Fatalf("%d requests are left", n)
+		x.rt.Fatalf("%d requests are left, want 0", n)
 	}
 	for _, request := range x.requests {
-		if request.responses == 0 && !request.disconnected {
+		if request.responseCount == 0 && !request.disconnected {
 			x.rt.Fatalf("%s has no response", request.id)
 		}
 	}
 }
 
-// Events that cross have led to requests that were sent for clients that had left, to
-// nodes that drained, or twice. Here closes, resets, requests, responses, dialed
-// connections, endpoint lists, timers and a shutdown come in any order within a batch. A
-// request whose client has left is not sent; each request has one response, which is its
-// own; a non-idempotent request that may have been executed is not sent again; and a
-// draining node is sent nothing.
+// Regression test: events that were handled in one batch have led to requests that were sent for
+// clients that had left, to draining nodes, or twice. Here requests, responses, disconnects, dialed
+// connections, endpoint lists, timers and a shutdown come in any order within a batch. Verifies that
+// a request whose client has left is not sent, that each request gets one response, its own, that a
+// non-idempotent request that may have been executed is not sent again, and that nothing is sent to
+// a draining node.
 func TestRandomRaces(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		x := newRaceHistory(t, rt)
 		for range rapid.IntRange(3, 40).Draw(rt, "batches") {
-			x.connectedBefore = map[ConnID]bool{}
+			x.connectedBeforeDrain = map[ConnID]bool{}
 			for range rapid.IntRange(1, 5).Draw(rt, "events") {
 				x.event()
 			}
--- a/internal/gateway/response_after_end_test.go
+++ b/internal/gateway/response_after_end_test.go
@@ -17,13 +17,14 @@
 	listRequest   = "PROPFIND /feed-b/ HTTP/1.1\r\nHost: h\r\nDepth: 1\r\n\r\n"
 )
 
-// lateResponse is a way in which a request ends before the response that an attempt of it gets.
+// lateResponse is a case in which a request ends before the response to one of its attempts is
+// complete.
 type lateResponse struct {
 	name    string
 	request string
-	before  string // that the node sends before the request ends
+	before  string // bytes that the node sends before the request ends
 	end     func(h *harness, client ConnID)
-	after   string // that it sends then
+	after   string // bytes that the node sends after the request has ended
 	want    map[Outcome]int
 }
 
@@ -54,7 +55,7 @@
 	}
 }
 
-// reloadWithout reloads the configuration without one of its lines.
+// reloadWithout reloads harnessConfig without one of its lines.
 func (h *harness) reloadWithout(line string) {
 	h.t.Helper()
 	c, err := config.Parse("harness", []byte(strings.Replace(harnessConfig, line, "", 1)))
@@ -66,9 +67,9 @@
 	}
 }
 
-// Guards against a crash, and a second report, by a response that comes when its request has
-// ended. Whatever ended it, the request is reported once, as what it was, and nothing of the
-// response reaches a client.
+// Guards against a response that arrives after its request has ended, and causes a panic or a second
+// report. Whatever ended the request, it is reported once, with its own properties, and nothing of
+// the late response reaches another client.
 func TestResponseAfterRequestEnd(t *testing.T) {
 	for _, test := range lateResponses() {
 		t.Run(test.name, func(t *testing.T) {
@@ -85,20 +86,20 @@
 			test.want[Rejected]++ // the other request, which no node responds to
 			h.wantOutcomes(test.want)
 			if text := h.takeWritten(other); strings.Contains(text, "hello") || strings.Contains(text, "world") {
-				t.Errorf("another client is sent the response: %q", text)
+				t.Errorf("another client got the late response: %q", text)
 			}
 		})
 	}
 }
 
-// wantReportsOfRequests checks that every submitted request was reported once, with what is
-// known of it, and that the counts add up.
+// wantReportsOfRequests checks that the end of every submitted request was reported once, that each
+// report has the properties of its request, and that the counts add up.
 func (h *harness) wantReportsOfRequests() {
 	h.t.Helper()
 	reported := map[string]int{}
 	for _, span := range h.spans {
 		if span.Method == "" || span.Start == 0 || span.Trace == [16]byte{} {
-			h.t.Errorf("a report without a request: %+v", span)
+			h.t.Errorf("report without the properties of a request: %+v", span)
 		}
 		if span.Node == "" && span.Request != "" {
 			reported[span.Request]++
@@ -106,11 +107,11 @@
 	}
 	counts := h.gateway.Counts()
 	if ended := counts.Served + counts.Rejected + counts.Failed + counts.Disconnected; ended != counts.Received || int(ended) != len(reported) {
-		h.t.Errorf("%d received, %d ended, %d reported: %+v", counts.Received, ended, len(reported), counts)
+		h.t.Errorf("%d requests received, %d ended, %d reported, want the same number: %+v", counts.Received, ended, len(reported), counts)
 	}
 	for id, times := range reported {
 		if times != 1 {
-			h.t.Errorf("request %s is reported %d times", id, times)
+			h.t.Errorf("the end of request %s is reported %d times, want once", id, times)
 		}
 	}
 }
