--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -10,8 +10,8 @@
 // decides to send the request, and ends exactly once, with an outcome that is reported to
 // the scheduler.
 //
-// An attempt may outlive its request: as long as the node may be executing it, the gateway
-// waits for its outcome. The response is then read and discarded; see requestRef.
+// An attempt may outlive its request: if the node may be executing it, the gateway waits for
+// its outcome, and reads and discards the response; see requestRef.
 type nodeAttempt struct {
 	req      requestRef
 	identity requestIdentity
@@ -130,8 +130,8 @@
 	g.releaseRequest(attempt)
 }
 
-// releaseRequest drops an attempt's reference to its request, and recycles the request if
-// nothing else uses it.
+// releaseRequest ends an attempt's use of its request, and recycles the request if nothing
+// else uses it.
 func (g *Gateway) releaseRequest(attempt *nodeAttempt) {
 	req := attempt.req.request
 	req.attempts.inFlight--
--- a/internal/gateway/node_conn.go
+++ b/internal/gateway/node_conn.go
@@ -12,7 +12,7 @@
 
 const (
 	nodeDialing          nodeConnState = iota // the connection is not established yet
-	nodeIdle                                  // the connection has no attempt
+	nodeIdle                                  // the connection is established and has no attempt
 	nodeAwaitingResponse                      // a request is being sent, or its response header is incomplete
 	nodeReadingBody                           // the response body is being read
 )
@@ -129,8 +129,8 @@
 
 func (c *nodeConn) handleClosed(g *Gateway) { g.nodeConnLost(c, true) }
 
-// nodeConnLost removes a connection that was lost, and ends its attempt. closedByDriver
-// says that the driver has closed the connection already.
+// nodeConnLost removes a connection that was lost, and ends its attempt. closedByDriver:
+// the driver has closed the connection already.
 func (g *Gateway) nodeConnLost(c *nodeConn, closedByDriver bool) {
 	g.noteEarlyClose(c)
 	attempt := c.attempt
@@ -214,7 +214,8 @@
 	}
 }
 
-// resumeStalledAttempt notifies the scheduler that a stalled attempt has made progress.
+// resumeStalledAttempt is called when an attempt has made progress. It notifies the
+// scheduler if the attempt was stalled.
 func (g *Gateway) resumeStalledAttempt(attempt *nodeAttempt) {
 	if attempt != nil && attempt.stalled {
 		attempt.stalled = false
--- a/internal/gateway/node_response.go
+++ b/internal/gateway/node_response.go
@@ -121,7 +121,7 @@
 }
 
 // responseProgressed restarts the no-progress timeout of a response that has begun. It
-// notifies the scheduler once when a response starts to be streamed to the client.
+// notifies the scheduler once when a streamed response begins to be passed on.
 func (g *Gateway) responseProgressed(c *nodeConn) {
 	attempt := c.attempt
 	if attempt.bufferResponse {
--- a/internal/gateway/observer.go
+++ b/internal/gateway/observer.go
@@ -37,8 +37,8 @@
 	return [...]string{"served", "refused", "failed", "left", "dropped", "local"}[o]
 }
 
-// Span describes a request, or one attempt of a request, that has ended. Its fields are for
-// both unless the comment says otherwise.
+// Span describes a request, or one attempt of a request, that has ended. A field applies to
+// both unless its comment says otherwise.
 type Span struct {
 	Request        string // request id that clients and nodes see; empty: the request was not submitted
 	Trace          [16]byte
@@ -64,7 +64,8 @@
 
 // Observer is notified of events in the gateway. It must not keep a span after the call.
 type Observer interface {
-	// Request is called at the end of each request.
+	// Request is called at the end of each request that was submitted to the scheduler or
+	// answered by the gateway itself.
 	Request(*Span)
 	// Attempt is called at the end of each attempt.
 	Attempt(*Span)
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -9,8 +9,8 @@
 
 // request is a client's request, from its header to its final response. When it is
 // submitted to the scheduler it gets an id and enters the request table; from then on it
-// has to get exactly one final response. The object is reused once no client, no attempt
-// and not the scheduler refers to it; see inUse.
+// has to get exactly one final response. The object is reused once neither a client, nor an
+// attempt, nor the scheduler refers to it; see inUse.
 type request struct {
 	id uint64 // 0: not submitted
 	// client is nil if the client has left or the complete response is in its write buffer,
@@ -97,7 +97,7 @@
 	r.reason = reason
 }
 
-// traceContext is a request's place in a trace (W3C Trace Context).
+// traceContext is a request's position in a trace (W3C Trace Context).
 type traceContext struct {
 	id      [16]byte
 	span    [8]byte // span id of the request at the gateway
--- a/internal/gateway/request_lifecycle.go
+++ b/internal/gateway/request_lifecycle.go
@@ -178,8 +178,8 @@
 //   - the body is malformed, cut off or too slow, to which the gateway itself responds;
 //   - the request is a part of a listing whose parent is cancelled.
 //
-// The outcome tells the observer which of these it was. The scheduler does not distinguish
-// them: it is notified that the client has disconnected.
+// The outcome is for the observer. The scheduler does not distinguish these cases: it is
+// notified that the client has disconnected.
 func (g *Gateway) cancelRequest(req *request, outcome Outcome) {
 	if req.id == 0 {
 		if req.listing != nil {
--- a/internal/gateway/request_ref.go
+++ b/internal/gateway/request_ref.go
@@ -7,9 +7,9 @@
 )
 
 // requestRef is an attempt's reference to its request. It gives access to the request only
-// until the final response is decided: from then on, an attempt that is still in flight does
-// not reach the client, the response or the report of the request. After the attempt has
-// ended, the object may be reused for another request.
+// until the final response is decided: from then on, an attempt that is still in flight has no
+// access to the client, the response or the report of the request. After the attempt has ended,
+// the object may be reused for another request.
 type requestRef struct {
 	request *request
 	id      uint64 // id of the request; ids are never reused, so it differs from that of a reused object
--- a/internal/gateway/scheduler_client.go
+++ b/internal/gateway/scheduler_client.go
@@ -34,8 +34,8 @@
 	s.pending = append(s.pending, event)
 }
 
-// setTimer sets the time at which the scheduler's timer fires. It replaces an earlier or
-// later time that was set before.
+// setTimer sets the time at which the scheduler's timer fires. It replaces the time that was
+// set before, even by a later one.
 func (s *schedulerClient) setTimer(at Time) { s.wakeAt = at }
 
 // runTimer adds a TimerFired event if the scheduler's timer has expired.
@@ -49,8 +49,8 @@
 // hasEvents reports whether there are events, so that decide has to be called.
 func (s *schedulerClient) hasEvents() bool { return len(s.pending) > 0 }
 
-// expiryReason returns what kept a request from being sent that the decisions of the last call
-// of decide have ended. It returns ReasonAllowed if the scheduler reports no reasons.
+// expiryReason returns what kept a request from being sent. It is valid for a request that the
+// last call of decide has ended. It returns ReasonAllowed if the scheduler reports no reasons.
 func (s *schedulerClient) expiryReason(id uint64) scheduler.Reason {
 	if reporter, ok := s.impl.(expiryReporter); ok {
 		return reporter.ExpiryReason(id)
