--- a/internal/gateway/timers.go
+++ b/internal/gateway/timers.go
@@ -2,40 +2,40 @@
 
 import "container/heap"
 
-// connTimer is the one timer of a connection.
+// connTimer is the timer of a connection, which has only one.
 //
-// Moving the deadline later leaves the heap entry where it is, so that a deadline
-// that moves with each read costs nothing: armed, which orders the heap, is never
-// later than deadline, and an entry that comes up too early is moved then.
+// A deadline that moves later leaves the heap entry in place, so that extending it with each
+// read costs nothing. heapDeadline is therefore never later than deadline, and an entry that
+// comes to the top before its deadline is moved then.
 type connTimer struct {
-	conn      connection
-	deadline  Time // when the timer expires; never: it does not
-	armed     Time // position in the heap, if it is in it
-	heapIndex int  // -1: not in the heap
+	conn         connection
+	deadline     Time // time at which the timer expires; never: it is stopped
+	heapDeadline Time // key in the heap, if the timer is in the heap
+	heapIndex    int  // index in the heap; -1: not in the heap
 }
 
 func newConnTimer(c connection) connTimer {
-	return connTimer{conn: c, deadline: never, armed: never, heapIndex: -1}
+	return connTimer{conn: c, deadline: never, heapDeadline: never, heapIndex: -1}
 }
 
-// timerQueue is the heap of the connections' timers by the time they are armed for.
+// timerQueue holds the timers of all connections in a heap, ordered by connTimer.heapDeadline.
 type timerQueue struct{ heap timerHeap }
 
-// set sets when a timer expires; never stops it.
+// set sets the time at which a timer expires; never stops the timer.
 func (q *timerQueue) set(t *connTimer, deadline Time) {
 	t.deadline = deadline
 	switch {
 	case deadline == never:
 	case t.heapIndex < 0:
-		t.armed = deadline
+		t.heapDeadline = deadline
 		heap.Push(&q.heap, t)
-	case deadline < t.armed:
-		t.armed = deadline
+	case deadline < t.heapDeadline:
+		t.heapDeadline = deadline
 		heap.Fix(&q.heap, t.heapIndex)
 	}
 }
 
-// remove takes the timer of a connection that is closed out of the heap.
+// remove removes the timer of a connection that is closed.
 func (q *timerQueue) remove(t *connTimer) {
 	if t.heapIndex >= 0 {
 		heap.Remove(&q.heap, t.heapIndex)
@@ -45,10 +45,10 @@
 // popExpired returns a connection whose timer has expired and stops that timer. It
 // returns nil if there is none.
 func (q *timerQueue) popExpired(now Time) connection {
-	for len(q.heap) > 0 && q.heap[0].armed <= now {
+	for len(q.heap) > 0 && q.heap[0].heapDeadline <= now {
 		t := q.heap[0]
-		if t.deadline > now { // the deadline was moved since
-			t.armed = t.deadline
+		if t.deadline > now { // the deadline was moved after the entry was placed
+			t.heapDeadline = t.deadline
 			heap.Fix(&q.heap, 0)
 			continue
 		}
@@ -59,12 +59,12 @@
 	return nil
 }
 
-// next returns when popExpired has to be called again at the latest.
+// next returns the time by which popExpired has to be called again.
 func (q *timerQueue) next() Time {
 	if len(q.heap) == 0 {
 		return never
 	}
-	return q.heap[0].armed
+	return q.heap[0].heapDeadline
 }
 
 // timerHeap implements heap.Interface.
@@ -72,7 +72,7 @@
 
 func (t timerHeap) Len() int { return len(t) }
 
-func (t timerHeap) Less(i, j int) bool { return t[i].armed < t[j].armed }
+func (t timerHeap) Less(i, j int) bool { return t[i].heapDeadline < t[j].heapDeadline }
 
 func (t timerHeap) Swap(i, j int) {
 	t[i], t[j] = t[j], t[i]
