--- a/internal/stallwatch/stallwatch.go
+++ b/internal/stallwatch/stallwatch.go
@@ -1,6 +1,6 @@
-// Package stallwatch measures stalls: times in which the machine does not run the process.
-// A test or scenario in a stalled process stalls the gateways in it too, so what it allows
-// them is extended by the stalls.
+// Package stallwatch measures stalls: periods in which the operating system does not run the
+// process. A stall of a test or scenario also delays the gateways in the same process, so the
+// measured stalls are added to the time that the gateways are allowed.
 package stallwatch
 
 import (
@@ -10,30 +10,30 @@
 )
 
 const (
-	// tickInterval is how often the watch wakes up.
+	// tickInterval is how long the watch sleeps between two measurements.
 	tickInterval = 2 * time.Millisecond
-	// minSpan is the shortest stall that is recorded.
-	minSpan = 5 * time.Millisecond
-	// maxSpans is how many stalls are kept, the latest ones.
-	maxSpans = 1 << 16
+	// minStall is the duration from which a stall is recorded.
+	minStall = 5 * time.Millisecond
+	// maxStalls is the number of recorded stalls that are kept; the oldest is dropped first.
+	maxStalls = 1 << 16
 )
 
-// Watch measures stalls until Stop. It is safe for concurrent use.
+// Watch measures stalls until Stop is called. It is safe for concurrent use.
 type Watch struct {
-	mu      sync.Mutex
-	longest time.Duration
-	spans   []Span
-	stop    chan struct{}
-	stopped chan struct{}
-	once    sync.Once
+	mu       sync.Mutex
+	longest  time.Duration // including stalls shorter than minStall
+	stalls   []Stall
+	stop     chan struct{}
+	stopped  chan struct{}
+	stopOnce sync.Once
 }
 
-// Span is one stall.
-type Span struct{ From, To time.Time }
+// Stall is a period in which the process did not run.
+type Stall struct{ From, To time.Time }
 
-func (s Span) duration() time.Duration { return s.To.Sub(s.From) }
+func (s Stall) duration() time.Duration { return s.To.Sub(s.From) }
 
-// Start returns a running watch.
+// Start returns a watch that measures in a goroutine of its own.
 func Start() *Watch {
 	w := &Watch{stop: make(chan struct{}), stopped: make(chan struct{})}
 	go w.run()
@@ -49,42 +49,44 @@
 			return
 		case <-time.After(tickInterval):
 		}
-		w.record(Span{From: before.Add(tickInterval), To: time.Now()})
+		w.record(Stall{From: before.Add(tickInterval), To: time.Now()})
 	}
 }
 
-func (w *Watch) record(s Span) {
+// record updates the longest stall and, if s is long enough, adds it to the recorded stalls.
+func (w *Watch) record(s Stall) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.longest = max(w.longest, s.duration())
-	if s.duration() < minSpan {
+	if s.duration() < minStall {
 		return
 	}
-	if len(w.spans) == maxSpans {
-		w.spans = w.spans[1:]
+	if len(w.stalls) == maxStalls {
+		w.stalls = w.stalls[1:]
 	}
-	w.spans = append(w.spans, s)
+	w.stalls = append(w.stalls, s)
 }
 
-// Spans are the latest recorded stalls, in order of time.
-func (w *Watch) Spans() []Span {
+// Spans returns the recorded stalls, the oldest first. It returns at most the last maxStalls.
+func (w *Watch) Spans() []Stall {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return slices.Clone(w.spans)
+	return slices.Clone(w.stalls)
 }
 
-// Longest is the longest stall, those too short to be recorded included.
+// Longest returns the duration of the longest stall, including stalls too short to be recorded.
 func (w *Watch) Longest() time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.longest
 }
 
-// LongestSince is the longest recorded stall that ended after a time, 0 for none.
+// LongestSince returns the duration of the longest recorded stall that ended after t, or 0 if
+// there is none.
 func (w *Watch) LongestSince(t time.Time) (longest time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for _, span := range w.spans {
+	for _, span := range w.stalls {
 		if span.To.After(t) {
 			longest = max(longest, span.duration())
 		}
@@ -92,8 +94,9 @@
 	return longest
 }
 
-// Stop ends the measurement and waits for it. It may be called more than once.
+// Stop ends the measurement and waits until its goroutine has returned. It may be called more
+// than once.
 func (w *Watch) Stop() {
-	w.once.Do(func() { close(w.stop) })
+	w.stopOnce.Do(func() { close(w.stop) })
 	<-w.stopped
 }
--- a/internal/subprocess/subprocess.go
+++ b/internal/subprocess/subprocess.go
@@ -1,5 +1,5 @@
-// Package subprocess runs the program's own commands as processes, for rehearsals and
-// measurements: it starts one, waits until it listens, and ends it.
+// Package subprocess runs this program's own commands as child processes, for scenarios, soak runs
+// and benchmarks. It starts a process, waits until the process accepts connections, and stops it.
 package subprocess
 
 import (
@@ -15,33 +15,35 @@
 )
 
 const (
-	// startTimeout is how long a process may take until it listens.
+	// startTimeout is the time a process has, from its start, to accept connections.
 	startTimeout = 5 * time.Second
-	// dialInterval is how often it is tried meanwhile.
+	// dialInterval is the pause between two attempts to connect to a starting process.
 	dialInterval = 5 * time.Millisecond
-	// stopTimeout is how long a process may take to end after SIGTERM.
+	// stopTimeout is the time a process has to exit after SIGTERM.
 	stopTimeout = 15 * time.Second
-	// stackDumpTime is what a process that hangs is given to write its goroutines' stacks.
+	// stackDumpTime is the time a hung process has, after SIGQUIT, to write its goroutine stacks.
 	stackDumpTime = 200 * time.Millisecond
 )
 
-// ErrStopTimeout is returned by Stop for a process that did not end and was killed.
-var ErrStopTimeout = errors.New("it did not stop in 15 s")
+// ErrStopTimeout is returned by Stop if the process did not exit within stopTimeout and was killed.
+var ErrStopTimeout = errors.New("the process did not exit within 15 s of SIGTERM and was killed")
 
-// Process is a running command. The kernel kills it when the process that started it ends.
+// Process is a started command. The kernel kills it when the process that started it exits.
 type Process struct {
 	cmd *exec.Cmd
-	// exit holds the result of the process once it has exited. It is nil after Stop or Kill.
+	// exit holds the result of cmd.Wait once the process has exited. It is nil after Stop or Kill.
 	exit chan error
 }
 
-// Start starts a command and waits until addr accepts connections. The command's output goes to
-// out; if out is nil, or a file, it is in the error of a command that exits before.
+// Start starts a command and waits until addr accepts connections. The command's standard output
+// and standard error go to out. If out is nil, standard output is discarded. The error for a command
+// that exits before it accepts connections includes its output if out is a file, and its standard
+// error if out is nil.
 func Start(addr string, out io.Writer, argv ...string) (*Process, error) {
 	return StartEnv(addr, out, nil, argv...)
 }
 
-// StartEnv is Start with further environment variables, each as "name=value".
+// StartEnv is like Start but adds environment variables, each in the form "name=value".
 func StartEnv(addr string, out io.Writer, env []string, argv ...string) (*Process, error) {
 	var captured bytes.Buffer
 	cmd := command(argv)
@@ -62,20 +64,20 @@
 	}
 	if !listening {
 		p.Kill()
-		return nil, fmt.Errorf("%v does not listen on %s", argv, addr)
+		return nil, fmt.Errorf("%v did not accept connections on %s in time", argv, addr)
 	}
 	return p, nil
 }
 
-// command makes a command that is killed when this process ends.
+// command returns a command whose process the kernel kills when this process exits.
 func command(argv []string) *exec.Cmd {
 	cmd := exec.Command(argv[0], argv[1:]...)
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	return cmd
 }
 
-// waitListening reports whether addr accepts connections before startTimeout. The error is the
-// result of a process that has exited instead.
+// waitListening waits until addr accepts connections and reports whether it did so within
+// startTimeout. If the process exits first, waitListening returns the process's result as the error.
 func (p *Process) waitListening(addr string) (bool, error) {
 	deadline := time.Now().Add(startTimeout)
 	for ; time.Now().Before(deadline); time.Sleep(dialInterval) {
@@ -95,10 +97,11 @@
 	return false, nil
 }
 
-// errExited is the result of a process that exited with status 0 before it listened.
-var errExited = errors.New("it exited with status 0")
+// errExited is returned by waitListening for a process that exited with status 0.
+var errExited = errors.New("exited with status 0")
 
-// output is what a command has written: to a file, or to captured.
+// output returns what a command has written: the content of the file if out is a file, and the
+// captured text otherwise.
 func output(out io.Writer, captured *bytes.Buffer) []byte {
 	if f, ok := out.(*os.File); ok {
 		text, _ := os.ReadFile(f.Name())
@@ -107,8 +110,8 @@
 	return bytes.TrimSpace(captured.Bytes())
 }
 
-// Output runs a command to its end and returns its standard output. What a failed one wrote to
-// its standard error is in the error.
+// Output runs a command, waits for it to exit and returns its standard output. If the command
+// fails, the error includes its standard error.
 func Output(argv ...string) ([]byte, error) {
 	out, err := command(argv).Output()
 	if exitErr := (*exec.ExitError)(nil); errors.As(err, &exitErr) {
@@ -117,14 +120,15 @@
 	return out, err
 }
 
-// Pid is the process's id.
+// Pid returns the process ID.
 func (p *Process) Pid() int { return p.cmd.Process.Pid }
 
-// Signal sends a signal.
+// Signal sends a signal to the process. It ignores errors, for instance that the process has exited.
 func (p *Process) Signal(s syscall.Signal) { p.cmd.Process.Signal(s) }
 
-// Stop sends SIGTERM and waits for the process to exit. One that does not is made to write its
-// stacks, killed, and reported by ErrStopTimeout. Stop does nothing after Stop or Kill.
+// Stop sends SIGTERM, waits for the process to exit and returns its result. If the process has not
+// exited after stopTimeout, Stop sends SIGQUIT so that a Go program writes its goroutine stacks,
+// kills the process and returns ErrStopTimeout. Stop does nothing after an earlier Stop or Kill.
 func (p *Process) Stop() error {
 	if p.exit == nil {
 		return nil
@@ -142,7 +146,7 @@
 	}
 }
 
-// Kill ends the process at once and waits for it. It does nothing after Stop or Kill.
+// Kill sends SIGKILL and waits for the process to exit. It does nothing after an earlier Stop or Kill.
 func (p *Process) Kill() {
 	if p.exit == nil {
 		return
@@ -152,7 +156,7 @@
 	p.exit = nil
 }
 
-// Exited reports whether the process has exited by itself.
+// Exited reports whether the process has exited. It returns false after Stop or Kill.
 func (p *Process) Exited() bool {
 	select {
 	case err := <-p.exit:
@@ -163,7 +167,7 @@
 	}
 }
 
-// ExitsWithin waits for the process to exit, for d at most, and reports whether it did.
+// ExitsWithin waits up to d for the process to exit and reports whether it did.
 func (p *Process) ExitsWithin(d time.Duration) bool {
 	select {
 	case err := <-p.exit:
@@ -174,7 +178,8 @@
 	}
 }
 
-// CPUTime is the user and system time of a process that has exited.
+// CPUTime returns the user and system CPU time of the process. The process must have exited and
+// been waited for, as after Stop or Kill.
 func (p *Process) CPUTime() time.Duration {
 	return p.cmd.ProcessState.UserTime() + p.cmd.ProcessState.SystemTime()
 }
