--- a/internal/supervisor/heartbeat.go
+++ b/internal/supervisor/heartbeat.go
@@ -6,15 +6,17 @@
 	"time"
 )
 
-// HeartbeatInterval is how often a worker sends a heartbeat.
+// HeartbeatInterval is the time between two heartbeats of a worker.
 const HeartbeatInterval = time.Second
 
-// ErrParentGone is returned when the other end of a worker's pipe is closed.
-var ErrParentGone = errors.New("the supervisor is gone")
+// ErrParentGone is returned by SendHeartbeats if a heartbeat cannot be written: the supervisor, which
+// reads from the other end of the pipe, has exited.
+var ErrParentGone = errors.New("the supervisor has exited")
 
-// SendHeartbeats writes a heartbeat to a worker's pipe in each HeartbeatInterval, until quit
-// closes. alive is called each time and must answer for the loop that does the work, so that a
-// worker that hangs sends none. It returns ErrParentGone when the other end is closed.
+// SendHeartbeats writes a heartbeat to a worker's pipe at once and then every HeartbeatInterval. It
+// skips a heartbeat if alive returns false. alive has to report whether the worker's event loop makes
+// progress, so that a hung worker sends no heartbeats. SendHeartbeats returns nil when quit is closed,
+// and ErrParentGone if a write fails.
 func SendHeartbeats(pipe *os.File, alive func() bool, quit <-chan struct{}) error {
 	ticker := time.NewTicker(HeartbeatInterval)
 	defer ticker.Stop()
--- a/internal/supervisor/run.go
+++ b/internal/supervisor/run.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// defaults are the timeouts that the workers of a machine are held to.
-var defaults = Config{
+// defaultConfig holds the timeouts that Run uses. Workers and KillAfter are set from its Options.
+var defaultConfig = Config{
 	HeartbeatTimeout: 10 * time.Second,
 	StartupTimeout:   30 * time.Second,
 	BackoffMin:       100 * time.Millisecond,
@@ -20,46 +20,50 @@
 }
 
 const (
-	// exitGrace is what a worker has beyond its own shutdown timeout before it is killed.
+	// exitGrace is the time a worker has to exit after its own shutdown timeout, before it is
+	// killed.
 	exitGrace = 2 * time.Second
-	// maxWait bounds one wait for events.
+	// maxWait bounds a single wait for events.
 	maxWait = time.Hour
-	// FirstInheritedFD is the descriptor of the first file that a process inherits, after its
-	// standard streams.
+	// FirstInheritedFD is the descriptor number of the first of Options.Files in a worker. It
+	// follows the standard streams.
 	FirstInheritedFD = 3
 )
 
-// Options of a run.
+// Options configures Run.
 type Options struct {
-	Workers int
-	// ShutdownTimeout is how long a worker takes for its own graceful shutdown. It is killed
-	// exitGrace after that.
+	Workers int // number of worker processes
+	// ShutdownTimeout is the timeout of a worker's own graceful shutdown. A worker that still runs
+	// exitGrace after it is killed.
 	ShutdownTimeout time.Duration
-	// Command makes the command of worker i. It inherits Files from descriptor 3 on, and after
-	// them the pipe that it sends heartbeats on: see HeartbeatFD.
+	// Command returns the command that starts worker i.
 	Command func(i int) *exec.Cmd
-	Files   []*os.File
-	// OnShutdown is called when the shutdown begins. Files are not used after it.
+	// Files are inherited by each worker, from descriptor FirstInheritedFD on. The pipe on which the
+	// worker sends heartbeats follows them: see HeartbeatFD.
+	Files []*os.File
+	// OnShutdown is called when ctx is done, after which Files are no longer used.
 	OnShutdown func()
 	Log        *slog.Logger
 }
 
-// HeartbeatFD is the descriptor that a worker that inherits so many files sends heartbeats on.
+// HeartbeatFD returns the descriptor on which a worker sends heartbeats, given the number of
+// Options.Files that it inherits.
 func HeartbeatFD(files int) int { return FirstInheritedFD + files }
 
-// workerEvent is a heartbeat of a worker, or its exit.
+// workerEvent reports a heartbeat or the exit of a worker.
 type workerEvent struct {
 	worker int
-	exited bool
-	cause  error // why it exited, never nil then
+	exited bool  // false for a heartbeat
+	cause  error // reason for the exit; not nil if exited is set
 }
 
-// errExited is the cause of an exit with status 0.
-var errExited = errors.New("it exited by itself")
+// errExited is the cause recorded for an exit with status 0, for which Wait returns no error.
+var errExited = errors.New("exited with status 0")
 
-// Run keeps the workers running until ctx is done and all of them have ended. Each signal that
-// arrives is forwarded to every worker. It returns an error if the first worker to exit did so
-// before any worker has started properly.
+// Run starts the workers and restarts them when they exit or hang. When ctx is done, it shuts them
+// down, and it returns once all of them have exited. Signals received from the channel are forwarded
+// to every running worker. Run returns an error if a worker exits, or cannot be started, before
+// any worker has sent a heartbeat.
 func Run(ctx context.Context, o Options, signals <-chan os.Signal) error {
 	r := newRunner(o)
 	stop := ctx.Done()
@@ -69,7 +73,7 @@
 			r.apply(action)
 		}
 		if len(actions) > 0 {
-			continue // a start that failed asks for more
+			continue // a failed start changes the state: ask for actions again
 		}
 		if done, err := r.supervisor.Done(); done {
 			return err
@@ -90,17 +94,17 @@
 	}
 }
 
-// runner carries out a supervisor's decisions on processes.
+// runner applies the actions of a Supervisor to processes.
 type runner struct {
 	options    Options
 	supervisor *Supervisor
 	startedAt  time.Time
-	processes  []*os.Process // by worker, nil if not running
+	processes  []*os.Process // by worker index; nil if not running
 	events     chan workerEvent
 }
 
 func newRunner(o Options) *runner {
-	c := defaults
+	c := defaultConfig
 	c.Workers = o.Workers
 	c.KillAfter = o.ShutdownTimeout + exitGrace
 	return &runner{
@@ -150,7 +154,7 @@
 	}
 }
 
-// start starts worker i and watches its heartbeats and its exit.
+// start starts worker i, and a goroutine that reports its heartbeats and its exit.
 func (r *runner) start(i int) (*os.Process, error) {
 	heartbeats, workerEnd, err := os.Pipe()
 	if err != nil {
@@ -169,7 +173,8 @@
 	return cmd.Process, nil
 }
 
-// watch reports the heartbeats of worker i until its end of the pipe is closed, and then its exit.
+// watch reports the heartbeats of worker i until the worker closes its end of the pipe. It then
+// waits for the worker to exit and reports that.
 func (r *runner) watch(i int, cmd *exec.Cmd, heartbeats *os.File) {
 	defer heartbeats.Close()
 	buf := make([]byte, 16)
--- a/internal/supervisor/run_test.go
+++ b/internal/supervisor/run_test.go
@@ -11,8 +11,9 @@
 	"time"
 )
 
-// shell returns options whose workers run a shell script; $HEARTBEATS is the heartbeat pipe.
-func shell(workers int, script string) Options {
+// shellOptions returns options whose workers run a shell script. In the script, $HEARTBEATS is the
+// path of the heartbeat pipe.
+func shellOptions(workers int, script string) Options {
 	return Options{
 		Workers:    workers,
 		OnShutdown: func() {},
@@ -25,22 +26,22 @@
 	}
 }
 
-// A configuration that no worker can start with must not be tried for good: Run returns the
-// error of the first worker, and all have ended.
+// Verifies that Run does not restart workers forever if they cannot start, for instance because of
+// a mistake in the configuration: it returns the error of the first worker that exits.
 func TestRunReturnsFailureToStart(t *testing.T) {
-	err := Run(t.Context(), shell(2, "exit 3"), nil)
+	err := Run(t.Context(), shellOptions(2, "exit 3"), nil)
 	if err == nil || !strings.Contains(err.Error(), "failed to start: exit status 3") {
-		t.Errorf("got %v", err)
+		t.Errorf("got error %v, want one that contains \"failed to start: exit status 3\"", err)
 	}
 }
 
-// A worker that has sent a heartbeat and exits is restarted, and a shutdown interrupts the
-// workers and waits for them.
+// Verifies that Run restarts a worker that exits after it has sent a heartbeat, and that a shutdown
+// sends SIGINT to the worker and waits for its exit.
 func TestRunRestartsAndShutsDown(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	starts := make(chan struct{}, 16)
-	o := shell(1, `printf x > $HEARTBEATS; trap 'exit 0' INT; sleep 0.05; [ $N -gt 0 ] || exit 1; while :; do sleep 0.02; done`)
+	o := shellOptions(1, `printf x > $HEARTBEATS; trap 'exit 0' INT; sleep 0.05; [ $N -gt 0 ] || exit 1; while :; do sleep 0.02; done`)
 	command := o.Command
 	n := 0
 	o.Command = func(i int) *exec.Cmd {
@@ -56,7 +57,7 @@
 		select {
 		case <-starts:
 		case <-time.After(10 * time.Second):
-			t.Fatal("the worker is not started twice")
+			t.Fatal("the worker was not started a second time within 10 s")
 		}
 	}
 	time.Sleep(50 * time.Millisecond)
@@ -67,12 +68,12 @@
 			t.Error(err)
 		}
 	case <-time.After(10 * time.Second):
-		t.Fatal("Run does not return after a shutdown")
+		t.Fatal("Run did not return within 10 s of a shutdown")
 	}
 }
 
-// A worker outlives its supervisor, which was killed. It has to notice, as it holds the
-// listeners: its heartbeats fail.
+// Verifies that a worker notices that its supervisor was killed: SendHeartbeats returns
+// ErrParentGone. Otherwise the worker would go on running and keep the listeners open.
 func TestHeartbeatsEndWithParent(t *testing.T) {
 	parentEnd, workerEnd, err := os.Pipe()
 	if err != nil {
@@ -82,10 +83,10 @@
 	quit := make(chan struct{})
 	close(quit)
 	if err := SendHeartbeats(workerEnd, func() bool { return true }, quit); err != nil {
-		t.Fatalf("with a parent: %v", err)
+		t.Fatalf("with a parent: got %v, want nil", err)
 	}
 	parentEnd.Close()
 	if err := SendHeartbeats(workerEnd, func() bool { return true }, make(chan struct{})); !errors.Is(err, ErrParentGone) {
-		t.Errorf("without a parent: %v", err)
+		t.Errorf("without a parent: got %v, want ErrParentGone", err)
 	}
 }
--- a/internal/supervisor/seed_test.go
+++ b/internal/supervisor/seed_test.go
@@ -2,5 +2,6 @@
 
 import "flag"
 
-// init makes the random histories of rapid the same in every run; -rapid.seed=0 draws new ones.
+// init fixes the seed of rapid, so that every run generates the same histories. -rapid.seed=0
+// generates new ones.
 func init() { flag.Set("rapid.seed", "20261201") }
--- a/internal/supervisor/supervisor.go
+++ b/internal/supervisor/supervisor.go
@@ -1,15 +1,17 @@
 // Package supervisor keeps the worker processes of one machine running. Supervisor decides when
-// a worker is started, restarted, or killed as hung; it does no I/O, but is told of starts,
-// heartbeats and exits with readings of a clock, and returns actions. Run carries them out.
+// a worker is started, restarted, or killed because it hangs. It does no I/O: its methods take
+// heartbeats and exits, each with the current time, and Advance returns the actions that are due.
+// Run carries these out on processes.
 //
-// What holds at every step:
-//   - a worker that exited is restarted after a backoff, which doubles while it keeps exiting
-//     and is at its minimum again once it ran for StableAfter;
-//   - a worker without a heartbeat for HeartbeatTimeout is killed, and then counts as exited;
-//   - if a worker exits before any worker has ever sent a heartbeat, all are terminated: what
-//     keeps it from starting is in the configuration, and no backoff mends that;
-//   - in a shutdown no worker is started, all are terminated, and those that are left after
-//     KillAfter are killed.
+// Rules:
+//   - A worker that exited is restarted after a backoff. The backoff doubles with each exit,
+//     and is reset to its minimum if the worker ran for StableAfter before it exited.
+//   - A worker that sends no heartbeat for HeartbeatTimeout is killed, and is restarted when it has
+//     exited. Until its first heartbeat it has StartupTimeout.
+//   - If a worker exits before any worker has sent a heartbeat, all workers are terminated. The
+//     cause is then taken to be the configuration, which restarts cannot fix.
+//   - During a shutdown no worker is started, all workers are terminated, and workers that still
+//     run after KillAfter are killed.
 package supervisor
 
 import (
@@ -18,68 +20,71 @@
 	"time"
 )
 
-// Time is a reading of a monotonic clock.
+// Time is a reading of a monotonic clock with an arbitrary origin.
 type Time = time.Duration
 
-// Config are the number of workers and the timeouts they are held to.
+// Config holds the number of workers and their timeouts.
 type Config struct {
 	Workers int
-	// HeartbeatTimeout is how long after its last heartbeat a worker is killed.
+	// HeartbeatTimeout is the time after its last heartbeat at which a worker is killed.
 	HeartbeatTimeout time.Duration
-	// StartupTimeout is how long after its start a worker without a heartbeat is killed.
+	// StartupTimeout is the time after its start at which a worker is killed if it has sent no
+	// heartbeat.
 	StartupTimeout time.Duration
-	// BackoffMin is the pause before the restart of a worker that exited; it doubles with each
-	// exit up to BackoffMax.
+	// BackoffMin is the initial delay before an exited worker is restarted. The delay doubles with
+	// each exit, up to BackoffMax.
 	BackoffMin time.Duration
 	BackoffMax time.Duration
-	// StableAfter is how long a worker has to run for its backoff to start from BackoffMin again.
+	// StableAfter is the time a worker has to run for its backoff to be reset to BackoffMin.
 	StableAfter time.Duration
-	// KillAfter is how long after the start of a shutdown the workers that are left are killed.
+	// KillAfter is the time after the start of a shutdown at which workers that still run are
+	// killed.
 	KillAfter time.Duration
 }
 
-// Op is what an Action asks for.
+// Op is the kind of an Action.
 type Op uint8
 
 // Operations on a worker.
 const (
 	Start     Op = iota
-	Terminate    // ask it to shut down, by SIGINT
+	Terminate    // request a graceful shutdown, by SIGINT
 	Kill         // SIGKILL
 )
 
 func (o Op) String() string { return [...]string{"start", "terminate", "kill"}[o] }
 
-// Action is an operation that the caller is to carry out.
+// Action is an operation on one worker, to be carried out by the caller of Advance.
 type Action struct {
 	Op     Op
-	Worker int
+	Worker int // index of the worker
 }
 
-// worker is what is known of one worker. Its times are valid as noted.
+// worker is the state of one worker. Some fields are valid only under the condition noted.
 type worker struct {
 	running       bool
-	killSent      bool // running, and was killed; its exit is still to come
-	responsive    bool // running, and has sent a heartbeat since its start
-	startedAt     Time // if running
-	lastHeartbeat Time // if responsive
-	restartAt     Time // if not running
-	backoff       time.Duration
+	killSent      bool          // a running worker was killed and has not exited yet
+	responsive    bool          // has sent a heartbeat since its start; valid if running
+	startedAt     Time          // valid if running
+	lastHeartbeat Time          // valid if running and responsive
+	restartAt     Time          // valid if not running
+	backoff       time.Duration // delay before the next restart
 }
 
-// Supervisor decides about the workers. It is not safe for concurrent use.
+// Supervisor decides when workers are started, terminated and killed. It is not safe for concurrent
+// use.
 type Supervisor struct {
-	config        Config
-	now           Time
-	workers       []worker
-	anyResponsive bool // a worker has sent a heartbeat
-	stopping      bool
-	killAt        Time // if stopping: when the workers that are left are killed
-	terminateSent bool // if stopping: the workers were asked to shut down
-	startErr      error
+	config         Config
+	now            Time
+	workers        []worker
+	everResponsive bool // some worker has sent a heartbeat, now or earlier
+	stopping       bool
+	killAt         Time  // time at which workers that still run are killed; valid if stopping
+	terminateSent  bool  // Terminate was returned for the running workers; set only if stopping
+	startErr       error // start failure that began the shutdown; nil if it began otherwise
 }
 
-// New returns a supervisor that is to start all workers at once.
+// New returns a supervisor whose first Advance starts all workers.
 func New(c Config, now Time) *Supervisor {
 	s := &Supervisor{config: c, now: now, workers: make([]worker, c.Workers)}
 	for i := range s.workers {
@@ -88,10 +93,10 @@
 	return s
 }
 
-// advanceClock keeps the clock from going back between calls.
+// advanceClock sets the clock to now, unless it would go backwards.
 func (s *Supervisor) advanceClock(now Time) { s.now = max(s.now, now) }
 
-// Heartbeat records a heartbeat of worker i.
+// Heartbeat records a heartbeat of worker i. It has no effect if the worker is not running.
 func (s *Supervisor) Heartbeat(now Time, i int) {
 	s.advanceClock(now)
 	w := &s.workers[i]
@@ -100,17 +105,18 @@
 	}
 	w.lastHeartbeat = s.now
 	w.responsive = true
-	s.anyResponsive = true
+	s.everResponsive = true
 }
 
-// Exited records that worker i exited, or could not be started.
+// Exited records that worker i exited or could not be started. cause is reported by Done if this
+// counts as a start failure.
 func (s *Supervisor) Exited(now Time, i int, cause error) {
 	s.advanceClock(now)
 	w := &s.workers[i]
 	if !w.running {
 		return
 	}
-	if !s.anyResponsive && !s.stopping {
+	if !s.everResponsive && !s.stopping {
 		s.startErr = fmt.Errorf("worker %d failed to start: %w", i, cause)
 		s.beginShutdown()
 	}
@@ -123,7 +129,7 @@
 	w.backoff = min(2*w.backoff, s.config.BackoffMax)
 }
 
-// Shutdown begins to end all workers.
+// Shutdown begins a shutdown. Later calls of Advance return its actions.
 func (s *Supervisor) Shutdown(now Time) {
 	s.advanceClock(now)
 	s.beginShutdown()
@@ -137,8 +143,8 @@
 	s.killAt = s.now + s.config.KillAfter
 }
 
-// Done reports whether a shutdown is complete. The error is that of the worker that failed to
-// start, if that is what began it.
+// Done reports whether a shutdown is complete. If a worker that failed to start caused the
+// shutdown, Done also returns that worker's error.
 func (s *Supervisor) Done() (bool, error) {
 	if s.Running() > 0 {
 		return false, nil
@@ -146,7 +152,7 @@
 	return s.stopping, s.startErr
 }
 
-// Running is the number of workers that are running.
+// Running returns the number of running workers.
 func (s *Supervisor) Running() (n int) {
 	for i := range s.workers {
 		if s.workers[i].running {
@@ -156,7 +162,8 @@
 	return n
 }
 
-// Advance returns what is to be done now, and when it is to be called again at the latest.
+// Advance returns the actions that are due now, and the latest time at which it has to be called
+// again.
 func (s *Supervisor) Advance(now Time) (actions []Action, next Time) {
 	s.advanceClock(now)
 	next = math.MaxInt64
@@ -171,8 +178,8 @@
 	return actions, next
 }
 
-// advanceWorker returns the operation that a worker is due for, if any, and when it is due for
-// the next one.
+// advanceWorker updates a worker's state. It returns the operation that is due now, if ok is set,
+// and the time at which the next one is due.
 func (s *Supervisor) advanceWorker(w *worker) (op Op, ok bool, next Time) {
 	deadline := s.killDeadline(w)
 	switch {
@@ -194,8 +201,8 @@
 	return 0, false, deadline
 }
 
-// killDeadline is when a running worker is killed: at the end of a shutdown, or else when it
-// counts as hung.
+// killDeadline returns the time at which a running worker is killed: the kill time of the shutdown
+// if there is one, and otherwise the time at which the worker counts as hung.
 func (s *Supervisor) killDeadline(w *worker) Time {
 	switch {
 	case s.stopping:
