--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,10 +1,10 @@
-// Package daemon runs one gateway instance as a process does: it builds the event loop, the
-// gateway and its membership source from a configuration, opens the listeners, serves,
-// reloads and shuts down.
+// Package daemon runs one gateway instance. It builds the event loop, the gateway and its membership
+// source from a configuration, opens the listeners, serves requests, reloads the configuration and
+// shuts down gracefully.
 //
-// A Daemon is built in one of three roles: a standalone instance (New), one of several worker
-// processes that share listeners (NewWorker), or an instance of a platform (NewPlatform). The
-// first two read their nodes from a node list file, the last one from discovery.
+// A Daemon has one of three roles: a standalone instance (New), one of several worker processes that
+// share listeners (NewWorker), or an instance on a platform (NewPlatform). Standalone instances and
+// workers read their nodes from a node list file; an instance on a platform gets them from discovery.
 package daemon
 
 import (
@@ -17,43 +17,45 @@
 	"maddergap/internal/gateway"
 )
 
-// Daemon is a gateway instance on its event loop. All fields but the atomic ones belong to the
-// goroutine of Run.
+// Daemon is a gateway instance with its event loop. Fields that are not atomic are accessed only by
+// the goroutine that calls Run, once Run has been called.
 type Daemon struct {
-	config     *config.Config
-	started    *config.Config // that of the start
-	log        *slog.Logger
-	loop       *eventloop.Loop
-	gateway    *gateway.Gateway
-	observer   *observer
-	iterations *iterationStats
-	metrics    *metricsServer // nil for none
-	role       role
-	members    membershipSource
-	shutdown   *shutdown
-	addrs      []string
-
-	// Requests of other goroutines, which wake the loop after setting one.
+	config      *config.Config // configuration in effect
+	startConfig *config.Config // configuration at the start; nil on a platform
+	log         *slog.Logger
+	loop        *eventloop.Loop
+	gateway     *gateway.Gateway
+	observer    *observer
+	iterations  *iterationStats
+	metrics     *metricsServer // nil if the configuration has no metrics address
+	role        role
+	members     membershipSource
+	shutdown    *shutdown
+	addrs       []string // see Addrs
+
+	// Set by other goroutines, which then wake the loop.
 	stopRequested   atomic.Bool
 	reloadRequested atomic.Bool
-	// iterated is set by each iteration of the loop and cleared by each heartbeat.
+	// iterated is set at the end of each iteration and cleared by each heartbeat of a worker. A
+	// heartbeat is sent only if it was set.
 	iterated atomic.Bool
 }
 
-// New returns a standalone instance for a configuration. It reads the node list and opens the
-// listeners; nothing is served before Run. Mistakes are of type *config.Error.
+// New returns a standalone instance. It reads the node list and opens the listeners, but serves no
+// request before Run. Mistakes in the node list, and limits that need more descriptors than the process
+// may open, are reported as errors of type *config.Error, which may be joined.
 func New(c *config.Config, log *slog.Logger, opts ...Option) (*Daemon, error) {
 	return newWithNodeList(standaloneRole{}, c, log, opts)
 }
 
-// NewWorker is New for one of the processes of c that share its listeners: it takes over the
-// listen queues and serves with its part of the limits.
+// NewWorker returns an instance for one of the worker processes that share the listeners of c. The
+// worker accepts connections from the listen queues in w and uses its part of the limits in c.
 func NewWorker(w Worker, c *config.Config, log *slog.Logger, opts ...Option) (*Daemon, error) {
 	return newWithNodeList(workerRole{w}, c.ForWorker(w.Index), log, opts)
 }
 
-// open builds what all roles have around the loop, hands the gateway its nodes and opens the
-// listeners. On an error, the caller closes the daemon.
+// open builds the parts that all roles have in common, starts the membership source and opens the
+// listeners. If it returns an error, the caller has to close the daemon.
 func (d *Daemon) open(o *options, seed uint64) (err error) {
 	if d.observer, err = newObserver(d.config, d.log, d.loop.Origin()); err != nil {
 		return err
@@ -78,7 +80,7 @@
 	return d.role.openListeners(d)
 }
 
-// close releases what open acquired, also where it failed halfway.
+// close releases the resources that open acquired, including those of an open that failed.
 func (d *Daemon) close() {
 	if d.metrics != nil {
 		d.metrics.close()
@@ -89,10 +91,10 @@
 	}
 }
 
-// Addrs are the addresses listened on, one for each of Config.Listen.
+// Addrs returns the addresses listened on, one for each address in Config.Listen.
 func (d *Daemon) Addrs() []string { return d.addrs }
 
-// MetricsAddr is the address of the metrics listener, "" for none.
+// MetricsAddr returns the address of the metrics listener, or "" if there is none.
 func (d *Daemon) MetricsAddr() string {
 	if d.metrics == nil {
 		return ""
@@ -100,26 +102,26 @@
 	return d.metrics.addr
 }
 
-// Counts are the gateway's counters. They may be read when Run has returned.
+// Counts returns the gateway's counters. It may be called only after Run has returned.
 func (d *Daemon) Counts() gateway.Counts { return d.gateway.Counts() }
 
-// Stop starts a graceful shutdown, at the end of which Run returns. It may be called from any
-// goroutine, and more than once.
+// Stop requests a graceful shutdown, after which Run returns. It may be called from any goroutine,
+// and more than once.
 func (d *Daemon) Stop() {
 	d.stopRequested.Store(true)
 	d.loop.Wake()
 }
 
-// Reload reads the configuration again and applies all of it or nothing; the log says which. On a
-// platform a new address of discovery is applied even if the rest needs a restart, as the old
-// address may be gone. It may be called from any goroutine.
+// Reload requests that the configuration is read again, and either applied or rejected as a whole. The
+// result is logged. On a platform, only the discovery address can change without a restart; see
+// platformRole.reload. Reload may be called from any goroutine.
 func (d *Daemon) Reload() {
 	d.reloadRequested.Store(true)
 	d.loop.Wake()
 }
 
-// Run serves until a shutdown has completed. It returns an *AbortedError if requests had to be
-// aborted at the end of the shutdown timeout.
+// Run serves requests until a shutdown requested by Stop has completed. It returns an *AbortedError if
+// requests were still pending at the shutdown timeout and had to be aborted.
 func (d *Daemon) Run() error {
 	defer d.close()
 	quit := make(chan struct{})
@@ -136,7 +138,7 @@
 	return nil
 }
 
-// onWake serves the requests of other goroutines, after one of them has woken the loop.
+// onWake handles the requests of other goroutines. It is called on the loop's goroutine after a wake.
 func (d *Daemon) onWake() {
 	d.members.onWake()
 	if d.reloadRequested.Swap(false) {
@@ -151,7 +153,8 @@
 	}
 }
 
-// onIteration runs at the end of each iteration of the loop and reports that the last one is done.
+// onIteration is called at the end of each iteration of the loop. It reports whether the shutdown is
+// complete and the loop has to end.
 func (d *Daemon) onIteration() (done bool) {
 	d.members.onIteration()
 	if d.metrics != nil {
@@ -161,6 +164,7 @@
 	return d.shutdown.advance()
 }
 
+// logStopped logs the final counters and the duration of the shutdown.
 func (d *Daemon) logStopped() {
 	n := d.gateway.Counts()
 	d.log.Info("stopped",
@@ -171,6 +175,7 @@
 		"took", d.loop.Now()-d.shutdown.requestedAt)
 }
 
+// total returns the sum of counts.
 func total(counts []uint64) (sum uint64) {
 	for _, n := range counts {
 		sum += n
@@ -178,5 +183,5 @@
 	return sum
 }
 
-// wakeAfter wakes the loop once d has passed.
+// wakeAfter wakes the loop after d.
 func wakeAfter(loop interface{ Wake() }, d time.Duration) { time.AfterFunc(d, loop.Wake) }
--- a/internal/daemon/discovery_log.go
+++ b/internal/daemon/discovery_log.go
@@ -9,23 +9,24 @@
 	"maddergap/internal/gateway"
 )
 
-// outageAfter is how long discovery has to be silent before that is logged as an outage. A watch
-// that it may hold is no silence.
+// outageAfter is the time without a usable response after which an outage of discovery is logged. The
+// time until which discovery may hold a watch does not count.
 const outageAfter = time.Second
 
-// outageLog logs when discovery becomes unavailable, why its responses are rejected, and when it
-// has recovered: one line for each change, however many calls are made meanwhile.
+// outageLog logs when discovery becomes unavailable, why its responses are rejected during the outage,
+// and when it recovers. It writes one line for each change, regardless of the number of calls.
 type outageLog struct {
 	log       *slog.Logger
-	startedAt time.Duration // when the instance began to call
+	startedAt time.Duration // time of the loop's clock at which the instance began to call discovery
 
-	// The outage that was logged last; the fields below are of it.
-	unavailable  bool
-	since        time.Duration // of the last good response before it
-	callsAtStart int
-	lastError    string
+	// The last outage that was logged, if any. The fields below describe it.
+	unavailable        bool
+	lastResponseBefore time.Duration // time of the last usable response before the outage, or startedAt
+	callsAtStart       int           // number of calls sent before the outage was logged
+	lastError          string        // last error that was logged; "" if there was none
 }
 
+// update logs the change, if any, since the last call.
 func (o *outageLog) update(now time.Duration, status discovery.Status) {
 	lastResponse := max(status.LastResponseAt, o.startedAt)
 	switch {
@@ -33,9 +34,9 @@
 		o.begin(lastResponse, status)
 		o.log.Warn("discovery unavailable; the last good list stays in effect",
 			"version", status.Version, "error", o.lastError, "since", now-lastResponse)
-	case o.unavailable && status.LastResponseAt > o.since:
+	case o.unavailable && status.LastResponseAt > o.lastResponseBefore:
 		o.unavailable = false
-		o.log.Info("discovery recovered", "version", status.Version, "after", status.LastResponseAt-o.since,
+		o.log.Info("discovery recovered", "version", status.Version, "after", status.LastResponseAt-o.lastResponseBefore,
 			"calls", status.CallsSent-o.callsAtStart, "calls_abandoned", status.CallsAbandoned)
 	case o.unavailable && status.LastError != nil && status.LastError.Error() != o.lastError:
 		o.lastError = status.LastError.Error()
@@ -43,9 +44,10 @@
 	}
 }
 
+// begin records the start of an outage.
 func (o *outageLog) begin(lastResponse time.Duration, status discovery.Status) {
 	o.unavailable = true
-	o.since = lastResponse
+	o.lastResponseBefore = lastResponse
 	o.callsAtStart = status.CallsSent
 	o.lastError = ""
 	if status.LastError != nil {
@@ -53,14 +55,16 @@
 	}
 }
 
-// maxNodeStateLines bounds the nodes that are logged at once.
+// maxNodeStateLines bounds the number of nodes that are logged at a time.
 const maxNodeStateLines = 64
 
-// nodeStateLog logs, at an interval, what the scheduler holds of each node beside what is on its
-// sockets. The two differ while attempts are written off, or before the scheduler was notified.
+// nodeStateLog logs, at an interval, the scheduler's state of each node and the connections to it. The
+// scheduler's number of attempts in flight may differ from the number of connections with an attempt
+// until the scheduler is notified of a change. in_window also leaves out attempts that were written off
+// when the node's circuit breaker opened.
 type nodeStateLog struct {
 	log      *slog.Logger
-	interval time.Duration // 0: never
+	interval time.Duration // nothing is logged if 0
 	loggedAt time.Duration
 }
 
--- a/internal/daemon/discovery_log_test.go
+++ b/internal/daemon/discovery_log_test.go
@@ -11,8 +11,9 @@
 	"maddergap/internal/discovery"
 )
 
-// Discovery is silent for ten seconds, then sends lists that cannot be used, then recovers. The
-// instance calls it many times meanwhile; the log has one line for each change and no more.
+// Verifies that the log has exactly one line for each change, however often the instance calls
+// discovery: discovery sends no usable list for ten seconds, recovers, and fails again after that.
+// Silence while discovery may hold a watch is no outage.
 func TestOutageLogHasOneLineForEachChange(t *testing.T) {
 	var b bytes.Buffer
 	o := outageLog{log: slog.New(slog.NewTextHandler(&b, nil)), startedAt: time.Hour}
@@ -21,20 +22,20 @@
 		name   string
 		at     time.Duration // since the start
 		change func()
-		want   string // in the line that is logged, "" for none
+		want   string // text in the line that is logged; "" if no line is logged
 	}{
-		{"before the first response is late", 999 * time.Millisecond, nil, ""},
-		{"no response at all", time.Second, nil, "discovery unavailable"},
-		{"it goes on", 5 * time.Second, func() { status.CallsSent = 20 }, ""},
-		{"a bad list", 6 * time.Second, func() { status.LastError = errors.New("stale") }, "error=stale"},
-		{"the same again", 7 * time.Second, nil, ""},
-		{"another bad list", 8 * time.Second, func() { status.LastError = errors.New("malformed") }, "error=malformed"},
-		{"a good one", 10 * time.Second, func() { status.LastResponseAt = time.Hour + 10*time.Second }, `msg="discovery recovered"`},
-		{"all is well", 10900 * time.Millisecond, nil, ""},
-		{"silent again", 11 * time.Second, nil, "discovery unavailable"},
-		{"a good one again", 12 * time.Second, func() { status.LastResponseAt = time.Hour + 12*time.Second }, `msg="discovery recovered"`},
-		{"a watch is held", 20 * time.Second, func() { status.WatchHeldUntil = time.Hour + 24*time.Second }, ""},
-		{"beyond its hold", 25 * time.Second, nil, "discovery unavailable"},
+		{"no response within outageAfter", 999 * time.Millisecond, nil, ""},
+		{"no response for outageAfter", time.Second, nil, "discovery unavailable"},
+		{"outage continues", 5 * time.Second, func() { status.CallsSent = 20 }, ""},
+		{"unusable list", 6 * time.Second, func() { status.LastError = errors.New("stale") }, "error=stale"},
+		{"same error again", 7 * time.Second, nil, ""},
+		{"unusable list, other error", 8 * time.Second, func() { status.LastError = errors.New("malformed") }, "error=malformed"},
+		{"usable list", 10 * time.Second, func() { status.LastResponseAt = time.Hour + 10*time.Second }, `msg="discovery recovered"`},
+		{"no outage", 10900 * time.Millisecond, nil, ""},
+		{"second outage", 11 * time.Second, nil, "discovery unavailable"},
+		{"second recovery", 12 * time.Second, func() { status.LastResponseAt = time.Hour + 12*time.Second }, `msg="discovery recovered"`},
+		{"watch is held", 20 * time.Second, func() { status.WatchHeldUntil = time.Hour + 24*time.Second }, ""},
+		{"no response after the hold", 25 * time.Second, nil, "discovery unavailable"},
 	} {
 		if step.change != nil {
 			step.change()
--- a/internal/daemon/discovery_source.go
+++ b/internal/daemon/discovery_source.go
@@ -11,13 +11,14 @@
 	"maddergap/internal/platform"
 )
 
-// initialListDelay is how long an instance with a node list in its configuration waits for
-// discovery before it serves by that list. The list may be old: requests would go to nodes that
-// are gone or draining. Discovery responds at once if it responds at all.
+// initialListDelay is the time that an instance with a node list in its configuration waits for
+// discovery before it uses that list. The list may be old, so that requests would go to nodes that are
+// gone or draining. If discovery is available, it responds at once.
 const initialListDelay = time.Second
 
-// discoverySource follows the nodes by discovery. Until discovery has sent its first list, an
-// initial list of the configuration takes its place after initialListDelay.
+// discoverySource is the membershipSource of an instance on a platform: it gets the nodes from
+// discovery. If discovery has sent no list after initialListDelay, the source uses the initial list
+// from the configuration, if there is one, until discovery sends a list.
 type discoverySource struct {
 	config  *platform.Config
 	log     *slog.Logger
@@ -25,16 +26,18 @@
 	gateway *gateway.Gateway
 	client  *discovery.Client
 
-	// The initial list, nil once discovery has sent one or this one is in effect.
-	initial     []nodelist.Node
-	useInitial  time.Duration // when the initial list comes into effect
-	initialUsed bool
+	// initial is the list from the configuration. It is nil once discovery has sent a list, or once
+	// the initial list itself has been put into effect.
+	initial      []nodelist.Node
+	useInitialAt time.Duration // time at which initial is put into effect
+	initialUsed  bool          // set once initial has been put into effect
 
 	outages    outageLog
 	nodeStates nodeStateLog
 }
 
-// newDiscoverySource returns a source that logs the state of the nodes at an interval, 0 for never.
+// newDiscoverySource returns a source that logs the state of the nodes every nodeStateInterval, or
+// never if that is 0.
 func newDiscoverySource(c *platform.Config, log *slog.Logger, nodeStateInterval time.Duration) *discoverySource {
 	return &discoverySource{config: c, log: log, nodeStates: nodeStateLog{log: log, interval: nodeStateInterval}}
 }
@@ -53,8 +56,8 @@
 	return nil
 }
 
-// resumeFromInitialList lets discovery continue from the configuration's list, and keeps it in
-// case discovery does not respond.
+// resumeFromInitialList passes the configuration's list to the discovery client, which may ask for the
+// changes since that list, and keeps the list in case discovery does not respond.
 func (s *discoverySource) resumeFromInitialList() {
 	list := s.config.InitialList
 	nodes, err := s.client.NodesFromList(list)
@@ -64,17 +67,17 @@
 		s.client.ResumeFrom(*list.Index, nodes)
 	}
 	s.initial = nodes
-	s.useInitial = s.loop.Now() + initialListDelay
+	s.useInitialAt = s.loop.Now() + initialListDelay
 	wakeAfter(s.loop, initialListDelay+time.Millisecond)
 }
 
-// onWake puts the initial list into effect if discovery has sent none in time.
+// onWake puts the initial list into effect if discovery has sent no list within initialListDelay.
 func (s *discoverySource) onWake() {
 	if s.client.Synced() {
 		s.initial = nil
 		return
 	}
-	if len(s.initial) > 0 && s.loop.Now() >= s.useInitial {
+	if len(s.initial) > 0 && s.loop.Now() >= s.useInitialAt {
 		s.gateway.SetNodes(s.loop.Now(), s.initial)
 		s.initial = nil
 		s.initialUsed = true
--- a/internal/daemon/iterations.go
+++ b/internal/daemon/iterations.go
@@ -11,49 +11,49 @@
 )
 
 const (
-	// slowIteration is the duration above which an iteration is logged: every client waited
-	// that long.
-	slowIteration = 50 * time.Millisecond
-	// slowIterationLines is how many lines a second are logged of slow iterations.
-	slowIterationLines = 1
-	// slowPhase is the duration above which such a line names a phase.
-	slowPhase = time.Millisecond
-	// longestWindow is the period whose longest iteration is kept; that of the last period is
-	// kept besides.
-	longestWindow = time.Minute
+	// slowIterationThreshold is the duration from which an iteration is logged. Every client and node
+	// waits while an iteration runs.
+	slowIterationThreshold = 50 * time.Millisecond
+	// slowIterationLinesPerSecond limits the log lines about slow iterations.
+	slowIterationLinesPerSecond = 1
+	// slowPhaseThreshold is the duration from which a phase is included in such a line.
+	slowPhaseThreshold = time.Millisecond
+	// longestPeriod is the length of the periods for which the longest iteration is kept. The values of
+	// the current and the previous period are kept.
+	longestPeriod = time.Minute
 )
 
-// iterationStats watches how long the loop's iterations take, and which phase takes it. While
-// one iteration lasts, every client and node waits. It belongs to the loop's goroutine.
+// iterationStats records the durations of the loop's iterations and of their phases. Its methods are
+// called on the loop's goroutine only.
 type iterationStats struct {
-	log     *slog.Logger
-	seconds prometheus.Histogram
+	log       *slog.Logger
+	histogram prometheus.Histogram
 
-	current, previous phaseDurations // the longest of this window and of the last
-	windowStart       time.Duration
+	current, previous phaseDurations // longest durations in the current and the previous period
+	periodStart       time.Duration  // start of the current period
 
-	lines lineLimiter // of slow iterations
+	slowLineLimiter lineLimiter
 }
 
-// phaseDurations are the longest duration of each phase of an iteration and of whole iterations.
+// phaseDurations holds the longest duration of each phase, and of an iteration with all its phases.
 type phaseDurations struct {
 	phases [eventloop.PhaseCount]time.Duration
-	whole  time.Duration
+	total  time.Duration
 }
 
-// merge keeps the longer one of each duration.
+// merge sets each duration to the maximum of d and other.
 func (d *phaseDurations) merge(other phaseDurations) {
 	for p, duration := range other.phases {
 		d.phases[p] = max(d.phases[p], duration)
 	}
-	d.whole = max(d.whole, other.whole)
+	d.total = max(d.total, other.total)
 }
 
 func newIterationStats(log *slog.Logger) *iterationStats {
 	return &iterationStats{
-		log:   log,
-		lines: newLineLimiter(slowIterationLines),
-		seconds: prometheus.NewHistogram(prometheus.HistogramOpts{
+		log:             log,
+		slowLineLimiter: newLineLimiter(slowIterationLinesPerSecond),
+		histogram: prometheus.NewHistogram(prometheus.HistogramOpts{
 			Name:    "maddergap_turn_seconds",
 			Help:    "Event loop iterations, without their wait for events.",
 			Buckets: prometheus.ExponentialBuckets(50e-6, 2, 15),
@@ -61,36 +61,36 @@
 	}
 }
 
-// observe records an iteration that has ended, and logs a slow one.
+// observe records a completed iteration, and logs it if it was slow.
 func (s *iterationStats) observe(now time.Duration, it *eventloop.Iteration) {
-	if now >= s.windowStart+longestWindow {
+	if now >= s.periodStart+longestPeriod {
 		s.previous = s.current
 		s.current = phaseDurations{}
-		s.windowStart = now
+		s.periodStart = now
 	}
-	whole := it.Total()
-	s.seconds.Observe(whole.Seconds())
-	s.current.merge(phaseDurations{phases: it.Durations, whole: whole})
-	if whole >= slowIteration {
+	total := it.Total()
+	s.histogram.Observe(total.Seconds())
+	s.current.merge(phaseDurations{phases: it.Durations, total: total})
+	if total >= slowIterationThreshold {
 		s.logSlow(it)
 	}
 }
 
 func (s *iterationStats) logSlow(it *eventloop.Iteration) {
-	suppressed, ok := s.lines.allow()
+	suppressed, ok := s.slowLineLimiter.allow()
 	if !ok {
 		return
 	}
 	attrs := []slog.Attr{slog.Duration("took", it.Total()), slog.Int("events", it.Events), slog.Int("suppressed", suppressed)}
 	for p, duration := range it.Durations {
-		if duration >= slowPhase {
+		if duration >= slowPhaseThreshold {
 			attrs = append(attrs, slog.Duration(eventloop.Phase(p).String(), duration))
 		}
 	}
 	s.log.LogAttrs(context.Background(), slog.LevelWarn, "slow event loop iteration", attrs...)
 }
 
-// longest returns the longest durations of this window and the last.
+// longest returns the longest durations in the current and the previous period.
 func (s *iterationStats) longest() phaseDurations {
 	longest := s.previous
 	longest.merge(s.current)
--- a/internal/daemon/line_limiter.go
+++ b/internal/daemon/line_limiter.go
@@ -2,18 +2,20 @@
 
 import "golang.org/x/time/rate"
 
-// lineLimiter bounds how often one kind of line is logged, so that a flood of clients does not
-// become one of the log. Lines that are left out are counted in the next one.
+// lineLimiter limits the rate of one kind of log line, so that a burst of client connections does not
+// flood the log. The number of suppressed lines is reported with the next line that is logged.
 type lineLimiter struct {
 	limiter    *rate.Limiter
 	suppressed int
 }
 
+// newLineLimiter returns a limiter that allows perSecond lines per second, and bursts of that size.
 func newLineLimiter(perSecond int) lineLimiter {
 	return lineLimiter{limiter: rate.NewLimiter(rate.Limit(perSecond), perSecond)}
 }
 
-// allow reports whether a line may be logged now, and how many were left out since the last one.
+// allow reports whether a line may be logged now, and if so, the number of lines suppressed since the
+// last one that was allowed.
 func (l *lineLimiter) allow() (suppressed int, ok bool) {
 	if !l.limiter.Allow() {
 		l.suppressed++
--- a/internal/daemon/listeners.go
+++ b/internal/daemon/listeners.go
@@ -8,8 +8,8 @@
 	"maddergap/internal/eventloop"
 )
 
-// OpenListeners opens the listeners of a configuration for workers to share, on a loop that
-// serves nothing itself.
+// OpenListeners opens the listeners that the workers of a configuration share. It returns a loop that
+// holds them and is not run itself.
 func OpenListeners(c *config.Config) (*eventloop.Loop, error) {
 	loop, err := eventloop.New(0, 0)
 	if err != nil {
@@ -24,7 +24,8 @@
 	return loop, nil
 }
 
-// listen opens the daemon's own listeners. Without a filter, known clients have no queue of their own.
+// listen opens the daemon's own listeners. If filter is nil, known clients share the
+// listen queue with all other clients.
 func (d *Daemon) listen(filter []bpf.RawInstruction) error {
 	for _, addr := range d.config.Listen {
 		bound, err := d.loop.Listen(addr, filter)
@@ -36,8 +37,9 @@
 	return nil
 }
 
-// knownClientFilter is the kernel's program that puts the connections of known clients into a
-// listen queue of their own, so that a flood of others does not fill it.
+// knownClientFilter returns the BPF program by which the kernel puts the connections of known clients
+// into a listen queue of their own, which a flood of connections from other clients cannot fill. See
+// admission.Config.KnownClientFilter for the cases in which it is nil.
 func knownClientFilter(c *config.Config) []bpf.RawInstruction {
 	return c.Admission.KnownClientFilter(admission.NetworkHeader)
 }
--- a/internal/daemon/log_sink.go
+++ b/internal/daemon/log_sink.go
@@ -10,36 +10,36 @@
 )
 
 const (
-	// sinkQueueLines is how many lines wait to be written at most.
+	// sinkQueueLines is the maximum number of lines that wait to be written.
 	sinkQueueLines = 8192
-	// sinkCloseTimeout is how long Close waits for the lines that are still to be written.
+	// sinkCloseTimeout bounds how long Close waits for queued lines to be written.
 	sinkCloseTimeout = 200 * time.Millisecond
 )
 
-// LogSink writes lines from a goroutine of its own, so that a slow disk or a full pipe never
-// delays the event loop. Lines that do not fit its queue, or cannot be written, are dropped; how
-// many is the next line that can be written. A disk that is full or fails for a while thus costs
-// lines and nothing else.
+// LogSink is an io.Writer that writes log lines from a goroutine of its own, so that a slow disk or a
+// full pipe never delays the event loop. Lines that do not fit its queue, or cannot be written, are
+// dropped and counted. Once a write can succeed again, a line with the number of dropped lines is
+// written first. A disk that is full or fails for a while thus causes no harm beyond the lost lines.
 //
-// It is safe for concurrent use.
+// LogSink is safe for concurrent use.
 type LogSink struct {
-	w       io.Writer
-	queue   chan []byte
-	dropped atomic.Int64
-	torn    bool // the last line was written in part; of the goroutine that writes
-	close   sync.Once
-	closing chan struct{}
-	done    chan struct{}
+	w           io.Writer
+	queue       chan []byte
+	dropped     atomic.Int64
+	partialLine bool // the output ends in an incomplete line; used by the writing goroutine only
+	close       sync.Once
+	closing     chan struct{}
+	done        chan struct{}
 }
 
-// NewLogSink starts a sink that writes to w.
+// NewLogSink returns a sink that writes to w, and starts its goroutine.
 func NewLogSink(w io.Writer) *LogSink {
 	s := &LogSink{w: w, queue: make(chan []byte, sinkQueueLines), closing: make(chan struct{}), done: make(chan struct{})}
 	go s.run()
 	return s
 }
 
-// Write queues a line. It never blocks and never fails.
+// Write queues a line, or drops it if the queue is full. It never blocks and never returns an error.
 func (s *LogSink) Write(line []byte) (int, error) {
 	select {
 	case s.queue <- bytes.Clone(line):
@@ -49,8 +49,8 @@
 	return len(line), nil
 }
 
-// Close writes the lines that are queued, for sinkCloseTimeout at most: a process that has stopped
-// would not end where nobody reads its log. Lines written after it are lost.
+// Close waits until the queued lines are written, for sinkCloseTimeout at most: otherwise a stopped
+// process whose log nobody reads would never exit. Lines written after Close are lost.
 func (s *LogSink) Close() {
 	s.close.Do(func() { close(s.closing) })
 	select {
@@ -72,7 +72,7 @@
 	}
 }
 
-// flush writes the lines that are queued.
+// flush writes the queued lines.
 func (s *LogSink) flush() {
 	for {
 		select {
@@ -84,7 +84,7 @@
 	}
 }
 
-// writeLine writes a line, after the number of those that were dropped before it.
+// writeLine writes a line. If lines were dropped before it, it first writes their number.
 func (s *LogSink) writeLine(line []byte) {
 	if n := s.dropped.Load(); n > 0 {
 		count := fmt.Appendf(nil, "{\"level\":\"WARN\",\"msg\":\"log lines dropped\",\"count\":%d}\n", n)
@@ -99,16 +99,17 @@
 	}
 }
 
-// write reports whether a line was written. After a torn line it starts a new one.
+// write writes a line and reports whether it was written completely. If the output ends in an
+// incomplete line, write starts a new line first.
 func (s *LogSink) write(line []byte) bool {
-	if s.torn {
+	if s.partialLine {
 		line = append([]byte{'\n'}, line...)
 	}
 	n, err := s.w.Write(line)
 	if err == nil {
-		s.torn = false
+		s.partialLine = false
 		return true
 	}
-	s.torn = s.torn || n > 0
+	s.partialLine = s.partialLine || n > 0
 	return false
 }
--- a/internal/daemon/log_sink_test.go
+++ b/internal/daemon/log_sink_test.go
@@ -9,77 +9,77 @@
 	"golang.org/x/sys/unix"
 )
 
-// disk is a log file whose writes can be made to fail.
-type disk struct {
-	mu   sync.Mutex
-	text strings.Builder
-	err  error // of each write; nil while it works
-	part int   // bytes that a failing write leaves in the file
+// faultyFile is an in-memory log file whose writes can be made to fail.
+type faultyFile struct {
+	mu           sync.Mutex
+	text         strings.Builder
+	err          error // returned by each write; nil if writes succeed
+	partialBytes int   // number of bytes that a failing write leaves in the file
 }
 
-func (d *disk) Write(p []byte) (int, error) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if d.err != nil {
-		n := min(d.part, len(p))
-		d.text.Write(p[:n])
-		return n, d.err
+func (file *faultyFile) Write(p []byte) (int, error) {
+	file.mu.Lock()
+	defer file.mu.Unlock()
+	if file.err != nil {
+		n := min(file.partialBytes, len(p))
+		file.text.Write(p[:n])
+		return n, file.err
 	}
-	return d.text.Write(p)
+	return file.text.Write(p)
 }
 
-func (d *disk) set(err error, part int) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.err, d.part = err, part
+func (file *faultyFile) setFault(err error, partialBytes int) {
+	file.mu.Lock()
+	defer file.mu.Unlock()
+	file.err, file.partialBytes = err, partialBytes
 }
 
-func (d *disk) read() string {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.text.String()
+func (file *faultyFile) read() string {
+	file.mu.Lock()
+	defer file.mu.Unlock()
+	return file.text.String()
 }
 
-// The log's disk is full, or fails, for a while, and may keep a part of a line. Lines are lost and
-// counted, the count comes before the next line, and a torn line spoils none after it.
+// Verifies that a disk that is full or fails for a while costs only the lines written meanwhile: their
+// number is logged before the next line, and a line written in part does not garble the lines after it.
 func TestLogSinkOnFailingDisk(t *testing.T) {
 	for _, err := range []error{unix.ENOSPC, unix.EIO} {
 		for _, part := range []int{0, 3} {
-			d := &disk{}
-			s := NewLogSink(d)
+			file := &faultyFile{}
+			s := NewLogSink(file)
 			s.Write([]byte("first\n"))
-			eventually(t, func() bool { return d.read() == "first\n" })
-			d.set(err, part)
+			eventually(t, func() bool { return file.read() == "first\n" })
+			file.setFault(err, part)
 			s.Write([]byte("lost\n"))
 			s.Write([]byte("lost too\n"))
 			eventually(t, func() bool { return s.dropped.Load() == 2 })
-			d.set(nil, 0)
+			file.setFault(nil, 0)
 			s.Write([]byte("last\n"))
 			s.Close()
-			lines := strings.Split(strings.TrimSuffix(d.read(), "\n"), "\n")
+			lines := strings.Split(strings.TrimSuffix(file.read(), "\n"), "\n")
 			if n := len(lines); lines[0] != "first" || lines[n-1] != "last" || !strings.Contains(lines[n-2], `"count":2}`) {
-				t.Errorf("%v, %d bytes left behind: %q", err, part, lines)
+				t.Errorf("%v, %d bytes of a failing write kept: got lines %q, want first, a count of 2 and last", err, part, lines)
 			}
 		}
 	}
 }
 
-// The log is a pipe that nobody reads. Lines are dropped and counted, Write does not block, and
-// Close returns in time.
-func TestLogSinkThatNobodyReads(t *testing.T) {
-	read := make(chan struct{})
-	s := NewLogSink(writerFunc(func(p []byte) (int, error) { <-read; return len(p), nil }))
-	began := time.Now()
+// Verifies that a log nobody reads, such as a full pipe, blocks neither Write nor Close: lines that do
+// not fit the queue are dropped and counted, and Close returns after its timeout.
+func TestLogSinkDropsLinesWhenNobodyReads(t *testing.T) {
+	unblock := make(chan struct{})
+	s := NewLogSink(writerFunc(func(p []byte) (int, error) { <-unblock; return len(p), nil }))
+	start := time.Now()
 	for range 2 * sinkQueueLines {
 		s.Write([]byte("line\n"))
 	}
 	s.Close()
-	s.Write([]byte("behind the end\n"))
+	s.Write([]byte("after close\n"))
 	s.Close()
-	if took := time.Since(began); took > 5*sinkCloseTimeout || s.dropped.Load() == 0 {
-		t.Errorf("%v for %d lines, %d of them dropped", took, 2*sinkQueueLines, s.dropped.Load())
+	if took := time.Since(start); took > 5*sinkCloseTimeout || s.dropped.Load() == 0 {
+		t.Errorf("took %v for %d lines, %d of them dropped; want at most 5 times sinkCloseTimeout and some dropped", took, 2*sinkQueueLines, s.dropped.Load())
 	}
-	close(read)
+	close(unblock)
 	<-s.done
 }
 
@@ -87,11 +87,12 @@
 
 func (f writerFunc) Write(p []byte) (int, error) { return f(p) }
 
-func eventually(t *testing.T, is func() bool) {
+// eventually waits until condition returns true, and fails the test after 5 s.
+func eventually(t *testing.T, condition func() bool) {
 	t.Helper()
-	for until := time.Now().Add(5 * time.Second); !is(); time.Sleep(time.Millisecond) {
-		if time.Now().After(until) {
-			t.Fatal("the condition never holds")
+	for deadline := time.Now().Add(5 * time.Second); !condition(); time.Sleep(time.Millisecond) {
+		if time.Now().After(deadline) {
+			t.Fatal("the condition did not become true within 5 s")
 		}
 	}
 }
--- a/internal/daemon/metrics.go
+++ b/internal/daemon/metrics.go
@@ -16,31 +16,31 @@
 )
 
 const (
-	// metricsInterval is how often the loop publishes its counters for the goroutines that
-	// serve metrics.
+	// metricsInterval is the minimum time between two snapshots that the loop publishes for the
+	// goroutines that serve metrics.
 	metricsInterval = 100 * time.Millisecond
-	// metricsHeaderTimeout bounds a scrape's request header.
+	// metricsHeaderTimeout bounds the time to read the header of a scrape request.
 	metricsHeaderTimeout = 5 * time.Second
 )
 
-// metricsServer serves /metrics on a listener and goroutines of its own, so that a scrape never
-// delays the loop.
+// metricsServer serves metrics to Prometheus. It has its own listener and goroutines, so that a scrape
+// never delays the loop.
 type metricsServer struct {
 	addr       string
 	server     *http.Server
-	iterations *iterationStats // of the loop's goroutine
+	iterations *iterationStats // used on the loop's goroutine only, except for its histogram
 
-	publishedAt time.Duration            // of the loop's goroutine
-	snapshot    atomic.Pointer[snapshot] // nil before the first
+	publishedAt time.Duration            // time of the last snapshot; used on the loop's goroutine only
+	snapshot    atomic.Pointer[snapshot] // nil before the first publish
 }
 
-// snapshot is what the loop has published. It does not change after that.
+// snapshot holds the values that the loop has published. It is immutable.
 type snapshot struct {
 	gateway.Counts
 	longest phaseDurations
 }
 
-// newMetricsServer starts to serve metrics on addr.
+// newMetricsServer listens on addr and starts to serve metrics.
 func newMetricsServer(addr string, iterations *iterationStats) (*metricsServer, error) {
 	listener, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -48,7 +48,7 @@
 	}
 	m := &metricsServer{addr: listener.Addr().String(), iterations: iterations}
 	registry := prometheus.NewRegistry()
-	registry.MustRegister(m, iterations.seconds)
+	registry.MustRegister(m, iterations.histogram)
 	m.server = &http.Server{Handler: promhttp.HandlerFor(registry, promhttp.HandlerOpts{}), ReadHeaderTimeout: metricsHeaderTimeout}
 	go m.server.Serve(listener)
 	return m, nil
@@ -56,7 +56,7 @@
 
 func (m *metricsServer) close() { m.server.Close() }
 
-// publish leaves the counters for scrapes, at most once in metricsInterval. It is called on the
+// publish stores a new snapshot for scrapes, at most once per metricsInterval. It is called on the
 // loop's goroutine.
 func (m *metricsServer) publish(now time.Duration, g *gateway.Gateway) {
 	if m.snapshot.Load() != nil && now < m.publishedAt+metricsInterval {
@@ -70,8 +70,8 @@
 	return prometheus.NewDesc(name, help, labels, nil)
 }
 
-// The metrics keep the names and label values that dashboards know; some of them are older
-// than the terms of the code.
+// Metric names and label values are kept as existing dashboards use them, so some of them differ from
+// the terms used in the code.
 var (
 	requestsDesc         = newDesc("maddergap_requests_total", "Requests received, by outcome; left: the client disconnected before its response; dropped: the gateway ended its connection; local: the gateway itself responded.", "outcome")
 	attemptsDesc         = newDesc("maddergap_attempts_total", "Attempts sent to nodes.")
@@ -87,7 +87,7 @@
 	admissionEntriesDesc = newDesc("maddergap_admission_entries", "Entries of the admission tables in use.", "table")
 )
 
-// wholeIteration is the label value of a whole iteration, beside those of its phases.
+// wholeIteration is the label value for the duration of an iteration with all its phases.
 const wholeIteration = "whole"
 
 // Describe implements prometheus.Collector.
@@ -98,7 +98,7 @@
 	}
 }
 
-// Collect implements prometheus.Collector from the last snapshot.
+// Collect implements prometheus.Collector. It reports the last snapshot, and nothing before the first.
 func (m *metricsServer) Collect(ch chan<- prometheus.Metric) {
 	s := m.snapshot.Load()
 	if s == nil {
@@ -108,7 +108,7 @@
 	collectGauges(ch, s)
 }
 
-// collectCounters maps the counters of the gateway to metrics.
+// collectCounters sends the gateway's counters as metrics.
 func collectCounters(ch chan<- prometheus.Metric, c *gateway.Counts) {
 	counter := func(desc *prometheus.Desc, n uint64, labels ...string) {
 		ch <- prometheus.MustNewConstMetric(desc, prometheus.CounterValue, float64(n), labels...)
@@ -131,7 +131,7 @@
 	}
 }
 
-// collectGauges maps the present state of the gateway and of the loop to metrics.
+// collectGauges sends the current state of the gateway and of the loop as metrics.
 func collectGauges(ch chan<- prometheus.Metric, s *snapshot) {
 	gauge := func(desc *prometheus.Desc, x float64, labels ...string) {
 		ch <- prometheus.MustNewConstMetric(desc, prometheus.GaugeValue, x, labels...)
@@ -147,5 +147,5 @@
 	for p, longest := range s.longest.phases {
 		gauge(longestIterationDesc, longest.Seconds(), eventloop.Phase(p).String())
 	}
-	gauge(longestIterationDesc, s.longest.whole.Seconds(), wholeIteration)
+	gauge(longestIterationDesc, s.longest.total.Seconds(), wholeIteration)
 }
--- a/internal/daemon/node_list_source.go
+++ b/internal/daemon/node_list_source.go
@@ -15,24 +15,25 @@
 	"maddergap/internal/nodelist"
 )
 
-// nodeListPollInterval is how often the node list is read again without a notification. It
-// guards against a notification that is lost or never comes, as on some network file systems:
-// the list would be out of date until its next change.
+// nodeListPollInterval is the interval at which the node list is read without a change notification.
+// Notifications may be lost, and some network file systems send none. Without polling, the nodes
+// would then be out of date until the next notification.
 const nodeListPollInterval = 5 * time.Second
 
-// nodeListSource reads the nodes from a file and follows its changes. A list that cannot be read
-// or has a mistake is logged, and the last good one stays in effect.
+// nodeListSource is the membershipSource that reads the nodes from a file, and reads the file again when
+// it changes. If the file cannot be read or parsed, the error is logged and the last valid list stays in
+// effect.
 type nodeListSource struct {
 	path    string
 	log     *slog.Logger
 	loop    *eventloop.Loop
 	gateway *gateway.Gateway
-	text    []byte          // as last read, good or not; the same text is not applied again
-	initial []nodelist.Node // until start
-	pollDue atomic.Bool     // set by background
+	text    []byte          // as last read, valid or not; unchanged text is not applied again
+	initial []nodelist.Node // first list; nil after start
+	pollDue atomic.Bool     // set by background, cleared by onWake
 }
 
-// newNodeListSource reads the first list, which has to be good.
+// newNodeListSource reads the node list at path. It returns an error if the list is not valid.
 func newNodeListSource(path string, log *slog.Logger) (*nodeListSource, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -75,7 +76,7 @@
 	}
 }
 
-// refresh reads the list and applies it if it changed.
+// refresh reads the file, and applies its list if the text has changed and is valid.
 func (s *nodeListSource) refresh() {
 	text, err := os.ReadFile(s.path)
 	if err == nil && bytes.Equal(text, s.text) {
@@ -94,8 +95,9 @@
 	s.gateway.SetNodes(s.loop.Now(), nodes)
 }
 
-// CheckNodes reads the node list of a configuration and checks that every shard of every volume
-// has a node. It returns the number of nodes; mistakes are joined errors of type *config.Error.
+// CheckNodes reads the node list of a configuration and checks that each shard of each volume has a
+// node. It returns the number of nodes. Mistakes in the list and shards without a
+// node are reported as joined errors of type *config.Error.
 func CheckNodes(c *config.Config) (int, error) {
 	text, err := os.ReadFile(c.NodeList)
 	if err != nil {
--- a/internal/daemon/observer.go
+++ b/internal/daemon/observer.go
@@ -19,32 +19,34 @@
 )
 
 const (
-	// rejectionLines and violationLines are how many lines a second are logged of each kind.
-	rejectionLines = 5
-	violationLines = 5
-	// maxNodesNamed is how many nodes a line about a membership change names.
-	maxNodesNamed = 8
+	// rejectionLinesPerSecond and violationLinesPerSecond limit the log lines about rejected
+	// connections and about invariants.
+	rejectionLinesPerSecond = 5
+	violationLinesPerSecond = 5
+	// maxNamedNodes is the maximum number of nodes named in a line about a membership change.
+	maxNamedNodes = 8
 )
 
-// observer logs what the gateway does and writes spans of it. It implements gateway.Observer.
+// observer implements gateway.Observer: it logs events of the gateway, and writes trace spans of
+// requests and attempts.
 type observer struct {
-	log         *slog.Logger
-	logRequests bool
-	spans       *spanWriter // nil for none
-	rejections  lineLimiter
-	violations  lineLimiter
+	log              *slog.Logger
+	logRequests      bool
+	spans            *spanWriter // nil if there is no trace file
+	rejectionLimiter lineLimiter
+	violationLimiter lineLimiter
 }
 
 var _ gateway.Observer = (*observer)(nil)
 
-// newObserver opens the trace file, if there is one. origin is the wall-clock time at which the
-// loop's clock reads 0.
+// newObserver returns an observer, and opens the trace file if the configuration names one. origin is
+// the wall-clock time at which the loop's clock reads 0.
 func newObserver(c *config.Config, log *slog.Logger, origin time.Time) (*observer, error) {
 	o := &observer{
-		log:         log,
-		logRequests: c.Telemetry.LogRequests,
-		rejections:  newLineLimiter(rejectionLines),
-		violations:  newLineLimiter(violationLines),
+		log:              log,
+		logRequests:      c.Telemetry.LogRequests,
+		rejectionLimiter: newLineLimiter(rejectionLinesPerSecond),
+		violationLimiter: newLineLimiter(violationLinesPerSecond),
 	}
 	if c.Telemetry.TraceFile == "" {
 		return o, nil
@@ -56,7 +58,7 @@
 
 func (o *observer) close() { o.spans.close() }
 
-// Request logs a request that has ended and writes its span.
+// Request logs a completed request and writes its span.
 func (o *observer) Request(s *gateway.Span) {
 	failure := ""
 	if s.Outcome != gateway.Served && s.Outcome != gateway.AnsweredLocally {
@@ -73,7 +75,7 @@
 		slog.Duration("took", s.End-s.Start), slog.String("reason", s.Reason), slog.String("wait_reason", s.WaitReason))
 }
 
-// attemptOutcomes are the names of outcomes in logs and spans.
+// attemptOutcomes maps outcomes of attempts to their names in logs and spans.
 var attemptOutcomes = map[scheduler.Outcome]string{
 	scheduler.OK:            "ok",
 	scheduler.Failed:        "failed",
@@ -85,7 +87,7 @@
 	scheduler.NotSent:       "not sent",
 }
 
-// Attempt logs an attempt that failed, and writes the span of every attempt.
+// Attempt writes the span of an attempt, and logs the attempt if it failed.
 func (o *observer) Attempt(s *gateway.Span) {
 	failure := ""
 	if s.AttemptOutcome != scheduler.OK {
@@ -102,10 +104,10 @@
 
 func traceID(s *gateway.Span) slog.Attr { return slog.String("trace", fmt.Sprintf("%x", s.Trace)) }
 
-// ConnectionRejected logs a connection that admission rejected. responded says that the client
-// is sent a response; else its connection is closed without one.
+// ConnectionRejected logs a connection or request that admission rejected. responded reports whether the
+// client is sent a response before its connection is closed.
 func (o *observer) ConnectionRejected(client netip.AddrPort, reason admission.Reason, responded bool) {
-	suppressed, ok := o.rejections.allow()
+	suppressed, ok := o.rejectionLimiter.allow()
 	if !ok {
 		return
 	}
@@ -114,21 +116,22 @@
 		slog.Int("suppressed", suppressed))
 }
 
-// nodeStateNames are the names of states in the node list and in logs.
+// nodeStateNames maps node states to their names in the node list and in logs.
 var nodeStateNames = map[scheduler.NodeState]string{
 	scheduler.Serving:  "serving",
 	scheduler.Draining: "draining",
 	scheduler.Removed:  "gone",
 }
 
-// MembersChanged logs how many nodes changed to each state, and names the first of them.
+// MembersChanged logs the number of changed nodes by their new state, and names the first
+// maxNamedNodes of them.
 func (o *observer) MembersChanged(changes []membership.Change) {
 	counts := map[scheduler.NodeState]int{}
 	var named []string
 	for i := range changes {
 		endpoint := &changes[i].Endpoint
 		counts[endpoint.State]++
-		if len(named) < maxNodesNamed {
+		if len(named) < maxNamedNodes {
 			named = append(named, endpoint.Node+" "+nodeStateNames[endpoint.State])
 		}
 	}
@@ -137,9 +140,9 @@
 		slog.Int("gone", counts[scheduler.Removed]), slog.Any("nodes", named))
 }
 
-// InvariantViolated logs an invariant that was violated, or an attempt that was withheld to keep it.
+// InvariantViolated logs the violation of an invariant, or an attempt that was withheld to prevent one.
 func (o *observer) InvariantViolated(v invariant.Violation) {
-	suppressed, ok := o.violations.allow()
+	suppressed, ok := o.violationLimiter.allow()
 	if !ok {
 		return
 	}
--- a/internal/daemon/options.go
+++ b/internal/daemon/options.go
@@ -10,11 +10,13 @@
 // Option changes how a Daemon is built.
 type Option func(*options)
 
+// options holds the values that Options set.
 type options struct {
 	newScheduler      SchedulerFactory
-	nodeStateInterval time.Duration
+	nodeStateInterval time.Duration // see WithNodeStateLog
 }
 
+// newOptions returns the defaults with opts applied in order.
 func newOptions(opts []Option) *options {
 	o := &options{newScheduler: defaultScheduler}
 	for _, opt := range opts {
@@ -23,14 +25,16 @@
 	return o
 }
 
-// SchedulerFactory makes the scheduler of a gateway. Its error is one of the settings.
+// SchedulerFactory returns a new scheduler for a gateway. It returns an error if the settings are not
+// valid.
 type SchedulerFactory func(s scheduler.Settings, seed uint64, now scheduler.Time) (gateway.Scheduler, error)
 
 func defaultScheduler(s scheduler.Settings, seed uint64, now scheduler.Time) (gateway.Scheduler, error) {
 	return scheduler.New(s, seed, now)
 }
 
-// WithScheduler replaces the scheduler, for comparisons and tests; nil is the default one.
+// WithScheduler sets the factory of the scheduler, for comparisons and tests. If f is nil, the default
+// scheduler is used.
 func WithScheduler(f SchedulerFactory) Option {
 	return func(o *options) {
 		if f != nil {
@@ -39,8 +43,8 @@
 	}
 }
 
-// WithNodeStateLog logs at this interval what the scheduler holds of each node beside what is
-// on its sockets; 0 (the default) never does. Only an instance of a platform does it.
+// WithNodeStateLog logs the scheduler's state of each node and the connections to it at an interval. 0,
+// the default, disables this log. The option has an effect only for an instance on a platform.
 func WithNodeStateLog(interval time.Duration) Option {
 	return func(o *options) { o.nodeStateInterval = interval }
 }
--- a/internal/daemon/platform_role.go
+++ b/internal/daemon/platform_role.go
@@ -11,16 +11,16 @@
 	"maddergap/internal/platform"
 )
 
-// platformRole is an instance of a platform: its configuration comes from there, its nodes from
-// discovery, and its clients speak the platform's protocol.
+// platformRole is the role of an instance on a platform. The instance gets its configuration from the
+// platform and its nodes from discovery, and its clients use the platform's protocol.
 type platformRole struct {
 	config *platform.Config
-	load   func() (*platform.Config, error)
+	load   func() (*platform.Config, error) // reads the configuration again
 	source *discoverySource
 }
 
-// NewPlatform returns an instance of a platform for its configuration. load reads the
-// configuration again when the daemon is to reload it.
+// NewPlatform returns an instance on a platform with the configuration c. load is called by each
+// reload to read the configuration again.
 func NewPlatform(c *platform.Config, load func() (*platform.Config, error), log *slog.Logger, opts ...Option) (*Daemon, error) {
 	if err := checkDescriptorLimit(c.Bounds.RequiredDescriptors()); err != nil {
 		return nil, fmt.Errorf("%s: the bounds: %w", c.Gateway.File, err)
@@ -40,11 +40,13 @@
 	return d, nil
 }
 
-// openListeners has no filter: on a platform, no client is known before it connects.
+// openListeners opens listeners without a filter for known clients: on a platform, no client is known
+// before it connects.
 func (r *platformRole) openListeners(d *Daemon) error { return d.listen(nil) }
 
-// reload applies a new address of discovery; everything else needs a restart. A configuration in
-// which listen, the scheduler's settings or the limits differ is rejected as a whole.
+// reload applies a new discovery address, because discovery may no longer be reachable at the old one.
+// All other changes need a restart. If listen, the scheduler's settings or the limits have changed,
+// the new configuration is rejected as a whole; other changes are logged as having no effect.
 func (r *platformRole) reload(d *Daemon) error {
 	c, err := r.load()
 	if err != nil {
--- a/internal/daemon/restart_only.go
+++ b/internal/daemon/restart_only.go
@@ -7,9 +7,8 @@
 	"maddergap/internal/config"
 )
 
-// changesWithoutEffect returns the directives by which a configuration that is reloaded differs
-// from the one of the start, and which take effect at a restart only though a reload accepts
-// them.
+// changesWithoutEffect returns the directives that differ between the configuration at the start and the
+// reloaded configuration c, and that take effect only with a restart although a reload accepts them.
 func changesWithoutEffect(started, c *config.Config) (directives []string) {
 	add := func(directive string, changed bool) {
 		if changed {
@@ -23,8 +22,8 @@
 	return directives
 }
 
-// logChangesWithoutEffect names what was accepted and has no effect yet. Guards against an
-// operator who believes in a setting that is not in force.
+// logChangesWithoutEffect logs the settings that a reload accepted and that have no effect before a
+// restart, so that operators do not assume that they are in effect.
 func logChangesWithoutEffect(log *slog.Logger, settings []string) {
 	if len(settings) > 0 {
 		log.Warn("needs a restart", "settings", strings.Join(settings, ", "))
--- a/internal/daemon/role.go
+++ b/internal/daemon/role.go
@@ -13,37 +13,37 @@
 	"maddergap/internal/supervisor"
 )
 
-// role is what differs between a standalone instance, a worker and an instance of a platform.
-// It is chosen once, when the daemon is built.
+// role implements what differs between a standalone instance, a worker and an instance on a platform.
+// A daemon's role does not change.
 type role interface {
-	// openListeners starts listening and sets the daemon's addresses.
+	// openListeners opens the daemon's listeners, or takes over inherited ones, and sets addrs.
 	openListeners(d *Daemon) error
-	// reload reads the configuration again and applies it, or returns why it cannot be. It is
-	// called on the loop's goroutine.
+	// reload reads the configuration again and applies it. It returns an error if the new
+	// configuration is rejected. It is called on the loop's goroutine.
 	reload(d *Daemon) error
-	// background runs in a goroutine of its own, until quit closes at the latest.
+	// background runs in a goroutine of its own. It has to return when quit is closed.
 	background(d *Daemon, quit <-chan struct{})
 }
 
-// Worker is what one of several processes that share listeners is given by its parent.
+// Worker holds what a worker process gets from its parent, the supervisor.
 type Worker struct {
-	// Index counts the workers from 0.
+	// Index is the worker's number, from 0.
 	Index int
-	// Queues are the listen queues of this process and of all others.
+	// Queues are the inherited listen queues, which all workers share.
 	Queues []eventloop.ListenQueue
-	// Heartbeat is written to while the loop iterates. When its other end is closed, the
-	// parent is gone, and the worker shuts down.
+	// Heartbeat is the pipe to which heartbeats are written while the loop iterates. If a write
+	// fails, the parent has exited, and the worker shuts down.
 	Heartbeat *os.File
 }
 
-// newWithNodeList builds a daemon whose nodes are in a file. Whatever can be checked is checked
-// before a socket is opened.
+// newWithNodeList returns a daemon that reads its nodes from a node list file. It checks the node list
+// and the descriptor limit before it opens a socket.
 func newWithNodeList(r role, c *config.Config, log *slog.Logger, opts []Option) (*Daemon, error) {
 	source, err := newNodeListSource(c.NodeList, log)
 	if err != nil {
 		return nil, err
 	}
-	conns := connLimitsOf(c)
+	conns := newConnLimits(c)
 	if err := checkDescriptorLimit(conns.clients + conns.rejections + reservedDescriptors); err != nil {
 		return nil, &config.Error{File: c.File, Reason: fmt.Sprintf("clients %d, with rejections and %d descriptors reserved for nodes and files, %v",
 			c.Limits.Clients, reservedDescriptors, err)}
@@ -52,7 +52,7 @@
 	if err != nil {
 		return nil, err
 	}
-	d := &Daemon{config: c, started: c, log: log, loop: loop, iterations: newIterationStats(log), role: r, members: source}
+	d := &Daemon{config: c, startConfig: c, log: log, loop: loop, iterations: newIterationStats(log), role: r, members: source}
 	seed := c.Seed
 	if seed == 0 {
 		seed = rand.Uint64()
@@ -64,13 +64,13 @@
 	return d, nil
 }
 
-// standaloneRole is a single process with listeners of its own.
+// standaloneRole is the role of a single process with its own listeners.
 type standaloneRole struct{}
 
 func (standaloneRole) openListeners(d *Daemon) error { return d.listen(knownClientFilter(d.config)) }
 
 func (standaloneRole) reload(d *Daemon) error {
-	c, err := reloadedConfig(d.config)
+	c, err := reloadConfig(d.config)
 	if err != nil {
 		return err
 	}
@@ -79,7 +79,7 @@
 
 func (standaloneRole) background(*Daemon, <-chan struct{}) {}
 
-// workerRole is one of several processes that share listeners.
+// workerRole is the role of one of several processes that share listeners.
 type workerRole struct{ Worker }
 
 func (r workerRole) openListeners(d *Daemon) error {
@@ -88,7 +88,7 @@
 		if err != nil {
 			return err
 		}
-		if !queue.KnownClients { // each address has a queue for known clients besides
+		if !queue.KnownClients { // an address with a queue for known clients has two queues: list it once
 			d.addrs = append(d.addrs, addr)
 		}
 	}
@@ -96,20 +96,20 @@
 }
 
 func (r workerRole) reload(d *Daemon) error {
-	c, err := reloadedConfig(d.config)
+	c, err := reloadConfig(d.config)
 	if err != nil {
 		return err
 	}
 	if err := d.applyConfig(c.ForWorker(r.Index)); err != nil {
 		return err
 	}
-	if c.Timeouts.Shutdown != d.started.Timeouts.Shutdown { // the parent read it at its start
+	if c.Timeouts.Shutdown != d.startConfig.Timeouts.Shutdown { // the parent process reads it only at its start
 		logChangesWithoutEffect(d.log, []string{"stop-time of the parent process"})
 	}
 	return nil
 }
 
-// background sends heartbeats while the loop iterates, and stops the daemon when the parent is gone.
+// background sends heartbeats while the loop iterates, and stops the daemon if the parent has exited.
 func (r workerRole) background(d *Daemon, quit <-chan struct{}) {
 	iterated := func() bool {
 		d.loop.Wake()
@@ -120,8 +120,9 @@
 	}
 }
 
-// reloadedConfig reads the file of a running configuration again.
-func reloadedConfig(running *config.Config) (*config.Config, error) {
+// reloadConfig reads the file of the running configuration again. It returns an error if the file is not
+// valid or changes the number of processes.
+func reloadConfig(running *config.Config) (*config.Config, error) {
 	c, err := config.Load(running.File)
 	if err != nil {
 		return nil, err
@@ -132,8 +133,8 @@
 	return c, nil
 }
 
-// applyConfig replaces the configuration of a running daemon. What is bound to descriptors or
-// files that are open has to be the same.
+// applyConfig replaces the configuration of a running daemon. It returns an error, and changes nothing,
+// if settings that are bound to open descriptors or files differ, or if the gateway rejects c.
 func (d *Daemon) applyConfig(c *config.Config) error {
 	old := d.config
 	switch {
@@ -145,12 +146,12 @@
 	if err := d.gateway.Reload(c); err != nil {
 		return err
 	}
-	// The filter only picks the queue that a connection waits in; admission is decided by the
-	// new configuration also where it cannot be replaced.
+	// The filter only selects the listen queue of a connection. If it cannot be replaced, admission
+	// still decides by the new configuration.
 	if err := d.loop.SetKnownClientFilter(knownClientFilter(c)); err != nil {
 		d.log.Warn("known-client filter not updated", "error", err)
 	}
 	d.config = c
-	logChangesWithoutEffect(d.log, changesWithoutEffect(d.started, c))
+	logChangesWithoutEffect(d.log, changesWithoutEffect(d.startConfig, c))
 	return nil
 }
--- a/internal/daemon/shutdown.go
+++ b/internal/daemon/shutdown.go
@@ -10,32 +10,32 @@
 )
 
 const (
-	// handshakeGrace is the time that connections whose handshake has begun have to complete
-	// it, once the kernel takes no new ones: many round trips within a data center.
+	// handshakeGrace is the time to complete handshakes that have begun, after the kernel takes no new
+	// ones. It is many round-trip times within a data center.
 	handshakeGrace = 20 * time.Millisecond
-	// abortGrace is the time that clients have to read the responses of aborted requests.
+	// abortGrace is the time for clients to read the responses to aborted requests.
 	abortGrace = 100 * time.Millisecond
-	// timerSlack puts a timer behind the deadline that it is for, so that the deadline has passed
-	// by the loop's clock when the timer wakes the loop.
+	// timerSlack is added to the delay of a timer, so that the timer's deadline has passed by the
+	// loop's clock when the timer wakes the loop.
 	timerSlack = time.Millisecond
 )
 
-// shutdownPhase is how far a shutdown has come. It only moves forward.
+// shutdownPhase is the phase of a shutdown. Phases follow each other in the order of the constants.
 type shutdownPhase uint8
 
 const (
-	// phaseServing: no stop was requested.
+	// phaseServing: no stop has been requested.
 	phaseServing shutdownPhase = iota
-	// phaseDraining: new connections and requests are still taken, as clients learn of the
-	// stop late; each client is told with its next response that its connection ends.
+	// phaseDraining: new connections and requests are still accepted, because clients learn of the
+	// stop late. The next response to each client tells it to close its connection.
 	phaseDraining
-	// phaseStopping: the listeners are being closed, and the requests that were taken get their
-	// responses. A connection that had no request yet has a short time for it.
+	// phaseStopping: the listeners are being closed, and accepted requests get their responses. A
+	// connection without a request has a short time to send one.
 	phaseStopping
-	// phaseAborting: the shutdown timeout is over, the requests that were left were aborted,
-	// and their responses are being written.
+	// phaseAborting: the shutdown timeout has passed, the pending requests were aborted, and their
+	// responses are being written.
 	phaseAborting
-	// phaseStopped: nothing is left to do, or no time.
+	// phaseStopped: the gateway is idle and the listeners are closed, or abortGrace has passed.
 	phaseStopped
 )
 
@@ -43,16 +43,17 @@
 	return [...]string{"serving", "draining", "stopping", "aborting", "stopped"}[p]
 }
 
-// listenerPhase is how far the listeners are closed. It moves forward, from phaseStopping on.
+// listenerPhase is the phase of closing the listeners, which begins with phaseStopping. Phases follow
+// each other in the order of the constants.
 type listenerPhase uint8
 
 const (
 	// listenersOpen: the kernel completes handshakes.
 	listenersOpen listenerPhase = iota
-	// listenersDraining: the kernel takes no new connection; those in the listen queues are
+	// listenersDraining: the kernel takes no new connections. Connections in the listen queues are
 	// accepted.
 	listenersDraining
-	// listenersClosed: the queues are empty and the listeners closed.
+	// listenersClosed: the queues were emptied and the listeners are closed.
 	listenersClosed
 )
 
@@ -60,42 +61,43 @@
 	return [...]string{"open", "draining", "closed"}[p]
 }
 
-// shutdownLoop is what a shutdown needs of the event loop.
+// shutdownLoop is the part of the event loop that a shutdown uses.
 type shutdownLoop interface {
 	Now() time.Duration
 	Wake()
-	// DropNewConnections keeps the kernel from completing handshakes of new connections.
+	// DropNewConnections makes the kernel drop the first packet of new connections. Handshakes that
+	// have begun can still complete.
 	DropNewConnections()
-	// DrainListenQueues accepts what is in the listen queues and reports that they are empty.
-	// It is false while descriptors have run out.
+	// DrainListenQueues accepts the connections in the listen queues and reports whether the queues
+	// are empty. It returns false while no descriptors are available.
 	DrainListenQueues() bool
 	CloseListeners()
 }
 
-// shutdownGateway is what a shutdown needs of the gateway.
+// shutdownGateway is the part of the gateway that a shutdown uses.
 type shutdownGateway interface {
 	Counts() gateway.Counts
 	Drain(now time.Duration)
 	Shutdown(now time.Duration)
 	AbortRemaining(now time.Duration)
-	// Idle reports that no request is pending and no client connected.
+	// Idle reports whether no request is pending and no client is connected.
 	Idle() bool
 	EachPendingRequest(func(id, method, path string, age time.Duration))
 }
 
-// shutdown carries a graceful shutdown through its phases:
+// shutdown is the state machine of a graceful shutdown:
 //
 //	serving  -> draining  a stop is requested
-//	draining -> stopping  Timeouts.Drain is over (at once if it is 0)
-//	stopping -> aborting  Timeouts.Shutdown is over, and requests are pending
-//	aborting -> stopped   abortGrace is over
+//	draining -> stopping  Timeouts.Drain has passed (at once if it is 0)
+//	stopping -> aborting  Timeouts.Shutdown has passed, and the shutdown is not complete
+//	aborting -> stopped   abortGrace has passed
 //
-// The listeners begin to close with phaseStopping. From then on the shutdown is over as soon as
-// they are closed and the gateway is idle. A connection that the kernel has accepted counts as
-// taken: closing a listener earlier would reset it, and a request on it would have no response.
+// In phaseStopping the listeners begin to close. From then on, the shutdown completes as soon as the
+// listeners are closed and the gateway is idle. Connections in the listen queues are accepted before a
+// listener closes: closing it would reset them, and requests on them would get no response.
 //
-// It is driven by the loop's goroutine: startOrEndDraining whenever the loop was woken, advance in
-// each iteration. It wakes the loop itself when a deadline has come.
+// The loop's goroutine calls startOrEndDraining after each wake, once a stop was requested, and advance
+// in each iteration. shutdown sets timers that wake the loop at its deadlines.
 type shutdown struct {
 	loop    shutdownLoop
 	gateway shutdownGateway
@@ -104,19 +106,19 @@
 	phase     shutdownPhase
 	listeners listenerPhase
 
-	// Deadlines, as readings of the loop's clock. Each is valid from the phase on that it ends.
+	// Deadlines, as readings of the loop's clock. Each is set when the phase that it ends begins.
 	drainUntil      time.Duration // end of phaseDraining
 	abortAt         time.Duration // end of phaseStopping
 	exitAt          time.Duration // end of phaseAborting
-	drainQueuesFrom time.Duration // in listenersDraining, when the handshakes are complete
+	drainQueuesFrom time.Duration // end of handshakeGrace; set when listenersDraining begins
 
-	requestedAt time.Duration // when the stop was requested; valid after phaseServing
-	aborted     int           // requests that were aborted
+	requestedAt time.Duration // time at which the shutdown began; valid after phaseServing
+	aborted     int           // number of requests that were aborted
 }
 
-// AbortedError says that a shutdown did not complete gracefully.
+// AbortedError reports that requests were still pending at the shutdown timeout and were aborted.
 type AbortedError struct {
-	Requests int           // that had no response at the end of the timeout
+	Requests int           // number of aborted requests
 	Timeout  time.Duration // Timeouts.Shutdown
 }
 
@@ -128,8 +130,8 @@
 	return &shutdown{loop: loop, gateway: g, log: log}
 }
 
-// startOrEndDraining is called on each wake of the loop once a stop was requested: it begins the
-// shutdown, and ends the draining phase when its time is over.
+// startOrEndDraining begins the shutdown if it has not begun, and ends phaseDraining if its time has
+// passed. It is called on each wake of the loop once a stop was requested.
 func (s *shutdown) startOrEndDraining(timeouts config.Timeouts) {
 	if s.phase == phaseServing {
 		s.startDraining(s.loop.Now(), timeouts.Drain)
@@ -139,6 +141,7 @@
 	}
 }
 
+// startDraining begins phaseDraining.
 func (s *shutdown) startDraining(now, timeout time.Duration) {
 	s.phase = phaseDraining
 	s.requestedAt = now
@@ -151,18 +154,19 @@
 	wakeAfter(s.loop, timeout+timerSlack)
 }
 
+// startStopping begins phaseStopping.
 func (s *shutdown) startStopping(now, timeout time.Duration) {
 	s.phase = phaseStopping
 	s.abortAt = now + timeout
-	s.closeListeners(now)
+	s.advanceListeners(now)
 	s.gateway.Shutdown(now)
 	s.log.Info("shutting down", "clients", s.gateway.Counts().Clients)
 	wakeAfter(s.loop, timeout)
 }
 
-// closeListeners takes the closing of the listeners one step further. Where descriptors have run
-// out it takes several iterations to accept what is in the queues.
-func (s *shutdown) closeListeners(now time.Duration) {
+// advanceListeners continues closing the listeners and may have to be called several times. If no
+// descriptors are available, it takes several iterations to empty the listen queues.
+func (s *shutdown) advanceListeners(now time.Duration) {
 	if s.listeners == listenersOpen {
 		s.listeners = listenersDraining
 		s.loop.DropNewConnections()
@@ -175,13 +179,13 @@
 	}
 }
 
-// advance continues a shutdown that is past draining, and reports that it is over.
+// advance continues a shutdown that has reached phaseStopping, and reports whether it is complete.
 func (s *shutdown) advance() (done bool) {
 	if s.phase < phaseStopping {
 		return false
 	}
 	now := s.loop.Now()
-	s.closeListeners(now)
+	s.advanceListeners(now)
 	switch {
 	case s.listeners == listenersClosed && s.gateway.Idle():
 		s.phase = phaseStopped
@@ -193,8 +197,8 @@
 	return s.phase == phaseStopped
 }
 
-// abort gives each pending request a response. Without it, the end of the process would close
-// their connections without a word, and clients could not tell whether to retry.
+// abort makes the gateway respond to each pending request. Otherwise the exit of the process would close
+// the connections without a response, and clients could not tell whether to retry.
 func (s *shutdown) abort(now time.Duration) {
 	s.phase = phaseAborting
 	s.gateway.EachPendingRequest(func(id, method, path string, age time.Duration) {
--- a/internal/daemon/traces.go
+++ b/internal/daemon/traces.go
@@ -14,7 +14,7 @@
 	"maddergap/internal/gateway"
 )
 
-// spanWriter appends OpenTelemetry spans to a file. A nil spanWriter writes none.
+// spanWriter appends OpenTelemetry spans to a file. A nil *spanWriter writes nothing.
 type spanWriter struct {
 	origin   time.Time // the wall-clock time at which the loop's clock reads 0
 	provider *sdk.TracerProvider
@@ -22,8 +22,8 @@
 	file     *os.File
 }
 
-// newSpanWriter opens the trace file. Spans wait in a bounded queue; what does not fit is dropped,
-// so that a slow disk never delays the loop.
+// newSpanWriter opens the trace file. Spans are queued and written by another goroutine. The queue is
+// bounded and drops spans that do not fit, so that a slow disk never delays the loop.
 func newSpanWriter(path string, origin time.Time) (*spanWriter, error) {
 	file, err := os.OpenFile(path, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
@@ -38,6 +38,7 @@
 	return &spanWriter{origin: origin, provider: provider, tracer: provider.Tracer("maddergap"), file: file}, nil
 }
 
+// close writes the queued spans and closes the file.
 func (w *spanWriter) close() {
 	if w == nil {
 		return
@@ -46,10 +47,11 @@
 	w.file.Close()
 }
 
-// spanIDs gives the tracer the ids that were sent over the wire, in place of random ones.
+// spanIDs is an sdk.IDGenerator that returns the IDs that the gateway chose and sent over the wire,
+// instead of generating new ones. It takes them from the context, see spanKey.
 type spanIDs struct{}
 
-// spanKey is the context key of the *gateway.Span that is being written.
+// spanKey is the context key of the *gateway.Span that is written.
 type spanKey struct{}
 
 func (spanIDs) NewIDs(ctx context.Context) (trace.TraceID, trace.SpanID) {
@@ -62,7 +64,8 @@
 	return id
 }
 
-// write writes a span if its trace is sampled; failure is why it failed, "" if it did not.
+// write writes a span if its trace is sampled. failure is the reason for a failure, or "" if there was
+// none.
 func (w *spanWriter) write(s *gateway.Span, kind trace.SpanKind, name, failure string, attrs ...attribute.KeyValue) {
 	if w == nil || !s.Sampled {
 		return
