--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -1,17 +1,18 @@
-// Package admission decides about connections, not about the scheduling of requests:
-// which connections are accepted, which are rejected with a response or closed, and which
-// idle one is preempted. Its caller reports new connections, requests and closings. It
-// does no I/O and reads no clock, all randomness is from its seed, and every table has a
-// bound.
+// Package admission decides which client connections a gateway accepts, which it rejects
+// (with a response or without one), and which it preempts to make room. It also decides
+// whether a request may begin, but does not schedule requests. The caller reports new
+// connections, requests and closed connections. The package does no I/O and reads no
+// clock, all randomness comes from a seed, and every table is bounded.
 //
-// These hold at any time, whatever the clients do:
-//   - the connections in all, of a listener, of an address and of a prefix are within
-//     their caps;
-//   - unknown clients' connections with a request under way leave the reserve free, so
-//     that known clients can have it back at once by the preemption of idle ones;
-//   - a connection with an accepted request is never preempted;
-//   - no request begins for which the buffers of all connections have no room;
-//   - an address that has used its rate up is not forgotten for one that has not.
+// These invariants hold whatever the clients do:
+//   - A connection is accepted only while the numbers of connections in total and of its
+//     listener, address and prefix are below their caps. A known client has a higher cap
+//     by address and none by prefix.
+//   - At most MaxConns-Reserve connections of unknown clients have a request under way.
+//     The others can be preempted, so that known clients get the reserve back at once.
+//   - A connection with an accepted request is never preempted.
+//   - No request begins while the buffers of all connections are at their bound.
+//   - An address that has used up part of its rate limit is not evicted from its table.
 package admission
 
 import (
@@ -26,29 +27,31 @@
 // Time is a clock reading.
 type Time = time.Duration
 
-// ErrTableSizeChanged is returned by Reconfigure for a configuration that needs a restart.
+// ErrTableSizeChanged is returned by Reconfigure for a configuration with another size of a
+// table, which takes effect at a restart only.
 var ErrTableSizeChanged = errors.New("the tables' sizes change with a restart only")
 
-// Admission holds the client connections of one gateway. It is not safe for concurrent use.
+// Admission tracks the client connections of one gateway and enforces the limits of its
+// Config. It is not safe for concurrent use.
 type Admission struct {
 	config          Config
 	now             Time
-	conns           map[uint64]*conn
-	connsByListener map[int]int
-	knownConns      int // connections of known clients
-	unknownRequests int // connections of unknown clients that are receiving or busy
+	conns           map[uint64]*conn // accepted connections by id
+	connsByListener map[int]int      // number of connections
+	knownConns      int              // number of connections of known clients
+	unknownRequests int              // number of connections of unknown clients that are receiving or busy
 
-	addresses *table // of unknown clients
-	prefixes  *table // of unknown clients
-	// knownAddresses are apart, so that no flood of unknown addresses crowds them out.
+	addresses *table // addresses of unknown clients
+	prefixes  *table // prefixes of unknown clients
+	// knownAddresses is a separate table, so that a flood of unknown addresses cannot fill it.
 	knownAddresses *table
 	learned        *learnedClients
-	rejections     *rate.Limiter
-	// preemptible has a queue for each class, the connection that waits longest first.
+	rejections     *rate.Limiter // of the responses to rejected connections
+	// preemptible holds a queue of connections for each class, oldest state first.
 	preemptible [classCount]list.List
 }
 
-// New returns an Admission. Its error is that of Config.Check.
+// New returns an Admission without connections. It fails with the error of Config.Check.
 func New(c Config, seed uint64) (*Admission, error) {
 	if err := c.Check(); err != nil {
 		return nil, err
@@ -65,10 +68,9 @@
 	}, nil
 }
 
-// Reconfigure puts another configuration in force. It closes no connection, also where
-// there are more than a new cap allows. The prefix lengths, the known prefixes, the caps
-// and the rates are taken; LearnSeconds and HalfLife stay those of New. Its errors are those
-// of Config.Check, and ErrTableSizeChanged.
+// Reconfigure replaces the configuration. LearnSeconds and HalfLife keep the values given to
+// New. No connection is closed, even if a new cap is exceeded. Reconfigure fails, and changes
+// nothing, with the error of Config.Check or with ErrTableSizeChanged.
 func (a *Admission) Reconfigure(c Config) error {
 	if err := c.Check(); err != nil {
 		return err
@@ -84,13 +86,15 @@
 	return nil
 }
 
-// limiterTime converts a clock reading to the form that the rate limiter takes.
+// limiterTime converts a clock reading to the type that rate.Limiter takes.
 func limiterTime(now Time) time.Time { return time.Unix(0, int64(now)) }
 
-// advance sets the time, which never goes back.
+// advance sets the current time. An earlier time than the current one is ignored.
 func (a *Admission) advance(now Time) { a.now = max(now, a.now) }
 
-// Admit decides about a new connection. The id of an accepted one is in use until Closed.
+// Admit decides whether to accept a new connection. The caller chooses id, which must not be
+// in use. The id of an accepted connection is in use until Closed, or until a later Decision
+// preempts the connection.
 func (a *Admission) Admit(now Time, id uint64, listener int, addr netip.Addr) Decision {
 	a.advance(now)
 	origin := a.clientOf(addr)
@@ -112,8 +116,8 @@
 	return d
 }
 
-// exceededLimit returns the first limit that keeps a new connection out: those of its
-// origin before those of all.
+// exceededLimit returns the first limit that rejects a new connection, or ReasonNone. The
+// limits of its address and prefix are checked before those in total and of the listener.
 func (a *Admission) exceededLimit(origin client, listener int) Reason {
 	var limit Reason
 	if origin.known {
@@ -132,7 +136,8 @@
 	return ReasonNone
 }
 
-// exceededKnownLimit applies the one limit of a known client, a multiple of the cap of an address.
+// exceededKnownLimit checks the only limit on the origin of a known client: a multiple of
+// the cap of an address.
 func (a *Admission) exceededKnownLimit(origin client) Reason {
 	limit := a.config.Caps.Address * max(a.config.KnownClients.CapMultiple, 1)
 	if limit > 0 && origin.address.conns >= limit {
@@ -141,6 +146,7 @@
 	return ReasonNone
 }
 
+// exceededUnknownLimit checks the caps and the rates of an unknown client's address and prefix.
 func (a *Admission) exceededUnknownLimit(origin client) Reason {
 	caps, rates := &a.config.Caps, &a.config.Rates
 	switch {
@@ -156,11 +162,11 @@
 	return ReasonNone
 }
 
-// BeginRequest reports that a connection has a complete request header, and whether its
-// body is complete with it. buffered is the size of the buffers of all connections, in
-// bytes. It returns whether the request may go on; otherwise the request is rejected for
-// the reason returned, and its connection closed. Until its body is complete, or
-// RequestAccepted is called, the connection may still be preempted.
+// BeginRequest is called when the request header on a connection is complete. complete is
+// whether the request body is complete too, and buffered is the size of the buffers of all
+// connections in bytes. BeginRequest returns whether the request may proceed. If not, the
+// caller rejects the request for the returned reason and closes the connection. The
+// connection of an incomplete request may be preempted until RequestAccepted is called.
 func (a *Admission) BeginRequest(now Time, id uint64, buffered int64, complete bool) (bool, Reason) {
 	a.advance(now)
 	c := a.conns[id]
@@ -180,8 +186,8 @@
 	return true, ReasonNone
 }
 
-// maxBuffered is the size of the buffers, in bytes, below which another request may
-// begin. The reserve's part is for known clients only.
+// maxBuffered returns the size of all buffers, in bytes, below which another request may
+// begin. The share of the reserved connections is for known clients only.
 func (a *Admission) maxBuffered(known bool) int64 {
 	total := a.config.Buffers.TotalBytes
 	if known {
@@ -190,9 +196,9 @@
 	return total / int64(a.config.MaxConns) * int64(a.config.MaxConns-a.config.Reserve)
 }
 
-// BufferAllowance returns how many bytes of its own bound one connection may buffer,
-// where buffered is the size of the buffers of all. Past the total each has its minimum
-// only. Guards against a deadlock of connections that wait for each other's buffers.
+// BufferAllowance returns how many bytes one connection may buffer: bound, or at most
+// MinConnBytes if buffered, the size of the buffers of all connections in bytes, has reached
+// TotalBytes. The minimum keeps connections from waiting for each other's buffers in a deadlock.
 func (a *Admission) BufferAllowance(buffered int64, bound int) int {
 	b := &a.config.Buffers
 	if b.TotalBytes > 0 && buffered >= b.TotalBytes {
@@ -201,8 +207,8 @@
 	return bound
 }
 
-// RequestAccepted reports that a connection's request is accepted: from now on its
-// response is owed, and the connection is not preempted.
+// RequestAccepted reports that the request on a connection was accepted for processing.
+// From now on the connection is not preempted, as that would lose the response.
 func (a *Admission) RequestAccepted(now Time, id uint64) {
 	a.advance(now)
 	if c := a.conns[id]; c != nil && c.state == connReceiving {
@@ -210,8 +216,8 @@
 	}
 }
 
-// EndRequest reports that a request's response was written. served tells that the request
-// succeeded and its client read the response in time.
+// EndRequest reports that the response to the request on a connection was written. served is
+// whether the request succeeded and the client read the response in time.
 func (a *Admission) EndRequest(now Time, id uint64, served bool) {
 	a.advance(now)
 	c := a.conns[id]
@@ -233,24 +239,24 @@
 	}
 }
 
-// Counts are the sizes of what an Admission holds.
+// Counts are the numbers of connections and table entries of an Admission.
 type Counts struct {
-	Conns       int // connections
-	Known       int // of them, of known clients
-	BusyUnknown int // of them, of unknown clients with a request under way
-	Addresses   int // entries of the tables of addresses
-	Prefixes    int // entries of the table of prefixes
-	Learned     int // addresses held for learning
+	Conns           int // open connections
+	Known           int // connections of known clients
+	UnknownRequests int // connections of unknown clients with a request under way
+	Addresses       int // entries in the tables of unknown and of known addresses
+	Prefixes        int // entries in the table of prefixes
+	Learned         int // addresses whose points are tracked, known or not
 }
 
-// Counts returns the present sizes.
+// Counts returns the current numbers.
 func (a *Admission) Counts() Counts {
 	return Counts{
-		Conns:       len(a.conns),
-		Known:       a.knownConns,
-		BusyUnknown: a.unknownRequests,
-		Addresses:   a.addresses.used + a.knownAddresses.used,
-		Prefixes:    a.prefixes.used,
-		Learned:     len(a.learned.byAddress),
+		Conns:           len(a.conns),
+		Known:           a.knownConns,
+		UnknownRequests: a.unknownRequests,
+		Addresses:       a.addresses.usedSlots + a.knownAddresses.usedSlots,
+		Prefixes:        a.prefixes.usedSlots,
+		Learned:         len(a.learned.byAddress),
 	}
 }
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// testConfig is a small configuration with every limit in force. 10.9.0.0/16 is known.
+// testConfig returns a small configuration with a value for every limit but Buffers. Clients in
+// 10.9.0.0/16 are known.
 func testConfig() Config {
 	return Config{
 		MaxConns:   20,
@@ -37,18 +38,19 @@
 	return a
 }
 
-// acceptRequest begins a request, and has it accepted if it may go on.
+// acceptRequest begins a request, and accepts it if it may proceed.
 func acceptRequest(a *Admission, now Time, id uint64) (bool, Reason) {
-	ok, why := a.BeginRequest(now, id, 0, false)
+	ok, reason := a.BeginRequest(now, id, 0, false)
 	if ok {
 		a.RequestAccepted(now, id)
 	}
-	return ok, why
+	return ok, reason
 }
 
 func ip(s string) netip.Addr { return netip.MustParseAddr(s) }
 
-// Caps by address, IPv6 prefix, wider prefix and listener, each by itself.
+// Verifies each cap and rate on its own: connections are accepted up to the limit and rejected
+// with its reason beyond it. No busy connection is preempted.
 func TestCaps(t *testing.T) {
 	for _, c := range []struct {
 		name     string
@@ -73,25 +75,25 @@
 		a := newAdmission(t, conf)
 		accepted := 0
 		for i := range 40 {
-			v := a.Admit(time.Second, uint64(i), 0, ip(c.addr(i)))
-			if v.Preempt {
-				t.Errorf("%s: an idle connection was preempted for one of the same class", c.name)
+			d := a.Admit(time.Second, uint64(i), 0, ip(c.addr(i)))
+			if d.Preempt {
+				t.Errorf("%s: a connection was preempted for another unknown client", c.name)
 			}
-			if v.Accept {
+			if d.Accept {
 				acceptRequest(a, time.Second, uint64(i)) // so that none is idle
 				accepted++
-			} else if v.Reason != c.reason {
-				t.Errorf("%s: rejected by %v", c.name, v.Reason)
+			} else if d.Reason != c.reason {
+				t.Errorf("%s: rejected by the limit %v", c.name, d.Reason)
 			}
 		}
 		if accepted != c.accepted {
-			t.Errorf("%s: %d accepted, want %d", c.name, accepted, c.accepted)
+			t.Errorf("%s: %d connections accepted, want %d", c.name, accepted, c.accepted)
 		}
 	}
 }
 
-// An address at its cap connects 50 times at once. As many responses are sent as the
-// burst allows; the other connections are closed without one.
+// Verifies that rejections get no more responses than Config.Rejections allows: an address at its
+// cap connects 50 times at once, and all but the burst are closed without a response.
 func TestRejectionResponsesAreLimited(t *testing.T) {
 	c := testConfig()
 	c.Caps.Address = 1
@@ -100,18 +102,18 @@
 	acceptRequest(a, 0, 1)
 	responses := 0
 	for i := range 50 {
-		if v := a.Admit(0, uint64(2+i), 0, ip("1.1.1.1")); v.SendRejection {
+		if d := a.Admit(0, uint64(2+i), 0, ip("1.1.1.1")); d.SendRejection {
 			responses++
 		}
 	}
 	if responses != 3 {
-		t.Errorf("%d responses, want the burst of 3", responses)
+		t.Errorf("%d rejections got a response, want the burst of 3", responses)
 	}
 }
 
-// Slow readers fill the buffers. Unknown clients' requests are rejected once only the
-// reserve's part is left, known clients' at the total; past it each connection has its
-// minimum.
+// Verifies the limits on buffers that slow readers fill. Requests of unknown clients are rejected
+// once only the share of the reserve is left, requests of known clients at the total. Beyond the
+// total each connection gets its minimum.
 func TestBufferLimits(t *testing.T) {
 	c := testConfig()
 	c.Rates.Address.PerSecond, c.Rates.Prefix.PerSecond, c.Caps.Listener = 0, 0, 0
@@ -119,24 +121,24 @@
 	a := newAdmission(t, c)
 	a.Admit(0, 1, 0, ip("1.1.1.1"))
 	a.Admit(0, 2, 0, ip("10.9.0.1"))
-	if ok, why := a.BeginRequest(0, 1, 1500, false); ok || why != BufferLimit {
-		t.Errorf("an unknown client past its part: %v %v", ok, why)
+	if ok, reason := a.BeginRequest(0, 1, 1500, false); ok || reason != BufferLimit {
+		t.Errorf("unknown client beyond its share: got %v, limit %v; want it rejected by the buffers", ok, reason)
 	}
 	if ok, _ := a.BeginRequest(0, 2, 1999, false); !ok {
-		t.Error("a known client within the total is rejected")
+		t.Error("the request of a known client within the total is rejected")
 	}
 	a.EndRequest(0, 2, true)
-	if ok, why := a.BeginRequest(0, 2, 2000, false); ok || why != BufferLimit {
-		t.Errorf("a known client past the total: %v %v", ok, why)
+	if ok, reason := a.BeginRequest(0, 2, 2000, false); ok || reason != BufferLimit {
+		t.Errorf("known client beyond the total: got %v, limit %v; want it rejected by the buffers", ok, reason)
 	}
 	if ok, _ := a.BeginRequest(0, 1, 1499, false); !ok {
-		t.Error("an unknown client within its part is rejected")
+		t.Error("the request of an unknown client within its share is rejected")
 	}
 	if a.BufferAllowance(1999, 500) != 500 || a.BufferAllowance(2000, 500) != 100 || a.BufferAllowance(2000, 50) != 50 {
-		t.Error("wrong buffer allowances")
+		t.Error("wrong buffer allowances, want the bound below the total and the minimum or a lower bound from there on")
 	}
 	c.Buffers.TotalBytes = 20*100 - 1
 	if c.Check() == nil {
-		t.Error("a total below the minimum of all connections is accepted")
+		t.Error("Check accepts a total below the sum of the minimums of all connections")
 	}
 }
--- a/internal/admission/bench_test.go
+++ b/internal/admission/bench_test.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// A decision costs the same after ten addresses and after a million. Each connection is
-// of an address seen long ago, in a table that is as full as it gets, and all are
-// accepted, or all rejected.
+// BenchmarkAdmit measures a decision, which should cost the same after ten addresses as after a
+// million. Every address has connected before and the tables are filled. All connections are
+// accepted, or all are rejected.
 func BenchmarkAdmit(b *testing.B) {
 	for _, rejected := range []bool{false, true} {
 		for _, seen := range []int{10, 1000, 100_000, 1_000_000} {
@@ -39,7 +39,7 @@
 						a.Closed(now, id)
 					}
 				}
-				for i := range max(seen, 100_000) { // tables as warm in every run
+				for i := range max(seen, 100_000) { // fills the tables, equally in every run
 					connect(i % seen * 256)
 				}
 				b.ReportAllocs()
@@ -51,7 +51,8 @@
 	}
 }
 
-// A flood from an address at its cap costs the same however many others are idle.
+// BenchmarkFullAddress measures the rejection of an address at its cap, which should cost the same
+// however many connections of other addresses are idle.
 func BenchmarkFullAddress(b *testing.B) {
 	for _, idle := range []int{10, 1000, 100_000} {
 		b.Run(fmt.Sprint(idle), func(b *testing.B) {
@@ -70,7 +71,7 @@
 			}
 			for id := uint64(1 << 41); b.Loop(); id++ {
 				if a.Admit(0, id, 0, ip("9.9.9.9")).Accept {
-					b.Fatal("past its cap")
+					b.Fatal("a connection beyond the cap of its address is accepted")
 				}
 			}
 		})
--- a/internal/admission/config.go
+++ b/internal/admission/config.go
@@ -8,35 +8,35 @@
 	"time"
 )
 
-// Config is what an Admission enforces. Check tells whether it is consistent.
+// Config holds the limits that an Admission enforces. Check reports whether they are consistent.
 type Config struct {
-	// MaxConns is how many connections are open at once, at least 1.
+	// MaxConns is the maximum number of open connections, at least 1.
 	MaxConns int
-	// Reserve is how many of MaxConns the requests of unknown clients leave free for
-	// known ones, 0 for none.
+	// Reserve is the number of connections, out of MaxConns, that unknown clients with a
+	// request under way leave to known clients; 0 for none.
 	Reserve      int
 	Caps         Caps
 	Rates        Rates
 	PrefixBits   PrefixBits
 	KnownClients KnownClients
-	// TableEntries is the size of the table of addresses, and of that of prefixes. It
-	// cannot change while an Admission is in use.
+	// TableEntries is the number of entries in each table of addresses or prefixes.
+	// Reconfigure cannot change it.
 	TableEntries int
-	// Rejections limits the responses to rejected connections; beyond it connections
-	// are closed without one.
+	// Rejections limits the rate of responses to rejected connections. Connections beyond
+	// it are closed without a response.
 	Rejections RateLimit
 	Buffers    Buffers
 	Preemption Preemption
 }
 
-// Caps bound the open connections of one origin. 0 is no cap.
+// Caps limit the number of open connections. 0 means no cap.
 type Caps struct {
 	Listener int // connections of one listener
-	Address  int // connections of one address
-	Prefix   int // connections of one prefix; not of known clients
+	Address  int // connections of one address; see KnownClients.CapMultiple
+	Prefix   int // connections of unknown clients of one prefix
 }
 
-// Rates bound how often unknown clients connect.
+// Rates limit the rate of new connections of unknown clients.
 type Rates struct {
 	Address RateLimit // new connections of one address
 	Prefix  RateLimit // new connections of one prefix
@@ -44,51 +44,56 @@
 
 // RateLimit is a token bucket.
 type RateLimit struct {
-	// PerSecond is how many tokens come a second. 0 is no limit for connections; of
-	// responses it allows Burst in all.
+	// PerSecond is the number of tokens added per second. With 0, new connections are not
+	// limited, and only Burst responses to rejected connections are ever sent.
 	PerSecond float64
-	Burst     int // how many at once
+	Burst     int // capacity of the bucket in tokens
 }
 
-// PrefixBits are the lengths, in bits, by which addresses are grouped.
+// PrefixBits holds the prefix lengths, in bits, by which client addresses are grouped.
 type PrefixBits struct {
-	AddressIPv6 int // of an IPv6 address that counts as one address, 1 to 128
-	IPv4, IPv6  int // of the prefix above an address; IPv6 is AddressIPv6 at most
+	AddressIPv6 int // IPv6 prefix that counts as one address, 1 to 128
+	IPv4, IPv6  int // prefixes that group addresses; IPv6 is at most AddressIPv6
 }
 
-// KnownClients says who is known, in advance or by behaviour.
+// KnownClients configures which clients are known: those in a listed prefix, and those
+// whose earlier requests were served.
 type KnownClients struct {
-	Prefixes []netip.Prefix // listed in advance; they must not overlap
-	// CapMultiple is how many times Caps.Address a known address may have, 0 as 1.
+	Prefixes []netip.Prefix // listed prefixes; they must not overlap
+	// CapMultiple is the factor by which the cap of a known address exceeds Caps.Address;
+	// 0 counts as 1.
 	CapMultiple int
-	// LearnSeconds is in how many seconds, each with a served request, an address
-	// becomes known; 0 turns learning off.
+	// LearnSeconds is the number of points at which an address becomes known. It gets one
+	// point for each second in which a request was served. 0 turns learning off.
 	LearnSeconds int
-	HalfLife     time.Duration // of what was learned
-	// MaxLearned is how many addresses are held for learning. It cannot change while
-	// an Admission is in use.
+	HalfLife     time.Duration // time in which the points of an address decay by half
+	// MaxLearned is the maximum number of addresses whose points are tracked. Reconfigure
+	// cannot change it.
 	MaxLearned int
 }
 
-// Buffers bound the memory of all client connections.
+// Buffers limits the memory of all client connections.
 type Buffers struct {
-	TotalBytes   int64 // of all connections, 0 for no bound
-	MinConnBytes int   // that each connection may hold whatever the others do
+	TotalBytes   int64 // of all connections; 0 for no limit
+	MinConnBytes int   // minimum that every connection may use, even past TotalBytes
 }
 
-// Preemption says when unknown clients' idle connections are closed to make room.
+// Preemption configures when connections of unknown clients are closed to make room.
 type Preemption struct {
-	// MinFreeConns is the number of free connections below which those that have been
-	// idle for MaxIdle are closed, 0 for never.
+	// MinFreeConns is the number of free connections below which NextToPreempt returns
+	// connections to close; 0 for never.
 	MinFreeConns int
-	MaxIdle      time.Duration
-	// ForUnknownClients has a new connection of any client preempt the unknown one that
-	// has been idle for the longest. If false, only known clients' do.
+	// MaxIdle is the time for which a connection must have been idle or receiving before
+	// NextToPreempt returns it. With ForUnknownClients, it is also the time for which a
+	// connection may be receiving before a new connection preempts it.
+	MaxIdle time.Duration
+	// ForUnknownClients lets new connections of unknown clients preempt connections when
+	// MaxConns is reached. If false, only those of known clients do.
 	ForUnknownClients bool
 }
 
-// Check returns what is inconsistent, joined in a fixed order. Its texts use the
-// keywords of the configuration file.
+// Check returns an error that joins every inconsistency, in a fixed order, or nil. The
+// messages use the keywords of the configuration file.
 func (c *Config) Check() error {
 	return errors.Join(slices.Concat(c.checkCaps(), c.checkTables(), c.checkBuffers(), c.checkKnownPrefixes())...)
 }
@@ -107,10 +112,10 @@
 		}
 	}
 	if c.Caps.Prefix > 0 && c.Caps.Address > c.Caps.Prefix {
-		report("the cap of an address, %d, is over that of its prefix, %d", c.Caps.Address, c.Caps.Prefix)
+		report("the cap of an address is %d, more than the cap of its prefix, %d", c.Caps.Address, c.Caps.Prefix)
 	}
 	if c.Reserve < 0 || c.Reserve >= c.MaxConns {
-		report("the reserve is %d of %d connections: nothing is left for others", c.Reserve, c.MaxConns)
+		report("the reserve is %d of %d connections, want at least 0 and less than all of them", c.Reserve, c.MaxConns)
 	}
 	return errs
 }
@@ -122,12 +127,12 @@
 		report("prefix lengths: want 1 <= wide6 <= v6 <= 128 and 1 <= wide4 <= 32")
 	}
 	known := c.KnownClients
-	if c.TableEntries < setSize || known.MaxLearned < 0 {
-		report("the table of addresses has %d entries, want at least %d", c.TableEntries, setSize)
+	if c.TableEntries < slotsPerSet || known.MaxLearned < 0 {
+		report("each table of addresses or prefixes has %d entries, want at least %d", c.TableEntries, slotsPerSet)
 	}
 	learnTime := time.Duration(known.LearnSeconds) * time.Second
 	if known.LearnSeconds > 0 && (known.MaxLearned < 1 || learnTime > known.HalfLife) {
-		report("an address is known after %d good seconds, but they fade within %v, or none is kept", known.LearnSeconds, known.HalfLife)
+		report("learning takes %d seconds, want at most the half-life of %v and room for at least one address", known.LearnSeconds, known.HalfLife)
 	}
 	return errs
 }
@@ -138,7 +143,7 @@
 		return nil
 	}
 	if b.MinConnBytes < 1 || b.TotalBytes < int64(c.MaxConns)*int64(b.MinConnBytes) {
-		return []error{fmt.Errorf("%d bytes of buffers are less than %d for each of %d connections", b.TotalBytes, b.MinConnBytes, c.MaxConns)}
+		return []error{fmt.Errorf("the buffers total %d bytes, want at least %d for each of %d connections", b.TotalBytes, b.MinConnBytes, c.MaxConns)}
 	}
 	return nil
 }
--- a/internal/admission/conn.go
+++ b/internal/admission/conn.go
@@ -5,49 +5,50 @@
 	"net/netip"
 )
 
-// connState is what a connection is doing.
+// connState is the state of a connection with regard to its request.
 type connState uint8
 
 const (
-	connIdle      connState = iota // it has no request
-	connReceiving                  // its request's body is incomplete, and nothing of it was accepted
-	connBusy                       // it has an accepted request, whose response is owed
+	connIdle      connState = iota // no request under way
+	connReceiving                  // the request body is incomplete and the request is not accepted yet
+	connBusy                       // the request is complete or accepted, and its response is not written yet
 )
 
-// String names the state.
+// String returns the name of the state.
 func (s connState) String() string { return [...]string{"idle", "receiving", "busy"}[s] }
 
-// conn is one accepted connection. Of unknown clients, those that are not busy stand
-// in the preemption queue of their class.
+// conn is an accepted connection. A connection that may be preempted is in the queue of its
+// preemption class.
 type conn struct {
-	id       uint64
-	listener int
-	client   client
-	since    Time // since when it is in its state
-	state    connState
-	served   bool // it had a request that was served
+	id         uint64
+	listener   int
+	client     client
+	stateSince Time // time at which the connection entered its state
+	state      connState
+	served     bool // set once a request of the connection was served
 
-	queue    *list.List    // the preemption queue it stands in, nil for none
-	inQueue  *list.Element // of queue
-	unserved *list.Element // in the address's unserved connections, nil if it is not there
+	queue        *list.List    // the connection's preemption queue, nil if it is in none
+	queueElement *list.Element // the connection's element of queue
+	unserved     *list.Element // the connection's element of client.address.unserved, nil if it is not in there
 }
 
-// client is the origin of a connection.
+// client is the origin of a connection: the table entries that its limits apply to.
 type client struct {
 	known   bool
 	address *entry
 	prefix  *entry // nil for a known client
 }
 
-// clientOf finds out whose address it is.
+// clientOf returns the client that an address belongs to.
 func (a *Admission) clientOf(addr netip.Addr) client {
 	addressKey, prefixKey := a.config.PrefixBits.keys(addr)
 	if a.isKnown(addr, addressKey) {
-		return client{known: true, address: a.knownAddresses.get(a.now, addressKey)}
+		return client{known: true, address: a.knownAddresses.getOrCreate(a.now, addressKey)}
 	}
-	return client{address: a.addresses.get(a.now, addressKey), prefix: a.prefixes.get(a.now, prefixKey)}
+	return client{address: a.addresses.getOrCreate(a.now, addressKey), prefix: a.prefixes.getOrCreate(a.now, prefixKey)}
 }
 
+// isKnown reports whether an address is in a known prefix, or its key was learned.
 func (a *Admission) isKnown(addr netip.Addr, key netip.Prefix) bool {
 	known := a.learned.isKnown(a.now, key)
 	for _, p := range a.config.KnownClients.Prefixes {
@@ -56,8 +57,8 @@
 	return known
 }
 
-// keys returns what an address counts as, and the prefix above it. An IPv4 address
-// mapped into IPv6 counts as itself.
+// keys returns the table keys of an address: the prefix that counts as one address, and the
+// wider prefix that groups addresses. An IPv4-mapped IPv6 address counts as the IPv4 address.
 func (b PrefixBits) keys(addr netip.Addr) (address, prefix netip.Prefix) {
 	addr = addr.Unmap().WithZone("")
 	addressBits, prefixBits := addr.BitLen(), b.IPv4
@@ -69,22 +70,22 @@
 	return address, prefix
 }
 
-// add holds an accepted connection.
-func (a *Admission) add(id uint64, listener int, cl client) {
-	c := &conn{id: id, listener: listener, client: cl, since: a.now}
+// add starts tracking an accepted connection.
+func (a *Admission) add(id uint64, listener int, origin client) {
+	c := &conn{id: id, listener: listener, client: origin, stateSince: a.now}
 	a.conns[id] = c
 	a.connsByListener[listener]++
-	if cl.known {
+	if origin.known {
 		a.knownConns++
-		a.knownAddresses.addConn(a.now, cl.address)
+		a.knownAddresses.addConn(a.now, origin.address)
 	} else {
-		a.addresses.addConn(a.now, cl.address)
-		a.prefixes.addConn(a.now, cl.prefix)
+		a.addresses.addConn(a.now, origin.address)
+		a.prefixes.addConn(a.now, origin.prefix)
 	}
 	a.setState(c, connIdle)
 }
 
-// remove gives up a connection.
+// remove stops tracking a connection that is closed or preempted.
 func (a *Admission) remove(c *conn) {
 	delete(a.conns, c.id)
 	a.connsByListener[c.listener]--
@@ -101,11 +102,11 @@
 	}
 }
 
-// setState puts a connection into a state, and into the queue that goes with it.
-func (a *Admission) setState(c *conn, s connState) {
+// setState moves a connection to a state, and to the preemption queue that this implies.
+func (a *Admission) setState(c *conn, newState connState) {
 	a.leaveState(c)
-	c.state, c.since = s, a.now
-	if s != connIdle && !c.client.known {
+	c.state, c.stateSince = newState, a.now
+	if newState != connIdle && !c.client.known {
 		a.unknownRequests++
 	}
 	class, preemptible := classOf(c)
@@ -113,20 +114,20 @@
 		return
 	}
 	c.queue = &a.preemptible[class]
-	c.inQueue = c.queue.PushBack(c)
+	c.queueElement = c.queue.PushBack(c)
 	if !c.served {
 		c.unserved = c.client.address.unserved.PushBack(c)
 	}
 }
 
-// leaveState takes a connection out of its state and its queue.
+// leaveState sets a connection's state to connIdle and removes it from its preemption queue.
 func (a *Admission) leaveState(c *conn) {
 	if c.state != connIdle && !c.client.known {
 		a.unknownRequests--
 	}
-	if c.inQueue != nil {
-		c.queue.Remove(c.inQueue)
-		c.queue, c.inQueue = nil, nil
+	if c.queueElement != nil {
+		c.queue.Remove(c.queueElement)
+		c.queue, c.queueElement = nil, nil
 	}
 	if c.unserved != nil {
 		c.client.address.unserved.Remove(c.unserved)
--- a/internal/admission/decision.go
+++ b/internal/admission/decision.go
@@ -1,9 +1,9 @@
 package admission
 
-// Reason says why a connection or a request was not admitted.
+// Reason is the limit for which a connection or a request is rejected.
 type Reason uint8
 
-// Reasons. The limits are those of Config; ReasonCount is how many reasons there are.
+// Reasons, with the limit of Config that each stands for. ReasonCount is the number of reasons.
 const (
 	ReasonNone    Reason = iota // admitted
 	ConnLimit                   // MaxConns
@@ -12,28 +12,30 @@
 	PrefixLimit                 // Caps.Prefix
 	AddressRate                 // Rates.Address
 	PrefixRate                  // Rates.Prefix
-	ReserveLimit                // unknown clients would use connections that are reserved for known ones
-	BufferLimit                 // the buffers of all connections leave no room for a request
+	ReserveLimit                // Reserve: too many connections of unknown clients have a request under way
+	BufferLimit                 // Buffers.TotalBytes, for unknown clients without the share of Reserve
 	ReasonCount
 )
 
-// String is the reason's name in responses, logs and metrics, "" for ReasonNone.
+// String returns the name of the reason in responses, logs and metrics; "" for ReasonNone.
 func (r Reason) String() string {
 	return [...]string{"", "total", "listener", "address", "prefix", "address rate", "prefix rate", "reserve", "buffers"}[r]
 }
 
-// Decision is what becomes of a new connection.
+// Decision is the outcome of Admit for a new connection.
 type Decision struct {
 	Accept bool
-	// Reason is why it is rejected, ReasonNone if it is accepted.
+	// Reason is the limit that rejects the connection; ReasonNone if it is accepted.
 	Reason Reason
-	// SendRejection tells that a rejected connection gets a response. If false, it is
-	// closed without one.
+	// SendRejection is set if a rejected connection gets a response. Otherwise it is closed
+	// without one.
 	SendRejection bool
-	// Known tells whether the client is known.
+	// Known is set if the client is known.
 	Known bool
-	// Preempt tells that the connection PreemptID is to be closed to make room. It is
-	// idle, or its request has not been accepted yet. Admission has removed it already.
+	// Preempt is set if the caller has to close connection PreemptID to make room. That
+	// connection is idle, or its request is not accepted yet. The Admission no longer tracks
+	// it, so the caller need not call Closed. Preempt may be set although another limit then
+	// rejects the new connection.
 	Preempt   bool
 	PreemptID uint64
 }
--- a/internal/admission/filter.go
+++ b/internal/admission/filter.go
@@ -7,20 +7,20 @@
 	"golang.org/x/net/bpf"
 )
 
-// NetworkHeader is the offset by which a socket's program finds the network header of a
-// packet (SKF_NET_OFF of linux/filter.h).
+// NetworkHeader is the load offset at which a socket filter finds the network header of a
+// packet (SKF_NET_OFF in linux/filter.h).
 const NetworkHeader = 0xfff00000
 
-// maxInstructions is how many instructions the kernel takes in a program (BPF_MAXINSNS).
+// maxInstructions is the maximum length of a program that the kernel accepts (BPF_MAXINSNS).
 const maxInstructions = 4096
 
-// What the filter returns.
+// Return values of the filter: the index of the listen queue that gets the connection.
 const (
 	filterUnknown = 0
 	filterKnown   = 1
 )
 
-// Offsets in the network header, and a length, in bytes.
+// Offsets in the network header and the size of a word, in bytes.
 const (
 	versionOffset    = 0
 	ipv4SourceOffset = 12
@@ -28,14 +28,14 @@
 	wordSize         = 4
 )
 
-// KnownClientFilter returns a classic BPF program that gives 1 for packets whose source
-// is in KnownClients.Prefixes and 0 for others. With it the kernel gives known clients a
-// listen queue of their own. Guards against a burst of unknown clients that fills the
-// listen queue, behind which known ones would wait or be dropped.
+// KnownClientFilter returns a classic BPF program that returns 1 for packets whose source
+// address is in KnownClients.Prefixes and 0 for others. The kernel uses it to put known
+// clients into a separate listen queue. In a shared queue, a burst of unknown clients could
+// delay known clients or fill the queue, so that their connections are dropped.
 //
 // base is the offset of the network header. The result is nil if there are no known
-// prefixes, or more than a program can hold (about 1,000 of IPv4 or 300 of IPv6); all
-// clients then wait in one queue, and Admit decides about them just the same.
+// prefixes, or more than fit into a program (about 1,000 IPv4 or 300 IPv6 prefixes). All
+// clients then share one listen queue, and Admit treats them as usual.
 func (c *Config) KnownClientFilter(base uint32) []bpf.RawInstruction {
 	prefixes := c.KnownClients.Prefixes
 	if len(prefixes) == 0 {
@@ -69,31 +69,31 @@
 	return raw
 }
 
-// matchIPv4 returns filterKnown for a source in the prefix, and goes on after itself for
-// others. offset is that of the source address.
+// matchIPv4 returns instructions that return filterKnown for a source address in the prefix and
+// fall through for others. offset is the offset of the source address.
 func matchIPv4(p netip.Prefix, offset uint32) []bpf.Instruction {
 	address := p.Addr().As4()
 	network := binary.BigEndian.Uint32(address[:])
 	return append(matchWord(offset, network, maskWord(p, 0), 1), bpf.RetConstant{Val: filterKnown})
 }
 
-// matchIPv6 is matchIPv4 for IPv6, with a comparison of each word that the prefix covers.
+// matchIPv6 is like matchIPv4 for an IPv6 prefix. It compares each word that the prefix covers.
 func matchIPv6(p netip.Prefix, offset uint32) (match []bpf.Instruction) {
 	address := p.Addr().As16()
 	words := max(1, (p.Bits()+31)/32)
 	for i := range words {
 		network := binary.BigEndian.Uint32(address[wordSize*i:])
-		skip := matchWordLength*(words-1-i) + 1 // the comparisons left, and the return
+		skip := matchWordLength*(words-1-i) + 1 // skips the remaining comparisons and the return
 		match = append(match, matchWord(offset+uint32(wordSize*i), network, maskWord(p, i), skip)...)
 	}
 	return append(match, bpf.RetConstant{Val: filterKnown})
 }
 
-// matchWordLength is how many instructions matchWord has.
+// matchWordLength is the number of instructions that matchWord returns.
 const matchWordLength = 3
 
-// matchWord compares a word of the packet with that of a network, and skips so many
-// instructions where they differ.
+// matchWord returns instructions that compare the masked word at offset with network, and skip
+// the given number of instructions if they differ.
 func matchWord(offset, network, mask uint32, skip int) []bpf.Instruction {
 	return []bpf.Instruction{
 		bpf.LoadAbsolute{Off: offset, Size: wordSize},
@@ -102,7 +102,7 @@
 	}
 }
 
-// maskWord is the i-th 32-bit word of a prefix's mask.
+// maskWord returns the i-th 32-bit word of a prefix's mask.
 func maskWord(p netip.Prefix, i int) uint32 {
 	bits := min(max(p.Bits()-32*i, 0), 32)
 	return uint32(uint64(0xffffffff) << (32 - bits))
--- a/internal/admission/filter_test.go
+++ b/internal/admission/filter_test.go
@@ -8,7 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// networkHeader is the network header of a packet, as far as the filter reads it.
+// networkHeader returns a network header with the version and the source address set, which are
+// the fields that the filter reads.
 func networkHeader(a netip.Addr) []byte {
 	b := make([]byte, 40)
 	if a.Is4() {
@@ -21,7 +22,8 @@
 	return b
 }
 
-// The kernel's filter and the list of prefixes agree about any address.
+// Verifies that the BPF program matches exactly the addresses in the known prefixes, for random
+// prefixes and addresses, and that there is no program for too many prefixes or for none.
 func TestKnownClientFilter(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var c Config
@@ -37,11 +39,11 @@
 			c.KnownClients.Prefixes = append(c.KnownClients.Prefixes, p)
 		}
 		raw := c.KnownClientFilter(0)
-		ins, ok := bpf.Disassemble(raw)
+		instructions, ok := bpf.Disassemble(raw)
 		if !ok {
-			t.Fatal("the program cannot be disassembled")
+			t.Fatal("the program contains unknown instructions")
 		}
-		vm, err := bpf.NewVM(ins)
+		vm, err := bpf.NewVM(instructions)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -54,7 +56,7 @@
 				}
 			}
 			if got, err := vm.Run(networkHeader(a)); err != nil || got != want {
-				t.Fatalf("%v of %v: %d %v, want %d", a, c.KnownClients.Prefixes, got, err, want)
+				t.Fatalf("address %v, known prefixes %v: got %d, error %v; want %d", a, c.KnownClients.Prefixes, got, err, want)
 			}
 		}
 	})
@@ -63,6 +65,6 @@
 		many.KnownClients.Prefixes = append(many.KnownClients.Prefixes, netip.PrefixFrom(netip.AddrFrom4([4]byte{10, byte(i >> 8), byte(i), 0}), 32))
 	}
 	if many.KnownClientFilter(0) != nil || (&Config{}).KnownClientFilter(0) != nil {
-		t.Error("want no program for too many prefixes, and for none")
+		t.Error("got a program for too many prefixes or for none")
 	}
 }
--- a/internal/admission/learned.go
+++ b/internal/admission/learned.go
@@ -7,30 +7,30 @@
 	"time"
 )
 
-// learnedClients holds addresses that behaved well lately. An address gets a point for
-// each second in which a request of it was served; points decay by half within the
-// half-life. So to become known takes time, not many requests. Half of the points keep an
-// address known.
+// learnedClients keeps a score of the addresses whose requests were served lately. An address
+// gets at most one point per second, if a request was served, so that it takes time and not
+// many requests to become known. Points decay by half within each half-life. An address becomes
+// known at the threshold, and stays known until its points are below half of the threshold.
 //
-// The table is bounded. For a new address one of the oldest is evicted, that with the
-// fewest points, but never one that is known.
+// The number of addresses is bounded. If it is reached, a new address replaces one of those
+// at the front of evictionOrder: the one with the fewest points that is not known.
 type learnedClients struct {
-	capacity  int
-	threshold float64 // points to become known, 0: learning is off
-	halfLife  time.Duration
-	byAddress map[netip.Prefix]*score
-	order     []netip.Prefix // in which eviction looks at them
+	capacity      int     // maximum number of addresses, 0 turns learning off
+	threshold     float64 // points needed to become known, 0 turns learning off
+	halfLife      time.Duration
+	byAddress     map[netip.Prefix]*score
+	evictionOrder []netip.Prefix // keys of byAddress; the first ones are considered next
 }
 
-// score is the merit of one address.
+// score holds the points of one address.
 type score struct {
-	points    float64 // at the time updatedAt
+	points    float64 // as of updatedAt
 	updatedAt Time
-	lastPoint Time
-	known     bool
+	lastPoint Time // when the last point was added
+	known     bool // as of updatedAt
 }
 
-// evictionSample is how many addresses one eviction looks at.
+// evictionSample is the number of addresses that one eviction considers.
 const evictionSample = 8
 
 func newLearnedClients(c KnownClients) *learnedClients {
@@ -42,13 +42,14 @@
 	}
 }
 
-// decay brings a score up to date.
+// decay updates the points and known of a score to the current time.
 func (l *learnedClients) decay(now Time, s *score) {
 	s.points *= math.Exp2(-float64(now-s.updatedAt) / float64(l.halfLife))
 	s.updatedAt = now
 	s.known = s.points >= l.threshold || (s.known && s.points >= l.threshold/2)
 }
 
+// isKnown reports whether an address is known now.
 func (l *learnedClients) isKnown(now Time, address netip.Prefix) bool {
 	s := l.byAddress[address]
 	if s == nil {
@@ -58,7 +59,8 @@
 	return s.known
 }
 
-// recordServed notes that a request of an address was served.
+// recordServed records that a request of an address was served. A new address is ignored if
+// the table is full and nothing can be evicted.
 func (l *learnedClients) recordServed(now Time, address netip.Prefix) {
 	if l.capacity == 0 || l.threshold == 0 {
 		return
@@ -70,7 +72,7 @@
 		}
 		s = &score{updatedAt: now, lastPoint: now - time.Second}
 		l.byAddress[address] = s
-		l.order = append(l.order, address)
+		l.evictionOrder = append(l.evictionOrder, address)
 	}
 	if now < s.lastPoint+time.Second {
 		return
@@ -78,27 +80,27 @@
 	l.decay(now, s)
 	s.points++
 	s.lastPoint = now
-	l.decay(now, s) // it may be known now
+	l.decay(now, s) // updates known
 }
 
-// evict drops one of the oldest addresses that is not known, and returns whether there
-// was one. Those it looked at and kept go to the end, so that the next eviction looks at
-// others.
+// evict removes the address with the fewest points that is not known, out of a sample from
+// the front of evictionOrder. It reports whether there was one. The other addresses of the sample
+// move to the back, so that the next eviction considers different ones.
 func (l *learnedClients) evict(now Time) bool {
-	sample := min(evictionSample, len(l.order))
+	sample := min(evictionSample, len(l.evictionOrder))
 	victim := -1
-	for i, address := range l.order[:sample] {
+	for i, address := range l.evictionOrder[:sample] {
 		s := l.byAddress[address]
 		l.decay(now, s)
-		if !s.known && (victim < 0 || s.points < l.byAddress[l.order[victim]].points) {
+		if !s.known && (victim < 0 || s.points < l.byAddress[l.evictionOrder[victim]].points) {
 			victim = i
 		}
 	}
 	if victim >= 0 {
-		delete(l.byAddress, l.order[victim])
-		l.order = slices.Delete(l.order, victim, victim+1)
+		delete(l.byAddress, l.evictionOrder[victim])
+		l.evictionOrder = slices.Delete(l.evictionOrder, victim, victim+1)
 		sample--
 	}
-	l.order = append(slices.Clone(l.order[sample:]), l.order[:sample]...)
+	l.evictionOrder = append(slices.Clone(l.evictionOrder[sample:]), l.evictionOrder[:sample]...)
 	return victim >= 0
 }
--- a/internal/admission/preemption.go
+++ b/internal/admission/preemption.go
@@ -1,22 +1,22 @@
 package admission
 
-// preemptionClass orders the connections that may be closed to make room.
+// preemptionClass is a group of connections that may be preempted.
 type preemptionClass int
 
-// Classes, in the order in which they are preempted. All before knownIdle are of unknown clients:
-// the loops over the classes rely on that order.
+// Classes, in the order in which they are preempted. All classes before knownIdle are of unknown
+// clients; the loops over the classes rely on this.
 const (
-	neverServed preemptionClass = iota // idle, of unknown clients
-	servedIdle                         // idle after a served request, of unknown clients
-	slowBody                           // receiving, of unknown clients
-	// knownIdle is for idle connections of known clients, which are preempted only for a new
-	// connection of their own address.
+	neverServed   preemptionClass = iota // idle, no request served yet
+	servedIdle                           // idle, a request was served
+	receivingBody                        // receiving a request that is not accepted yet
+	// knownIdle holds the idle connections of known clients. They are preempted only for a new
+	// connection of the same address.
 	knownIdle
 	classCount
 )
 
-// classOf returns the class of a connection by its state; a busy one has none, as its
-// response is owed, and neither has a known client's that is receiving.
+// classOf returns the preemption class of a connection. A busy connection cannot be preempted, as
+// its response would be lost, nor can a receiving connection of a known client.
 func classOf(c *conn) (class preemptionClass, preemptible bool) {
 	switch {
 	case c.state == connBusy, c.state == connReceiving && c.client.known:
@@ -24,22 +24,23 @@
 	case c.client.known:
 		return knownIdle, true
 	case c.state == connReceiving:
-		return slowBody, true
+		return receivingBody, true
 	case c.served:
 		return servedIdle, true
 	}
 	return neverServed, true
 }
 
-// selectVictim picks the connection to close for a new one that a limit keeps out, nil
-// if there is none:
+// selectVictim returns the connection to preempt for a new connection that a limit rejects, or
+// nil if there is none:
 //
-//   - Within a full address, the one of the same address that has been there for the
-//     longest and was never served. Guards against a hoard of idle connections that
-//     keeps a good client behind the same address out.
-//   - Where MaxConns is reached, and for a known client (or, with ForUnknownClients,
-//     for any): the unknown connection that is first by class, then by time. With
-//     ForUnknownClients one that is receiving has MaxIdle for its body first.
+//   - For AddressLimit, the preemptible connection of the same address that has been in its
+//     state longest and never had a request served. Otherwise a client could hold idle
+//     connections and so shut out other clients behind the same address.
+//   - For ConnLimit, if the new client is known or ForUnknownClients is set: a connection of
+//     an unknown client, of the first class that has one, and of that class the one that has
+//     been in its state longest. With ForUnknownClients, a receiving connection is not
+//     preempted before MaxIdle.
 func (a *Admission) selectVictim(limit Reason, origin client) *conn {
 	if limit == AddressLimit {
 		if oldest := origin.address.unserved.Front(); oldest != nil {
@@ -57,7 +58,7 @@
 			continue
 		}
 		c := oldest.Value.(*conn)
-		if class == slowBody && rules.ForUnknownClients && a.now < c.since+rules.MaxIdle {
+		if class == receivingBody && rules.ForUnknownClients && a.now < c.stateSince+rules.MaxIdle {
 			continue
 		}
 		return c
@@ -65,10 +66,11 @@
 	return nil
 }
 
-// NextToPreempt returns an unknown client's connection to close while few connections
-// are free: one that has been idle, or receiving, for longer than MaxIdle, first by
-// class. ok is false if there is none. The caller closes it and reports it by Closed
-// before it asks for the next.
+// NextToPreempt returns a connection to close if fewer than MinFreeConns connections are free:
+// a connection of an unknown client that has been idle or receiving for MaxIdle, of the first
+// class that has one. With ForUnknownClients, receiving connections are left out. ok is false
+// if there is none. The caller closes the connection and calls Closed before it calls
+// NextToPreempt again.
 func (a *Admission) NextToPreempt(now Time) (id uint64, ok bool) {
 	a.advance(now)
 	rules := &a.config.Preemption
@@ -76,14 +78,14 @@
 		return 0, false
 	}
 	for class := range knownIdle {
-		if class == slowBody && rules.ForUnknownClients {
-			break // it is closed for a new connection only, when there is no room at all
+		if class == receivingBody && rules.ForUnknownClients {
+			break // a receiving connection is preempted only for a new one that MaxConns rejects
 		}
 		oldest := a.preemptible[class].Front()
 		if oldest == nil {
 			continue
 		}
-		if c := oldest.Value.(*conn); a.now >= c.since+rules.MaxIdle {
+		if c := oldest.Value.(*conn); a.now >= c.stateSince+rules.MaxIdle {
 			return c.id, true
 		}
 	}
--- a/internal/admission/preemption_test.go
+++ b/internal/admission/preemption_test.go
@@ -6,42 +6,42 @@
 	"time"
 )
 
-// Unknown clients open every connection, those of the reserve too, but begin requests only
-// up to it. When known clients connect, the idle connections are preempted, and those with
-// a request under way never are.
-func TestReserveIsLentAndReclaimed(t *testing.T) {
+// Verifies that unknown clients may open all connections, including the reserved ones, but may
+// not begin requests on the last Reserve ones. Known clients get in by preempting idle
+// connections, never those with a request under way.
+func TestIdleReserveIsReclaimed(t *testing.T) {
 	c := testConfig()
 	c.Rates.Address.PerSecond, c.Rates.Prefix.PerSecond, c.Caps.Listener = 0, 0, 0
 	a := newAdmission(t, c)
 	begun := 0
 	for i := range 20 {
-		if v := a.Admit(0, uint64(i), 0, ip(fmt.Sprintf("1.%d.1.1", i))); !v.Accept {
-			t.Fatalf("connection %d of 20 is rejected by %v: the reserve is not lent", i, v.Reason)
+		if d := a.Admit(0, uint64(i), 0, ip(fmt.Sprintf("1.%d.1.1", i))); !d.Accept {
+			t.Fatalf("connection %d of 20 is rejected by the limit %v, want all accepted", i, d.Reason)
 		}
-		if ok, why := acceptRequest(a, 0, uint64(i)); ok {
+		if ok, reason := acceptRequest(a, 0, uint64(i)); ok {
 			begun++
-		} else if why != ReserveLimit {
-			t.Fatal(why)
+		} else if reason != ReserveLimit {
+			t.Fatal(reason)
 		}
 	}
 	if begun != 15 {
-		t.Errorf("%d requests of unknown clients under way, want 15", begun)
+		t.Errorf("unknown clients began %d requests, want 15", begun)
 	}
 	for i := range 5 {
-		v := a.Admit(0, uint64(100+i), 0, ip(fmt.Sprintf("10.9.0.%d", i)))
-		if !v.Accept || !v.Preempt || v.PreemptID < 15 {
-			t.Errorf("known client %d: %+v", i, v)
+		d := a.Admit(0, uint64(100+i), 0, ip(fmt.Sprintf("10.9.0.%d", i)))
+		if !d.Accept || !d.Preempt || d.PreemptID < 15 {
+			t.Errorf("known client %d: got %+v, want it accepted and an idle connection (15 to 19) preempted", i, d)
 		}
 	}
-	if v := a.Admit(0, 200, 0, ip("10.9.0.9")); v.Accept || v.Reason != ConnLimit {
-		t.Errorf("with nothing idle left: %+v", v)
+	if d := a.Admit(0, 200, 0, ip("10.9.0.9")); d.Accept || d.Reason != ConnLimit {
+		t.Errorf("known client without an idle connection left: got %+v, want it rejected by MaxConns", d)
 	}
 }
 
-// A client opens as many connections as its address may have and leaves them idle. Others
-// behind the same address still connect: the hoard is preempted, and a connection that was
-// served is not.
-func TestIdleHoardDoesNotBlockItsAddress(t *testing.T) {
+// Verifies that a client cannot shut out others behind the same address by opening all the
+// connections that the address may have and leaving them idle: idle connections without a served
+// request are preempted, and the connection that had one is not.
+func TestIdleConnectionsDoNotBlockAddress(t *testing.T) {
 	c := testConfig()
 	c.Rates.Address.PerSecond, c.Rates.Prefix.PerSecond = 0, 0
 	a := newAdmission(t, c)
@@ -51,15 +51,16 @@
 	acceptRequest(a, 0, 0)
 	a.EndRequest(0, 0, true)
 	for i := range uint64(10) {
-		v := a.Admit(0, 10+i, 0, ip("1.1.1.1"))
-		if !v.Accept || !v.Preempt || v.PreemptID == 0 {
-			t.Fatalf("%+v", v)
+		d := a.Admit(0, 10+i, 0, ip("1.1.1.1"))
+		if !d.Accept || !d.Preempt || d.PreemptID == 0 {
+			t.Fatalf("%+v", d)
 		}
 	}
 }
 
-// With few free connections, one that has been idle for too long is closed, and no more
-// than are needed. One that was served is not the first.
+// Verifies that NextToPreempt returns a connection that was idle for MaxIdle while few connections
+// are free, and none once enough are free. Connection 0, which has an accepted request, is not
+// returned.
 func TestNextToPreempt(t *testing.T) {
 	c := testConfig()
 	c.Rates.Address.PerSecond, c.Rates.Prefix.PerSecond, c.Caps.Listener = 0, 0, 0
@@ -70,21 +71,21 @@
 	acceptRequest(a, 0, 0)
 	a.EndRequest(0, 1, true)
 	if _, ok := a.NextToPreempt(time.Second / 2); ok {
-		t.Error("closed before its time")
+		t.Error("got a connection that was idle for less than MaxIdle")
 	}
 	id, ok := a.NextToPreempt(2 * time.Second)
 	if !ok || id == 0 {
-		t.Errorf("%d %v", id, ok)
+		t.Errorf("got connection %d, %v; want one other than 0", id, ok)
 	}
 	a.Closed(2*time.Second, id)
 	if _, ok := a.NextToPreempt(2 * time.Second); ok {
-		t.Error("closed without need")
+		t.Error("got a connection while enough connections are free")
 	}
 }
 
-// Known clients fill a gateway that is full of unknown ones. Preempted are first those
-// that were never served, then idle ones, then one whose body is incomplete, and never
-// one whose request is accepted.
+// Verifies the order of preemption when known clients connect to a gateway that is full of unknown
+// ones: first the connection without a served request, then idle ones, last the one whose request
+// body is incomplete. A connection with an accepted request is never preempted.
 func TestPreemptionOrder(t *testing.T) {
 	c := testConfig()
 	c.Rates.Address.PerSecond, c.Rates.Prefix.PerSecond, c.Caps.Listener, c.Reserve = 0, 0, 0, 5
@@ -93,7 +94,7 @@
 	for i := range uint64(12) {
 		a.Admit(Time(i), i, 0, ip(fmt.Sprintf("1.%d.1.1", i)))
 	}
-	a.BeginRequest(20, 0, 0, false) // slow
+	a.BeginRequest(20, 0, 0, false) // its body is incomplete
 	acceptRequest(a, 20, 1)         // accepted
 	for i := uint64(2); i < 12; i++ {
 		if i != 5 {
@@ -103,16 +104,16 @@
 	}
 	var order []uint64
 	for i := range uint64(11) {
-		v := a.Admit(40, 100+i, 0, ip(fmt.Sprintf("10.9.0.%d", i)))
-		if !v.Accept {
-			t.Fatalf("known client %d: %+v", i, v)
+		d := a.Admit(40, 100+i, 0, ip(fmt.Sprintf("10.9.0.%d", i)))
+		if !d.Accept {
+			t.Fatalf("known client %d: got %+v, want it accepted", i, d)
 		}
-		order = append(order, v.PreemptID)
+		order = append(order, d.PreemptID)
 	}
 	if order[0] != 5 || order[10] != 0 {
-		t.Errorf("preempted in the order %v, want 5 (never served) first and 0 (slow) last", order)
+		t.Errorf("connections preempted in the order %v, want 5 (never served) first and 0 (receiving) last", order)
 	}
-	if v := a.Admit(40, 200, 0, ip("10.9.0.50")); v.Accept || v.Reason != ConnLimit {
-		t.Errorf("a connection with an accepted request was preempted: %+v", v)
+	if d := a.Admit(40, 200, 0, ip("10.9.0.50")); d.Accept || d.Reason != ConnLimit {
+		t.Errorf("with only an accepted request left: got %+v, want the client rejected by MaxConns", d)
 	}
 }
--- a/internal/admission/seed_test.go
+++ b/internal/admission/seed_test.go
@@ -2,5 +2,5 @@
 
 import "flag"
 
-// Drawn histories are the same in every run; -rapid.seed=0 draws new ones.
+// A fixed seed makes rapid draw the same values in every run; -rapid.seed=0 draws others.
 func init() { flag.Set("rapid.seed", "20261201") }
--- a/internal/admission/table.go
+++ b/internal/admission/table.go
@@ -10,60 +10,61 @@
 	"golang.org/x/time/rate"
 )
 
-// setSize is how many slots an address may stand in.
-const setSize = 8
+// slotsPerSet is the number of slots in a set, each of which a key of that set may take.
+const slotsPerSet = 8
 
-// entry is an address or a prefix in a table.
+// entry holds the open connections and the rate limit of an address or a prefix in a table.
 type entry struct {
 	key      netip.Prefix
-	conns    int           // its open connections
-	limiter  *rate.Limiter // of its new connections
-	unserved list.List     // its connections that were never served and may be preempted, oldest first
-	overflow bool          // it is the shared entry of all that found no slot
+	conns    int           // number of open connections
+	limiter  *rate.Limiter // limits new connections
+	unserved list.List     // preemptible connections without a served request, oldest state first
+	overflow bool          // set for the entry that is shared by the keys without a slot
 
-	set  *entrySet // where it stands, nil for the overflow entry
-	slot int
+	set  *entrySet // set that holds the entry, nil for the overflow entry
+	slot int       // index in the set
 }
 
-// tokens is how many connections the entry's rate allows at once now.
+// tokens returns the number of connections that the rate limit allows at once now.
 func (e *entry) tokens(now Time) float64 { return e.limiter.TokensAt(limiterTime(now)) }
 
-// entrySet is the slots that one address may stand in. What a lookup compares is kept
-// together, so that a flood of addresses touches few cache lines for each.
+// entrySet is one set of a table. The fields that a lookup compares are stored together, so
+// that a lookup touches few cache lines even in a flood of addresses.
 type entrySet struct {
-	hash [setSize]uint64
-	// evictableAt is when another address may take the slot: never while the entry has
-	// connections, and emptySlot for a slot that was not used yet.
-	evictableAt [setSize]Time
-	entries     [setSize]entry
+	hash [slotsPerSet]uint64
+	// evictableAt is the time from which another key may take the slot: never while the entry
+	// has connections, and emptySlot for a slot that was never used.
+	evictableAt [slotsPerSet]Time
+	entries     [slotsPerSet]entry
 }
 
+// Special values of evictableAt.
 const (
 	emptySlot = Time(-1)
 	never     = Time(math.MaxInt64)
 )
 
-// table is a set-associative table of a fixed number of entries. A new key takes, in its
-// set, the slot of the entry without connections whose rate limiter was full first. An
-// entry stays while it has connections, or has used up part of its rate.
+// table is a set-associative table with a fixed number of entries. An entry cannot be evicted
+// while it has connections or its rate limiter is not full. A new key takes an unused slot of
+// its set, or replaces the evictable entry whose limiter was full first.
 //
-// Where the whole set stays, further keys share the overflow entry and its limits. Guards
-// against a flood from very many addresses: it is limited as if it came from one, and no
-// address with heavy use is forgotten for it. The seed of the hash keeps clients from
-// choosing who shares a set.
+// If no entry of the set can be evicted, further keys share the overflow entry and its limits.
+// A flood from many addresses is thus limited as if it came from one address, and does not evict
+// addresses that have used up their rate. The hash is seeded, so that clients cannot choose
+// addresses that share a set.
 type table struct {
-	sets     []entrySet
-	seed     uint64
-	rate     rate.Limit
-	burst    int
-	overflow entry
-	used     int // slots
+	sets      []entrySet
+	seed      uint64
+	rate      rate.Limit
+	burst     int
+	overflow  entry
+	usedSlots int // number of slots that were ever used
 }
 
 func newTable(entries int, seed uint64, limit RateLimit) *table {
-	t := &table{sets: make([]entrySet, max(1, entries/setSize)), seed: seed}
+	t := &table{sets: make([]entrySet, max(1, entries/slotsPerSet)), seed: seed}
 	for i := range t.sets {
-		for slot := range setSize {
+		for slot := range slotsPerSet {
 			t.sets[i].evictableAt[slot] = emptySlot
 		}
 	}
@@ -72,7 +73,7 @@
 	return t
 }
 
-// limiterParams are the parameters of a limiter of connections, where 0 is no limit.
+// limiterParams returns the parameters of a limiter of new connections; a rate of 0 is no limit.
 func limiterParams(limit RateLimit) (rate.Limit, int) {
 	if limit.PerSecond <= 0 {
 		return rate.Inf, 0
@@ -80,7 +81,7 @@
 	return rate.Limit(limit.PerSecond), max(limit.Burst, 1)
 }
 
-// setRate changes the rate of every entry.
+// setRate changes the rate limit of every entry.
 func (t *table) setRate(now Time, limit RateLimit) {
 	t.rate, t.burst = limiterParams(limit)
 	t.updateLimiter(now, &t.overflow)
@@ -91,8 +92,9 @@
 	}
 }
 
+// updateLimiter sets the limiter of an entry to the table's rate and burst.
 func (t *table) updateLimiter(now Time, e *entry) {
-	if e.limiter == nil { // its slot was not used yet
+	if e.limiter == nil { // the slot was never used
 		return
 	}
 	e.limiter.SetLimitAt(limiterTime(now), t.rate)
@@ -100,8 +102,8 @@
 	t.updateEvictable(now, e)
 }
 
-// updateEvictable sets when the entry's slot may be taken: once its limiter is full, as
-// nothing is forgotten with it then, and not while it has connections.
+// updateEvictable sets the time from which an entry may be evicted: never while it has
+// connections, otherwise when its limiter is full, as eviction then loses no state.
 func (t *table) updateEvictable(now Time, e *entry) {
 	if e.set == nil {
 		return
@@ -117,7 +119,7 @@
 	e.set.evictableAt[e.slot] = at
 }
 
-// addConn counts a new connection of an entry and takes a token for it.
+// addConn counts a new connection of an entry and takes a token from its limiter.
 func (t *table) addConn(now Time, e *entry) {
 	e.conns++
 	if t.rate != rate.Inf {
@@ -136,12 +138,12 @@
 	}
 }
 
-// get returns the entry of a key: its own, which is made if there is a slot for it, or
-// the overflow entry.
-func (t *table) get(now Time, key netip.Prefix) *entry {
+// getOrCreate returns the entry of a key. If there is none, it creates one; if no slot of the
+// set is free or evictable, it returns the overflow entry.
+func (t *table) getOrCreate(now Time, key netip.Prefix) *entry {
 	hash := t.hash(key)
 	s := &t.sets[hash%uint64(len(t.sets))]
-	slot := -1 // the one that a new entry takes
+	slot := -1 // slot for a new entry, -1 for none
 	for i, evictableAt := range s.evictableAt {
 		if s.hash[i] == hash && evictableAt != emptySlot && s.entries[i].key == key {
 			return &s.entries[i]
@@ -154,11 +156,11 @@
 		return &t.overflow
 	}
 	if s.evictableAt[slot] == emptySlot {
-		t.used++
+		t.usedSlots++
 	}
 	s.hash[slot], s.evictableAt[slot] = hash, now
 	e := &s.entries[slot]
-	e.key, e.set, e.slot = key, s, slot // the rest is as new: no connection, and a full limiter
+	e.key, e.set, e.slot = key, s, slot // an evicted entry has no connections, and its limiter is full
 	if e.limiter == nil {
 		e.limiter = rate.NewLimiter(t.rate, t.burst)
 	}
--- a/internal/admission/table_test.go
+++ b/internal/admission/table_test.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// A flood from very many addresses fills the table. The table does not grow, a heavy
-// hitter is not forgotten (as it would be if the oldest entry were evicted), and known
-// clients still connect.
+// Verifies that a flood from many addresses, which fills the table, does not grow it and evicts no
+// address that has used up its rate (eviction of the oldest entry would). Known clients still
+// connect.
 func TestFloodOfAddresses(t *testing.T) {
 	c := testConfig()
 	c.Caps.Address, c.Caps.Prefix, c.Rates.Prefix.PerSecond = 0, 0, 0
@@ -18,11 +18,11 @@
 	id := uint64(0)
 	connect := func(addr netip.Addr) Decision {
 		id++
-		v := a.Admit(time.Second, id, 0, addr)
-		if v.Accept {
+		d := a.Admit(time.Second, id, 0, addr)
+		if d.Accept {
 			a.Closed(time.Second, id)
 		}
-		return v
+		return d
 	}
 	for range 4 {
 		connect(ip("1.1.1.1"))
@@ -33,46 +33,46 @@
 			accepted++
 		}
 	}
-	if v := connect(ip("1.1.1.1")); v.Accept || v.Reason != AddressRate {
-		t.Errorf("the heavy hitter is forgotten: %+v", v)
+	if d := connect(ip("1.1.1.1")); d.Accept || d.Reason != AddressRate {
+		t.Errorf("address that had used up its rate: got %+v, want it rejected by its rate", d)
 	}
 	if n := a.Counts(); n.Addresses > 64 {
-		t.Errorf("%d addresses are held, want 64 at most", n.Addresses)
+		t.Errorf("the tables have %d addresses, want at most 64", n.Addresses)
 	}
-	if accepted > 64*4+8 { // what the table and the overflow entry allow
-		t.Errorf("%d accepted of a flood", accepted)
+	if accepted > 64*4+8 { // a burst of 4 for each entry, and some for the overflow entry
+		t.Errorf("%d connections of the flood accepted, want at most the burst of each entry", accepted)
 	}
-	if v := connect(ip("10.9.1.1")); !v.Accept { // known clients have another table
-		t.Errorf("a known client in the flood: %+v", v)
+	if d := connect(ip("10.9.1.1")); !d.Accept { // known clients have a separate table
+		t.Errorf("known client during the flood: got %+v, want it accepted", d)
 	}
 }
 
-// A flood of unknown clients fills its table of addresses. Known clients have a table of
-// their own and are accepted.
+// Verifies that known clients are accepted while a flood of unknown clients fills the table of
+// unknown addresses, as known addresses have a separate table.
 func TestKnownClientsHaveTheirOwnTable(t *testing.T) {
 	c := testConfig()
-	c.MaxConns, c.Caps.Listener, c.Caps.Address, c.Caps.Prefix, c.Rates.Address.PerSecond, c.Rates.Prefix.PerSecond, c.TableEntries = 100, 0, 1, 0, 0, 0, setSize
+	c.MaxConns, c.Caps.Listener, c.Caps.Address, c.Caps.Prefix, c.Rates.Address.PerSecond, c.Rates.Prefix.PerSecond, c.TableEntries = 100, 0, 1, 0, 0, 0, slotsPerSet
 	a := newAdmission(t, c)
 	for i := range 40 {
 		if a.Admit(0, uint64(i), 0, ip(fmt.Sprintf("1.1.%d.1", i))).Accept {
 			acceptRequest(a, 0, uint64(i))
 		}
 	}
-	if n := a.Counts().Conns; n != setSize+1 {
-		t.Fatalf("%d connections, want one for each entry and one for the overflow entry", n)
+	if n := a.Counts().Conns; n != slotsPerSet+1 {
+		t.Fatalf("%d connections, want one for each entry of the table and one for the overflow entry", n)
 	}
 	for i := range 4 {
-		if v := a.Admit(0, uint64(100+i), 0, ip(fmt.Sprintf("10.9.%d.1", i))); !v.Accept {
-			t.Errorf("known client %d is rejected by %v", i, v.Reason)
+		if d := a.Admit(0, uint64(100+i), 0, ip(fmt.Sprintf("10.9.%d.1", i))); !d.Accept {
+			t.Errorf("known client %d is rejected by the limit %v", i, d.Reason)
 		}
 	}
 }
 
-// Every address of a set has used its rate up. Further addresses share the overflow
-// entry, and none of the set is evicted, which would give it its rate anew.
+// Verifies that addresses that have used up their rate are not evicted, which would reset their
+// rate limit. Further addresses share the overflow entry.
 func TestUsedUpAddressesAreNotEvicted(t *testing.T) {
 	c := testConfig()
-	c.Caps.Address, c.Caps.Prefix, c.Rates.Prefix.PerSecond, c.Rates.Address.PerSecond, c.Rates.Address.Burst, c.TableEntries = 0, 0, 0, 0.001, 2, setSize
+	c.Caps.Address, c.Caps.Prefix, c.Rates.Prefix.PerSecond, c.Rates.Address.PerSecond, c.Rates.Address.Burst, c.TableEntries = 0, 0, 0, 0.001, 2, slotsPerSet
 	a := newAdmission(t, c)
 	accepted := 0
 	for i := range 50 {
@@ -83,12 +83,12 @@
 			}
 		}
 	}
-	if accepted != 2*setSize+2 { // further addresses share the overflow entry's rate
-		t.Errorf("%d accepted, want two of each entry and two of the overflow entry", accepted)
+	if accepted != 2*slotsPerSet+2 { // further addresses share the overflow entry's rate
+		t.Errorf("%d connections accepted, want two of each entry and two of the overflow entry", accepted)
 	}
-	for i := range setSize {
-		if v := a.Admit(0, uint64(1000+i), 0, ip(fmt.Sprintf("1.1.%d.1", i))); v.Accept {
-			t.Errorf("address %d was evicted", i)
+	for i := range slotsPerSet {
+		if d := a.Admit(0, uint64(1000+i), 0, ip(fmt.Sprintf("1.1.%d.1", i))); d.Accept {
+			t.Errorf("address %d is accepted, so its used-up rate limit was evicted", i)
 		}
 	}
 }
