--- a/internal/discovery/agent_test.go
+++ b/internal/discovery/agent_test.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// A watch hangs, at once or within its response, while a change waits for it. Up to three
-// of the calls after it fail as well: the connection is refused, never comes up or is closed, the
-// server does not respond, or responds with an error. The client still has the list within a second,
-// well before the 6 s after which the change counts as delivered.
+// Verifies that a change is received within a second although a watch hangs, at once or within its
+// response, and up to three of the following calls fail: the connection is refused, is never
+// established or is closed, or the server does not respond or responds with an error. The change
+// counts as delivered after 6 s.
 func TestChangeReceivedWithinGrace(t *testing.T) {
 	const bound = time.Second
 	worst := Time(0)
@@ -22,12 +22,12 @@
 		worst = max(worst, run.now-run.unresponsiveSince)
 	}
 	if worst > bound {
-		t.Errorf("the list came %v after the watch hung, want %v at most", worst, bound)
+		t.Errorf("the list was received %v after the watch hung, want at most %v", worst, bound)
 	}
-	t.Logf("the worst of 2,000 runs: %v", worst)
+	t.Logf("longest time in 2,000 runs: %v", worst)
 }
 
-// callFault is what goes wrong with a call. Faults of the dial come first.
+// callFault is a fault that the test server injects into a call. Faults of the dial come first.
 type callFault int
 
 const (
@@ -38,19 +38,20 @@
 	closedCall       callFault = 3
 	errorResponse    callFault = 4
 	faultCount                 = 5
-	maxFaults                  = 3 // in a run
+	maxFaults                  = 3 // maximum number of faults in a run
 )
 
-// faultyRun is a run of one client against a server with faults.
+// faultyRun runs a client against a server that injects faults.
 type faultyRun struct {
 	draw              *rand.Rand
 	client            *Client
 	now               Time
-	faults            int
-	unresponsiveSince Time // when the watch that hung was sent; 0: it was not yet
-	received          bool // a list came after that
+	faults            int  // number of faults injected
+	unresponsiveSince Time // time at which the watch that hangs was sent; 0 if it was not sent yet
+	received          bool // set once a list was received after that
 }
 
+// step carries out the client's next operation, or advances the clock if there is none.
 func (r *faultyRun) step() {
 	op, wakeAt := r.client.Step(r.now)
 	fault := callFault(r.draw.IntN(faultCount))
@@ -68,6 +69,7 @@
 	}
 }
 
+// dial responds to the dial of a connection.
 func (r *faultyRun) dial(conn int, fault callFault) {
 	switch fault {
 	case refusedDial:
@@ -80,6 +82,7 @@
 	}
 }
 
+// respond responds to a request. The first watch gets an incomplete response or none.
 func (r *faultyRun) respond(conn int, request []byte, fault callFault) {
 	isWatch := strings.Contains(string(request), "from=")
 	response := httpResponse(listJSON(42, true, endpointJSON("a", "up")))
@@ -90,7 +93,7 @@
 	case fault < unresponsiveCall:
 		r.client.Data(r.now, conn, []byte(response))
 		r.received = r.unresponsiveSince > 0
-	case fault == unresponsiveCall: // at once, or within its response
+	case fault == unresponsiveCall: // no response, or an incomplete one
 		r.client.Data(r.now, conn, []byte(response[:r.draw.IntN(len(response))]))
 		r.faults++
 	case fault == closedCall:
@@ -102,10 +105,10 @@
 	}
 }
 
-// An agent hangs for a span of any length, at any phase of a watch, also before the first
-// call of a new process and behind a change of the address. It responds only to calls that begin
-// after its return. Whatever the length, the client has the list within maxCallAge of the return,
-// and makes a bounded number of calls and connections meanwhile.
+// Verifies that the client receives the list within maxCallAge of an agent's recovery, and makes a
+// limited number of calls and connections during the outage. The outage has any length and begins
+// at any phase of a watch, before the first call of a new process, or at a change of the address. The
+// agent responds only to calls that begin after its recovery.
 func TestListAfterAgentOutage(t *testing.T) {
 	worst := Time(0)
 	for seed := range uint64(2000) {
@@ -115,36 +118,36 @@
 		length := Time(1+outage.draw.IntN(10_000_000)) * time.Microsecond
 		outage.advance(length)
 		if sent := outage.client.Status().CallsSent - calls; sent > 8+int(length/agentPolicy.maxCallAge) {
-			t.Fatalf("seed %d: %d calls within an outage of %v", seed, sent, length)
+			t.Fatalf("seed %d: too many calls, %d, within an outage of %v", seed, sent, length)
 		}
 		outage.ended = true
 		recovery, received := outage.awaitUpdate(time.Second)
 		if !received {
-			t.Fatalf("seed %d: no list within 1 s after an outage of %v", seed, length)
+			t.Fatalf("seed %d: no list received within 1 s after an outage of %v", seed, length)
 		}
 		worst = max(worst, recovery)
 		if outage.maxOpen > agentPolicy.maxCalls {
-			t.Fatalf("seed %d: %d connections at a time", seed, outage.maxOpen)
+			t.Fatalf("seed %d: %d connections open at a time, more than maxCalls", seed, outage.maxOpen)
 		}
 	}
 	if worst > agentPolicy.maxCallAge+time.Millisecond {
-		t.Errorf("the list came %v after the return, want %v at most", worst, agentPolicy.maxCallAge)
+		t.Errorf("the list was received %v after the recovery, want at most %v", worst, agentPolicy.maxCallAge)
 	}
 }
 
-// agentOutage is a client of an agent that serves, hangs and serves again.
+// agentOutage drives a client of an agent that serves, has an outage and serves again.
 type agentOutage struct {
 	*harness
 	draw  *rand.Rand
-	begun bool
-	ended bool
+	begun bool // set once the outage has begun
+	ended bool // set once the outage is over
 }
 
 func newOutage(t *testing.T, seed uint64) *agentOutage {
 	return &agentOutage{harness: newHarness(t, New("10.0.0.1:1", []string{"z0", "z1"}, false, seed)), draw: rand.New(rand.NewPCG(seed, 2))}
 }
 
-// begin silences the agent, in one of three situations.
+// begin starts the outage, in one of three situations.
 func (o *agentOutage) begin() {
 	const newProcess, addressChange = 0, 1
 	situation := o.draw.IntN(3)
@@ -162,7 +165,7 @@
 	o.client.TakeUpdate()
 }
 
-// respondUnlessDown leaves requests of the outage unanswered for good.
+// respondUnlessDown responds to a request. A request made during the outage never gets a response.
 func (o *agentOutage) respondUnlessDown(conn int, _ string) {
 	if o.begun && !o.ended {
 		return
@@ -171,22 +174,23 @@
 	o.deliver(conn, httpResponse(listJSON(41, true, endpointJSON("a", "up"))))
 }
 
-// awaitUpdate lets time pass until there is an update, or the time is up.
+// awaitUpdate advances the clock until there is an update or the timeout has passed. It returns the
+// time taken. ok is false after a timeout.
 func (o *agentOutage) awaitUpdate(timeout Time) (took Time, ok bool) {
-	begin := o.now
+	startedAt := o.now
 	for !ok {
-		if o.now > begin+timeout {
+		if o.now > startedAt+timeout {
 			return 0, false
 		}
 		o.now = max(o.wakeAt, o.now+time.Microsecond)
 		o.step()
 		_, ok = o.client.TakeUpdate()
 	}
-	return o.now - begin, true
+	return o.now - startedAt, true
 }
 
-// An agent takes long for each response, up to nearly the timeout. Its responses are received one
-// after the other, and the calls made meanwhile do not cut them off.
+// Verifies that the responses of a slow agent are received, although each takes up to nearly the
+// timeout and further calls are made meanwhile. The oldest call must not be abandoned for them.
 func TestSlowAgentResponsesAreReceived(t *testing.T) {
 	const span = 20 * time.Second
 	for _, delay := range []Time{150 * time.Millisecond, 400 * time.Millisecond, 900 * time.Millisecond, 1900 * time.Millisecond} {
@@ -211,8 +215,8 @@
 				lists++
 			}
 		}
-		if least := int(span/(delay+callSpacing))/2 - 1; lists < least {
-			t.Errorf("responses after %v: %d lists within %v, want %d at least", delay, lists, span, least)
+		if minimum := int(span/(delay+minCallInterval))/2 - 1; lists < minimum {
+			t.Errorf("responses after %v: %d lists received within %v, want at least %d", delay, lists, span, minimum)
 		}
 	}
 }
--- a/internal/discovery/call.go
+++ b/internal/discovery/call.go
@@ -6,62 +6,63 @@
 	"maddergap/internal/http1"
 )
 
-// callState is the life cycle of a call. It passes through the states in their order; after a
-// complete response a new call begins as ready on the same connection.
+// callState is the state of a call. A call passes through the states in their order. After a
+// complete response, the next call on the same connection begins as ready.
 type callState uint8
 
 const (
-	dialing          callState = iota // its connection is coming up
-	ready                             // its connection is open; the request is not written yet
-	awaitingResponse                  // the request is written; no byte of the response came
-	receiving                         // a part of the response came
+	dialing          callState = iota // the connection is being established
+	ready                             // the connection is open, the request is not written yet
+	awaitingResponse                  // the request is written, no byte of the response has arrived
+	receiving                         // a part of the response has arrived
 )
 
 func (s callState) String() string {
 	return [...]string{"dialing", "ready", "awaiting response", "receiving"}[s]
 }
 
-// call is one request for the list and the connection that carries it.
+// call is one request for the endpoint list, and the connection that carries it.
 type call struct {
-	conn  int // the client's own number of the connection
+	conn  int // number of the connection, assigned by the client
 	state callState
 	kind  requestKind // valid once the request is written
-	// startedAt is when the dial began, or on a reused connection when the request was written;
-	// 0 until then.
+	// startedAt is the time at which the dial began or, on a reused connection, the request was
+	// written; 0 until then.
 	startedAt Time
-	// deadline ends the call in every state but ready.
+	// deadline is the time at which the call fails, in every state but ready.
 	deadline Time
 	// notBefore is the earliest time for writing the request on a reused connection.
 	notBefore   Time
-	firstByteAt Time // of the response; valid when receiving
-	lastByteAt  Time // of the response so far; valid when receiving
+	firstByteAt Time // arrival of the first byte of the response; valid when receiving
+	lastByteAt  Time // arrival of the latest bytes of the response; valid when receiving
 	response    responseDecoder
 }
 
-// reuse turns a completed call into the next one on its connection.
+// reuse replaces a completed call by the next call on its connection, whose request is not
+// written before notBefore.
 func (k *call) reuse(notBefore Time) {
-	*k = call{conn: k.conn, state: ready, notBefore: notBefore, response: responseDecoder{unread: k.response.unread[:0]}}
+	*k = call{conn: k.conn, state: ready, notBefore: notBefore, response: responseDecoder{undecoded: k.response.undecoded[:0]}}
 }
 
-// sent reports whether the request was written.
-func (k *call) sent() bool { return k.state >= awaitingResponse }
+// requestSent reports whether the request of the call was written.
+func (k *call) requestSent() bool { return k.state >= awaitingResponse }
 
-// requestKind is what a call asks the server for.
+// requestKind is the kind of request that a call makes.
 type requestKind uint8
 
 const (
-	fullListRequest requestKind = iota // the full list, at once
-	changesRequest                     // the changes since a version, at once
-	watchRequest                       // the changes since a version; held until there are any
+	fullListRequest requestKind = iota // the full list, without delay
+	changesRequest                     // the changes since a version, without delay
+	watchRequest                       // the changes since a version, once there are any or the hold ends
 )
 
 func (k requestKind) String() string {
 	return [...]string{"full list", "changes", "watch"}[k]
 }
 
-// appendRequest appends the message of a request to b: version is the one in force, hold the
-// time for which the server may hold a watch. A full list is asked for with neither, changes with a
-// hold of 0, so that the server responds at once.
+// appendRequest appends an HTTP request to b. version is the version of the list in effect, and
+// hold the time for which the server may hold a watch. A request for changes has a hold of 0, so
+// that the server responds at once. A request for the full list has neither version nor hold.
 func appendRequest(b []byte, kind requestKind, addr string, version int64, hold Time) []byte {
 	b = append(b, "GET /api/targets"...)
 	if kind != fullListRequest {
@@ -75,35 +76,35 @@
 	return append(b, "\r\n\r\n"...)
 }
 
-// responseDecoder decodes the response to a call as its bytes come.
+// responseDecoder decodes the response to a call as its bytes arrive.
 type responseDecoder struct {
-	unread   []byte // bytes that are not decoded yet
-	scanned  int    // how many of them were searched for the end of the header
-	interim  int    // interim (1xx) responses so far
-	header   http1.Response
-	inBody   bool // the header of the final response is complete
-	body     http1.BodyDecoder
-	bodySize int // bytes of the body so far
-	list     listDecoder
+	undecoded []byte // received bytes that are not decoded yet
+	scanned   int    // number of bytes of undecoded that were searched for the end of the header
+	interim   int    // number of interim (1xx) responses so far
+	header    http1.Response
+	inBody    bool // set once the header of the final response is complete
+	body      http1.BodyDecoder
+	bodySize  int // number of bytes of the body so far
+	list      listDecoder
 }
 
-// write takes the next bytes and reports whether the response is complete.
+// write decodes the next bytes and reports whether the response is complete.
 func (d *responseDecoder) write(p []byte) (complete bool, err error) {
-	d.unread = append(d.unread, p...)
+	d.undecoded = append(d.undecoded, p...)
 	for !d.inBody {
-		n := http1.DefaultLimits.HeaderBlock(d.unread, &d.scanned)
+		n := http1.DefaultLimits.HeaderBlock(d.undecoded, &d.scanned)
 		if n == 0 {
 			return false, nil
 		}
-		if err := d.decodeHeader(d.unread[:n]); err != nil {
+		if err := d.decodeHeader(d.undecoded[:n]); err != nil {
 			return false, err
 		}
-		d.unread = append(d.unread[:0], d.unread[n:]...)
+		d.undecoded = append(d.undecoded[:0], d.undecoded[n:]...)
 	}
 	return d.decodeBody()
 }
 
-// decodeHeader takes the header block of the response, or of an interim response before it.
+// decodeHeader decodes the header of the response, or of an interim response before it.
 func (d *responseDecoder) decodeHeader(block []byte) error {
 	if err := http1.ParseResponse(block, &d.header, "GET", http1.DefaultLimits); err != nil {
 		return err
@@ -121,7 +122,7 @@
 		return &StatusError{Status: status}
 	}
 	if d.header.ContentLength > maxListBytes {
-		return tooLarge("a body of %d bytes, more than %d", d.header.ContentLength, maxListBytes)
+		return tooLarge("the body has %d bytes, want at most %d", d.header.ContentLength, maxListBytes)
 	}
 	d.inBody = true
 	d.bodySize = 0
@@ -129,8 +130,9 @@
 	return nil
 }
 
+// decodeBody decodes the part of the body in undecoded, and leaves the bytes after the body there.
 func (d *responseDecoder) decodeBody() (complete bool, err error) {
-	remaining := d.unread
+	remaining := d.undecoded
 	for len(remaining) > 0 && !d.body.Done() {
 		var data []byte
 		data, remaining, err = d.body.Next(remaining)
@@ -139,16 +141,16 @@
 		}
 		d.bodySize += len(data)
 		if d.bodySize > maxListBytes {
-			return false, tooLarge("a body of more than %d bytes", maxListBytes)
+			return false, tooLarge("the body has more than %d bytes", maxListBytes)
 		}
 		if err := d.list.write(data); err != nil {
 			return false, err
 		}
 	}
-	d.unread = append(d.unread[:0], remaining...)
+	d.undecoded = append(d.undecoded[:0], remaining...)
 	return d.body.Done(), nil
 }
 
 // connReusable reports whether the connection can carry another call after a complete response:
-// the server keeps it open, and sent nothing behind the response.
-func (d *responseDecoder) connReusable() bool { return !d.header.Close && len(d.unread) == 0 }
+// the server keeps the connection open, and sent no further bytes.
+func (d *responseDecoder) connReusable() bool { return !d.header.Close && len(d.undecoded) == 0 }
--- a/internal/discovery/events.go
+++ b/internal/discovery/events.go
@@ -5,7 +5,8 @@
 	"slices"
 )
 
-// findCall returns the call on a connection, nil: there is none, and its event is late.
+// findCall returns the call on a connection, or nil if the call has ended. Events of a connection
+// without a call are ignored.
 func (c *Client) findCall(conn int) *call {
 	for _, k := range c.calls {
 		if k.conn == conn {
@@ -15,28 +16,28 @@
 	return nil
 }
 
-// Connected is called when a connection is open.
+// Connected is called when a connection is established.
 func (c *Client) Connected(now Time, conn int) {
 	if k := c.findCall(conn); k != nil && k.state == dialing {
 		k.state = ready
 	}
 }
 
-// Closed is called when a connection was refused, or closed by the other end.
+// Closed is called when a connection was refused, or closed by the server.
 func (c *Client) Closed(now Time, conn int) {
 	if k := c.findCall(conn); k != nil {
-		c.end(k)
+		c.removeCall(k)
 		c.callFailed(now, k, ErrConnectionLost)
 	}
 }
 
-// Data is called with bytes that came on a connection. p is not kept.
+// Data is called with bytes that were received on a connection. It does not retain p.
 func (c *Client) Data(now Time, conn int, p []byte) {
 	k := c.findCall(conn)
 	if k == nil || len(p) == 0 {
 		return
 	}
-	if !k.sent() {
+	if !k.requestSent() {
 		c.abort(now, k, ErrUnsolicitedData)
 		return
 	}
@@ -50,7 +51,7 @@
 	case err != nil:
 		c.abort(now, k, err)
 	case complete:
-		c.completed(now, k)
+		c.callCompleted(now, k)
 	}
 }
 
@@ -66,21 +67,22 @@
 
 // abort ends a call that failed while its connection is open.
 func (c *Client) abort(now Time, k *call, cause error) {
-	c.endAndClose(k)
+	c.closeCall(k)
 	c.callFailed(now, k, cause)
 }
 
-// callFailed records why a call that has ended brought no list, and plans what follows.
+// callFailed records the error of a failed call, which is no longer under way, and schedules the
+// next call.
 func (c *Client) callFailed(now Time, k *call, cause error) {
-	c.list.callFailed(k.sent(), cause)
+	c.list.callFailed(k.requestSent(), cause)
 	c.status.WatchHeldUntil = min(c.status.WatchHeldUntil, now)
 	c.status.LastError = fmt.Errorf("discovery at %s: %w", c.addr, cause)
 	c.schedule.callFailed(now, k.startedAt)
 }
 
-// completed takes the list of a complete response. All other calls end with it, since none of
-// them could bring a newer one sooner, and its connection carries the next call.
-func (c *Client) completed(now Time, k *call) {
+// callCompleted applies the list of a complete response. It ends all other calls, as none of them
+// would bring a newer list sooner. The connection is reused for the next call if possible.
+func (c *Client) callCompleted(now Time, k *call) {
 	list, err := k.response.list.finish()
 	if err == nil {
 		err = c.list.apply(k.kind, list, c.status.LastResponseAt)
@@ -97,13 +99,13 @@
 	for _, other := range slices.Clone(c.calls) {
 		if other != k {
 			c.status.CallsAbandoned++
-			c.endAndClose(other)
+			c.closeCall(other)
 		}
 	}
 	if !k.response.connReusable() {
-		c.endAndClose(k)
+		c.closeCall(k)
 		c.schedule.restart(now)
 		return
 	}
-	k.reuse(k.startedAt + callSpacing)
+	k.reuse(k.startedAt + minCallInterval)
 }
--- a/internal/discovery/fuzz_test.go
+++ b/internal/discovery/fuzz_test.go
@@ -7,8 +7,9 @@
 	"time"
 )
 
-// FuzzData checks that the pieces in which a response comes change nothing, and that whatever
-// comes the client makes another call.
+// FuzzData checks that the client makes another call after any response, and that the sizes of the
+// pieces in which a response arrives do not change the update. The updates are compared only for
+// responses below 64 bytes that do not contain "200".
 func FuzzData(f *testing.F) {
 	f.Add([]byte("HTTP/1.1 200 OK\r\nContent-Length: 43\r\n\r\n"+listJSON(41, true)), 3)
 	f.Add([]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\n{}\r\n0\r\n\r\n"), 1)
@@ -26,11 +27,11 @@
 			updates = append(updates, fmt.Sprint(update, ok))
 			h.advance(10 * time.Second)
 			if !strings.HasPrefix(h.lastRequest, "GET /api/targets") && len(h.dials) < 2 {
-				t.Fatalf("%q: no further call", b)
+				t.Fatalf("%q: the client makes no further call", b)
 			}
 		}
 		if len(b) < 64 && updates[0] != updates[1] && !strings.Contains(string(b), "200") {
-			t.Fatalf("%q: %v", b, updates)
+			t.Fatalf("%q: updates differ by the size of the pieces: %v", b, updates)
 		}
 	})
 }
--- a/internal/discovery/harness_test.go
+++ b/internal/discovery/harness_test.go
@@ -7,40 +7,42 @@
 	"time"
 )
 
+// startTime is the clock reading at the start of a test.
 const startTime = 24 * time.Hour
 
-// harness drives a client through simulated time, and stands for its connections and its server.
-// Connections open at once, and requests stay unanswered until the test responds.
+// harness drives a client through simulated time and simulates its connections and its server.
+// Connections are established at once, and requests get no response until the test sends one.
 type harness struct {
 	t      *testing.T
 	client *Client
 	now    Time
-	wakeAt Time // as the client's last step returned it
-	// dials are the addresses dialled so far.
+	wakeAt Time // time returned by the last Step
+	// dials holds the addresses dialed so far.
 	dials []string
-	open  map[int]bool // connections
-	// pendingRequests are the request lines that have no response, by connection.
+	open  map[int]bool // open connections
+	// pendingRequests holds the request lines without a response, by connection.
 	pendingRequests map[int]string
-	lastRequest     string // the last request line
-	lastConn        int    // that it was written on
-	closedConns     int    // by the client
-	maxOpen         int    // connections at a time
-	// onRequest is called with each request line, nil: nothing is.
+	lastRequest     string // last request line
+	lastConn        int    // connection of lastRequest
+	closedConns     int    // number of connections closed by the client
+	maxOpen         int    // maximum number of connections open at a time
+	// onRequest, if not nil, is called with each request line.
 	onRequest func(conn int, line string)
 }
 
-// newAgentHarness drives a client of an agent.
+// newAgentHarness returns a harness with a client of an agent.
 func newAgentHarness(t *testing.T) *harness {
 	return newHarness(t, New("10.0.0.1:1", []string{"z0", "z1"}, false, 1))
 }
 
+// newHarness returns a harness after the first step of the client.
 func newHarness(t *testing.T, c *Client) *harness {
 	h := &harness{t: t, client: c, now: startTime, pendingRequests: map[int]string{}, open: map[int]bool{}}
 	h.step()
 	return h
 }
 
-// step carries out what the client wants done now.
+// step carries out the client's operations until there are none at the current time.
 func (h *harness) step() {
 	for range 100 {
 		op, wakeAt := h.client.Step(h.now)
@@ -56,12 +58,12 @@
 			return
 		}
 	}
-	h.t.Fatal("the client wants something done without end")
+	h.t.Fatal("Step still returns operations after 100 of them at one time")
 }
 
 func (h *harness) dial(conn int, addr string) {
 	if h.open[conn] {
-		h.t.Fatal("dials a connection that is open")
+		h.t.Fatal("the client dials with the number of an open connection")
 	}
 	h.dials = append(h.dials, addr)
 	h.open[conn] = true
@@ -71,7 +73,7 @@
 
 func (h *harness) close(conn int) {
 	if !h.open[conn] {
-		h.t.Fatal("closes a connection that is not open")
+		h.t.Fatal("the client closes a connection that is not open")
 	}
 	delete(h.open, conn)
 	delete(h.pendingRequests, conn)
@@ -80,7 +82,7 @@
 
 func (h *harness) write(conn int, request []byte) {
 	if !h.open[conn] || h.pendingRequests[conn] != "" {
-		h.t.Fatal("writes on a connection that is not open, or that has a request")
+		h.t.Fatal("the client writes on a connection that is not open or has a pending request")
 	}
 	line, _, _ := strings.Cut(string(request), "\r\n")
 	h.lastRequest = line
@@ -91,7 +93,7 @@
 	}
 }
 
-// advance lets time pass.
+// advance moves the clock forward by d and carries out the operations that are due.
 func (h *harness) advance(d time.Duration) {
 	for end := h.now + d; h.now < end; {
 		h.now = max(min(end, h.wakeAt), h.now+time.Microsecond)
@@ -99,14 +101,14 @@
 	}
 }
 
-// deliver gives the client bytes on a connection, if that is open.
+// deliver passes bytes to the client as received on a connection, if the connection is open.
 func (h *harness) deliver(conn int, p string) {
 	if h.open[conn] {
 		h.client.Data(h.now, conn, []byte(p))
 	}
 }
 
-// resetConn closes a connection from the server's end.
+// resetConn closes a connection on the server side.
 func (h *harness) resetConn(conn int) {
 	if h.open[conn] {
 		delete(h.open, conn)
@@ -115,8 +117,8 @@
 	}
 }
 
-// respond sends a body in response to the last request, in pieces of n bytes, and lets the
-// spacing of calls pass.
+// respond sends a response with the given body to the last request, in pieces of n bytes, and then
+// advances the clock by minCallInterval.
 func (h *harness) respond(body string, n int) {
 	conn := h.lastConn
 	delete(h.pendingRequests, conn)
@@ -126,17 +128,20 @@
 		remaining = remaining[size:]
 		h.step()
 	}
-	h.advance(callSpacing)
+	h.advance(minCallInterval)
 }
 
+// httpResponse returns a response with the given body.
 func httpResponse(body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
+// listJSON returns an endpoint list with the given endpoints in JSON.
 func listJSON(index int, snapshot bool, endpoints ...string) string {
 	return fmt.Sprintf(`{"index":%d,"snapshot":%v,"endpoints":[%s]}`, index, snapshot, strings.Join(endpoints, ","))
 }
 
+// endpointJSON returns an endpoint in JSON, with fields that the client does not know.
 func endpointJSON(name, status string) string {
 	return fmt.Sprintf(`{"name":%q,"address":"10.0.0.9:1","zone":"z1","type":"x","group":2,"status":%q,"weight":1.0,"since_ms":1700000000123}`, name, status)
 }
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -8,53 +8,53 @@
 	"maddergap/scheduler"
 )
 
-// Bounds of a list on the wire.
+// Limits of a list on the wire.
 const (
-	maxListBytes     = 4 << 20  // of a body
-	maxEndpointBytes = 64 << 10 // of one endpoint's JSON
-	maxEnvelopeBytes = 64 << 10 // of the JSON around the endpoints
-	maxNameBytes     = 256      // of a node's name
-	// maxSinceMillis bounds since_ms, so that its microseconds fit an int64.
+	maxListBytes     = 4 << 20  // response body
+	maxEndpointBytes = 64 << 10 // JSON text of one endpoint
+	maxEnvelopeBytes = 64 << 10 // JSON text outside the endpoints
+	maxNameBytes     = 256      // name of a node
+	// maxSinceMillis limits since_ms, so that its value in microseconds fits into an int64.
 	maxSinceMillis = 1e15
 )
 
-// EndpointList is a list, or the changes of one, in its form on the wire and in a configuration.
+// EndpointList is a full endpoint list, or the changes of one, as on the wire and in a configuration.
 type EndpointList struct {
-	Index     *int64     `json:"index"`    // the list's version; nil: missing, which makes it malformed
-	Snapshot  bool       `json:"snapshot"` // the full list, not only changes
+	Index     *int64     `json:"index"`    // version; nil if missing, which makes the list malformed
+	Snapshot  bool       `json:"snapshot"` // set for the full list, not set for changes
 	Endpoints []Endpoint `json:"endpoints"`
 }
 
 // Endpoint is one node of an EndpointList.
 type Endpoint struct {
 	Name    string `json:"name"`
-	Address string `json:"address"` // host:port; of no meaning for a removed node
+	Address string `json:"address"` // host:port; ignored for a removed node
 	Zone    string `json:"zone"`
-	Group   int    `json:"group"`  // the number of the shard that the node holds
+	Group   int    `json:"group"`  // number of the shard that the node holds
 	Status  string `json:"status"` // a key of statusStates
-	// Since is when the node started, in milliseconds of Unix time; 0: long ago.
+	// Since is the Unix time at which the node started, in milliseconds; 0 if it was long ago.
 	Since float64 `json:"since_ms"`
 }
 
-// statusStates maps the status of an endpoint on the wire to the state of the node.
-var statusStates = map[string]scheduler.NodeState{
+// statesByStatus maps the status of an endpoint on the wire to a node state.
+var statesByStatus = map[string]scheduler.NodeState{
 	"up":       scheduler.Serving,
 	"draining": scheduler.Draining,
 	"removed":  scheduler.Removed,
 }
 
-// nodeState returns the state for a status. An unknown one, of a later version of the protocol,
-// is taken as draining: nothing new may be sent to a node that is not known to serve.
+// nodeState returns the node state for a status. An unknown status, of a later version of the
+// protocol, counts as draining: no new request may be sent to a node that is not known to serve.
 func nodeState(status string) scheduler.NodeState {
-	state, known := statusStates[status]
+	state, known := statesByStatus[status]
 	if !known {
 		return scheduler.Draining
 	}
 	return state
 }
 
-// zoneTable numbers the zones by name: those of the settings in their order, then others in the
-// order in which they are listed.
+// zoneTable maps zone names to numbers: the zones of the settings in their order, then others in
+// the order in which they first appear in a list.
 type zoneTable map[string]int
 
 func newZoneTable(names []string) zoneTable {
@@ -65,8 +65,9 @@
 	return zones
 }
 
-// number returns the number of a zone. A new zone is added while the table is below
-// nodelist.MaxNodes entries, which guards against names that never repeat using up the memory.
+// number returns the number of a zone. It adds a new zone if the table has fewer than
+// nodelist.MaxNodes entries; all further zones get the same number. The limit keeps a server that
+// sends ever new names from using up the memory.
 func (z zoneTable) number(name string) int {
 	number, known := z[name]
 	if known {
@@ -79,11 +80,11 @@
 	return number
 }
 
-// nodeOf checks an endpoint and converts it. Errors are ErrMalformedList.
-func (z zoneTable) nodeOf(e *Endpoint) (nodelist.Node, error) {
+// convertEndpoint validates an endpoint and converts it to a node. Errors wrap ErrMalformedList.
+func (z zoneTable) convertEndpoint(e *Endpoint) (nodelist.Node, error) {
 	state := nodeState(e.Status)
 	if e.Name == "" || len(e.Name) > maxNameBytes {
-		return nodelist.Node{}, malformed("an endpoint's name has %d bytes, want 1 to %d", len(e.Name), maxNameBytes)
+		return nodelist.Node{}, malformed("the name of an endpoint has %d bytes, want 1 to %d", len(e.Name), maxNameBytes)
 	}
 	if _, err := netip.ParseAddrPort(e.Address); err != nil && state != scheduler.Removed {
 		return nodelist.Node{}, malformed("endpoint %s: %.60q is not an address and port", e.Name, e.Address)
@@ -98,10 +99,10 @@
 	return node, nil
 }
 
-// nodesOf checks a list and converts its endpoints. One unusable endpoint fails the whole list:
-// a list without it would look as if the node had been removed. Errors are ErrMalformedList and
-// ErrListTooLarge.
-func (z zoneTable) nodesOf(l *EndpointList) ([]nodelist.Node, error) {
+// convert validates a list and converts its endpoints to nodes. One unusable endpoint fails the
+// whole list: without that endpoint, the node would seem to be removed. Errors wrap
+// ErrMalformedList or ErrListTooLarge.
+func (z zoneTable) convert(l *EndpointList) ([]nodelist.Node, error) {
 	if l.Index == nil {
 		return nil, errMissingIndex
 	}
@@ -110,7 +111,7 @@
 	}
 	var nodes []nodelist.Node
 	for i := range l.Endpoints {
-		node, err := z.nodeOf(&l.Endpoints[i])
+		node, err := z.convertEndpoint(&l.Endpoints[i])
 		if err != nil {
 			return nil, err
 		}
@@ -120,6 +121,6 @@
 }
 
 var (
-	errMissingIndex = malformed("no index")
+	errMissingIndex = malformed("the index is missing")
 	errTooManyNodes = tooLarge("more than %d nodes", nodelist.MaxNodes)
 )
--- a/internal/discovery/list_decoder.go
+++ b/internal/discovery/list_decoder.go
@@ -8,41 +8,41 @@
 	"maddergap/internal/nodelist"
 )
 
-// endpointList is a decoded response.
+// endpointList is a decoded list or the changes of one.
 type endpointList struct {
-	index    int64 // its version
-	snapshot bool  // the full list, not only changes
+	index    int64 // version of the list
+	snapshot bool  // set for the full list, not set for changes
 	nodes    []nodelist.Node
 }
 
-// listDecoder decodes a list while its bytes come, so that no iteration of the event loop
-// decodes more than it was given: a large list would otherwise stall all requests. It scans for
-// the elements of the top-level array "endpoints" and decodes each as soon as it is complete.
-// The rest, the envelope, is decoded at the end.
+// listDecoder decodes a list incrementally as its bytes arrive. Decoding a large list in one
+// iteration of the event loop would stall all requests. The decoder scans for the elements of the
+// top-level array "endpoints" and decodes each as soon as it is complete. The envelope, which is
+// the text around the elements, is decoded at the end.
 type listDecoder struct {
 	zones  zoneTable
 	parser fastjson.Parser
 
-	envelope []byte // the text without the array's elements
-	element  []byte // the text of the element that is being scanned
-	nodes    []nodelist.Node
+	envelope []byte          // text without the elements of the array
+	element  []byte          // text of the current element so far
+	nodes    []nodelist.Node // nodes of the elements decoded so far
 
-	// The position of the scan.
-	depth       int    // of nested objects and arrays
-	inEndpoints bool   // in the array of endpoints
-	inString    bool   // between quotes
-	escaped     bool   // behind a backslash in a string
-	lastKey     []byte // the start of the last string at depth 1, which is the key of the next value
+	// State of the scan.
+	depth       int    // nesting depth of objects and arrays
+	inEndpoints bool   // set within the array of endpoints
+	inString    bool   // set within a string
+	escaped     bool   // set after a backslash in a string
+	lastKey     []byte // start of the last string at depth 1: the key, if an object or array follows
 }
 
 const (
 	endpointsKey = "endpoints"
-	// Depths of the scan: the members of the top-level object, and the elements of the array.
+	// Nesting depths of the members of the top-level object and of the elements of the array.
 	envelopeDepth = 1
 	elementDepth  = 2
 )
 
-// write takes the next bytes. Errors are ErrMalformedList and ErrListTooLarge.
+// write decodes the next bytes. Errors wrap ErrMalformedList or ErrListTooLarge.
 func (d *listDecoder) write(p []byte) error {
 	for _, b := range p {
 		if err := d.writeByte(b); err != nil {
@@ -52,6 +52,7 @@
 	return nil
 }
 
+// writeByte scans a byte and adds it to the envelope or to the current element.
 func (d *listDecoder) writeByte(b byte) error {
 	wasInElement := d.inElement()
 	arrayOpened := d.advance(b)
@@ -64,18 +65,19 @@
 	case !d.inEndpoints:
 		return d.appendEnvelope(b)
 	case !isSeparator(b):
-		return malformed("%q between the endpoints", b)
+		return malformed("unexpected %q between the endpoints", b)
 	}
 	return nil
 }
 
-// inElement reports whether the scan is within an element of the array. A string that is an
-// element itself is one too; it is found malformed when it is complete.
+// inElement reports whether the scan is within an element of the array. An element may also be a
+// string; decodeElement then fails, as it is not an object.
 func (d *listDecoder) inElement() bool {
 	return d.inEndpoints && (d.depth > elementDepth || d.inString)
 }
 
-// advance moves the scan by a byte and reports whether the byte opens the array of endpoints.
+// advance updates the state of the scan by a byte. It reports whether the byte opens the array of
+// endpoints.
 func (d *listDecoder) advance(b byte) (arrayOpened bool) {
 	switch {
 	case d.inString:
@@ -100,6 +102,7 @@
 	return false
 }
 
+// advanceInString updates the state of the scan by a byte of a string.
 func (d *listDecoder) advanceInString(b byte) {
 	switch {
 	case d.escaped:
@@ -115,22 +118,25 @@
 	}
 }
 
+// isSeparator reports whether a byte may appear between the elements of an array.
 func isSeparator(b byte) bool {
 	return b == ',' || b == ' ' || b == '\n' || b == '\r' || b == '\t'
 }
 
+// appendEnvelope adds a byte to the envelope.
 func (d *listDecoder) appendEnvelope(b byte) error {
 	d.envelope = append(d.envelope, b)
 	if len(d.envelope) > maxEnvelopeBytes {
-		return tooLarge("more than %d bytes beside the endpoints", maxEnvelopeBytes)
+		return tooLarge("more than %d bytes outside the endpoints", maxEnvelopeBytes)
 	}
 	return nil
 }
 
+// appendElement adds a byte to the current element, and decodes the element if it is complete.
 func (d *listDecoder) appendElement(b byte) error {
 	d.element = append(d.element, b)
 	if len(d.element) > maxEndpointBytes {
-		return tooLarge("an endpoint of more than %d bytes", maxEndpointBytes)
+		return tooLarge("an endpoint has more than %d bytes", maxEndpointBytes)
 	}
 	if d.depth == elementDepth && !d.inString {
 		return d.decodeElement()
@@ -138,7 +144,7 @@
 	return nil
 }
 
-// decodeElement decodes a complete element and makes room for the next.
+// decodeElement decodes the current element, adds its node and clears the element for the next.
 func (d *listDecoder) decodeElement() error {
 	if len(d.nodes) >= nodelist.MaxNodes {
 		return errTooManyNodes
@@ -152,7 +158,7 @@
 	if err != nil {
 		return err
 	}
-	node, err := d.zones.nodeOf(&endpoint)
+	node, err := d.zones.convertEndpoint(&endpoint)
 	if err != nil {
 		return err
 	}
@@ -160,12 +166,12 @@
 	return nil
 }
 
-// decodeEndpoint decodes the fields of an endpoint. An absent one has its zero value, one that
-// is not known is ignored.
+// decodeEndpoint decodes the fields of an endpoint. An absent field gets its zero value, and an
+// unknown field is ignored.
 func decodeEndpoint(value *fastjson.Value) (e Endpoint, err error) {
 	object, err := value.Object()
 	if err != nil {
-		return e, malformed("an endpoint that is not an object")
+		return e, malformed("an endpoint is not an object")
 	}
 	object.Visit(func(key []byte, v *fastjson.Value) {
 		var fieldErr error
@@ -190,9 +196,9 @@
 	return e, err
 }
 
-func decodeString(to *string, v *fastjson.Value) error {
+func decodeString(dst *string, v *fastjson.Value) error {
 	b, err := v.StringBytes()
-	*to = string(b)
+	*dst = string(b)
 	return err
 }
 
@@ -210,7 +216,7 @@
 		return endpointList{}, errMissingIndex
 	}
 	switch string(envelope.Endpoints) {
-	case "", "null", "[]": // absent, or an array whose elements were taken out
+	case "", "null", "[]": // absent, or an array whose elements are not in the envelope
 	default:
 		return endpointList{}, malformed("endpoints is not an array")
 	}
--- a/internal/discovery/list_state.go
+++ b/internal/discovery/list_state.go
@@ -9,52 +9,53 @@
 	"maddergap/internal/nodelist"
 )
 
-// syncState is how far the list that the client has is in step with the server's. It decides
-// what the next call asks for.
+// syncState says whether the client's list is known to match the server's. It determines the kind
+// of the next request.
 type syncState uint8
 
 const (
-	unsynced syncState = iota // no usable list: the full list is asked for
-	stale                     // a list, and changes of it may have been missed: they are asked for at once
-	current                   // a list, and no sign of missed changes: it is watched
+	unsynced syncState = iota // no list to build on: request the full list
+	stale                     // changes of the list may have been missed: request them without a hold
+	current                   // no sign of missed changes: watch the list
 )
 
 func (s syncState) String() string { return [...]string{"unsynced", "stale", "current"}[s] }
 
-// listState is the list that the client has: its version, whether it can be built upon, and
-// the update that nobody has taken yet.
+// listState holds the version of the client's list, whether it matches the server's, and the update
+// that the gateway has not taken yet.
 type listState struct {
 	sync    syncState
-	version int64 // of the list in force; valid unless unsynced
-	// resumed is a list from before the start, which was not given out. The first list that comes
-	// is given out in full, with these nodes under it if it only has changes. nil: none.
-	resumed []nodelist.Node
-	// pending sums up the lists since the last update was taken; nil: there were none.
+	version int64 // version of the list in effect; valid unless unsynced
+	// resumedNodes is the list from before the start, until the first list is received or the full
+	// list is required. The first update is always a full list: if the server sends changes, they
+	// are applied to resumedNodes. nil if there is no such list.
+	resumedNodes []nodelist.Node
+	// pending combines the lists received since the last update was taken; nil if there are none.
 	pending *membership.Update
 }
 
-// resume takes a list that is known from before the start.
+// resume sets the list that is known from before the start.
 func (s *listState) resume(version int64, nodes []nodelist.Node) {
 	s.sync = stale
 	s.version = version
-	s.resumed = nodes
+	s.resumedNodes = nodes
 }
 
-// discard has the full list asked for next. The update that is pending stays.
-func (s *listState) discard() {
+// requireFullList makes the next request one for the full list. It keeps the pending update.
+func (s *listState) requireFullList() {
 	s.sync = unsynced
-	s.resumed = nil
+	s.resumedNodes = nil
 }
 
-// missedChanges has the changes asked for next, if there is a list that they could belong to.
-func (s *listState) missedChanges() {
+// markStale makes the next request one for the changes, unless the full list is needed anyway.
+func (s *listState) markStale() {
 	if s.sync == current {
 		s.sync = stale
 	}
 }
 
-// request is what the next call asks for.
-func (s *listState) request() requestKind {
+// nextRequest returns the kind of the next request.
+func (s *listState) nextRequest() requestKind {
 	switch s.sync {
 	case current:
 		return watchRequest
@@ -64,58 +65,60 @@
 	return fullListRequest
 }
 
-// callFailed sets what is asked for after a call that brought no list.
-//   - A rejected call did nothing, and no change was sent on it.
-//   - A call that did not respond or broke may have taken changes with it, unless it was not sent.
-//   - Any other response shows that client and server disagree: they start anew.
-func (s *listState) callFailed(sent bool, cause error) {
+// callFailed updates the state after a call that brought no usable list:
+//   - A rejected call changes nothing, as the server sent no changes on it.
+//   - A call without a complete response may have lost changes, unless its connection was lost
+//     before the request was sent.
+//   - After any other error, client and server may disagree, and the full list is required.
+func (s *listState) callFailed(requestSent bool, cause error) {
 	switch {
 	case rejected(cause):
 	case errors.Is(cause, ErrNoResponse):
-		s.missedChanges()
+		s.markStale()
 	case errors.Is(cause, ErrConnectionLost):
-		if sent {
-			s.missedChanges()
+		if requestSent {
+			s.markStale()
 		}
 	default:
-		s.discard()
+		s.requireFullList()
 	}
 }
 
-// apply takes the list that came in response to a request. confirmedAt is when the list before
-// it was known to be in force, 0: there was none. Errors are ErrUnexpectedList and
-// ErrStaleIndex; the state is then unchanged.
+// apply applies a list that was received in response to a request of the given kind. confirmedAt is
+// the last time at which the previous list was known to be in effect, 0 if there was none. Errors
+// wrap ErrUnexpectedList or ErrStaleIndex and leave the state unchanged.
 func (s *listState) apply(kind requestKind, list endpointList, confirmedAt Time) error {
 	if err := s.check(kind, &list); err != nil {
 		return err
 	}
-	if s.resumed != nil && !list.snapshot {
-		list.nodes = applyChanges(s.resumed, list.nodes)
+	if s.resumedNodes != nil && !list.snapshot {
+		list.nodes = applyChanges(s.resumedNodes, list.nodes)
 		list.snapshot = true
 	}
 	s.sync = current
 	s.version = list.index
-	s.resumed = nil
+	s.resumedNodes = nil
 	if len(list.nodes) > 0 {
 		s.addPending(list, confirmedAt)
 	}
 	return nil
 }
 
+// check reports why a list cannot be applied, or returns nil.
 func (s *listState) check(kind requestKind, list *endpointList) error {
 	switch {
 	case !list.snapshot && kind == fullListRequest:
-		return fmt.Errorf("%w: changes in response to a call for the full list", ErrUnexpectedList)
+		return fmt.Errorf("%w: changes in response to a request for the full list", ErrUnexpectedList)
 	case list.snapshot && len(list.nodes) == 0:
-		// A server that lost its state would remove every node, and all requests would fail.
-		return fmt.Errorf("%w: a full list without a node", ErrUnexpectedList)
+		// A server that lost its state would otherwise remove every node, and all requests would fail.
+		return fmt.Errorf("%w: a full list without nodes", ErrUnexpectedList)
 	case s.sync != unsynced && list.index < s.version:
-		return fmt.Errorf("%w: %d after %d", ErrStaleIndex, list.index, s.version)
+		return fmt.Errorf("%w: got %d after %d", ErrStaleIndex, list.index, s.version)
 	}
 	return nil
 }
 
-// addPending adds a list to the pending update, in place of it if the list is full.
+// addPending adds changes to the pending update. A full list replaces the pending update.
 func (s *listState) addPending(list endpointList, confirmedAt Time) {
 	if s.pending == nil {
 		s.pending = &membership.Update{PreviousConfirmedAt: confirmedAt}
@@ -127,7 +130,7 @@
 	s.pending.Nodes = append(s.pending.Nodes, list.nodes...)
 }
 
-// takePending returns the pending update, once.
+// takePending returns the pending update and clears it. ok is false if there is none.
 func (s *listState) takePending() (update membership.Update, ok bool) {
 	if s.pending == nil {
 		return membership.Update{}, false
@@ -137,7 +140,7 @@
 	return update, true
 }
 
-// applyChanges returns a list with changes applied. Removed nodes stay on it as such.
+// applyChanges returns a list with changes applied. Removed nodes stay in it, with their state.
 func applyChanges(list, changes []nodelist.Node) []nodelist.Node {
 	changed := map[string]bool{}
 	for _, node := range changes {
--- a/internal/discovery/policy.go
+++ b/internal/discovery/policy.go
@@ -2,54 +2,54 @@
 
 import "time"
 
-// callPolicy sets how long a call may take, when the next one is made and how many may be under
-// way. Getting the list from an agent and polling a service differ in this policy alone.
+// callPolicy configures how long a call may take, when the next call is made and how many calls may
+// be under way. Clients of an agent and of a polled service differ only in this policy.
 type callPolicy struct {
-	// watchHold is how long the server may hold a watch while nothing changes; a random time of
-	// up to watchHoldJitter is added to it. 0: no jitter.
+	// watchHold is the time for which the server may hold a watch while nothing changes. A random
+	// time of up to watchHoldJitter is added to it; 0 for no jitter.
 	watchHold       Time
 	watchHoldJitter Time
-	// watchResponseTimeout is how long the response to a watch may take beyond its hold.
+	// watchResponseTimeout is the time that the response to a watch may take beyond the hold.
 	watchResponseTimeout Time
-	// listTimeout is how long any response may take, at least; it is the whole timeout of a call
-	// that the server answers without a hold.
+	// listTimeout is the timeout of a request for the full list, and the minimum timeout of any
+	// other request.
 	listTimeout Time
-	// maxCallAge bounds the age of the newest call: once that is older, another call is made on a
-	// connection of its own. 0: calls do not overlap.
+	// maxCallAge limits the age of the newest call: once it is reached, another call is made on a
+	// new connection. 0 if calls do not overlap.
 	maxCallAge Time
-	// maxCalls bounds the calls under way, and so the connections.
+	// maxCalls is the maximum number of calls under way, and so of connections.
 	maxCalls int
 	// The backoff after a failed call doubles from minBackoff to maxBackoff.
 	minBackoff Time
 	maxBackoff Time
 }
 
-// agentPolicy is for an agent on the gateway's own machine. It responds at once and at no cost;
-// while discovery is down it is unresponsive, and whatever it has when it returns counts as delivered
-// at that moment. The failure guarded against is a call that such an outage swallowed: a gateway
-// that waits for its response, or backs off after it, keeps sending to a node that is draining
-// until the grace of that drain is over. Since the newest call is never older than maxCallAge, but
-// while a response is being received (maxResponseDeferral), a response is had within that time of the
-// agent's return, whatever became of earlier calls.
+// agentPolicy is for an agent on the gateway's own machine. The agent responds at once and at no
+// cost. During an outage of discovery it does not respond, and when it recovers, all changes until
+// then count as delivered at that moment. A call made during the outage may never get a response. A
+// gateway that waits for that response, or backs off after the failure, would send requests to a
+// draining node until the grace period of the drain is over. So the newest call is never older than
+// maxCallAge, unless a response is being received (see maxResponseDeferral). The client thus
+// gets a response within maxCallAge of the recovery, whatever happened to earlier calls.
 var agentPolicy = callPolicy{
 	watchHold:            120 * time.Millisecond, // below maxCallAge, so that a healthy agent needs one connection
-	watchResponseTimeout: 2 * time.Second,        // a slow agent is waited for: calls made meanwhile cost it nothing
+	watchResponseTimeout: 2 * time.Second,        // long, for a slow agent; further calls cost the agent nothing
 	listTimeout:          2 * time.Second,
-	maxCallAge:           180 * time.Millisecond, // well below the 0.5 s of a drain's grace
+	maxCallAge:           180 * time.Millisecond, // well below the grace period of a drain, 0.5 s
 	maxCalls:             4,
 	minBackoff:           20 * time.Millisecond,
-	maxBackoff:           180 * time.Millisecond, // maxCallAge bounds the wait anyway
+	maxBackoff:           180 * time.Millisecond, // no longer than maxCallAge, which limits the wait anyway
 }
 
-// pollPolicy is for one service that all instances call. It serves a limited number of calls at
-// a time and rejects the rest. The failure guarded against is a call that is given up while its
-// response is on the way and then repeated: the service would work for nobody and stay
-// overloaded. So one call is made at a time, and timeouts exceed what the service takes under
-// load. A watch counts as a call too, so watches are long. A change that a hung watch missed
-// counts as delivered 2 s after the watch was to end, so it is asked for before that.
+// pollPolicy is for one service that all instances call. The service handles a limited number of
+// calls at a time and rejects the rest. If instances abandoned calls before the response arrives and
+// repeated them, the service would do useless work and stay overloaded. So an instance makes one
+// call at a time, with timeouts longer than the response times of the service under load. A watch
+// counts as a call too, so watches are long. A change that a hung watch missed counts as delivered
+// 2 s after the end of the hold, so the client requests changes before that time.
 var pollPolicy = callPolicy{
 	watchHold:            12 * time.Second,
-	watchHoldJitter:      6 * time.Second, // keeps the instances' watches from ending together
+	watchHoldJitter:      6 * time.Second, // keeps the watches of all instances from ending together
 	watchResponseTimeout: 300 * time.Millisecond,
 	listTimeout:          2200 * time.Millisecond, // an overloaded service takes about 2 s
 	maxCalls:             1,
@@ -57,18 +57,20 @@
 	maxBackoff:           800 * time.Millisecond,
 }
 
-// overlapping reports whether further calls are made while one has no response.
+// overlapping reports whether calls may overlap: a further call is made while one has no response.
 func (p *callPolicy) overlapping() bool { return p.maxCallAge > 0 }
 
 const (
-	// maxResponseDeferral bounds how long a response that is being received puts off the next call.
+	// maxResponseDeferral is the maximum time, from its first byte on, for which a response that is
+	// being received defers the next call.
 	maxResponseDeferral = 500 * time.Millisecond
-	// responseStallTimeout is how long a response may pause before it puts off calls no more.
+	// responseStallTimeout is the time without further bytes after which a response no longer defers
+	// the next call.
 	responseStallTimeout = 90 * time.Millisecond
-	// callSpacing is the least time between the starts of two calls on one connection. It guards
-	// against a server that responds to watches at once though nothing changed, which would show
-	// as a loop of calls that uses up both machines.
-	callSpacing = 20 * time.Millisecond
-	// dialTimeout is how long a connection to the server may take to come up.
+	// minCallInterval is the minimum time between the starts of two calls on one connection. Without
+	// it, a server that responds to watches at once though nothing changed would cause a busy loop
+	// of calls on both machines.
+	minCallInterval = 20 * time.Millisecond
+	// dialTimeout is the time that a connection to the server may take to be established.
 	dialTimeout = 500 * time.Millisecond
 )
--- a/internal/discovery/poll_test.go
+++ b/internal/discovery/poll_test.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// A polled service is overloaded: it rejects calls, and takes nearly two seconds for a list. A
-// call that it works on is not given up, and a rejected one is repeated after a backoff. A watch
-// then hangs: it is followed by a call for the changes since, and these are received
-// before they count as delivered, 2 s after the watch was to end.
+// Verifies the calls to an overloaded service, which rejects calls and takes nearly two seconds for a
+// list. A call that the service handles is not abandoned, and a rejected call is repeated after a
+// backoff. When a watch then hangs, the changes since are requested and received before they count
+// as delivered, 2 s after the end of the hold.
 func TestPollingOverloadedService(t *testing.T) {
 	for seed := range uint64(50) {
 		s := &overloadedServer{t: t, client: New("10.0.0.1:1", nil, true, seed), now: startTime, list: listJSON(42, true, endpointJSON("a", "up"))}
@@ -28,28 +28,30 @@
 
 const rejection = "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"
 
-// overloadedServer rejects the first calls, responds to later ones with a delay, and never to a
-// watch.
+// overloadedServer rejects the first calls, responds to later calls with a delay, and never responds
+// to a watch.
 type overloadedServer struct {
 	t          *testing.T
 	client     *Client
 	now        Time
 	rejections int
-	requests   []string // their paths, or "watch"
-	conn       int      // of the last request
-	respondAt  Time     // to the last request; 0: it gets no response
-	list       string   // the next one to be sent
+	requests   []string // paths of the requests, "watch" for a watch
+	conn       int      // connection of the last request
+	respondAt  Time     // time of the response to the last request; 0 if there is none
+	list       string   // next list to send
 	listsSent  int
-	// changeCountsAt is when a change that the watch missed counts as delivered.
+	// changeCountsAt is the time at which a change that the watch missed counts as delivered.
 	changeCountsAt Time
 }
 
+// step carries out the client's next operation. If there is none, it sends a response that is due or
+// advances the clock.
 func (s *overloadedServer) step() {
 	op, wakeAt := s.client.Step(s.now)
 	switch {
 	case op.Close:
 		if s.respondAt > 0 {
-			s.t.Fatalf("a call is given up %v before its response", s.respondAt-s.now)
+			s.t.Fatalf("a call is abandoned %v before its response", s.respondAt-s.now)
 		}
 	case op.Dial != "":
 		s.client.Connected(s.now, op.Conn)
@@ -64,6 +66,7 @@
 	}
 }
 
+// request records a request, and rejects it or determines the time of the response.
 func (s *overloadedServer) request(path string) {
 	if strings.Contains(path, "hold_ms=") && !strings.HasSuffix(path, "hold_ms=0") {
 		var hold int
@@ -84,19 +87,20 @@
 	}
 }
 
+// respond advances the clock to respondAt and sends the next list.
 func (s *overloadedServer) respond() {
 	s.now = s.respondAt
 	s.respondAt = 0
 	s.client.Data(s.now, s.conn, []byte(httpResponse(s.list)))
 	s.listsSent++
 	if s.listsSent == 2 && s.now > s.changeCountsAt {
-		s.t.Fatalf("the change came %v after it counted", s.now-s.changeCountsAt)
+		s.t.Fatalf("the change was received %v after it counted as delivered", s.now-s.changeCountsAt)
 	}
 	s.list = listJSON(43, false, endpointJSON("a", "draining"))
 }
 
-// checkRejectedWatches has every call rejected for 10 s: the watch is repeated as such, not
-// turned into a call for the full list, and at the pace of the backoff.
+// checkRejectedWatches rejects every call for 10 s and checks that the client repeats the watch at the
+// rate of the backoff, and does not request the full list instead.
 func checkRejectedWatches(t *testing.T, client *Client, now Time) {
 	t.Helper()
 	client.Data(now, 0, nil)
@@ -109,7 +113,7 @@
 			client.Connected(now, op.Conn)
 		case len(op.Write) > 0:
 			if rejected++; !strings.Contains(string(op.Write), "from=43&hold_ms=1") {
-				t.Fatalf("the request is then %q", op.Write)
+				t.Fatalf("got request %q after a rejected watch, want a watch", op.Write)
 			}
 			client.Data(now, op.Conn, []byte(rejection))
 		default:
@@ -117,25 +121,25 @@
 		}
 	}
 	if rejected < 8 || rejected > 30 {
-		t.Fatalf("%d calls within 10 s", rejected)
+		t.Fatalf("%d calls within 10 s, want 8 to 30", rejected)
 	}
 }
 
-// Guards against an outage that is none in the log: while a polled service holds a watch as nothing
-// changes, it is not silent. The hold counts once, so that a service that does not respond after
-// it, or whose connection is lost, is.
-func TestHeldWatchIsNoSilence(t *testing.T) {
+// Verifies that Status.WatchHeldUntil covers the hold of a watch, so that a polled service that holds
+// a watch because nothing changes is not logged as unavailable. The value is not extended by later
+// watches without a response, and ends when the connection is lost, so that an outage is logged.
+func TestWatchHeldUntil(t *testing.T) {
 	h := newHarness(t, New("10.0.0.1:1", nil, true, 1))
 	h.respond(listJSON(42, true, endpointJSON("a", "up")), 1<<20)
 	heldUntil := h.client.Status().WatchHeldUntil
-	if least := h.now + pollPolicy.watchHold - callSpacing; heldUntil < least {
-		t.Fatalf("held for %v after the list, want %v at least", heldUntil-h.now, pollPolicy.watchHold)
+	if minimum := h.now + pollPolicy.watchHold - minCallInterval; heldUntil < minimum {
+		t.Fatalf("WatchHeldUntil is %v after the list, want at least %v", heldUntil-h.now, pollPolicy.watchHold)
 	}
 	h.advance(time.Second)
 	h.resetConn(h.lastConn)
 	lostAt := h.now
 	h.advance(5 * time.Second)
 	if status := h.client.Status(); status.WatchHeldUntil > lostAt || status.CallsSent < 3 {
-		t.Errorf("held for %v after its connection was lost; %d calls", status.WatchHeldUntil-lostAt, status.CallsSent)
+		t.Errorf("WatchHeldUntil is %v after the connection was lost, with %d calls sent; want at most 0 and at least 3 calls", status.WatchHeldUntil-lostAt, status.CallsSent)
 	}
 }
--- a/internal/discovery/schedule.go
+++ b/internal/discovery/schedule.go
@@ -5,33 +5,34 @@
 	"math/rand/v2"
 )
 
-// never is a time that does not come.
+// never is a time that is never reached.
 const never = Time(math.MaxInt64)
 
-// callSchedule decides when the next call is made. Backoff and next call change together, and
-// only here.
+// callSchedule determines the time of the next call. Only its methods change that time and the
+// backoff.
 type callSchedule struct {
 	policy     callPolicy
 	rand       *rand.Rand
-	nextCallAt Time
-	backoff    Time // after the next call that fails
+	nextCallAt Time // earliest time of the next call
+	backoff    Time // backoff after the next failed call
 }
 
-// jitterStream is the second half of the random source's seed. It keeps the jitter apart from
-// what else is drawn by the same seed.
+// jitterStream is the second half of the seed of the random source. It makes the jitter independent
+// of other random sources with the same seed.
 const jitterStream = 0x64697363
 
+// newCallSchedule returns a schedule whose first call may be made at once.
 func newCallSchedule(policy callPolicy, seed uint64) callSchedule {
 	return callSchedule{policy: policy, rand: rand.New(rand.NewPCG(seed, jitterStream)), backoff: policy.minBackoff}
 }
 
-// restart has the next call made now, as the first one.
+// restart schedules the next call for now and resets the backoff.
 func (s *callSchedule) restart(now Time) {
 	s.nextCallAt = now
 	s.backoff = s.policy.minBackoff
 }
 
-// callStarted plans the call behind one that starts now.
+// callStarted schedules the call after one that starts now.
 func (s *callSchedule) callStarted(now Time) {
 	s.nextCallAt = never
 	if s.policy.overlapping() {
@@ -39,10 +40,10 @@
 	}
 }
 
-// callFailed plans the retry of a call that started at the given time. Where calls overlap, the
-// failure never puts off the next call: it can only bring it forward, to a backoff after the
-// failed one started. Where they do not, the retry waits for the backoff with a jitter of half
-// of it to either side, so that instances which failed together do not retry together.
+// callFailed schedules the retry of a call that started at the given time. If calls overlap, the
+// failure never delays the next call. It can only make it earlier: one backoff after the start of
+// the failed call, or now. If calls do not overlap, the retry waits for 0.5 to 1.5 times the
+// backoff, so that instances whose calls failed together do not retry together.
 func (s *callSchedule) callFailed(now, startedAt Time) {
 	backoff := s.backoff
 	s.backoff = min(2*s.backoff, s.policy.maxBackoff)
@@ -53,10 +54,10 @@
 	s.nextCallAt = now + backoff/2 + Time(s.rand.Int64N(int64(backoff)))
 }
 
-// callSucceeded ends the backoff.
+// callSucceeded resets the backoff.
 func (s *callSchedule) callSucceeded() { s.backoff = s.policy.minBackoff }
 
-// hold draws how long the server may hold the next watch.
+// hold returns the time for which the server may hold the next watch, with jitter.
 func (s *callSchedule) hold() Time {
 	hold := s.policy.watchHold
 	if s.policy.watchHoldJitter > 0 {
@@ -65,8 +66,8 @@
 	return hold
 }
 
-// timeout is how long a call may take from its request on, by what it asks for. hold is that of
-// a watch.
+// timeout returns the time that a call may take from its request on. hold is the hold of a watch,
+// and 0 for other requests.
 func (s *callSchedule) timeout(kind requestKind, hold Time) Time {
 	if kind == fullListRequest {
 		return s.policy.listTimeout
@@ -74,7 +75,7 @@
 	return max(hold+s.policy.watchResponseTimeout, s.policy.listTimeout)
 }
 
-// mayStart reports whether another call may be made beside those under way.
+// mayStart reports whether another call may be made besides the calls under way.
 func (s *callSchedule) mayStart(now Time, calls []*call) bool {
 	if now < s.nextCallAt {
 		return false
@@ -85,8 +86,9 @@
 	return now >= deferredUntil(calls)
 }
 
-// deferredUntil is until when the responses that are being received put off another call: one
-// that makes progress is likely to be complete before another could be.
+// deferredUntil returns the time until which the responses being received defer another call: a
+// response that makes progress is likely to be complete before another one could be. It returns 0
+// if there is no such response.
 func deferredUntil(calls []*call) (until Time) {
 	for _, k := range calls {
 		if k.state == receiving {
@@ -96,7 +98,7 @@
 	return until
 }
 
-// wakeAt is when something is due without an event: a call, a request or a deadline.
+// wakeAt returns the time at which the next call, request or deadline is due if no event comes first.
 func (s *callSchedule) wakeAt(now Time, calls []*call) Time {
 	at := never
 	if s.policy.overlapping() {
