--- a/scheduler/attempts.go
+++ b/scheduler/attempts.go
@@ -31,11 +31,11 @@
 	n.queue.Remove(r)
 	n.advanceVirtualTime(r)
 	if r.attempts == 0 {
-		s.drawLimit(r.volume, r.Units)
+		s.chargeLimit(r.volume, r.Units)
 	} else {
 		s.recordRetry()
 	}
-	s.drawSlowStart(n, r.Units)
+	s.chargeSlowStart(n, r.Units)
 	a := &attempt{request: r, node: n, sentAt: s.now, filledWindow: n.nextSendFillsWindow()}
 	n.inFlight = append(n.inFlight, a)
 	s.attempts[attemptID{r.ID, uint64(r.attempts)}] = a
--- a/scheduler/backpressure_test.go
+++ b/scheduler/backpressure_test.go
@@ -31,7 +31,7 @@
 		{"late at a fast node", 0.05, 0, 0, false, true, false},
 		{"late, after long silence", 0.9, 3 * time.Second, 0, false, true, false},
 	} {
-		v := h.scheduler.volumeOf(newArrival(1))
+		v := h.scheduler.upsertVolume(newArrival(1))
 		q := &profile{class: &h.scheduler.settings.Classes[c.class], plan: v.plan, instances: v.instances, beyondReserve: c.beyondReserve}
 		n.pressure, n.lastResponseAt = c.pressure, h.now-c.silence
 		assertEqual(t, c.name, h.scheduler.backpressureBlocks(candidate{node: n, profile: q, missesObjective: c.missesObjective}), c.want)
@@ -48,7 +48,7 @@
 		after     time.Duration
 		want      bool // still held back
 	}{{1, 200 * ms, true}, {1, time.Second, false}, {20, time.Second, true}, {20, 25 * time.Second, false}} {
-		v := h.scheduler.volumeOf(newArrival(1, withInstances(c.instances)))
+		v := h.scheduler.upsertVolume(newArrival(1, withInstances(c.instances)))
 		q := &profile{class: &h.scheduler.settings.Classes[0], plan: v.plan, instances: v.instances, beyondReserve: true}
 		n.pressure, n.lastResponseAt = 0.9, h.now-c.after
 		if got := h.scheduler.backpressureBlocks(candidate{node: n, profile: q}); got != c.want {
--- a/scheduler/circuit_breaker.go
+++ b/scheduler/circuit_breaker.go
@@ -3,12 +3,12 @@
 import "time"
 
 const (
-	// unresponsiveObjectives is how long a node with requests in flight may take to respond before
+	// responseTimeoutObjectives is how long a node with requests in flight may take to respond before
 	// its circuit breaker opens, in shortest latency objectives of all classes.
-	unresponsiveObjectives = 2.0
-	// unresponsiveLatencies is the same in estimated latencies of the node. The longer of both
+	responseTimeoutObjectives = 2.0
+	// responseTimeoutLatencies is the same in estimated latencies of the node. The longer of both
 	// counts, so that a node that is merely slow keeps its requests.
-	unresponsiveLatencies = 4.0
+	responseTimeoutLatencies = 4.0
 	// maxConsecutiveFailures is how many failed or reset connections in a row open the breaker.
 	maxConsecutiveFailures = 3
 	// maxTrialInterval is the longest time between the trial requests of an open breaker. The
@@ -52,7 +52,7 @@
 	if len(n.inFlight) == 0 {
 		return
 	}
-	longest := max(unresponsiveObjectives*s.shortestObjective.Seconds(), unresponsiveLatencies*n.latency)
+	longest := max(responseTimeoutObjectives*s.shortestObjective.Seconds(), responseTimeoutLatencies*n.latency)
 	sinceResponse := s.now - max(n.lastResponseAt, n.inFlight[0].inFlightSince(s.now))
 	if sinceResponse.Seconds() >= longest {
 		s.openBreaker(n)
--- a/scheduler/deadlines.go
+++ b/scheduler/deadlines.go
@@ -8,13 +8,13 @@
 	// expiryMargin is how long before a request's deadline it is rejected, for the rejection to
 	// reach the client.
 	expiryMargin = 10 * time.Millisecond
-	// firstAttemptFraction is the fraction of its time that a request waits for its first attempt.
+	// firstAttemptWaitFraction is the fraction of its time that a request waits for its first attempt.
 	// One that others went before is unlikely to be served in the rest; rejected at this point, its
 	// client has the time to try again.
-	firstAttemptFraction = 0.5
-	// overtakingSends is how many requests have to be sent to its node meanwhile for a request to
+	firstAttemptWaitFraction = 0.5
+	// minOvertakingSends is how many requests have to be sent to its node meanwhile for a request to
 	// be rejected so. At a node that this instance rarely sends to, waiting long means little.
-	overtakingSends = 2
+	minOvertakingSends = 2
 )
 
 // setDeadlines sets the times of an arriving request. The latency deadline is not after the
@@ -29,22 +29,22 @@
 		sinceFirstTry := class.Deadline - r.TimeRemaining
 		r.LatencyDeadline = min(r.LatencyDeadline, s.now+class.LatencyObjective-sinceFirstTry)
 	}
-	r.ExpiresAt = max(s.now+Time(firstAttemptFraction*float64(r.TimeRemaining)), r.LatencyDeadline)
+	r.ExpiresAt = max(s.now+Time(firstAttemptWaitFraction*float64(r.TimeRemaining)), r.LatencyDeadline)
 }
 
 // extendExpiry returns the later expiry of a request that has waited firstAttemptFraction of its
 // time: its deadline where few others were sent to its node meanwhile, 0 for none.
 func extendExpiry(r *request) Time {
-	if r.node != nil && r.node.sendCount-r.sendCountAtEnqueue < overtakingSends {
+	if r.node != nil && r.node.sendCount-r.sendCountAtEnqueue < minOvertakingSends {
 		return r.Deadline
 	}
 	return 0
 }
 
-// endExpired gives the requests of a queue that expire within expiryMargin their final response.
-func (s *Scheduler) endExpired(queue *requestQueue) {
+// completeExpired gives the requests of a queue that expire within expiryMargin their final response.
+func (s *Scheduler) completeExpired(queue *requestQueue) {
 	for _, r := range queue.RemoveExpired(s.now+expiryMargin+1, extendExpiry) {
-		s.expired[r.ID] = s.WaitReason(r.ID)
+		s.expiryReasons[r.ID] = s.WaitReason(r.ID)
 		s.rejectOrFail(r)
 	}
 }
--- a/scheduler/dispatch.go
+++ b/scheduler/dispatch.go
@@ -2,8 +2,8 @@
 
 import "math"
 
-// always is a time that no deadline is before.
-const always = Time(math.MinInt64)
+// distantPast is a time that no deadline is before.
+const distantPast = Time(math.MinInt64)
 
 // dispatchNode ends what has expired at a node and sends while the send rules allow.
 func (s *Scheduler) dispatchNode(n *node) {
@@ -11,7 +11,7 @@
 	s.boundWindow(n)
 	s.updateEstimate(n)
 	s.checkResponsiveness(n)
-	s.endExpired(n.queue)
+	s.completeExpired(n.queue)
 	for n.queue.Len() > 0 {
 		if n.breaker.trialDue(s.now) {
 			s.openBreaker(n) // it is open; the trial before no longer counts against the window
@@ -40,20 +40,20 @@
 // earn little, and in tag order they would make the next ones late as well.
 func (s *Scheduler) nextRequest(n *node) *request {
 	s.makeDeferredReady(n)
-	if next := s.nextRequestOf(n, false); next != nil {
+	if next := s.selectRequest(n, false); next != nil {
 		return next
 	}
-	return s.nextRequestOf(n, true)
+	return s.selectRequest(n, true)
 }
 
-// nextRequestOf is nextRequest among the requests that are expected to meet their latency objective
+// selectRequest is nextRequest among the requests that are expected to meet their latency objective
 // or, with missesObjective set, among all.
-func (s *Scheduler) nextRequestOf(n *node, missesObjective bool) *request {
-	first := s.lowestStartTag(n, missesObjective)
+func (s *Scheduler) selectRequest(n *node, missesObjective bool) *request {
+	first := s.lowestTagRequest(n, missesObjective)
 	if first == nil {
 		return nil
 	}
-	best := s.highestPriorityOf(n, first, missesObjective)
+	best := s.highestPriorityRequest(n, first, missesObjective)
 	if best != first {
 		s.swapTags(n, best, first)
 	}
@@ -80,22 +80,22 @@
 	return latencyDeadlineBefore(a, b)
 }
 
-// goesBefore orders the requests of different volumes; b may be nil.
-func goesBefore(a, b *request) bool {
+// precedes orders the requests of different volumes; b may be nil.
+func precedes(a, b *request) bool {
 	return b == nil || a.startTag < b.startTag || (a.startTag == b.startTag && hasPriorityOver(a, b))
 }
 
-// lowestStartTag returns the eligible request with the lowest start tag, nil if there is none.
+// lowestTagRequest returns the eligible request with the lowest start tag, nil if there is none.
 // Volumes that their limit blocks are isolated, so that the shared subqueues can be judged by
 // their first requests.
-func (s *Scheduler) lowestStartTag(n *node, missesObjective bool) (best *request) {
+func (s *Scheduler) lowestTagRequest(n *node, missesObjective bool) (best *request) {
 	for _, sub := range n.queue.Shared {
 		r := s.firstEligible(n, sub, orderByTag, missesObjective)
 		for r != nil && s.limitBlocks(&sub.Profile, r.volume) {
 			n.queue.Isolate(r.volume)
 			r = s.firstEligible(n, sub, orderByTag, missesObjective)
 		}
-		if r != nil && goesBefore(r, best) {
+		if r != nil && precedes(r, best) {
 			best = r
 		}
 	}
@@ -104,7 +104,7 @@
 			if s.limitBlocks(&sub.Profile, own.Owner) {
 				continue
 			}
-			if r := s.firstEligible(n, sub, orderByTag, missesObjective); r != nil && goesBefore(r, best) {
+			if r := s.firstEligible(n, sub, orderByTag, missesObjective); r != nil && precedes(r, best) {
 				best = r
 			}
 		}
@@ -112,9 +112,9 @@
 	return best
 }
 
-// highestPriorityOf returns the eligible request with the highest priority among all that the
+// highestPriorityRequest returns the eligible request with the highest priority among all that the
 // volume of first has at a node.
-func (s *Scheduler) highestPriorityOf(n *node, first *request, missesObjective bool) *request {
+func (s *Scheduler) highestPriorityRequest(n *node, first *request, missesObjective bool) *request {
 	best := first
 	for _, sub := range n.queue.SubqueuesOf(first.volume) {
 		if s.limitBlocks(&sub.Profile, first.volume) {
@@ -153,7 +153,7 @@
 		best = sub.BestByDeadline
 	}
 	if missesObjective && s.idleTrialDue(n) {
-		expectedAt = always
+		expectedAt = distantPast
 	}
 	for {
 		r, ok := best(order, expectedAt)
--- a/scheduler/estimates.go
+++ b/scheduler/estimates.go
@@ -27,12 +27,12 @@
 
 // estimates are what the responses of all nodes show.
 type estimates struct {
-	unitServiceTime float64 // seconds a unit takes at a node without waiting, 0 before any response
-	allNodes        observations
-	servedByShard   map[int]*decayingSum // units, with half-life servedHalfLife
+	unitServiceTime    float64 // seconds a unit takes at a node without waiting, 0 before any response
+	allNodes           observations
+	servedUnitsByShard map[int]*decayingSum // units, with half-life servedHalfLife
 }
 
-func newEstimates() estimates { return estimates{servedByShard: map[int]*decayingSum{}} }
+func newEstimates() estimates { return estimates{servedUnitsByShard: map[int]*decayingSum{}} }
 
 // observation is one response, or what a failure counts as.
 type observation struct {
@@ -58,16 +58,16 @@
 // observeResponse counts a response of a node.
 func (s *Scheduler) observeResponse(n *node, o observation) {
 	s.observeAtNode(n, o)
-	s.estimates.allNodes.add(s.now, 1, o.latency, o.clampedWaiting())
+	s.estimates.allNodes.add(s.now, 1, o.latency, o.clampedWaitingFraction())
 }
 
 // observeAtNode counts an observation at its node alone. Time-outs and full queues count so: a few
 // hung nodes would otherwise make requests wait at healthy ones.
 func (s *Scheduler) observeAtNode(n *node, o observation) {
-	n.observations.add(s.now, 1, o.latency, o.clampedWaiting())
+	n.observations.add(s.now, 1, o.latency, o.clampedWaitingFraction())
 }
 
-func (o observation) clampedWaiting() float64 { return min(max(o.waitingFraction, 0), 1) }
+func (o observation) clampedWaitingFraction() float64 { return min(max(o.waitingFraction, 0), 1) }
 
 // updateEstimate computes a node's latency and pressure from its own observations and, as far as
 // these are few or old, from those of all nodes: one instance of many hears from a node only every
--- a/scheduler/fair_queue.go
+++ b/scheduler/fair_queue.go
@@ -12,9 +12,9 @@
 // stream is the state of a volume at one node.
 type stream struct {
 	finishTag float64 // F of the volume's last request there that was beyond its reserve
-	// unitsRequestedThen is the volume's unitsRequested after its last request there.
-	unitsRequestedThen float64
-	lastUsedAt         Time
+	// volumeUnitsAtLastRequest is the volume's unitsRequested after its last request there.
+	volumeUnitsAtLastRequest float64
+	lastUsedAt               Time
 }
 
 // tag gives a request its start tag at a node, by formulas 5 and 6 of the paper:
@@ -28,12 +28,12 @@
 	v := r.volume
 	at := v.streams[n]
 	if at == nil {
-		at = &stream{unitsRequestedThen: v.unitsRequested}
+		at = &stream{volumeUnitsAtLastRequest: v.unitsRequested}
 		v.streams[n] = at
 	}
 	delay := v.delay(at, r.Units)
 	v.unitsRequested += r.Units
-	at.unitsRequestedThen, at.lastUsedAt = v.unitsRequested, s.now
+	at.volumeUnitsAtLastRequest, at.lastUsedAt = v.unitsRequested, s.now
 	if v.reserve.take(s.now, r.Units) {
 		r.startTag, r.beyondReserve = n.virtualTime, false
 		return
@@ -49,7 +49,7 @@
 	if v.weight >= 1 {
 		return 0
 	}
-	elsewhere := v.unitsRequested - at.unitsRequestedThen
+	elsewhere := v.unitsRequested - at.volumeUnitsAtLastRequest
 	longest := (1/minShareFraction - 1) / (1 - v.weight) * cost
 	return min(elsewhere, longest)
 }
--- a/scheduler/fair_queue_test.go
+++ b/scheduler/fair_queue_test.go
@@ -35,8 +35,8 @@
 			h := newHarness(t, c.s, nodeA, nodeB)
 			for i, s := range c.steps {
 				q := &request{Arrival: newArrival(uint64(i), withVolume(s.volume, s.plan), withUnits(s.units))}
-				q.volume = h.scheduler.volumeOf(q.Arrival)
-				q.volume.reserve = tokenBucket{level: -1, at: h.now} // all of it beyond the reserve
+				q.volume = h.scheduler.upsertVolume(q.Arrival)
+				q.volume.reserve = tokenBucket{level: -1, updatedAt: h.now} // all of it beyond the reserve
 				h.scheduler.tag(q, h.scheduler.members.nodes[s.node])
 				e := q.volume.streams[h.scheduler.members.nodes[s.node]]
 				if math.Abs(q.startTag-s.start) > 1e-9 || math.Abs(e.finishTag-s.finish) > 1e-9 {
@@ -88,7 +88,7 @@
 		rate      float64
 	}{{1, 8}, {2, 8}, {4, 4}, {16, 1}, {0, 8.0 * reserveShareFactor / 50}, {99, 8.0 * reserveShareFactor / 50}} {
 		h := newHarness(t, testSettings(func(s *Settings) { s.Instances, s.Plans[0].Reserve = 50, 8 }), nodeA)
-		v := h.scheduler.volumeOf(newArrival(1, withInstances(c.instances)))
+		v := h.scheduler.upsertVolume(newArrival(1, withInstances(c.instances)))
 		if math.Abs(v.reserve.rate-c.rate) > 1e-9 || v.reserve.level < h.scheduler.settings.MaxUnits {
 			t.Errorf("%d instances: rate %v level %v, want rate %v and one largest request", c.instances, v.reserve.rate,
 				v.reserve.level, c.rate)
--- a/scheduler/fleet_test.go
+++ b/scheduler/fleet_test.go
@@ -17,8 +17,8 @@
 	now             Time
 	queue           fleetEvents
 	random          *rand.Rand
-	id              uint64 // of the last request
-	running         bool
+	lastID          uint64 // of the last request
+	arrivalsStarted bool
 	attempts        map[uint64]int // by request
 
 	node          string      // the one that takes requests
@@ -80,8 +80,8 @@
 // run simulates some time with a rate of arrivals of mean size, in requests a second.
 func (f *fleet) run(d time.Duration, rate float64) {
 	end := f.now + d
-	if !f.running {
-		f.running = true
+	if !f.arrivalsStarted {
+		f.arrivalsStarted = true
 		f.scheduleArrival(rate)
 	}
 	for len(f.queue) > 0 {
@@ -109,10 +109,10 @@
 	for f.cumulativeShare[instance] < x {
 		instance++
 	}
-	f.id++
+	f.lastID++
 	f.arrived++
 	return instance, Arrival{
-		ID: f.id, Key: "k", Volume: fmt.Sprint("v", f.id%7),
+		ID: f.lastID, Key: "k", Volume: fmt.Sprint("v", f.lastID%7),
 		TimeRemaining: 1500 * ms, Units: f.settings.MeanUnits, Instances: 3,
 	}
 }
--- a/scheduler/limits.go
+++ b/scheduler/limits.go
@@ -17,7 +17,7 @@
 // limitBlocks reports whether the limit of its plan blocks a volume's requests of a profile now.
 // Retries do not count.
 func (s *Scheduler) limitBlocks(p *profile, v *volume) bool {
-	return !p.retry && s.overLimit(v, p.units)
+	return !p.isRetry && s.overLimit(v, p.units)
 }
 
 func (s *Scheduler) overLimit(v *volume, units float64) bool {
@@ -28,8 +28,8 @@
 	return v.limit.level < units
 }
 
-// drawLimit counts a first attempt.
-func (s *Scheduler) drawLimit(v *volume, units float64) {
+// chargeLimit counts a first attempt.
+func (s *Scheduler) chargeLimit(v *volume, units float64) {
 	if v.plan.Limit <= 0 {
 		return
 	}
--- a/scheduler/membership.go
+++ b/scheduler/membership.go
@@ -44,7 +44,7 @@
 	joinOrder int
 	wakeAt    Time // when to look at it again, never if only an event changes anything
 	dirty     bool // it is in timers.dirty
-	waiting   bool // it is in timers.waiting
+	scheduled bool // it is in timers.waiting
 }
 
 // handleEndpointUpdate applies an update of the endpoint list. Requests queued for a node that no
--- a/scheduler/outcomes.go
+++ b/scheduler/outcomes.go
@@ -24,7 +24,7 @@
 	s.estimates.updateUnitServiceTime(latency, a.request.Units)
 	waiting := s.waitingTime(latency, a.request, e)
 	s.observeResponse(n, observation{latency: latency, waitingFraction: waiting / objective})
-	s.recordServed(n.Shard, a.request.Units)
+	s.recordServedUnits(n.Shard, a.request.Units)
 	s.adjustWindow(n, a, latency/objective)
 }
 
--- a/scheduler/reference_test.go
+++ b/scheduler/reference_test.go
@@ -25,8 +25,8 @@
 	maxWindow                      = 8.0
 	maxWindowAllInstances          = 32.0
 	initialWindow                  = 2.0
-	decreaseAbove                  = 0.2
-	increaseBelow                  = 0.13
+	windowDecreaseAbove            = 0.2
+	windowIncreaseBelow            = 0.13
 	minPressure                    = 0.02
 	pressureHalfLifeObjectivesLate = 4.0
 	pressureHalfLifeObjectives     = 1.5
@@ -256,7 +256,7 @@
 		if h.totalWeight > 0 {
 			v.weight = max(p.Weight/h.totalWeight, 1e-6)
 		}
-		v.reserve.at, v.limit.at = h.startedAt, h.startedAt
+		v.reserve.updatedAt, v.limit.updatedAt = h.startedAt, h.startedAt
 		h.volumes[a.Volume] = v
 	}
 	heads, hosts := float64(h.settings.Instances), float64(a.Instances)
@@ -469,9 +469,9 @@
 		}
 		h.observe(n, took, wait/a.request.class.LatencyObjective.Seconds(), true)
 		h.servedRate(n.Shard, h.now, a.request.Units)
-		if part > decreaseAbove && a.sentAt >= n.lastDecreaseAt {
+		if part > windowDecreaseAbove && a.sentAt >= n.lastDecreaseAt {
 			n.window, n.lastDecreaseAt = max(min(1, n.window), n.window*windowDecreaseFactor), h.now
-		} else if part < increaseBelow && a.filledWindow {
+		} else if part < windowIncreaseBelow && a.filledWindow {
 			n.window += min(n.window, 1/n.window)
 		}
 	case QueueFull:
@@ -569,7 +569,7 @@
 	rate := max(slowStartRateFraction*units/float64(h.settings.Instances)/window,
 		h.settings.SlowStart.OverloadFactor*h.settings.SlowStart.InitialFraction*h.servedRate(n.Shard, n.Started, 0)/h.nodesOfShard(n))
 	n.slowStart = tokenBucket{rate: rate, cap: rate * window * (1 - slowStartRateFraction) / slowStartRateFraction}
-	n.slowStart.at = max(h.now, h.startedAt+h.settings.SlowStart.OverloadWindow)
+	n.slowStart.updatedAt = max(h.now, h.startedAt+h.settings.SlowStart.OverloadWindow)
 	n.slowStart.level = n.slowStart.cap - h.random.Float64()*h.settings.MeanUnits
 }
 
@@ -589,9 +589,9 @@
 		grown += max(0, age) * (1 - from) / from
 	}
 	b := n.slowStart
-	if b.rate, b.cap = b.rate*grown, b.cap*grown; h.now > b.at {
+	if b.rate, b.cap = b.rate*grown, b.cap*grown; h.now > b.updatedAt {
 		b.fill(h.now)
-		n.slowStart.level, n.slowStart.at = b.level, b.at
+		n.slowStart.level, n.slowStart.updatedAt = b.level, b.updatedAt
 	}
 	return b
 }
@@ -601,7 +601,7 @@
 		return true
 	}
 	b := h.slowStartLevel(n)
-	return h.now >= b.at && b.level >= min(units, b.cap)
+	return h.now >= b.updatedAt && b.level >= min(units, b.cap)
 }
 
 func (h *reference) expectedLatency(n *node, r *request) time.Duration {
@@ -859,12 +859,12 @@
 
 type tokenBucket struct {
 	level, rate, cap float64
-	at               Time
+	updatedAt        Time
 }
 
 func (b *tokenBucket) fill(now Time) {
-	b.level = min(b.cap, b.level+b.rate*(now-b.at).Seconds())
-	b.at = now
+	b.level = min(b.cap, b.level+b.rate*(now-b.updatedAt).Seconds())
+	b.updatedAt = now
 }
 
 type decayingSum struct {
--- a/scheduler/requests.go
+++ b/scheduler/requests.go
@@ -76,7 +76,7 @@
 	instances     float64 // that the volume's requests arrive through
 	units         float64
 	beyondReserve bool
-	retry         bool // an attempt past the first
+	isRetry       bool // an attempt past the first
 }
 
 // currentProfile returns the profile that a request would wait with now.
@@ -87,7 +87,7 @@
 		instances:     r.volume.instances,
 		units:         r.Units,
 		beyondReserve: r.beyondReserve,
-		retry:         r.attempts > 0,
+		isRetry:       r.attempts > 0,
 	}
 }
 
@@ -120,14 +120,14 @@
 		return
 	}
 	s.recordArrival()
-	s.sequence++
+	s.lastSequence++
 	a.Units = max(a.Units, 0)
-	r := &request{Arrival: a, class: &s.settings.Classes[a.Class], volume: s.volumeOf(a)}
-	r.Sequence = s.sequence
+	r := &request{Arrival: a, class: &s.settings.Classes[a.Class], volume: s.upsertVolume(a)}
+	r.Sequence = s.lastSequence
 	s.setDeadlines(r)
 	s.requests[a.ID] = r
 	if r.volume.limitNeverAllows(a.Units) {
-		s.expired[r.ID] = ReasonTenantLimit
+		s.expiryReasons[r.ID] = ReasonTenantLimit
 		s.rejectOrFail(r)
 		return
 	}
@@ -138,17 +138,17 @@
 // enqueue puts a request into the queue of the node that is selected for it.
 func (s *Scheduler) enqueue(r *request) {
 	n := s.selectNode(r)
-	s.enqueued++
+	s.enqueueCount++
 	if n == nil {
 		r.node = nil
-		s.unassigned.Add(r, s.enqueued)
+		s.unassigned.Add(r, s.enqueueCount)
 		return
 	}
 	if r.node != n || r.attempts == 0 { // a retry at the same node keeps its start tag
 		s.tag(r, n)
 	}
 	r.node, r.sendCountAtEnqueue = n, n.sendCount
-	n.queue.Add(r, s.enqueued)
+	n.queue.Add(r, s.enqueueCount)
 	s.makeReady(r)
 	s.markDirty(n)
 }
--- a/scheduler/retry_budget.go
+++ b/scheduler/retry_budget.go
@@ -35,7 +35,7 @@
 	usage := &s.retryUsage
 	s.trimArrivals()
 	// At the very edge of the window a retry still counts, and an arrival no longer does.
-	usage.retries = notBefore(usage.retries, s.now-budget.Window)
+	usage.retries = dropBefore(usage.retries, s.now-budget.Window)
 	allowed := budget.MinRetries + budget.Ratio*float64(len(usage.arrivals))
 	return float64(len(usage.retries)+1) <= allowed
 }
@@ -49,12 +49,12 @@
 // trimArrivals forgets the arrivals before the window.
 func (s *Scheduler) trimArrivals() {
 	if budget := s.settings.RetryBudget; budget != nil {
-		s.retryUsage.arrivals = notBefore(s.retryUsage.arrivals, s.now-budget.Window+1)
+		s.retryUsage.arrivals = dropBefore(s.retryUsage.arrivals, s.now-budget.Window+1)
 	}
 }
 
-// notBefore returns the part of a rising list of times that is not before t.
-func notBefore(times []Time, t Time) []Time {
+// dropBefore returns the part of a rising list of times that is not before t.
+func dropBefore(times []Time, t Time) []Time {
 	i, _ := slices.BinarySearch(times, t)
 	return times[i:]
 }
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -28,15 +28,15 @@
 	shortestObjective time.Duration // the shortest latency objective of all classes
 	maxPriorityWeight float64       // the highest of all classes and plans, for one unit
 
-	requests  map[uint64]*request    // without a final response, by id
-	expired   map[uint64]Reason      // the requests that the present call of Handle ended, see ExpiryReason
-	attempts  map[attemptID]*attempt // without an outcome
-	volumes   map[string]*volume
-	keyOrders map[string]*keyOrder
+	requests      map[uint64]*request    // without a final response, by id
+	expiryReasons map[uint64]Reason      // the requests that the present call of Handle ended, see ExpiryReason
+	attempts      map[attemptID]*attempt // without an outcome
+	volumes       map[string]*volume
+	keyOrders     map[string]*keyOrder
 	// unassigned holds the requests that no node may take at present.
-	unassigned *requestQueue
-	sequence   int // number of requests so far
-	enqueued   int // number of times that a request was put into a queue
+	unassigned   *requestQueue
+	lastSequence int // number of requests so far
+	enqueueCount int // number of times that a request was put into a queue
 
 	members    members
 	estimates  estimates
@@ -61,7 +61,7 @@
 		now:               now,
 		shortestObjective: settings.Classes[0].LatencyObjective,
 		requests:          map[uint64]*request{},
-		expired:           map[uint64]Reason{},
+		expiryReasons:     map[uint64]Reason{},
 		attempts:          map[attemptID]*attempt{},
 		volumes:           map[string]*volume{},
 		keyOrders:         map[string]*keyOrder{},
@@ -87,7 +87,7 @@
 // order. A time before that of an earlier call counts as the same time.
 func (s *Scheduler) Handle(now Time, events []Event) []Action {
 	s.now, s.actions = max(now, s.now), nil
-	clear(s.expired)
+	clear(s.expiryReasons)
 	for _, event := range events {
 		s.handleEvent(event)
 	}
--- a/scheduler/send_rules.go
+++ b/scheduler/send_rules.go
@@ -87,7 +87,7 @@
 
 // profileRules judge all requests of one profile at a node.
 var profileRules = []sendRule{
-	{ReasonRetryBudget, func(s *Scheduler, c candidate) bool { return c.profile.retry && !s.retryBudgetAllows() }},
+	{ReasonRetryBudget, func(s *Scheduler, c candidate) bool { return c.profile.isRetry && !s.retryBudgetAllows() }},
 	{ReasonBackpressure, (*Scheduler).backpressureBlocks},
 	{ReasonSlowStart, func(s *Scheduler, c candidate) bool { return !s.slowStartAllows(c.node, c.profile.units) }},
 }
--- a/scheduler/send_rules_test.go
+++ b/scheduler/send_rules_test.go
@@ -60,7 +60,7 @@
 		}},
 		{"warming up", ReasonSlowStart, func(h *harness) uint64 {
 			h.handleAfter(0, EndpointUpdate{Endpoints: []Endpoint{{Node: "A", Started: h.now}}})
-			h.scheduler.members.nodes[0].slowStart.at, h.scheduler.members.nodes[0].slowStart.level = h.now, 0
+			h.scheduler.members.nodes[0].slowStart.updatedAt, h.scheduler.members.nodes[0].slowStart.level = h.now, 0
 			h.handleAfter(0, newArrival(1))
 			return 1
 		}},
--- a/scheduler/slow_start.go
+++ b/scheduler/slow_start.go
@@ -52,7 +52,7 @@
 	servedPart := overloadFactorAtStart * s.servedRate(n.Shard, n.Started) / s.nodesOfShard(n)
 	rate := max(evenPart, servedPart)
 	n.slowStart = tokenBucket{rate: rate, capacity: rate * window * (1 - slowStartRateFraction) / slowStartRateFraction}
-	n.slowStart.at = max(s.now, s.startedAt+settings.OverloadWindow)
+	n.slowStart.updatedAt = max(s.now, s.startedAt+settings.OverloadWindow)
 	n.slowStart.level = n.slowStart.capacity - s.random.Float64()*s.settings.MeanUnits
 }
 
@@ -67,15 +67,15 @@
 	return max(count, 1)
 }
 
-// recordServed counts units that this instance was served on a shard.
-func (s *Scheduler) recordServed(shard int, units float64) {
-	s.servedOnShard(shard).add(s.now, units, servedHalfLife)
+// recordServedUnits counts units that this instance was served on a shard.
+func (s *Scheduler) recordServedUnits(shard int, units float64) {
+	s.servedUnits(shard).add(s.now, units, servedHalfLife)
 }
 
 // servedRate returns the units a second that this instance was served on a shard, as a mean over
 // about the last half-life before a time, or since this instance's start if that is shorter.
 func (s *Scheduler) servedRate(shard int, until Time) float64 {
-	sum := s.servedOnShard(shard).at(until, servedHalfLife)
+	sum := s.servedUnits(shard).at(until, servedHalfLife)
 	halfLives := float64(until-s.startedAt) / float64(servedHalfLife)
 	if halfLives <= 0 {
 		return 0
@@ -83,11 +83,11 @@
 	return sum * math.Ln2 / servedHalfLife.Seconds() / (1 - math.Exp2(-halfLives))
 }
 
-func (s *Scheduler) servedOnShard(shard int) *decayingSum {
-	served := s.estimates.servedByShard[shard]
+func (s *Scheduler) servedUnits(shard int) *decayingSum {
+	served := s.estimates.servedUnitsByShard[shard]
 	if served == nil {
 		served = &decayingSum{}
-		s.estimates.servedByShard[shard] = served
+		s.estimates.servedUnitsByShard[shard] = served
 	}
 	return served
 }
@@ -104,9 +104,9 @@
 	}
 	bucket := n.slowStart
 	bucket.rate, bucket.capacity = bucket.rate*growth, bucket.capacity*growth
-	if s.now > bucket.at {
+	if s.now > bucket.updatedAt {
 		bucket.fill(s.now)
-		n.slowStart.level, n.slowStart.at = bucket.level, bucket.at
+		n.slowStart.level, n.slowStart.updatedAt = bucket.level, bucket.updatedAt
 	}
 	return bucket
 }
@@ -118,7 +118,7 @@
 		return true
 	}
 	bucket := s.fillSlowStart(n)
-	return s.now >= bucket.at && bucket.level >= min(units, bucket.capacity)
+	return s.now >= bucket.updatedAt && bucket.level >= min(units, bucket.capacity)
 }
 
 // slowStartUsed returns the fraction of the bucket of a node that is warming up that is used.
@@ -127,8 +127,8 @@
 	return 1 - bucket.level/max(bucket.capacity, minBucketCapacity)
 }
 
-// drawSlowStart counts a send.
-func (s *Scheduler) drawSlowStart(n *node, units float64) {
+// chargeSlowStart counts a send.
+func (s *Scheduler) chargeSlowStart(n *node, units float64) {
 	if s.isWarmingUp(n) {
 		n.slowStart.level -= units
 	}
--- a/scheduler/status.go
+++ b/scheduler/status.go
@@ -84,14 +84,14 @@
 	case r.QueueState() == waitqueue.Suspended:
 		return ReasonDeduplication // for good, see firstEligible
 	}
-	defer s.saveBuckets(r)()
+	defer s.saveRuleState(r)()
 	return s.sendBlockedBy(r)
 }
 
 // ExpiryReason returns what kept a request from being sent that the last call of Handle rejected or
 // failed. It is ReasonAllowed where nothing did: others went first, or its last attempt had failed
 // and no further one was allowed.
-func (s *Scheduler) ExpiryReason(id uint64) Reason { return s.expired[id] }
+func (s *Scheduler) ExpiryReason(id uint64) Reason { return s.expiryReasons[id] }
 
 // sendBlockedBy asks all send rules about a ready request.
 func (s *Scheduler) sendBlockedBy(r *request) Reason {
@@ -111,10 +111,10 @@
 	return s.blockedBy(requestRules, c)
 }
 
-// saveBuckets returns a function that restores what send rules change when asked. A bucket that is
+// saveRuleState returns a function that restores what send rules change when asked. A bucket that is
 // filled in two steps is rounded twice, so decisions would depend on whether WaitReason was called
 // in between.
-func (s *Scheduler) saveBuckets(r *request) (restore func()) {
+func (s *Scheduler) saveRuleState(r *request) (restore func()) {
 	n, v := r.node, r.volume
 	slowStart, limit, usage := n.slowStart, v.limit, s.retryUsage
 	return func() { n.slowStart, v.limit, s.retryUsage = slowStart, limit, usage }
--- a/scheduler/timers.go
+++ b/scheduler/timers.go
@@ -25,13 +25,13 @@
 
 // timers keep what has to be looked at, and when.
 type timers struct {
-	dirty      []*node // nodes that something happened to since they were last looked at
-	dirtyReuse []*node // the list before, for use again
-	waiting    []*node // nodes with a wakeAt, in any order
-	nextWakeAt Time    // not after the first wakeAt of waiting
-	watchAt    Time    // when to ask for the endpoint list, negative for not at all
-	timerAt    Time    // when the timer that was set last fires
-	sweptAt    Time
+	dirty       []*node // nodes that something happened to since they were last looked at
+	dirtyBuffer []*node // the list before, for use again
+	scheduled   []*node // nodes with a wakeAt, in any order
+	nextWakeAt  Time    // not after the first wakeAt of waiting
+	watchAt     Time    // when to ask for the endpoint list, negative for not at all
+	timerAt     Time    // when the timer that was set last fires
+	sweptAt     Time
 }
 
 func newTimers(now Time) timers { return timers{watchAt: -1, timerAt: now, sweptAt: now} }
@@ -56,7 +56,7 @@
 	if len(s.timers.dirty) > 0 { // by what was just done, as where a key's next request may go
 		wakeAt = s.now
 	}
-	s.endExpired(s.unassigned)
+	s.completeExpired(s.unassigned)
 	wakeAt = min(wakeAt, nextExpiry(s.unassigned))
 	if s.now >= s.timers.sweptAt+volumeIdleTimeout/2 {
 		s.sweep()
@@ -82,13 +82,13 @@
 func (s *Scheduler) dispatchDirty() {
 	t := &s.timers
 	dirty := t.dirty
-	t.dirty, t.dirtyReuse = t.dirtyReuse[:0], dirty
+	t.dirty, t.dirtyBuffer = t.dirtyBuffer[:0], dirty
 	for _, n := range dirty {
 		s.dispatchNode(n)
 		t.nextWakeAt = min(t.nextWakeAt, n.wakeAt)
-		if n.wakeAt < never && !n.waiting {
-			n.waiting = true
-			t.waiting = append(t.waiting, n)
+		if n.wakeAt < never && !n.scheduled {
+			n.scheduled = true
+			t.scheduled = append(t.scheduled, n)
 		}
 	}
 }
@@ -110,21 +110,21 @@
 func (s *Scheduler) markDue() {
 	t := &s.timers
 	var due []*node
-	kept := t.waiting[:0]
-	for _, n := range t.waiting {
+	kept := t.scheduled[:0]
+	for _, n := range t.scheduled {
 		switch {
 		case s.now >= n.wakeAt:
 			due = append(due, n)
-			n.waiting = false
+			n.scheduled = false
 		case n.wakeAt < never:
 			kept = append(kept, n)
 			t.nextWakeAt = min(t.nextWakeAt, n.wakeAt)
 		default:
-			n.waiting = false
+			n.scheduled = false
 		}
 	}
-	clear(t.waiting[len(kept):])
-	t.waiting = kept
+	clear(t.scheduled[len(kept):])
+	t.scheduled = kept
 	slices.SortFunc(due, func(a, b *node) int { return cmp.Compare(a.joinOrder, b.joinOrder) })
 	for _, n := range due {
 		s.markDirty(n)
--- a/scheduler/volumes.go
+++ b/scheduler/volumes.go
@@ -44,8 +44,8 @@
 	lastUsedAt     Time
 }
 
-// volumeOf returns the volume of an arriving request.
-func (s *Scheduler) volumeOf(a Arrival) *volume {
+// upsertVolume returns the volume of an arriving request.
+func (s *Scheduler) upsertVolume(a Arrival) *volume {
 	v := s.volumes[a.Volume]
 	if v == nil {
 		v = s.newVolume(a.Plan)
@@ -70,7 +70,7 @@
 	if s.shares.totalWeight > 0 {
 		v.weight = max(plan.Weight/s.shares.totalWeight, minNormalizedWeight)
 	}
-	v.reserve.at, v.limit.at = s.startedAt, s.startedAt
+	v.reserve.updatedAt, v.limit.updatedAt = s.startedAt, s.startedAt
 	return v
 }
 
--- a/scheduler/window.go
+++ b/scheduler/window.go
@@ -15,10 +15,10 @@
 	initialWindow         = 2.0 // requests, at a node that nothing is known of
 	windowDecreaseFactor  = 0.7
 
-	// A response that took more than decreaseAbove of its class's latency objective decreases the
-	// window, one that took less than increaseBelow may increase it.
-	decreaseAbove = 0.2
-	increaseBelow = 0.13
+	// A response that took more than windowDecreaseAbove of its class's latency objective decreases the
+	// window, one that took less than windowIncreaseBelow may increase it.
+	windowDecreaseAbove = 0.2
+	windowIncreaseBelow = 0.13
 
 	// minPacingJitter is the shortest gap between two sends under a window of less than one, as a
 	// fraction of the mean gap. The longest is as far above the mean.
@@ -42,9 +42,9 @@
 // start. The smaller of w and 1/w is the one that applies.
 func (s *Scheduler) adjustWindow(n *node, a *attempt, latencyFraction float64) {
 	switch {
-	case latencyFraction > decreaseAbove && a.sentAt >= n.lastDecreaseAt:
+	case latencyFraction > windowDecreaseAbove && a.sentAt >= n.lastDecreaseAt:
 		n.window, n.lastDecreaseAt = max(min(1, n.window), n.window*windowDecreaseFactor), s.now
-	case latencyFraction < increaseBelow && a.filledWindow:
+	case latencyFraction < windowIncreaseBelow && a.filledWindow:
 		n.window += min(n.window, 1/n.window)
 	}
 }
