--- a/scheduler/attempts.go
+++ b/scheduler/attempts.go
@@ -2,21 +2,22 @@
 
 import "slices"
 
-// attemptID names an attempt: the request's id, and its number from 0.
+// attemptID identifies an attempt by its request's id and its number, which counts from 0.
 type attemptID struct{ request, number uint64 }
 
-// attempt is one sending of a request. It is in Scheduler.attempts until its outcome is known.
+// attempt is one send of a request to a node. It is in Scheduler.attempts until its outcome is known.
 type attempt struct {
 	request *request
 	node    *node
-	// sentAt is when it was sent, later by the time that it was stalled.
+	// sentAt is the time of the send, moved forward by the time that the attempt was stalled.
 	sentAt    Time
-	stalledAt Time // since when it is stalled (see AttemptStalled), 0 if it is not
-	// filledWindow is set where the attempt left no room for another one in the node's window.
+	stalledAt Time // start of the current stall, 0 if there is none (see AttemptStalled)
+	// filledWindow reports whether the attempt left no room for another one in the node's window.
 	filledWindow bool
 }
 
-// inFlightSince returns since when the node has had the attempt, less the time that it stalled.
+// inFlightSince returns the time since which the attempt has been in flight: the time of its send,
+// moved forward by the time that it was stalled.
 func (a *attempt) inFlightSince(now Time) Time {
 	if a.stalledAt > 0 {
 		return a.sentAt + now - a.stalledAt
@@ -24,7 +25,7 @@
 	return a.sentAt
 }
 
-// send starts an attempt of a queued request.
+// send sends a queued request to a node.
 func (s *Scheduler) send(n *node, r *request) {
 	n.sendCount++
 	n.lastSendAt, n.pacingJitter = s.now, minPacingJitter+s.random.Float64()
@@ -44,8 +45,9 @@
 	s.emit(Send{ID: r.ID, Node: n.Node, StartBefore: r.deduplicationEnd()})
 }
 
-// handleAttemptStalled stops an attempt's clock. Otherwise failures of this instance's own machine,
-// such as a lack of descriptors, would look like a slow or silent node, and open its breaker.
+// handleAttemptStalled stops counting an attempt's time in flight. Otherwise failures of this
+// instance's own machine, such as a lack of file descriptors, would look like a slow or unresponsive
+// node and open its circuit breaker.
 func (s *Scheduler) handleAttemptStalled(e AttemptStalled) {
 	a := s.attempts[attemptID{e.ID, uint64(e.Attempt)}]
 	if a != nil && a.stalledAt == 0 {
@@ -53,7 +55,7 @@
 	}
 }
 
-// handleAttemptResumed lets an attempt's clock go on.
+// handleAttemptResumed continues counting an attempt's time in flight.
 func (s *Scheduler) handleAttemptResumed(e AttemptResumed) {
 	a := s.attempts[attemptID{e.ID, uint64(e.Attempt)}]
 	if a != nil && a.stalledAt > 0 {
@@ -61,8 +63,8 @@
 	}
 }
 
-// handleAttemptEnded learns from an attempt's outcome and either completes its request or queues
-// it for a retry.
+// handleAttemptEnded updates the state of the node by an attempt's outcome. It then completes the
+// request or queues it for a retry.
 func (s *Scheduler) handleAttemptEnded(e AttemptEnded) {
 	id := attemptID{e.ID, uint64(e.Attempt)}
 	a := s.attempts[id]
--- a/scheduler/backpressure.go
+++ b/scheduler/backpressure.go
@@ -2,35 +2,37 @@
 
 import "math"
 
-// Backpressure by priority. Requests of other instances wait at a node unseen; only the latency of
-// its responses shows them, as pressure. While a node is under pressure, this instance holds back
-// requests whose relative priority is below the pressure, and leaves a free place in its window
-// unused if need be. Each instance does, so those of the highest priority get the node.
+// Backpressure by priority. An instance does not see the requests of other instances that wait at a
+// node, only the resulting latency of the node's responses, which it measures as pressure. While a
+// node is under pressure, the instance holds back requests whose relative priority is below the
+// pressure, even if the window has room. All instances do the same, so that the requests of the
+// highest priority get the node.
 
 const (
-	// minPressure is the pressure up to which nothing is held back, whatever its priority.
+	// minPressure is the pressure up to which no request is held back, whatever its priority.
 	minPressure = 0.02
-	// pressureHalfLifeObjectives is after what time without a response a node's pressure counts half, in
-	// shortest latency objectives of all classes. Without responses nothing corrects the estimate,
-	// so it has to fade for requests to be tried again.
+	// pressureHalfLifeObjectives is the half-life with which a node's pressure decays after its last
+	// response, as a multiple of the shortest latency objective of all classes. Without responses
+	// nothing corrects the estimate, so it has to decay for requests to be sent to the node again.
 	pressureHalfLifeObjectives = 1.5
-	// pressureHalfLifeObjectivesLate is the same for requests that miss their latency objective, which earn
-	// too little to be tried as soon.
+	// pressureHalfLifeObjectivesLate is the same for requests that are expected to miss their latency
+	// objective. It is longer because these requests have too little weight to be sent as soon.
 	pressureHalfLifeObjectivesLate = 4.0
 	// halfLifeFactorPerInstance multiplies the half-life for each further instance that the volume's
-	// requests arrive through, so that all of them together try the node about as often as one.
+	// requests arrive through, so that all instances together try the node about as often as a single
+	// one.
 	halfLifeFactorPerInstance = 2.0
 )
 
-// backpressureBlocks reports whether requests are held back for those of higher priority. That rejects
-// nothing: they stay in the queue until the pressure is lower or they expire. Requests of the
-// highest priority that are in time and within their reserve are never held back.
+// backpressureBlocks reports whether requests are held back in favor of those of higher priority. They
+// are not rejected: they stay in the queue until the pressure is lower or they expire. Requests of the
+// highest priority that are expected in time and within their reserve are never held back.
 func (s *Scheduler) backpressureBlocks(c candidate) bool {
 	priority := s.relativePriority(c)
 	return s.pressureFor(c) > max(priority, minPressure) && priority < 1
 }
 
-// relativePriority is what a unit earns, as a fraction of the most that any unit earns.
+// relativePriority returns the value of a unit as a fraction of the highest value of any unit.
 func (s *Scheduler) relativePriority(c candidate) float64 {
 	priority := c.profile.priorityWeight() / s.maxPriorityWeight
 	if c.missesObjective {
@@ -42,9 +44,9 @@
 	return priority
 }
 
-// pressureFor is the pressure of a node, faded by the time since its last response. What a node can
-// bear while it is warming up is kept for high priorities in the same way: the used part of its
-// slow start counts as pressure.
+// pressureFor returns the pressure of a node, decayed by the time since its last response. While the
+// node is warming up, the used fraction of its slow-start bucket counts as pressure too, so that the
+// rest is kept for requests of high priority.
 func (s *Scheduler) pressureFor(c candidate) float64 {
 	n := c.node
 	halfLife := pressureHalfLifeObjectives
@@ -52,8 +54,8 @@
 		halfLife = pressureHalfLifeObjectivesLate
 	}
 	otherInstances := c.profile.instances - 1
-	silence := float64(s.now-n.lastResponseAt) / float64(s.shortestObjective)
-	halfLives := silence / halfLife / max(1, halfLifeFactorPerInstance*otherInstances)
+	objectivesSinceResponse := float64(s.now-n.lastResponseAt) / float64(s.shortestObjective)
+	halfLives := objectivesSinceResponse / halfLife / max(1, halfLifeFactorPerInstance*otherInstances)
 	pressure := n.pressure * math.Exp2(-halfLives)
 	if s.isWarmingUp(n) {
 		pressure = max(pressure, s.slowStartUsed(n))
--- a/scheduler/deadlines.go
+++ b/scheduler/deadlines.go
@@ -2,25 +2,26 @@
 
 import "time"
 
-// Deadlines: a request that cannot be served in time is rejected while its client still waits.
+// Deadlines: a request that cannot be served in time is rejected while its client still waits for a
+// response.
 
 const (
-	// expiryMargin is how long before a request's deadline it is rejected, for the rejection to
-	// reach the client.
+	// expiryMargin is the time before its expiry at which a request is rejected, so that the rejection
+	// reaches the client in time.
 	expiryMargin = 10 * time.Millisecond
-	// firstAttemptWaitFraction is the fraction of its time that a request waits for its first attempt.
-	// One that others went before is unlikely to be served in the rest; rejected at this point, its
-	// client has the time to try again.
+	// firstAttemptWaitFraction is the fraction of its remaining time that a request waits for its
+	// first attempt if others are sent before it. Such a request is unlikely to be served in the rest
+	// of its time. If it is rejected at this point, its client still has time to retry.
 	firstAttemptWaitFraction = 0.5
-	// minOvertakingSends is how many requests have to be sent to its node meanwhile for a request to
-	// be rejected so. At a node that this instance rarely sends to, waiting long means little.
+	// minOvertakingSends is the number of requests that have to be sent to the node in the meantime
+	// for such a rejection. At a node to which this instance rarely sends, a long wait means little.
 	minOvertakingSends = 2
 )
 
-// setDeadlines sets the times of an arriving request. The latency deadline is not after the
-// deadline. For a client's retry it counts from the client's first try, where the class says how
-// long clients wait: retries would otherwise look fresh, and go before requests that can still meet
-// their objective.
+// setDeadlines sets the deadline, latency deadline and expiry of an arriving request. The latency
+// deadline is not after the deadline. For a client's retry the latency objective counts from the
+// client's first try, if the class says how long clients wait. Otherwise retries would look like new
+// requests, and go before requests that can still meet their objective.
 func (s *Scheduler) setDeadlines(r *request) {
 	class := r.class
 	r.Deadline = s.now + r.TimeRemaining
@@ -32,8 +33,9 @@
 	r.ExpiresAt = max(s.now+Time(firstAttemptWaitFraction*float64(r.TimeRemaining)), r.LatencyDeadline)
 }
 
-// extendExpiry returns the later expiry of a request that has waited firstAttemptFraction of its
-// time: its deadline where few others were sent to its node meanwhile, 0 for none.
+// extendExpiry returns a later expiry for a request that has waited firstAttemptWaitFraction of its
+// time: its deadline if fewer than minOvertakingSends requests were sent to its node since it was
+// queued, otherwise 0 for no extension.
 func extendExpiry(r *request) Time {
 	if r.node != nil && r.node.sendCount-r.sendCountAtEnqueue < minOvertakingSends {
 		return r.Deadline
@@ -49,7 +51,8 @@
 	}
 }
 
-// nextExpiry returns when endExpired has to look at a queue next, never if it is empty.
+// nextExpiry returns when completeExpired next has to handle a request of a queue, never if the queue
+// is empty.
 func nextExpiry(queue *requestQueue) Time {
 	if queue.Len() == 0 {
 		return never
--- a/scheduler/decaying_sum.go
+++ b/scheduler/decaying_sum.go
@@ -5,16 +5,17 @@
 	"time"
 )
 
-// decayingSum is a sum whose parts count half after each half-life.
+// decayingSum is a sum that decays exponentially with the half-life that its methods are given.
 type decayingSum struct {
-	sum       float64 // at the time updatedAt
+	sum       float64 // value at the time updatedAt
 	updatedAt Time
 }
 
-// at brings the sum up to date and returns it.
+// at decays the sum to the time now and returns it.
 func (d *decayingSum) at(now Time, halfLife time.Duration) float64 { return d.add(now, 0, halfLife) }
 
-// add adds a value and returns the sum at that time.
+// add decays the sum to the time now, adds a value and returns the sum. A time before updatedAt counts
+// as updatedAt.
 func (d *decayingSum) add(now Time, value float64, halfLife time.Duration) float64 {
 	age := float64(max(now-d.updatedAt, 0))
 	d.sum = d.sum*math.Exp2(-age/float64(halfLife)) + value
--- a/scheduler/dispatch.go
+++ b/scheduler/dispatch.go
@@ -2,10 +2,11 @@
 
 import "math"
 
-// distantPast is a time that no deadline is before.
+// distantPast is before every deadline.
 const distantPast = Time(math.MinInt64)
 
-// dispatchNode ends what has expired at a node and sends while the send rules allow.
+// dispatchNode completes the expired requests of a node, then sends requests to it while the send
+// rules allow.
 func (s *Scheduler) dispatchNode(n *node) {
 	n.dirty = false
 	s.boundWindow(n)
@@ -14,7 +15,7 @@
 	s.completeExpired(n.queue)
 	for n.queue.Len() > 0 {
 		if n.breaker.trialDue(s.now) {
-			s.openBreaker(n) // it is open; the trial before no longer counts against the window
+			s.openBreaker(n) // already open; the previous trial request no longer counts against the window
 		}
 		if s.blockedBy(nodeRules, candidate{node: n}) != ReasonAllowed {
 			break
@@ -29,15 +30,16 @@
 	s.setWakeTime(n)
 }
 
-// nextRequest returns the request that a node is sent next, nil if none may be sent.
+// nextRequest returns the request to send to a node next, nil if none may be sent.
 //
-// It is of the volume with the lowest start tag, as in the paper. Start tags order volumes, and do
-// not say which of its own requests a volume sends: that is the one with the highest priority,
-// which goes with the lowest tag and leaves its own tag to the other. Volumes with equal tags, as
-// within their reserves, are ordered by priority too.
+// As in the paper, the volume with the lowest start tag is served next. Start tags order volumes only.
+// Of the requests of that volume the one with the highest priority is sent: it takes over the lowest
+// start tag and leaves its own to the other request. Volumes with equal tags, for example within their
+// reserves, are ordered by priority too.
 //
-// Requests that can no longer meet their latency objective are sent when no other may be: they
-// earn little, and in tag order they would make the next ones late as well.
+// Requests that are expected to miss their latency objective are sent only if no other request may be.
+// Their weight is low, and in tag order they would delay the requests after them beyond their
+// objectives as well.
 func (s *Scheduler) nextRequest(n *node) *request {
 	s.makeDeferredReady(n)
 	if next := s.selectRequest(n, false); next != nil {
@@ -46,8 +48,9 @@
 	return s.selectRequest(n, true)
 }
 
-// selectRequest is nextRequest among the requests that are expected to meet their latency objective
-// or, with missesObjective set, among all.
+// selectRequest returns the next request among those that are expected to meet their latency objective
+// or, with missesObjective set, among all. The send rules then judge the requests as if they missed
+// it.
 func (s *Scheduler) selectRequest(n *node, missesObjective bool) *request {
 	first := s.lowestTagRequest(n, missesObjective)
 	if first == nil {
@@ -60,7 +63,7 @@
 	return best
 }
 
-// makeDeferredReady makes the requests of a node ready whose time has come.
+// makeDeferredReady makes ready the deferred requests of a node that may be sent by now.
 func (s *Scheduler) makeDeferredReady(n *node) {
 	for {
 		r, ok := n.queue.PopDeferred(s.now)
@@ -71,7 +74,8 @@
 	}
 }
 
-// hasPriorityOver orders ready requests by priority weight a unit, then by latency deadline.
+// hasPriorityOver reports whether a goes before b by the priority weight of a unit, then by latency
+// deadline. Both must be ready.
 func hasPriorityOver(a, b *request) bool {
 	weightA, weightB := a.Profile().priorityWeight(), b.Profile().priorityWeight()
 	if weightA != weightB {
@@ -80,14 +84,14 @@
 	return latencyDeadlineBefore(a, b)
 }
 
-// precedes orders the requests of different volumes; b may be nil.
+// precedes reports whether a goes before b by start tag, then by priority; b may be nil.
 func precedes(a, b *request) bool {
 	return b == nil || a.startTag < b.startTag || (a.startTag == b.startTag && hasPriorityOver(a, b))
 }
 
-// lowestTagRequest returns the eligible request with the lowest start tag, nil if there is none.
-// Volumes that their limit blocks are isolated, so that the shared subqueues can be judged by
-// their first requests.
+// lowestTagRequest returns the eligible request with the lowest start tag, nil if there is none. It
+// isolates volumes that are blocked by their limit, so that it has to look only at the first request
+// of each shared subqueue.
 func (s *Scheduler) lowestTagRequest(n *node, missesObjective bool) (best *request) {
 	for _, sub := range n.queue.Shared {
 		r := s.firstEligible(n, sub, orderByTag, missesObjective)
@@ -99,9 +103,9 @@
 			best = r
 		}
 	}
-	for _, own := range n.queue.Isolated {
-		for _, sub := range own.Subqueues {
-			if s.limitBlocks(&sub.Profile, own.Owner) {
+	for _, ownerQueue := range n.queue.Isolated {
+		for _, sub := range ownerQueue.Subqueues {
+			if s.limitBlocks(&sub.Profile, ownerQueue.Owner) {
 				continue
 			}
 			if r := s.firstEligible(n, sub, orderByTag, missesObjective); r != nil && precedes(r, best) {
@@ -112,8 +116,8 @@
 	return best
 }
 
-// highestPriorityRequest returns the eligible request with the highest priority among all that the
-// volume of first has at a node.
+// highestPriorityRequest returns the eligible request with the highest priority among those of first's
+// volume at a node.
 func (s *Scheduler) highestPriorityRequest(n *node, first *request, missesObjective bool) *request {
 	best := first
 	for _, sub := range n.queue.SubqueuesOf(first.volume) {
@@ -127,7 +131,7 @@
 	return best
 }
 
-// swapTags gives best, which is sent next, the start tag of first, and the reverse.
+// swapTags exchanges the start tags of best, which is sent next, and first, which stays queued.
 func (s *Scheduler) swapTags(n *node, best, first *request) {
 	n.queue.Suspend(best)
 	n.queue.Suspend(first)
@@ -136,10 +140,10 @@
 	s.makeReady(first)
 }
 
-// firstEligible returns the first request of a subqueue by an order, nil if none may be sent now.
-// It looks at those that are expected to meet their latency objective or, with missesObjective set,
-// at all that are expected to meet their deadline, and at all whatsoever if a trial of an idle node
-// is due.
+// firstEligible returns the request of a subqueue that is first in an order and may be sent now, nil
+// if there is none. It considers the requests that are expected to meet their latency objective. With
+// missesObjective set it considers those that are expected to meet their deadline instead, or all
+// requests if a trial request to an idle node is due.
 func (s *Scheduler) firstEligible(n *node, sub *subqueue, order int, missesObjective bool) *request {
 	if sub.Empty() {
 		return nil
@@ -148,25 +152,25 @@
 	if s.blockedBy(profileRules, c) != ReasonAllowed {
 		return nil
 	}
-	expectedAt, best := s.now+s.expectedLatency(n, sub.Profile.units), sub.BestByLatencyDeadline
+	expectedResponseAt, bestInTime := s.now+s.expectedLatency(n, sub.Profile.units), sub.BestByLatencyDeadline
 	if missesObjective {
-		best = sub.BestByDeadline
+		bestInTime = sub.BestByDeadline
 	}
 	if missesObjective && s.idleTrialDue(n) {
-		expectedAt = distantPast
+		expectedResponseAt = distantPast
 	}
 	for {
-		r, ok := best(order, expectedAt)
+		r, ok := bestInTime(order, expectedResponseAt)
 		if !ok || s.mayRunOn(r, n) {
 			return r
 		}
-		n.queue.Suspend(r) // it may not run here again; it waits for another node or its expiry
+		n.queue.Suspend(r) // it may not run on this node; it waits for another node or its expiry
 	}
 }
 
-// idleTrialDue reports whether a node with nothing in flight is sent a request though no response
-// is expected by its deadline. An expectation that is too long, as after a time-out, is corrected
-// by new responses only; without a trial the node would never be sent anything again.
+// idleTrialDue reports whether a node with nothing in flight is sent a request although no response is
+// expected by its deadline. Only new responses correct an expected latency that is too long, for
+// example after a time-out. Without a trial request the node would never be sent anything again.
 func (s *Scheduler) idleTrialDue(n *node) bool {
 	return len(n.inFlight) == 0 && s.now >= n.lastSendAt+maxTrialInterval
 }
--- a/scheduler/estimates.go
+++ b/scheduler/estimates.go
@@ -5,42 +5,45 @@
 	"time"
 )
 
-// Estimates of nodes: the latency of a response, and pressure, which is how much of the latency
-// objectives is spent waiting at the node.
+// Estimates of the state of nodes: the latency of a response, and the pressure, which is the time
+// spent waiting at the node as a fraction of the latency objective.
 
 const (
-	// observationHalfLife is after what time an observation counts half.
+	// observationHalfLife is the time after which an observation counts half.
 	observationHalfLife = 3 * time.Second
-	// serviceTimeStep is by what fraction the estimated service time of a unit follows a response.
+	// serviceTimeStep is the fraction by which a response changes the estimated service time of a
+	// unit.
 	serviceTimeStep = 0.02
-	// serviceTimeDecreaseSteps is how many such steps it makes downwards. At three it rests where
-	// one response in four is faster: the fastest responses are those that did not wait.
+	// serviceTimeDecreaseSteps is the number of such steps that a decrease takes. With 3 the estimate
+	// settles where one response in four is faster: the fastest responses are those that did not wait.
 	serviceTimeDecreaseSteps = 3
-	// priorWeight is how many observations of a node the mean of all nodes counts for.
+	// priorWeight is the maximum number of observations that the mean of all nodes counts for in a
+	// node's estimate.
 	priorWeight = 4.0
-	// oldestInFlightFraction is how much of the time that the oldest attempt has been in flight a
-	// response is expected to take at least.
+	// oldestInFlightFraction limits the expected latency from below: to this fraction of the time that
+	// the oldest attempt at the node has been in flight.
 	oldestInFlightFraction = 0.5
-	// minObservations keeps the division by their weight defined.
+	// minObservations prevents a division by zero where there are no observations.
 	minObservations = 1e-9
 )
 
-// estimates are what the responses of all nodes show.
+// estimates holds what is estimated from the responses of all nodes.
 type estimates struct {
-	unitServiceTime    float64 // seconds a unit takes at a node without waiting, 0 before any response
+	unitServiceTime    float64 // seconds that a node takes for a unit without waiting, 0 before the first response
 	allNodes           observations
-	servedUnitsByShard map[int]*decayingSum // units, with half-life servedHalfLife
+	servedUnitsByShard map[int]*decayingSum // units served on each shard, with half-life servedHalfLife
 }
 
 func newEstimates() estimates { return estimates{servedUnitsByShard: map[int]*decayingSum{}} }
 
-// observation is one response, or what a failure counts as.
+// observation is the measurement of one response, or of a failure that is counted like a response.
 type observation struct {
 	latency         float64 // seconds
-	waitingFraction float64 // of the latency objective, spent waiting at the node
+	waitingFraction float64 // fraction of the latency objective spent waiting at the node
 }
 
-// observations are sums of observations, weighted by age.
+// observations holds sums over observations, which decay with their age: their number (weight), their
+// latencies and their waiting fractions.
 type observations struct{ weight, latency, waitingFraction decayingSum }
 
 func (o *observations) add(now Time, weight, latency, waitingFraction float64) {
@@ -49,40 +52,41 @@
 	o.waitingFraction.add(now, waitingFraction, observationHalfLife)
 }
 
-// at returns the sums at a time.
+// at returns the sums at the time now.
 func (o *observations) at(now Time) (weight, latency, waitingFraction float64) {
 	o.add(now, 0, 0, 0)
 	return o.weight.sum, o.latency.sum, o.waitingFraction.sum
 }
 
-// observeResponse counts a response of a node.
+// observeResponse counts a response of a node for the node and for all nodes.
 func (s *Scheduler) observeResponse(n *node, o observation) {
 	s.observeAtNode(n, o)
 	s.estimates.allNodes.add(s.now, 1, o.latency, o.clampedWaitingFraction())
 }
 
-// observeAtNode counts an observation at its node alone. Time-outs and full queues count so: a few
-// hung nodes would otherwise make requests wait at healthy ones.
+// observeAtNode counts an observation for its node alone. Time-outs and full queues are counted this
+// way. Otherwise a few hung nodes would raise the pressure of all nodes, and requests for healthy ones
+// would be held back.
 func (s *Scheduler) observeAtNode(n *node, o observation) {
 	n.observations.add(s.now, 1, o.latency, o.clampedWaitingFraction())
 }
 
 func (o observation) clampedWaitingFraction() float64 { return min(max(o.waitingFraction, 0), 1) }
 
-// updateEstimate computes a node's latency and pressure from its own observations and, as far as
-// these are few or old, from those of all nodes: one instance of many hears from a node only every
-// few seconds.
+// updateEstimate computes a node's latency and pressure from its own observations and those of all
+// nodes. The latter count more if the node has few or old observations: with many instances, each of
+// them gets a response from a node only every few seconds.
 func (s *Scheduler) updateEstimate(n *node) {
 	weight, latency, waiting := n.observations.at(s.now)
 	allWeight, allLatency, allWaiting := s.estimates.allNodes.at(s.now)
-	prior := priorWeight / max(allWeight, priorWeight)
-	weight = max(weight+prior*allWeight, minObservations)
-	n.latency = (latency + prior*allLatency) / weight
-	n.pressure = (waiting + prior*allWaiting) / weight
+	priorScale := priorWeight / max(allWeight, priorWeight)
+	weight = max(weight+priorScale*allWeight, minObservations)
+	n.latency = (latency + priorScale*allLatency) / weight
+	n.pressure = (waiting + priorScale*allWaiting) / weight
 }
 
-// updateUnitServiceTime moves the estimated service time of a unit by a response, in small steps to
-// a low quantile of what responses show.
+// updateUnitServiceTime adjusts the estimated service time of a unit to a response. In small steps it
+// converges to a low quantile of the observed times.
 func (e *estimates) updateUnitServiceTime(latency, units float64) {
 	perUnit := latency / max(units, 1)
 	switch {
@@ -95,22 +99,23 @@
 	}
 }
 
-// waitingTime returns how many seconds of a response's latency were spent waiting: what it took
-// beyond its service time, as estimated with this response. A load report, taken as that many mean requests to wait for, counts
-// half. A node whose reports stand still or are wrong is thus still judged by its latency; an
+// waitingTime returns the seconds of a response's latency that were spent waiting: the latency less
+// the estimated service time, which this response has already updated. If the node reported its load,
+// the result is the mean of this time and the service time of as many mean requests. Because the
+// report counts only half, a node whose reports are stale or wrong is still judged by its latency. An
 // invalid report is ignored.
 func (s *Scheduler) waitingTime(latency float64, r *request, e AttemptEnded) float64 {
-	waited := latency - s.estimates.unitServiceTime*r.Units
+	waitedSeconds := latency - s.estimates.unitServiceTime*r.Units
 	if !e.HasLoadReport || e.ReportedLoad < 0 || !(e.ReportedLoad < math.Inf(1)) {
-		return waited
+		return waitedSeconds
 	}
-	reported := e.ReportedLoad * s.estimates.unitServiceTime * s.settings.MeanUnits
-	return (max(waited, 0) + reported) / 2
+	reportedSeconds := e.ReportedLoad * s.estimates.unitServiceTime * s.settings.MeanUnits
+	return (max(waitedSeconds, 0) + reportedSeconds) / 2
 }
 
-// expectedLatency returns how long a request of so many units should take at a node: its estimated
-// latency, corrected for the size, and at least a fraction of the time that the oldest attempt has
-// been in flight.
+// expectedLatency returns the expected latency of a request of the given units at a node: the node's
+// estimated latency, corrected for the size of the request, but at least oldestInFlightFraction of the
+// time that the oldest attempt has been in flight.
 func (s *Scheduler) expectedLatency(n *node, units float64) time.Duration {
 	seconds := max(n.latency+s.estimates.unitServiceTime*(units-s.settings.MeanUnits), 0)
 	if len(n.inFlight) > 0 {
--- a/scheduler/events.go
+++ b/scheduler/events.go
@@ -6,11 +6,11 @@
 type NodeState int
 
 const (
-	// Serving nodes take requests.
+	// Serving nodes accept requests.
 	Serving NodeState = iota
-	// Draining nodes complete what is in flight and get nothing new.
+	// Draining nodes complete their requests in flight and get no new ones.
 	Draining
-	// Removed nodes are gone from the list.
+	// Removed nodes are no longer in the list.
 	Removed
 )
 
@@ -32,35 +32,37 @@
 	// Node is the node's name, unique in the list.
 	Node string
 	Zone int
-	// Shard is what the node holds. Several nodes may hold the same shard.
+	// Shard is the shard that the node holds. Several nodes may hold the same one.
 	Shard int
 	State NodeState
-	// Started is when the node last started, 0 for long ago. A change means a restart.
+	// Started is when the node last started, 0 if that is long ago. A new value means that the node
+	// restarted.
 	Started Time
 }
 
-// Outcome says how an attempt ended.
+// Outcome is how an attempt ended.
 type Outcome int
 
-// A value that is not among these counts as Failed.
+// Any other value is treated as Cancelled.
 const (
-	// OK is a successful response, or one that reports a mistake of the client.
+	// OK is a successful response, or a response that reports an error of the client.
 	OK Outcome = iota
 	// Failed is a response that reports an error of the node.
 	Failed
-	// QueueFull is the node's rejection of what it has no queue space for; it did not run.
+	// QueueFull is a rejection by the node for lack of queue space; the node did not run the attempt.
 	QueueFull
-	// TimedOut is no response by the request's deadline.
+	// TimedOut means that there was no response by the request's deadline.
 	TimedOut
-	// ConnectFailed is a connection that did not come up; the attempt was not sent.
+	// ConnectFailed means that no connection was established; the attempt was not sent.
 	ConnectFailed
-	// Reset is a connection that ended before the response.
+	// Reset means that the connection ended before the response.
 	Reset
-	// Cancelled is an attempt that this instance gave up, as when the client disconnected.
+	// Cancelled means that this instance gave the attempt up, for example because the client
+	// disconnected.
 	Cancelled
-	// NotSent is an attempt that did not run for a reason other than the node: its time to
-	// start had passed (Send.StartBefore), its request was over, or a reused connection had
-	// closed before it was written.
+	// NotSent means that the attempt did not run, for a reason other than the node: its time to start
+	// had passed (Send.StartBefore), its request was over, or a reused connection was closed before
+	// the attempt was written to it.
 	NotSent
 )
 
@@ -76,88 +78,91 @@
 // ProvesNotRun reports whether the outcome proves that the node did not run the attempt.
 func (o Outcome) ProvesNotRun() bool { return o == QueueFull || o == ConnectFailed || o == NotSent }
 
-// Event is what the caller of Handle reports: one of Arrival, EndpointUpdate, AttemptEnded,
-// ResponseStarted, AttemptStalled, AttemptResumed, ClientDisconnected and TimerFired. Events about
-// requests or attempts that are unknown or already over are ignored.
+// Event is an input of Handle: an Arrival, EndpointUpdate, AttemptEnded, ResponseStarted,
+// AttemptStalled, AttemptResumed, ClientDisconnected or TimerFired. Events about requests or attempts
+// that are unknown or already over are ignored.
 type Event interface{ event() }
 
-// Arrival reports a request of a client. It gets one final response, see Action.
+// Arrival reports a new request of a client. The request gets one final response, see Action.
 type Arrival struct {
 	// ID is unique among the requests without a final response.
 	ID uint64
-	// Shard is the one that holds the request's data, -1 for a new object, which any may take.
+	// Shard is the shard that holds the request's data, -1 for a new object, which any node may store.
 	Shard int
-	// Plan and Class are indexes into Settings. A request with a class out of range is rejected; a
-	// plan out of range counts as the nearest. A volume keeps the plan that it first came with.
+	// Plan and Class are indexes into Settings. A request whose class is out of range is rejected; a
+	// plan out of range is replaced by the nearest one. A volume keeps the plan of its first request.
 	Plan  int
 	Class int
-	// Key orders the requests of an ordered class; empty for none.
+	// Key is the ordering key, empty for none. Requests of ordered classes with the same key run one
+	// at a time.
 	Key string
 	// Volume is the name of the volume that the request is for.
 	Volume string
-	// TimeRemaining is how long the client still waits.
+	// TimeRemaining is the time that the client will still wait for a response.
 	TimeRemaining time.Duration
 	// Units is the cost of the request.
 	Units float64
-	// Instances is how many instances the volume's requests arrive through, 0 for all.
+	// Instances is the number of instances that the volume's requests arrive through, 0 for all.
 	Instances int
-	// ClientRetry is set for a client's retry, where clients mark theirs.
+	// ClientRetry reports whether the request is marked as a client's retry. Not all clients mark
+	// their retries.
 	ClientRetry bool
 }
 
 // EndpointUpdate reports a change of the endpoint list.
 type EndpointUpdate struct {
-	// Full is set where Endpoints is the whole list, otherwise it is what changed.
+	// Full reports whether Endpoints is the whole list. Otherwise Endpoints holds the changed entries.
 	Full bool
-	// Failed is set where the call for the list failed; WatchEndpoints follows after a pause.
+	// Failed reports that the call for the list failed; WatchEndpoints follows after a pause.
 	Failed    bool
 	Endpoints []Endpoint
 }
 
-// AttemptEnded reports the end of an attempt. It comes once for each Send.
+// AttemptEnded reports the end of an attempt, once for each Send.
 type AttemptEnded struct {
 	ID      uint64
 	Attempt int // numbered from 0 in the order of the request's Sends
-	// Node and Duration repeat what the scheduler knows; it does not use them.
+	// Node and Duration repeat what the scheduler already knows; it does not use them.
 	Node     string
 	Duration time.Duration
 	Outcome  Outcome
-	// Responded is set where the client was sent this attempt's response as the final one.
+	// Responded reports whether the client was sent this attempt's response as the final response.
 	Responded bool
-	// BodyConsumed is set where the request's body is gone, so that it cannot be sent again.
+	// BodyConsumed reports whether the request's body is no longer available, so that the request
+	// cannot be sent again.
 	BodyConsumed bool
-	// ReportedLoad is the number of requests that the node said it had in flight or queued; it
-	// is valid where HasLoadReport is set.
+	// ReportedLoad is the number of requests in flight or queued at the node, as reported by the node.
+	// It is valid if HasLoadReport is set.
 	ReportedLoad  float64
 	HasLoadReport bool
 }
 
-// ResponseStarted reports that part of a streamed response was sent to the client: no other
+// ResponseStarted reports that part of a streamed response was sent to the client, so that no other
 // response can follow.
 type ResponseStarted struct {
 	ID      uint64
 	Attempt int
 }
 
-// AttemptStalled reports that an attempt cannot go on for a failure of the instance's own machine,
-// such as a lack of descriptors or memory. The time until AttemptResumed does not count against
-// the node.
+// AttemptStalled reports that an attempt cannot proceed because of a failure of the instance's own
+// machine, such as a lack of file descriptors or memory. The time until AttemptResumed does not count
+// against the node.
 type AttemptStalled struct {
 	ID      uint64
 	Attempt int
 }
 
-// AttemptResumed reports that what AttemptStalled reported is over.
+// AttemptResumed reports the end of a stall that AttemptStalled reported.
 type AttemptResumed struct {
 	ID      uint64
 	Attempt int
 }
 
-// ClientDisconnected reports that the client is gone. The request gets no response, and its
-// attempt is still reported with AttemptEnded.
+// ClientDisconnected reports that the client disconnected. The request gets no response. The end of an
+// attempt in flight is still reported with AttemptEnded.
 type ClientDisconnected struct{ ID uint64 }
 
-// TimerFired reports that the time of the last SetTimer has come.
+// TimerFired reports that the timer of the last SetTimer fired.
 type TimerFired struct{}
 
 func (Arrival) event()            {}
--- a/scheduler/key_order.go
+++ b/scheduler/key_order.go
@@ -6,13 +6,13 @@
 	"maddergap/internal/waitqueue"
 )
 
-// keyOrder is the order of the requests of one key, in ordered classes: they run one at a time, in
-// the order of arrival. A request keeps its place until it is completed and none of its attempts
-// is in flight.
+// keyOrder holds the requests of one key, in ordered classes. They run one at a time, in order of
+// arrival. A request keeps its place until it is completed and none of its attempts is in flight.
 type keyOrder struct {
 	requests []*request
-	// cooldownUntil is when the next request may be sent, after an attempt that may still run at
-	// its node. The request of that attempt, cooldownOwner, may be sent again before.
+	// cooldownUntil is the time from which the next request may be sent, after an attempt that may
+	// still be running on its node. The request of that attempt, cooldownOwner, may be retried
+	// earlier.
 	cooldownUntil Time
 	cooldownOwner *request
 }
@@ -30,9 +30,9 @@
 	order.requests = append(order.requests, r)
 }
 
-// readyAt returns the earliest time at which a queued request may be sent by its retry backoff and
-// the cooldown of its key. isNext is false while an earlier request of its key is not over; the
-// time is then unknown.
+// readyAt returns the earliest time at which a queued request may be sent, given its retry backoff and
+// the cooldown of its key. isNext is false while an earlier request of its key is not over; the time
+// is unknown then.
 func (s *Scheduler) readyAt(r *request) (at Time, isNext bool) {
 	order := s.keyOrders[r.Key]
 	if !r.class.Ordered || order == nil {
@@ -47,8 +47,8 @@
 	return max(r.notBefore, order.cooldownUntil), true
 }
 
-// startKeyCooldown makes later requests of a key wait after an attempt that may still run at its
-// node: if they were sent at once, they could overtake it.
+// startKeyCooldown delays the later requests of a key after an attempt that may still be running on
+// its node. If they were sent at once, they could overtake the attempt.
 func (s *Scheduler) startKeyCooldown(r *request, o Outcome) {
 	order := s.keyOrders[r.Key]
 	if order == nil || !r.class.Ordered || o.ProvesNotRun() || o == OK || o == Failed {
@@ -57,7 +57,8 @@
 	order.cooldownUntil, order.cooldownOwner = s.now+s.settings.KeyCooldown, r
 }
 
-// leaveKeyOrder removes a request that is over from the order of its key and lets the next one go.
+// leaveKeyOrder removes a request that is over from the order of its key, and makes the next request
+// ready.
 func (s *Scheduler) leaveKeyOrder(r *request) {
 	order := s.keyOrders[r.Key]
 	if order == nil || r.state != completed || r.inFlight > 0 {
@@ -81,7 +82,7 @@
 	}
 }
 
-// sweepKeyOrders forgets keys without requests or cooldown.
+// sweepKeyOrders deletes the keys that have neither requests nor a cooldown.
 func (s *Scheduler) sweepKeyOrders() {
 	for key, order := range s.keyOrders {
 		if len(order.requests) == 0 && s.now >= order.cooldownUntil {
--- a/scheduler/limits.go
+++ b/scheduler/limits.go
@@ -1,25 +1,26 @@
 package scheduler
 
-// The limit of a plan bounds a volume's first attempts by a token bucket. Each instance holds an
-// even part of it, which starts empty: what was spent before a restart is not known.
+// The limit of a plan bounds a volume's first attempts with a token bucket. Each instance holds an
+// even share of it. The bucket starts empty, because what was sent before a restart is not known.
 
-// setLimit sets the rate and capacity of this instance's part.
+// setLimit sets the rate and capacity of this instance's share.
 func (v *volume) setLimit() {
 	v.limit.rate = v.plan.Limit / v.instances
 	v.limit.capacity = v.plan.LimitBurst / v.instances
 }
 
-// limitNeverAllows reports whether a request is larger than this instance's part can ever hold.
+// limitNeverAllows reports whether a request is larger than the capacity of this instance's share.
 func (v *volume) limitNeverAllows(units float64) bool {
 	return v.plan.Limit > 0 && v.limit.capacity < units
 }
 
-// limitBlocks reports whether the limit of its plan blocks a volume's requests of a profile now.
-// Retries do not count.
+// limitBlocks reports whether the limit of a volume's plan blocks its requests of a profile now.
+// Retries are exempt.
 func (s *Scheduler) limitBlocks(p *profile, v *volume) bool {
 	return !p.isRetry && s.overLimit(v, p.units)
 }
 
+// overLimit reports whether a first attempt of the given units would exceed the limit of a volume.
 func (s *Scheduler) overLimit(v *volume, units float64) bool {
 	if v.plan.Limit <= 0 {
 		return false
@@ -28,7 +29,7 @@
 	return v.limit.level < units
 }
 
-// chargeLimit counts a first attempt.
+// chargeLimit takes the units of a first attempt from the limit of its volume.
 func (s *Scheduler) chargeLimit(v *volume, units float64) {
 	if v.plan.Limit <= 0 {
 		return
--- a/scheduler/membership.go
+++ b/scheduler/membership.go
@@ -5,10 +5,11 @@
 	"time"
 )
 
-// watchRetryDelay is the pause after a failed call for the endpoint list.
+// watchRetryDelay is the pause before WatchEndpoints is emitted again after a failed call.
 const watchRetryDelay = time.Second
 
-// members are the nodes of the endpoint list, and those removed from it with attempts in flight.
+// members holds the nodes of the endpoint list, and nodes that were removed from it while they had
+// attempts in flight.
 type members struct {
 	nodes       []*node // in the order in which they joined
 	byName      map[string]*node
@@ -18,37 +19,37 @@
 
 func newMembers() members { return members{byName: map[string]*node{}} }
 
-// node is the state of one node at this instance.
+// node is the state of a node at this instance.
 type node struct {
 	Endpoint
 	queue       *requestQueue
-	virtualTime float64 // v: the highest start tag that was sent
-	// inFlight are the attempts that count against the window, in the order of their sends. Those
-	// from before the breaker opened are not among them.
+	virtualTime float64 // v of the paper: the highest start tag sent
+	// inFlight holds the attempts that count against the window, in the order in which they were sent.
+	// Attempts from before the breaker opened do not count.
 	inFlight []*attempt
 
-	window         float64 // requests; below 1, sends are paced
-	lastDecreaseAt Time    // of the window
+	window         float64 // maximum number of requests in flight; below 1, sends are paced
+	lastDecreaseAt Time    // time of the last decrease of the window
 	lastSendAt     Time
-	pacingJitter   float64 // factor on the pacing gap after the last send
+	pacingJitter   float64 // random factor on the pacing gap after the last send
 	sendCount      int     // number of sends so far
 
-	observations   observations // of this node alone
-	latency        float64      // estimated seconds until a response
+	observations   observations // responses and failures of this node alone
+	latency        float64      // estimated time to a response, in seconds
 	pressure       float64      // estimated fraction of the latency objectives spent waiting, 0 to 1
-	lastResponseAt Time         // or when the node joined or restarted
+	lastResponseAt Time         // time of the last response, or when the node joined or restarted
 	breaker        breaker
 
 	slowStart tokenBucket // in units, valid while the node is warming up
 
-	joinOrder int
-	wakeAt    Time // when to look at it again, never if only an event changes anything
-	dirty     bool // it is in timers.dirty
-	scheduled bool // it is in timers.waiting
+	joinOrder int  // number of the node in the order in which nodes joined, from 1
+	wakeAt    Time // when to dispatch the node again, never if only an event requires that
+	dirty     bool // whether the node is in timers.dirty
+	scheduled bool // whether the node is in timers.scheduled
 }
 
-// handleEndpointUpdate applies an update of the endpoint list. Requests queued for a node that no
-// longer serves, or for none, are queued for the node that is now selected for them.
+// handleEndpointUpdate applies an update of the endpoint list. It then selects nodes anew for the
+// requests without a node, and for those queued for a node that no longer serves.
 func (s *Scheduler) handleEndpointUpdate(update EndpointUpdate) {
 	if update.Failed {
 		s.timers.watchAt = s.now + watchRetryDelay
@@ -80,8 +81,8 @@
 	}
 }
 
-// applyEndpoints adds and updates the nodes of an update. It returns them, and whether the nodes of
-// any shard may have changed.
+// applyEndpoints adds or updates the nodes that an update lists. It returns these nodes, and whether
+// the nodes of any shard may have changed.
 func (s *Scheduler) applyEndpoints(update EndpointUpdate) (listed map[*node]bool, shardsChanged bool) {
 	listed, shardsChanged = map[*node]bool{}, update.Full
 	for _, endpoint := range update.Endpoints {
@@ -114,7 +115,8 @@
 	return n
 }
 
-// updateNode updates a known node. After a restart most of what was learned of it no longer holds.
+// updateNode updates a known node. After a restart the estimates from before no longer hold and are
+// reset.
 func (s *Scheduler) updateNode(n *node, endpoint Endpoint) {
 	restarted := endpoint.Started != n.Started && endpoint.State == Serving
 	n.Endpoint = endpoint
@@ -126,6 +128,7 @@
 	s.beginSlowStart(n)
 }
 
+// groupByShard computes byShard from the list of nodes.
 func (m *members) groupByShard() {
 	m.byShard = map[int][]*node{}
 	for _, n := range m.nodes {
@@ -133,8 +136,8 @@
 	}
 }
 
-// forgetRemoved forgets the removed nodes that have nothing in flight. An instance that runs for
-// long would otherwise keep every node that ever was.
+// forgetRemoved deletes the removed nodes that have nothing in flight. Otherwise an instance that runs
+// for long would keep every node that it ever knew.
 func (s *Scheduler) forgetRemoved() {
 	m := &s.members
 	m.nodes = slices.DeleteFunc(m.nodes, func(n *node) bool {
--- a/scheduler/outcomes.go
+++ b/scheduler/outcomes.go
@@ -1,8 +1,8 @@
 package scheduler
 
-// recordOutcome updates what is known of a node by an attempt's outcome: its estimated latency and
-// pressure, its concurrency window and its circuit breaker. Cancelled and NotSent attempts say
-// nothing of the node.
+// recordOutcome updates the state of a node by an attempt's outcome: its estimated latency and
+// pressure, its concurrency window and its circuit breaker. Cancelled and NotSent attempts say nothing
+// about the node.
 func (s *Scheduler) recordOutcome(n *node, a *attempt, e AttemptEnded) {
 	latency := (s.now - a.inFlightSince(s.now)).Seconds()
 	switch e.Outcome {
@@ -34,8 +34,8 @@
 	s.collapseWindow(n)
 }
 
-// recordConnectionFailure counts failures in a row: a node that resets some connections still
-// serves the others, which close its breaker again.
+// recordConnectionFailure counts consecutive failures. A node that resets only some connections still
+// responds on others, and these responses start the count anew.
 func (s *Scheduler) recordConnectionFailure(n *node) {
 	n.breaker.consecutiveFailures++
 	if n.breaker.consecutiveFailures >= maxConsecutiveFailures {
@@ -45,7 +45,7 @@
 
 func (s *Scheduler) recordTimeout(n *node, a *attempt, latency float64) {
 	if a.stalledAt > 0 {
-		return // it was stalled until its deadline
+		return // stalled until its deadline, which says nothing about the node
 	}
 	s.observeAtNode(n, observation{latency: latency, waitingFraction: 1})
 	s.collapseWindow(n)
--- a/scheduler/requests.go
+++ b/scheduler/requests.go
@@ -6,16 +6,16 @@
 	"maddergap/internal/waitqueue"
 )
 
-// requestQueue holds the requests that wait for one node.
+// requestQueue holds the requests that wait for one node, or those that no node may take.
 type requestQueue = waitqueue.Queue[*request, profile, *volume]
 
-// subqueue holds ready requests of one profile.
+// subqueue holds the ready requests of one profile.
 type subqueue = waitqueue.Subqueue[*request, profile]
 
-// queueItem is the queue's part of a request: its times and its place.
+// queueItem is the part of a request that the queue uses: its deadlines and its place in the queue.
 type queueItem = waitqueue.Item[*request, profile, *volume]
 
-// requestState says how much of the final response has been given.
+// requestState says whether the final response of a request has been started or completed.
 type requestState int
 
 const (
@@ -23,8 +23,8 @@
 	awaitingResponse requestState = iota
 	// responding requests have sent part of a streamed response to the client.
 	responding
-	// completed requests have their final response, or their client is gone. An attempt may
-	// still be in flight.
+	// completed requests have their final response, or their client disconnected. An attempt may still
+	// be in flight.
 	completed
 )
 
@@ -41,8 +41,7 @@
 	return "unknown"
 }
 
-// request is what the scheduler knows of a request. It is in Scheduler.requests until it is
-// completed.
+// request is the state of a request. It is in Scheduler.requests until it is completed.
 type request struct {
 	Arrival
 	queueItem
@@ -51,35 +50,35 @@
 	volume *volume
 	state  requestState
 
-	// node is the one whose queue the request is or was last in, nil if none could take it.
+	// node is the node whose queue the request is in or was last in, nil if no node could take it.
 	node *node
 	// sendCountAtEnqueue is the node's sendCount when the request was put into its queue.
 	sendCountAtEnqueue int
 
-	startTag      float64 // S at the node
-	beyondReserve bool    // the start tag is for units beyond the volume's reserve
+	startTag      float64 // S of the paper, at the node
+	beyondReserve bool    // whether the start tag was given to units beyond the volume's reserve
 
-	attempts  int  // made so far
-	inFlight  int  // of these, those without an outcome
+	attempts  int  // number of attempts so far
+	inFlight  int  // number of attempts without an outcome
 	notBefore Time // earliest time of the next attempt, 0 for none
-	// mayHaveRunOn is the node where an attempt may have run, nil if none may have;
-	// mayHaveRunSince is when the first such attempt was sent.
+	// mayHaveRunOn is the node of the first attempt that may have run, nil if none may have.
+	// mayHaveRunSince is when that attempt was sent.
 	mayHaveRunOn    *node
 	mayHaveRunSince Time
 }
 
-// profile is everything that the send rules depend on, other than a request's times and tags.
-// Requests of one profile are judged together.
+// profile holds the properties of a request that the send rules depend on, other than its times and
+// tags. The rules are evaluated once for all requests of one profile.
 type profile struct {
 	class         *Class
 	plan          *Plan
-	instances     float64 // that the volume's requests arrive through
+	instances     float64 // number of instances that the volume's requests arrive through
 	units         float64
 	beyondReserve bool
-	isRetry       bool // an attempt past the first
+	isRetry       bool // whether the next attempt is a retry
 }
 
-// currentProfile returns the profile that a request would wait with now.
+// currentProfile returns the profile of a request as of now.
 func (r *request) currentProfile() profile {
 	return profile{
 		class:         r.class,
@@ -91,10 +90,11 @@
 	}
 }
 
-// priorityWeight is what a unit earns if it is served in time and within the reserve.
+// priorityWeight returns the value of a unit that is served in time and within the reserve.
 func (p *profile) priorityWeight() float64 { return p.class.PriorityWeight * p.plan.PriorityFactor }
 
-// Orders of the requests of a subqueue.
+// Orders of the requests in a subqueue: indexes of the functions that newRequestQueue passes to
+// waitqueue.New.
 const (
 	orderByTag = iota
 	orderByLatencyDeadline
@@ -113,10 +113,10 @@
 // handleArrival queues a request, or rejects one that can never be sent.
 func (s *Scheduler) handleArrival(a Arrival) {
 	if s.requests[a.ID] != nil {
-		return // reported twice
+		return // duplicate
 	}
 	if a.Class < 0 || a.Class >= len(s.settings.Classes) || math.IsNaN(a.Units) {
-		s.emit(Reject{ID: a.ID}) // it did not run, so a retry is safe whatever its class
+		s.emit(Reject{ID: a.ID}) // it did not run, so a retry is safe
 		return
 	}
 	s.recordArrival()
@@ -135,7 +135,8 @@
 	s.enqueue(r)
 }
 
-// enqueue puts a request into the queue of the node that is selected for it.
+// enqueue puts a request into the queue of the node that is selected for it, or into unassigned if
+// there is none.
 func (s *Scheduler) enqueue(r *request) {
 	n := s.selectNode(r)
 	s.enqueueCount++
@@ -153,8 +154,9 @@
 	s.markDirty(n)
 }
 
-// makeReady makes a queued request ready at its node, or defers it until it may be sent. One whose
-// key has an earlier request stays suspended until leaveKeyOrder.
+// makeReady makes a queued request ready at its node, or defers it until the time at which it may be
+// sent. A request that waits for an earlier request of its key stays suspended until leaveKeyOrder
+// makes it ready.
 func (s *Scheduler) makeReady(r *request) {
 	readyAt, isNext := s.readyAt(r)
 	if !isNext {
@@ -179,7 +181,7 @@
 	}
 }
 
-// rejectOrFail gives a request its final response without an attempt's: a rejection where the
+// rejectOrFail gives a request a final response that does not come from a node: a rejection if the
 // client may safely retry, otherwise a failure.
 func (s *Scheduler) rejectOrFail(r *request) {
 	switch {
@@ -192,8 +194,8 @@
 	s.complete(r)
 }
 
-// complete ends a request that needs no further response. It keeps its place in the order of its
-// key while an attempt is in flight.
+// complete ends a request that needs no further response. The request keeps its place in the order of
+// its key while an attempt is in flight.
 func (s *Scheduler) complete(r *request) {
 	r.state = completed
 	delete(s.requests, r.ID)
--- a/scheduler/retries.go
+++ b/scheduler/retries.go
@@ -1,33 +1,35 @@
 package scheduler
 
-// Whether a request may be attempted again, where, and from when on.
+// Rules for retries: whether a request may be attempted again, on which nodes, and when.
 
 // retryBackoffFraction is the pause between an attempt and the next, as a fraction of the shortest
-// latency objective. It does not grow: attempts, deadline and retry budget bound the retries.
+// latency objective. The pause does not grow, because MaxAttempts, the deadline and the retry budget
+// bound the retries.
 const retryBackoffFraction = 0.1
 
 func (s *Scheduler) retryBackoff() Time {
 	return Time(retryBackoffFraction * float64(s.shortestObjective))
 }
 
-// recordPossibleExecution notes whether an attempt may have run and where. The first such attempt
-// counts: its node, and those that share its idempotency keys, know the request from then on.
+// recordPossibleExecution records the node and time of an attempt that may have run. Only the first
+// such attempt counts: from then on its node, and the nodes that share its idempotency keys, know the
+// request.
 func (s *Scheduler) recordPossibleExecution(r *request, a *attempt, o Outcome) {
 	if !o.ProvesNotRun() && o != OK && r.mayHaveRunOn == nil {
 		r.mayHaveRunOn, r.mayHaveRunSince = a.node, a.sentAt
 	}
 }
 
-// extendExpiryOnceSent lets a request that has reached a node wait up to its deadline: the earlier
-// expiry (see setDeadlines) is for those that no node has taken.
+// extendExpiryOnceSent extends the expiry of a request that has reached a node to its deadline. The
+// earlier expiry of setDeadlines applies only to requests that no node has received.
 func extendExpiryOnceSent(r *request, o Outcome) {
 	if o != ConnectFailed && o != NotSent {
 		r.ExpiresAt = r.Deadline
 	}
 }
 
-// noFurtherAttempt reports whether a request whose attempt ended without a response for the client
-// gets no further attempt.
+// noFurtherAttempt reports whether a request gets no further attempt, after an attempt that ended
+// without a response for the client.
 func (s *Scheduler) noFurtherAttempt(r *request, e AttemptEnded) bool {
 	maxAttempts := s.settings.MaxAttempts
 	switch {
@@ -38,18 +40,18 @@
 	case maxAttempts > 0 && r.attempts >= maxAttempts:
 		return true
 	case e.Outcome.ProvesNotRun():
-		return false // it may wait for a node, as before its first attempt
+		return false // it did not run, so it may wait for a node as before its first attempt
 	case r.class.Effect == NonIdempotent:
 		return true
 	}
-	// enqueue selects again, by another random draw for a new object. Whichever node it selects may
-	// run the request, so what matters here is only that there is one.
+	// enqueue selects a node again, for a new object by another random draw. Any node that it selects
+	// may run the request, so it only matters here whether there is one.
 	return s.selectNode(r) == nil
 }
 
-// clientMayRetry reports whether a client that tries again cannot make the request run twice. An
-// idempotent request has to be dropped by all nodes for that: the client's next try may come
-// through another instance, which does not know where this one may have run.
+// clientMayRetry reports whether a retry by the client cannot make the request run twice. For an
+// idempotent request this requires that all nodes drop repeats of it, because the client's retry may
+// come through another instance, which does not know where this one may have run.
 func (s *Scheduler) clientMayRetry(r *request) bool {
 	class := r.class
 	return r.mayHaveRunOn == nil ||
@@ -57,8 +59,8 @@
 		(class.Effect == Idempotent && class.DeduplicationScope == ScopeAll)
 }
 
-// mayRunOn reports whether an attempt at a node cannot make the request run twice, given where an
-// earlier attempt may have run.
+// mayRunOn reports whether an attempt on a node cannot make the request run twice, given the node on
+// which an earlier attempt may have run.
 func (s *Scheduler) mayRunOn(r *request, n *node) bool {
 	class := r.class
 	switch {
@@ -78,8 +80,9 @@
 	return false
 }
 
-// deduplicationEnd returns Send.StartBefore. The deduplication window could end while a connection is
-// being made; the node would then run the request a second time.
+// deduplicationEnd returns the value of Send.StartBefore for the next attempt. Without it the
+// deduplication window could end while a connection is being made, and the node would run the request
+// a second time.
 func (r *request) deduplicationEnd() Time {
 	if r.mayHaveRunOn == nil || r.class.Effect != Idempotent {
 		return 0
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -1,15 +1,15 @@
 // Package scheduler decides, for one gateway instance in front of a shared pool of storage nodes,
-// which request is sent to which node, when and in what order, and which is rejected.
+// which requests are sent to which nodes, when and in what order, and which are rejected.
 //
 // Requests are ordered by HYBRID-DSFQ (Wang and Merchant, "Proportional-Share Scheduling for
-// Distributed Storage Systems"): a request is assigned to a node (placement.go), gets a start tag
-// there (fair_queue.go), waits in this instance's queue for that node, and leaves in the order of
-// start tags (dispatch.go) while fewer requests are in flight than the node's concurrency window
-// (window.go) and no send rule blocks it (send_rules.go).
+// Distributed Storage Systems"). A request is assigned to a node (placement.go), gets a start tag
+// there (fair_queue.go) and waits in this instance's queue for that node. Requests are sent in the
+// order of their start tags (dispatch.go), while the node's concurrency window has room (window.go)
+// and no send rule blocks them (send_rules.go).
 //
-// A Scheduler is a state machine: it is given events with the time at which they happened, and
-// returns actions. It does no I/O, reads no clock and draws its random numbers from a seed, so
-// the same events give the same actions.
+// A Scheduler is a state machine: it takes events with the time at which they happened, and returns
+// actions. It does no I/O, reads no clock and draws its random numbers from a seed, so the same events
+// give the same actions.
 package scheduler
 
 import (
@@ -17,26 +17,27 @@
 	"time"
 )
 
-// Scheduler decides for one instance. It is not safe for concurrent use.
+// Scheduler schedules the requests of one instance. It holds the nodes and volumes that the instance
+// knows, and the requests and attempts that are not over. It is not safe for concurrent use.
 type Scheduler struct {
 	settings  Settings
 	random    *rand.Rand
 	startedAt Time
 	now       Time
-	actions   []Action // for the events being handled
+	actions   []Action // returned by the current call of Handle
 
 	shortestObjective time.Duration // the shortest latency objective of all classes
-	maxPriorityWeight float64       // the highest of all classes and plans, for one unit
+	maxPriorityWeight float64       // the highest priority weight of a unit, over all classes and plans
 
-	requests      map[uint64]*request    // without a final response, by id
-	expiryReasons map[uint64]Reason      // the requests that the present call of Handle ended, see ExpiryReason
-	attempts      map[attemptID]*attempt // without an outcome
+	requests      map[uint64]*request    // requests without a final response, by id
+	expiryReasons map[uint64]Reason      // of the requests that the current call of Handle ended, see ExpiryReason
+	attempts      map[attemptID]*attempt // attempts without an outcome
 	volumes       map[string]*volume
 	keyOrders     map[string]*keyOrder
 	// unassigned holds the requests that no node may take at present.
 	unassigned   *requestQueue
-	lastSequence int // number of requests so far
-	enqueueCount int // number of times that a request was put into a queue
+	lastSequence int // sequence number of the last request
+	enqueueCount int // number of times that any request was put into a queue
 
 	members    members
 	estimates  estimates
@@ -45,11 +46,12 @@
 	timers     timers
 }
 
-// minPriorityWeight keeps the division by the highest priority weight defined.
+// minPriorityWeight prevents a division by zero where all priority weights are 0.
 const minPriorityWeight = 1e-9
 
-// New returns a scheduler without nodes or requests. The seed is for what is spread at random
-// among instances; each should have its own. The error is a *SettingsError.
+// New returns a scheduler without nodes or requests. The seed determines the random choices that
+// spread load across instances, so each instance should have its own. The error, if any, is a
+// *SettingsError.
 func New(settings Settings, seed uint64, now Time) (*Scheduler, error) {
 	if err := settings.validate(); err != nil {
 		return nil, err
@@ -83,8 +85,8 @@
 	return s, nil
 }
 
-// Handle takes the events that happened at a time and returns the actions to carry out, in their
-// order. A time before that of an earlier call counts as the same time.
+// Handle takes the events that happened at time now and returns the actions to carry out, in order. A
+// time before that of an earlier call is replaced by the time of that call.
 func (s *Scheduler) Handle(now Time, events []Event) []Action {
 	s.now, s.actions = max(now, s.now), nil
 	clear(s.expiryReasons)
@@ -112,7 +114,7 @@
 	case ClientDisconnected:
 		s.handleClientDisconnected(event)
 	case TimerFired:
-		// Each call of Handle looks at what is due.
+		// Every call of Handle dispatches the nodes that are due, so nothing is left to do here.
 	}
 }
 
--- a/scheduler/send_rules.go
+++ b/scheduler/send_rules.go
@@ -1,44 +1,45 @@
 package scheduler
 
-// Send rules: what can keep a request that is ready from being sent. A request waits while one of
-// them blocks it. Dispatch asks the rules of a node first, then those of a profile, then those of
-// single requests, so that most requests need not be looked at. WaitReason asks them all, in the
-// order of the reasons, but for requests that are suspended.
+// Send rules: the conditions that keep a ready request from being sent. A request waits while a rule
+// blocks it. Dispatch evaluates the rules of a node first, then those of a profile, then those of
+// single requests, so that it does not have to look at most requests. WaitReason evaluates all rules
+// in the order of the reasons, except for suspended requests.
 
 // Reason says why a request is not sent now.
 type Reason int
 
-// The reasons, in the order in which they are looked for.
+// The reasons, in the order in which WaitReason checks them.
 const (
-	// ReasonAllowed: nothing keeps it from being sent.
+	// ReasonAllowed: nothing keeps the request from being sent.
 	ReasonAllowed Reason = iota
-	// ReasonNoNode: no node of the list may take it.
+	// ReasonNoNode: no node of the endpoint list may take it.
 	ReasonNoNode
-	// ReasonKeyOrder: an earlier request of its key is not over, or the key cools down.
+	// ReasonKeyOrder: an earlier request of its key is not over, or the cooldown of the key is not.
 	ReasonKeyOrder
 	// ReasonRetryBackoff: the pause before its next attempt is not over.
 	ReasonRetryBackoff
-	// ReasonBreakerOpen: its node does not respond or cannot be connected to.
+	// ReasonBreakerOpen: the circuit breaker of its node is open, because the node does not respond or
+	// cannot be connected to.
 	ReasonBreakerOpen
 	// ReasonWindowFull: its node's concurrency window is full, or its pacing gap is not over.
 	ReasonWindowFull
 	// ReasonRetryBudget: it is a retry, and the retry budget is spent.
 	ReasonRetryBudget
-	// ReasonBackpressure: its node is under pressure, and its priority is too low for that.
+	// ReasonBackpressure: its priority is below the pressure of its node.
 	ReasonBackpressure
-	// ReasonSlowStart: its node is warming up and has been sent what it can bear.
+	// ReasonSlowStart: its node is warming up, and has been sent as much as it can serve at present.
 	ReasonSlowStart
 	// ReasonTooLate: no response is expected by its deadline.
 	ReasonTooLate
-	// ReasonDeduplication: another attempt could make it run twice.
+	// ReasonDeduplication: another attempt on its node could make it run twice.
 	ReasonDeduplication
 	// ReasonTenantLimit: its volume has used up the limit of its plan.
 	ReasonTenantLimit
 	reasonCount
 )
 
-// reasonNames are the values of wait_reason in the log, which has those of requests that wait at a
-// node: never no-node.
+// reasonNames are the values of wait_reason in the log. The log gives the reasons only of requests
+// that wait at a node, so no-node does not occur there.
 var reasonNames = [reasonCount]string{
 	ReasonAllowed:       "allowed",
 	ReasonNoNode:        "no-node",
@@ -62,38 +63,38 @@
 	return reasonNames[r]
 }
 
-// sendRule blocks candidates for a reason.
+// sendRule blocks candidates for one reason.
 type sendRule struct {
 	reason Reason
 	blocks func(*Scheduler, candidate) bool
 }
 
-// candidate is what a send rule judges.
+// candidate is the input of a send rule: a node, and the profile or request that might be sent to it.
 type candidate struct {
 	node *node
 	// profile is nil for nodeRules.
 	profile *profile
 	// request is one request of the profile, nil for nodeRules and profileRules.
 	request *request
-	// missesObjective is set for requests that are expected to miss their latency objective.
+	// missesObjective reports whether the candidate is expected to miss its latency objective.
 	missesObjective bool
 }
 
-// nodeRules judge a node, whatever waits for it.
+// nodeRules apply to a node, whatever requests wait for it.
 var nodeRules = []sendRule{
 	{ReasonBreakerOpen, func(s *Scheduler, c candidate) bool { return c.node.breaker.blocks(s.now) }},
 	{ReasonWindowFull, func(s *Scheduler, c candidate) bool { return c.node.nextSendAt() > s.now }},
 }
 
-// profileRules judge all requests of one profile at a node.
+// profileRules apply to all requests of one profile at a node.
 var profileRules = []sendRule{
 	{ReasonRetryBudget, func(s *Scheduler, c candidate) bool { return c.profile.isRetry && !s.retryBudgetAllows() }},
 	{ReasonBackpressure, (*Scheduler).backpressureBlocks},
 	{ReasonSlowStart, func(s *Scheduler, c candidate) bool { return !s.slowStartAllows(c.node, c.profile.units) }},
 }
 
-// requestRules judge one request. They are for WaitReason: dispatch applies the same two conditions
-// where it has the requests at hand, in firstEligible and lowestStartTag. A new rule of single
+// requestRules apply to a single request. Only WaitReason evaluates them. Dispatch checks the same two
+// conditions in firstEligible, lowestTagRequest and highestPriorityRequest; a new rule for single
 // requests has to be added there too.
 var requestRules = []sendRule{
 	{ReasonDeduplication, func(s *Scheduler, c candidate) bool { return !s.mayRunOn(c.request, c.node) }},
--- a/scheduler/settings.go
+++ b/scheduler/settings.go
@@ -6,18 +6,18 @@
 	"time"
 )
 
-// Time is a monotonic clock reading: the time since an origin of the caller's choosing. All
-// times that one Scheduler is given have the same origin.
+// Time is a monotonic clock reading: the time since an origin that the caller chooses. All times given
+// to one Scheduler have the same origin.
 type Time = time.Duration
 
-// Effect says whether a request of a class may run more than once.
+// Effect says whether it is safe to run a request of a class more than once.
 type Effect int
 
 const (
 	// Safe requests may run any number of times.
 	Safe Effect = iota
-	// Idempotent requests carry an idempotency key: the nodes of one deduplication scope drop
-	// repeats for the length of the deduplication window.
+	// Idempotent requests carry an idempotency key: the nodes of one deduplication scope drop repeats
+	// during the deduplication window.
 	Idempotent
 	// NonIdempotent requests must never run twice.
 	NonIdempotent
@@ -64,107 +64,108 @@
 // Class describes one class of requests.
 type Class struct {
 	Name string
-	// LatencyObjective is the time within which a response earns the full priority weight.
-	// It must be more than 0.
+	// LatencyObjective is the time within which a response counts with the full priority weight. It
+	// must be more than 0.
 	LatencyObjective time.Duration
-	// Deadline is how long a client waits over all its tries, 0 where that is unknown. It is
-	// used for requests that are marked as a client's retry.
+	// Deadline is the time that a client waits over all its tries, 0 if that is unknown. It is used
+	// for requests with Arrival.ClientRetry set.
 	Deadline time.Duration
 	Effect   Effect
-	// DeduplicationScope and DeduplicationWindow say where, and for how long after the first
-	// attempt, repeats of an idempotent request are dropped. Other effects ignore them.
+	// DeduplicationScope and DeduplicationWindow say which nodes drop repeats of an idempotent
+	// request, and for how long after the first attempt. They are ignored for other effects.
 	DeduplicationScope  DeduplicationScope
 	DeduplicationWindow time.Duration
-	// Ordered has requests with the same non-empty key run one at a time, in order of arrival.
+	// Ordered makes requests with the same non-empty key run one at a time, in order of arrival.
 	Ordered bool
-	// PriorityWeight is what one unit served in time earns; only its ratio to the weights of other
-	// classes matters.
+	// PriorityWeight is the value of one unit that is served in time. Only its ratio to the weights of
+	// other classes matters.
 	PriorityWeight float64
-	// LateWeightFactor is the fraction of PriorityWeight that a response earns after the
-	// latency objective.
+	// LateWeightFactor is the fraction of PriorityWeight that a unit is worth after the latency
+	// objective.
 	LateWeightFactor float64
 }
 
-// Plan describes what a volume bought. Its rates hold for the volume as a whole, over all
-// instances and nodes.
+// Plan describes the service that a volume is entitled to. Its rates hold for the volume as a whole,
+// over all instances and nodes.
 type Plan struct {
 	Name string
-	// Rate is the load that the volume is sized for, in units a second. The scheduler does not
-	// use it.
+	// Rate is the load that the volume is sized for, in units per second. The scheduler does not use
+	// it.
 	Rate float64
-	// Reserve is the load that earns the full priority weight, in units a second.
+	// Reserve is the load that counts with the full priority weight, in units per second.
 	Reserve float64
-	// Weight is the share (φ) of the volume in what the nodes serve beyond the reserves, as a
-	// ratio to the weights of other plans. Where all plans have 0, they share evenly.
+	// Weight is the volume's share (φ) of the capacity that nodes have beyond the reserves, relative
+	// to the weights of other plans. If all plans have weight 0, they share evenly.
 	Weight float64
 	// PriorityFactor multiplies the priority weight of the class.
 	PriorityFactor float64
-	// Limit bounds first attempts, in units a second; 0 for none.
+	// Limit is the maximum rate of first attempts, in units per second; 0 for no limit.
 	Limit float64
 	// LimitBurst is the capacity of the limit's token bucket, in units.
 	LimitBurst float64
 }
 
-// RetryBudget bounds the attempts past the first of an instance: within any Window at most
-// MinRetries, and Ratio more for each request that arrived in it.
+// RetryBudget bounds the retries of an instance, that is, attempts past the first of a request. Within
+// any Window there are at most MinRetries, plus Ratio for each request that arrived in the window.
 type RetryBudget struct {
 	MinRetries float64
 	Ratio      float64
 	Window     time.Duration // must be more than 0
 }
 
-// SlowStart limits what a node is sent after it has started, while its caches are cold: more
-// than it can bear makes it fail. The zero value is no limit.
+// SlowStart limits the load on a node that has just started. Its caches are cold, and load beyond its
+// present capacity makes it fail. The zero value is no limit.
 type SlowStart struct {
-	// WarmupDuration is how long after its start a node has its full capacity, 0 for at once.
+	// WarmupDuration is the time after its start at which a node has its full capacity, 0 for no slow
+	// start.
 	WarmupDuration time.Duration
-	// InitialFraction is the fraction of its capacity that a node starts with. The capacity
-	// grows linearly from there.
+	// InitialFraction is the fraction of its full capacity that a node has at its start. The capacity
+	// grows linearly over WarmupDuration.
 	InitialFraction float64
-	// MinUnits is what any starting node bears within an OverloadWindow, from all instances
-	// together, in units; 0 for the mean request.
+	// MinUnits is the number of units that any starting node can serve within an OverloadWindow, from
+	// all instances together; 0 for Settings.MeanUnits.
 	MinUnits float64
-	// A node that is sent more than OverloadFactor times its present capacity over an
-	// OverloadWindow is overloaded and fails.
+	// A node that is sent more than OverloadFactor times its present capacity within an OverloadWindow
+	// is overloaded and fails.
 	OverloadWindow time.Duration
 	OverloadFactor float64
 }
 
-// Settings are given once, before the first event, and must not change afterwards.
+// Settings configures a Scheduler. It must not change after New.
 type Settings struct {
-	// Instances is how many gateway instances send to the nodes. It must be at least 1.
+	// Instances is the number of gateway instances that send to the nodes. It must be at least 1.
 	Instances int
-	// Classes and Plans are what Arrival.Class and Arrival.Plan number. Neither may be empty.
+	// Classes and Plans are indexed by Arrival.Class and Arrival.Plan. Neither may be empty.
 	Classes []Class
 	Plans   []Plan
-	// MaxUnits and MeanUnits are the sizes of the largest and of the mean request, in units.
+	// MaxUnits and MeanUnits are the costs of the largest and of the mean request, in units.
 	MaxUnits  float64
 	MeanUnits float64
-	// ExcessWeight is the fraction of the priority weight that units beyond the reserve earn.
+	// ExcessWeight is the fraction of the priority weight that units beyond the reserve are worth.
 	ExcessWeight float64
 
-	// PollDiscovery has the scheduler ask for the endpoint list with WatchEndpoints. Otherwise
-	// updates come unasked.
+	// PollDiscovery makes the scheduler ask for the endpoint list with WatchEndpoints. Otherwise it
+	// expects EndpointUpdate events without asking.
 	PollDiscovery bool
 
-	// MaxAttempts bounds the attempts of one request, 0 for no bound.
+	// MaxAttempts is the maximum number of attempts of one request, 0 for no bound.
 	MaxAttempts int
-	// MaxRetryAfter is the Retry-After of rejections, 0 to send none.
+	// MaxRetryAfter is the RetryAfter of rejections, 0 for none.
 	MaxRetryAfter time.Duration
-	// KeyCooldown is how long the next request of an ordered key waits after an attempt that
-	// may still run at its node, 0 for not at all.
+	// KeyCooldown is the pause before the next request of an ordered key after an attempt that may
+	// still be running on its node, 0 for no pause.
 	KeyCooldown time.Duration
 
 	SlowStart SlowStart
-	// RetryBudget is nil where retries are bounded by MaxAttempts alone.
+	// RetryBudget is nil if only MaxAttempts bounds retries.
 	RetryBudget *RetryBudget
 }
 
-// SettingsError names the first setting that is out of range.
+// SettingsError reports the first setting that is out of range.
 type SettingsError struct {
-	Field string // as Classes[1].LatencyObjective
+	Field string // name of the setting, for example Classes[1].LatencyObjective
 	Value any
-	Want  string // what the value has to be
+	Want  string // the values that are allowed
 }
 
 func (e *SettingsError) Error() string {
@@ -231,12 +232,13 @@
 	})
 }
 
+// numericSetting is a setting that checkNotNegative checks.
 type numericSetting struct {
 	field string
 	value float64
 }
 
-// checkNotNegative returns an error for the first value that is negative, infinite or not a
+// checkNotNegative returns a *SettingsError for the first value that is negative, infinite or not a
 // number.
 func checkNotNegative(settings []numericSetting) error {
 	for _, setting := range settings {
--- a/scheduler/status.go
+++ b/scheduler/status.go
@@ -6,19 +6,19 @@
 	"maddergap/internal/waitqueue"
 )
 
-// NodeStatus is what the scheduler knows of a node, for logs and metrics.
+// NodeStatus is the scheduler's view of a node, for logs and metrics.
 type NodeStatus struct {
 	Node  string
 	State NodeState
-	// InFlight counts the attempts without an outcome. InWindow counts those of them that take a
-	// place in the window: not those from before the circuit breaker opened.
+	// InFlight is the number of attempts without an outcome. InWindow is the number of those that
+	// count against the window; attempts from before the circuit breaker opened do not.
 	InFlight int
 	InWindow int
-	// Queued counts the requests that wait for the node. WaitReason is why the one that expires
-	// first is not sent: ReasonAllowed where none waits, or others go first.
+	// Queued is the number of requests that wait for the node. WaitReason is why the one that expires
+	// first is not sent. It is ReasonAllowed if none waits, or if others are sent first.
 	Queued     int
 	WaitReason Reason
-	// Window is the concurrency window in requests; below 1, sends are paced.
+	// Window is the maximum number of requests in flight; below 1, sends are paced.
 	Window float64
 	// ExpectedLatency is the estimated latency of a response.
 	ExpectedLatency time.Duration
@@ -62,9 +62,9 @@
 	return s.WaitReason(r.ID)
 }
 
-// WaitReason returns why a request is not sent now: ReasonAllowed where others at its node go
-// first, or where it does not wait. It is safe to call between events: it has no influence on
-// decisions.
+// WaitReason returns why a request is not sent now. It returns ReasonAllowed if other requests at its
+// node are sent first, or if the request does not wait. It may be called between events, and has no
+// influence on decisions.
 func (s *Scheduler) WaitReason(id uint64) Reason {
 	r := s.requests[id]
 	if r == nil || r.inFlight > 0 {
@@ -82,38 +82,39 @@
 	case readyAt > s.now:
 		return ReasonKeyOrder
 	case r.QueueState() == waitqueue.Suspended:
-		return ReasonDeduplication // for good, see firstEligible
+		return ReasonDeduplication // permanently at this node, see firstEligible
 	}
 	defer s.saveRuleState(r)()
 	return s.sendBlockedBy(r)
 }
 
 // ExpiryReason returns what kept a request from being sent that the last call of Handle rejected or
-// failed. It is ReasonAllowed where nothing did: others went first, or its last attempt had failed
-// and no further one was allowed.
+// failed. It returns ReasonAllowed if nothing did: other requests were sent first, or its last attempt
+// failed and no further one was allowed.
 func (s *Scheduler) ExpiryReason(id uint64) Reason { return s.expiryReasons[id] }
 
-// sendBlockedBy asks all send rules about a ready request.
+// sendBlockedBy returns the reason of the first send rule that blocks a ready request, ReasonAllowed
+// if none does.
 func (s *Scheduler) sendBlockedBy(r *request) Reason {
 	n := r.node
 	p := r.currentProfile()
-	respondedAt := s.now + s.expectedLatency(n, r.Units)
-	c := candidate{node: n, profile: &p, request: r, missesObjective: r.LatencyDeadline < respondedAt}
+	expectedResponseAt := s.now + s.expectedLatency(n, r.Units)
+	c := candidate{node: n, profile: &p, request: r, missesObjective: r.LatencyDeadline < expectedResponseAt}
 	if reason := s.blockedBy(nodeRules, c); reason != ReasonAllowed {
 		return reason
 	}
 	if reason := s.blockedBy(profileRules, c); reason != ReasonAllowed {
 		return reason
 	}
-	if r.Deadline < respondedAt && !s.idleTrialDue(n) {
+	if r.Deadline < expectedResponseAt && !s.idleTrialDue(n) {
 		return ReasonTooLate
 	}
 	return s.blockedBy(requestRules, c)
 }
 
-// saveRuleState returns a function that restores what send rules change when asked. A bucket that is
-// filled in two steps is rounded twice, so decisions would depend on whether WaitReason was called
-// in between.
+// saveRuleState returns a function that undoes the changes that evaluating the send rules makes.
+// Filling a bucket in two steps rounds twice, so decisions would otherwise depend on whether
+// WaitReason was called in between.
 func (s *Scheduler) saveRuleState(r *request) (restore func()) {
 	n, v := r.node, r.volume
 	slowStart, limit, usage := n.slowStart, v.limit, s.retryUsage
--- a/scheduler/timers.go
+++ b/scheduler/timers.go
@@ -7,36 +7,39 @@
 	"time"
 )
 
-// Timers: which nodes are looked at after the events of a moment, and when the next timer fires.
-// Only nodes that something happened to, or whose time has come, are looked at.
+// Timers: which nodes are dispatched after the events of a call of Handle, and when the next timer
+// fires. A node is dispatched only if an event affected it or its wake time has come.
 
 const (
-	// never is the time of what does not happen by itself.
+	// never is the time of something that only an event can cause.
 	never = Time(math.MaxInt64)
-	// queueChecksPerObjective is how often a node with queued requests is looked at within the
-	// shortest latency objective: pressure, buckets and expected latencies change with time alone.
+	// queueChecksPerObjective is the number of times within the shortest latency objective that a node
+	// with queued requests is dispatched. Its pressure, buckets and expected latencies change with
+	// time alone.
 	queueChecksPerObjective = 12
-	// responseChecksPerObjective is the same for a node with attempts in flight, for checkResponsiveness.
+	// responseChecksPerObjective is the same for a node with attempts in flight, for
+	// checkResponsiveness.
 	responseChecksPerObjective = 4
-	// timerResolution is the unit of timers. The caller may round a timer down to its own unit; one
-	// that fires a fraction early would be taken for the one that was set, and nothing would be due.
+	// timerResolution is the unit of timers. The caller may round a timer down to a coarser unit than
+	// that of Time. A timer that fires a fraction early would find nothing due, and setTimer would not
+	// set another one, because the time of the last one has not come.
 	timerResolution = time.Millisecond
 )
 
-// timers keep what has to be looked at, and when.
+// timers holds the nodes that have to be dispatched, and when.
 type timers struct {
-	dirty       []*node // nodes that something happened to since they were last looked at
-	dirtyBuffer []*node // the list before, for use again
+	dirty       []*node // nodes to dispatch that an event affected or whose wake time has come
+	dirtyBuffer []*node // the previous dirty slice, kept for reuse
 	scheduled   []*node // nodes with a wakeAt, in any order
-	nextWakeAt  Time    // not after the first wakeAt of waiting
-	watchAt     Time    // when to ask for the endpoint list, negative for not at all
-	timerAt     Time    // when the timer that was set last fires
-	sweptAt     Time
+	nextWakeAt  Time    // not after the earliest wakeAt of the scheduled nodes
+	watchAt     Time    // when to emit WatchEndpoints, negative for never
+	timerAt     Time    // when the timer of the last SetTimer fires
+	sweptAt     Time    // time of the last sweep
 }
 
 func newTimers(now Time) timers { return timers{watchAt: -1, timerAt: now, sweptAt: now} }
 
-// markDirty has a node looked at once the events of the moment are handled; n may be nil.
+// markDirty marks a node to be dispatched after the current events; n may be nil.
 func (s *Scheduler) markDirty(n *node) {
 	if n != nil && !n.dirty {
 		n.dirty = true
@@ -44,7 +47,8 @@
 	}
 }
 
-// dispatch looks at the nodes that are due, rejects what expired and sets the timer.
+// dispatch dispatches the nodes that are due, completes the expired requests without a node, and sets
+// the timer.
 func (s *Scheduler) dispatch() {
 	wakeAt := s.watchEndpoints()
 	if s.now >= s.timers.nextWakeAt {
@@ -53,7 +57,8 @@
 	}
 	s.dispatchDirty()
 	wakeAt = min(wakeAt, s.timers.nextWakeAt)
-	if len(s.timers.dirty) > 0 { // by what was just done, as where a key's next request may go
+	// dispatchDirty marks further nodes, for example where the next request of a key became ready.
+	if len(s.timers.dirty) > 0 {
 		wakeAt = s.now
 	}
 	s.completeExpired(s.unassigned)
@@ -64,7 +69,8 @@
 	s.setTimer(wakeAt)
 }
 
-// watchEndpoints asks for the endpoint list when that is due, and returns when it will be.
+// watchEndpoints emits WatchEndpoints if that is due. It returns when it will be due next, never if no
+// call is planned.
 func (s *Scheduler) watchEndpoints() (wakeAt Time) {
 	switch at := s.timers.watchAt; {
 	case at < 0:
@@ -77,8 +83,8 @@
 	return never
 }
 
-// dispatchDirty looks at the nodes that are dirty by now. Those that become dirty meanwhile are
-// looked at next time.
+// dispatchDirty dispatches the nodes that are dirty now. Nodes that become dirty meanwhile are
+// dispatched in the next call of Handle.
 func (s *Scheduler) dispatchDirty() {
 	t := &s.timers
 	dirty := t.dirty
@@ -93,7 +99,7 @@
 	}
 }
 
-// setWakeTime sets when a node is looked at again if nothing happens to it.
+// setWakeTime sets when a node is dispatched again if no event affects it before.
 func (s *Scheduler) setWakeTime(n *node) {
 	n.wakeAt = never
 	if len(n.inFlight) > 0 {
@@ -105,8 +111,9 @@
 	}
 }
 
-// markDue marks the nodes dirty whose time has come, in the order in which they joined. Only nodes
-// with queued requests or attempts in flight have a time, so the cost does not grow with the list.
+// markDue marks the nodes dirty whose wake time has come, in the order in which they joined. Only
+// nodes with queued requests or attempts in flight have a wake time, so the cost does not grow with
+// the endpoint list.
 func (s *Scheduler) markDue() {
 	t := &s.timers
 	var due []*node
@@ -131,7 +138,8 @@
 	}
 }
 
-// setTimer asks for a timer, unless the one that was set fires in the future and no later.
+// setTimer emits SetTimer for a wake time, unless the timer that is set fires in the future and no
+// later than that.
 func (s *Scheduler) setTimer(wakeAt Time) {
 	if wakeAt == never || (s.timers.timerAt > s.now && wakeAt >= s.timers.timerAt) {
 		return
@@ -141,7 +149,7 @@
 	s.emit(SetTimer{After: after})
 }
 
-// sweep forgets what has been idle.
+// sweep deletes idle state.
 func (s *Scheduler) sweep() {
 	s.timers.sweptAt = s.now
 	for _, n := range s.members.nodes {
--- a/scheduler/volumes.go
+++ b/scheduler/volumes.go
@@ -3,60 +3,62 @@
 import "time"
 
 const (
-	// volumeIdleTimeout is after what time without a request a volume or a stream is forgotten.
+	// volumeIdleTimeout is the time without a request after which a volume or a stream is deleted.
 	volumeIdleTimeout = 10 * time.Second
-	// reserveShareFactor is how many even shares of a volume's reserve one instance holds, all of
-	// the reserve at most: a volume's requests seldom arrive evenly over its instances.
+	// reserveShareFactor is the fraction of a volume's reserve that one instance holds, as a multiple
+	// of an even share. It is more than 1 because a volume's requests seldom arrive evenly over its
+	// instances. An instance holds at most the whole reserve.
 	reserveShareFactor = 2.0
-	// instancesPerNodeFactor estimates how many instances send to one node, as a multiple of the
-	// largest number of instances that any volume's requests arrive through.
+	// instancesPerNodeFactor estimates the number of instances that send to one node, as a multiple of
+	// the largest number of instances that any volume's requests arrive through.
 	instancesPerNodeFactor = 2.0
-	// minNormalizedWeight keeps the division by a volume's weight defined.
+	// minNormalizedWeight prevents a division by zero where a plan has weight 0.
 	minNormalizedWeight = 1e-6
 )
 
-// shares are what the shares of volumes and instances are computed from.
+// shares holds the values from which the shares of volumes and instances are computed.
 type shares struct {
-	totalWeight float64 // of all plans
-	// instancesPerNode is how many instances may be sending to one node: at least 1, at most
-	// Settings.Instances, and never falling.
+	totalWeight float64 // sum of the weights of all plans
+	// instancesPerNode is an estimate of the number of instances that send to one node: at least 1, at
+	// most Settings.Instances. It never decreases.
 	instancesPerNode float64
 }
 
 func newShares(settings *Settings) shares {
-	all := shares{instancesPerNode: 1}
+	result := shares{instancesPerNode: 1}
 	for _, plan := range settings.Plans {
-		all.totalWeight += plan.Weight
+		result.totalWeight += plan.Weight
 	}
-	return all
+	return result
 }
 
-// volume is the state of one volume at this instance, a stream of the paper.
+// volume is the state of a volume at this instance. The paper calls it a stream.
 type volume struct {
 	plan      *Plan
-	weight    float64 // φ, normalized over the plans
-	instances float64 // that its requests arrive through, 1 to Settings.Instances
+	weight    float64 // φ: the weight of the plan as a fraction of the weights of all plans
+	instances float64 // number of instances that its requests arrive through, 1 to Settings.Instances
 	streams   map[*node]*stream
-	// unitsRequested counts the units of its requests to all nodes.
+	// unitsRequested is the sum of the units of its requests to all nodes.
 	unitsRequested float64
-	reserve        tokenBucket // in units, this instance's part
-	limit          tokenBucket // in units, this instance's part; see limits.go
+	reserve        tokenBucket // this instance's share of the reserve, in units
+	limit          tokenBucket // this instance's share of the limit, in units; see limits.go
 	lastUsedAt     Time
 }
 
-// upsertVolume returns the volume of an arriving request.
+// upsertVolume returns the volume of an arriving request. It creates the volume if necessary, and
+// updates its shares to the number of instances that the request names.
 func (s *Scheduler) upsertVolume(a Arrival) *volume {
 	v := s.volumes[a.Volume]
 	if v == nil {
 		v = s.newVolume(a.Plan)
 		s.volumes[a.Volume] = v
 	}
-	all, own := float64(s.settings.Instances), float64(a.Instances)
-	if own < 1 || own > all {
-		own = all
+	allInstances, volumeInstances := float64(s.settings.Instances), float64(a.Instances)
+	if volumeInstances < 1 || volumeInstances > allInstances {
+		volumeInstances = allInstances
 	}
-	v.instances = own
-	s.shares.instancesPerNode = max(s.shares.instancesPerNode, min(all, instancesPerNodeFactor*own))
+	v.instances = volumeInstances
+	s.shares.instancesPerNode = max(s.shares.instancesPerNode, min(allInstances, instancesPerNodeFactor*volumeInstances))
 	s.setReserve(v)
 	v.setLimit()
 	v.lastUsedAt = s.now
@@ -74,21 +76,22 @@
 	return v
 }
 
-// setReserve sets the bucket of this instance's part of the reserve: that part of one second's
-// reserve and of the largest request, but one largest request at least. It starts full.
+// setReserve sets the rate and capacity of this instance's share of the reserve. The capacity is that
+// share of one second's reserve and one largest request together, but at least one largest request.
+// The bucket starts full.
 func (s *Scheduler) setReserve(v *volume) {
-	largest := s.settings.MaxUnits
-	if part := min(1, reserveShareFactor/v.instances); v.plan.Reserve > 0 {
-		v.reserve.rate = part * v.plan.Reserve
-		v.reserve.capacity = max(part*(v.plan.Reserve+largest), largest)
+	largestRequest := s.settings.MaxUnits
+	if share := min(1, reserveShareFactor/v.instances); v.plan.Reserve > 0 {
+		v.reserve.rate = share * v.plan.Reserve
+		v.reserve.capacity = max(share*(v.plan.Reserve+largestRequest), largestRequest)
 	}
 	if v.lastUsedAt == 0 {
 		v.reserve.level = v.reserve.capacity
 	}
 }
 
-// sweepVolumes forgets idle volumes and streams. A volume whose limit's bucket is not full is
-// kept: created anew, its bucket could hold more than it does now.
+// sweepVolumes deletes idle volumes and streams. A volume is kept until the bucket of its limit is
+// full, because the bucket of a volume that is created anew could hold more.
 func (s *Scheduler) sweepVolumes() {
 	for name, v := range s.volumes {
 		s.sweepStreams(v)
@@ -100,8 +103,8 @@
 }
 
 func (s *Scheduler) sweepStreams(v *volume) {
-	for n, at := range v.streams {
-		if s.now-at.lastUsedAt > volumeIdleTimeout {
+	for n, nodeStream := range v.streams {
+		if s.now-nodeStream.lastUsedAt > volumeIdleTimeout {
 			delete(v.streams, n)
 		}
 	}
