--- a/scheduler/deadlines_test.go
+++ b/scheduler/deadlines_test.go
@@ -6,9 +6,10 @@
 	"time"
 )
 
-// A timer for a fraction of a microsecond fired early, rounded down. Nothing was due at that time, no
-// other timer was set, and a queued request never got a response. Timers are whole milliseconds now.
-func TestQueuedRequestIsAnsweredWithCoarseTimers(t *testing.T) {
+// Guards against a queued request that never gets a response. A timer for a fraction of a microsecond
+// was rounded down and fired early, when nothing was due yet, and no other timer was set. Timers are
+// therefore whole milliseconds.
+func TestQueuedRequestGetsResponseWithCoarseTimers(t *testing.T) {
 	h := newHarness(t, testSettings(), nodeA)
 	n := h.scheduler.members.nodes[0]
 	var timers []Time
@@ -23,7 +24,7 @@
 	recordTimers(h.handleAfter(0, newArrival(1, func(a *Arrival) { a.TimeRemaining = 100 * ms })))
 	recordTimers(h.endAttempt(1, OK))
 	n.window, n.pacingJitter, n.lastSendAt = 0.1, 1, h.now
-	n.observations.latency.sum = 0.1 + 1e-7/3 // a gap that ends between microseconds
+	n.observations.latency.sum = 0.1 + 1e-7/3 // a pacing gap that ends between two microseconds
 	recordTimers(h.handleAfter(0, newArrival(2, func(a *Arrival) { a.TimeRemaining = 3 * time.Second })))
 	for len(timers) > 0 {
 		next := timers[0]
@@ -34,12 +35,12 @@
 			return
 		}
 	}
-	t.Error("neither sent nor rejected, and no timer set")
+	t.Error("request 2 is neither sent nor rejected, and no timer is set")
 }
 
-// Under overload, requests of other volumes go before a request until its deadline, and its client
-// learns so when it has no time to try again. A request that others went before is therefore
-// rejected at half of its time. One at a node that is rarely sent anything keeps all of its time.
+// Guards against rejections that come too late for the client to retry. Under overload, requests of
+// other volumes may be sent before a request until its deadline. Such a request is rejected after half
+// of its time. A request at a node to which little is sent keeps all of its time.
 func TestOvertakenRequestIsRejectedAtHalfOfItsTime(t *testing.T) {
 	rejectedAfter := func(overtakers int) time.Duration {
 		h := newHarness(t, testSettings(func(s *Settings) {
@@ -59,16 +60,17 @@
 		}
 		return 0
 	}
-	if at := rejectedAfter(2); at < 950*ms || at > time.Second {
-		t.Errorf("overtaken by two, it was rejected after %v, want just before 1s", at)
+	if after := rejectedAfter(2); after < 950*ms || after > time.Second {
+		t.Errorf("overtaken by two requests: rejected after %v, want just before 1s", after)
 	}
-	if at := rejectedAfter(0); at < 1950*ms || at > 2*time.Second {
-		t.Errorf("overtaken by none, it was rejected after %v, want just before 2s", at)
+	if after := rejectedAfter(0); after < 1950*ms || after > 2*time.Second {
+		t.Errorf("overtaken by no request: rejected after %v, want just before 2s", after)
 	}
 }
 
-// Retries of clients that gave up waiting look like new requests, and would go before requests that
-// can still meet their latency objective. The objective of a marked retry counts from its first try.
+// Guards against retries of clients that look like new requests and are sent before requests that can
+// still meet their latency objective. The objective of a marked retry counts from the client's first
+// try.
 func TestLatencyDeadlineOfClientRetryCountsFromFirstTry(t *testing.T) {
 	for _, isRetry := range []bool{false, true} {
 		h := newHarness(t, testSettings(func(s *Settings) { s.Classes[0].Deadline = time.Second }), Endpoint{Node: "n0"})
@@ -83,7 +85,7 @@
 			want[2] = 4
 		}
 		if got := h.sentIDs(); len(got) < 3 || !slices.Equal(got[:3], want) {
-			t.Errorf("client retry %v: sent %v, want %v first", isRetry, got, want)
+			t.Errorf("client retry %v: sent %v, want %v to be sent first", isRetry, got, want)
 		}
 	}
 }
--- a/scheduler/dispatch_test.go
+++ b/scheduler/dispatch_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Within their reserves all volumes have the same start tag. The order among them is by priority
-// weight, then by latency deadline.
-func TestEqualTagsGoByPriorityThenLatencyDeadline(t *testing.T) {
+// Verifies the order of volumes with the same start tag, for example within their reserves: by
+// priority weight, then by latency deadline.
+func TestEqualTagsAreOrderedByPriorityThenLatencyDeadline(t *testing.T) {
 	s := testSettings(func(s *Settings) {
 		s.Classes[1].PriorityWeight = 1
 		s.Plans[0].Reserve = 100
@@ -20,9 +20,10 @@
 	assertEqual(t, "sent", h.sentIDs(), []uint64{1, 3})
 }
 
-// After a time-out the expected latency of a node is past every deadline, and only a response can
-// correct it. The node is sent a request all the same once nothing has been sent there for a while.
-func TestIdleNodeIsTriedAfterTimeout(t *testing.T) {
+// Guards against a node that never gets a request again after a time-out. Its expected latency is then
+// past every deadline, and only a response can correct it. The node must therefore get a trial request
+// after a while without sends.
+func TestIdleNodeGetsTrialRequestAfterTimeout(t *testing.T) {
 	scheduler, err := New(Settings{Instances: 1, Classes: []Class{{LatencyObjective: 300 * time.Millisecond, Effect: NonIdempotent, PriorityWeight: 1, LateWeightFactor: 0.5}},
 		Plans: []Plan{{Weight: 1, PriorityFactor: 1, Reserve: 100}}}, 1, 0)
 	if err != nil {
@@ -43,5 +44,5 @@
 			actions = scheduler.Handle(now, []Event{TimerFired{}})
 		}
 	}
-	t.Error("the node is never tried again")
+	t.Error("the node got no request after the time-out")
 }
--- a/scheduler/estimates_test.go
+++ b/scheduler/estimates_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// One instance of many hears from a node only every few seconds. Its estimate of a node is therefore
-// blended with the responses of all nodes, old responses count less, and failures count as responses
-// that took all of the latency objective.
+// Verifies the estimate of a node with few observations: it is blended with the responses of all
+// nodes, because with many instances each gets a response from a node only every few seconds. Old
+// responses count less. Failures count as responses that waited for all of the latency objective.
 func TestFewObservationsAreBlendedWithAllNodes(t *testing.T) {
 	newAttempt := func(n *node) *attempt {
 		return &attempt{request: &request{Arrival: newArrival(1), class: &Class{LatencyObjective: 200 * ms}}, node: n}
@@ -18,13 +18,13 @@
 		outcome Outcome
 		latency time.Duration
 		age     time.Duration
-		want    float64 // pressure of node A, about
+		want    float64 // approximate pressure of node A
 	}{
 		{"a fast response", OK, 20 * ms, 0, 0.05},
 		{"a slow response", OK, 300 * ms, 0, 1},
 		{"queue full", QueueFull, 2 * ms, 0, 1},
 		{"time-out", TimedOut, time.Second, 0, 1},
-		{"a slow response long ago, fast ones of another node since", OK, 300 * ms, 10 * observationHalfLife, 0.05},
+		{"an old slow response, then fast ones of another node", OK, 300 * ms, 10 * observationHalfLife, 0.05},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			h := newHarness(t, testSettings(), nodeA, nodeB)
@@ -35,10 +35,10 @@
 			h.scheduler.recordOutcome(n, a, AttemptEnded{Outcome: c.outcome})
 			if c.age > 0 {
 				h.runFor(c.age)
-				b := newAttempt(other)
-				b.sentAt = h.now - 20*ms
+				otherAttempt := newAttempt(other)
+				otherAttempt.sentAt = h.now - 20*ms
 				for range 10 {
-					h.scheduler.recordOutcome(other, b, AttemptEnded{Outcome: OK})
+					h.scheduler.recordOutcome(other, otherAttempt, AttemptEnded{Outcome: OK})
 				}
 			}
 			h.scheduler.updateEstimate(n)
@@ -49,15 +49,15 @@
 	}
 }
 
-// A node may report its load wrongly, or the same load forever. A load report counts half, its
-// latency the other half, and an invalid report does not count.
+// Verifies that a load report counts half and the latency the other half, because a node may report
+// its load wrongly, or the same load forever. An invalid report does not count.
 func TestLoadReportCountsHalfAtMost(t *testing.T) {
 	for _, c := range []struct {
 		name      string
 		hasReport bool
 		reported  float64
 		latency   time.Duration
-		lo, hi    float64
+		low, high float64
 	}{
 		{"none", false, 0, 110 * ms, 0.45, 0.55},
 		{"not a number", true, math.NaN(), 110 * ms, 0.45, 0.55},
@@ -75,15 +75,15 @@
 			a := &attempt{request: &request{Arrival: newArrival(1), class: &h.scheduler.settings.Classes[0]}, node: n, sentAt: h.now - c.latency}
 			h.scheduler.recordOutcome(n, a, AttemptEnded{Outcome: OK, HasLoadReport: c.hasReport, ReportedLoad: c.reported})
 			h.scheduler.updateEstimate(n)
-			if n.pressure < c.lo-0.01 || n.pressure > c.hi+0.01 {
-				t.Errorf("pressure %.3f, want %.2f to %.2f", n.pressure, c.lo, c.hi)
+			if n.pressure < c.low-0.01 || n.pressure > c.high+0.01 {
+				t.Errorf("pressure %.3f, want %.2f to %.2f", n.pressure, c.low, c.high)
 			}
 		})
 	}
 }
 
-// Time-outs at seven hung nodes raised the pressure of all nodes, and every instance held requests back at
-// healthy ones. A time-out counts at its node alone.
+// Guards against time-outs at a few hung nodes that raise the pressure of all nodes, so that instances
+// hold back requests for healthy nodes. A time-out must count for its own node only.
 func TestTimeoutsCountAtTheirNodeAlone(t *testing.T) {
 	h := newHarness(t, testSettings(), nodeA, nodeB)
 	for id := uint64(1); id <= 6; id++ {
@@ -94,7 +94,7 @@
 	}
 	h.scheduler.updateEstimate(h.scheduler.members.nodes[0])
 	h.scheduler.updateEstimate(h.scheduler.members.nodes[1])
-	if a, b := h.scheduler.members.nodes[0].pressure, h.scheduler.members.nodes[1].pressure; a < 0.9 || b > 0.1 {
-		t.Errorf("pressure %.2f at the hung node, %.2f at the other", a, b)
+	if hung, other := h.scheduler.members.nodes[0].pressure, h.scheduler.members.nodes[1].pressure; hung < 0.9 || other > 0.1 {
+		t.Errorf("pressure is %.2f at the hung node and %.2f at the other, want at least 0.9 and at most 0.1", hung, other)
 	}
 }
--- a/scheduler/fleet_test.go
+++ b/scheduler/fleet_test.go
@@ -9,40 +9,44 @@
 	"time"
 )
 
-// fleet is many instances on one simulated clock in front of nodes that respond to all requests.
+// fleet simulates many instances on one clock, in front of a node that responds to every attempt after
+// fleetLatency.
 type fleet struct {
 	settings        Settings
 	instances       []*Scheduler
-	cumulativeShare []float64 // of the arrivals, summed up to each instance
+	cumulativeShare []float64 // shares of the arrivals, summed up to each instance
 	now             Time
 	queue           fleetEvents
 	random          *rand.Rand
-	lastID          uint64 // of the last request
+	lastID          uint64 // id of the last request
 	arrivalsStarted bool
-	attempts        map[uint64]int // by request
+	attempts        map[uint64]int // number of attempts, by request id
 
-	node          string      // the one that takes requests
-	queueFullRate float64     // fraction of the attempts that it rejects with a full queue
-	sent          []sentUnits // to the node, in order
-	arrived       int         // requests
-	served        int         // attempts
-	digest        *Digest     // of all actions, nil for none
+	node          string      // the node that is listed
+	queueFullRate float64     // fraction of the attempts that the node rejects with a full queue
+	sent          []sentUnits // sends to the node, in order
+	arrived       int         // number of requests
+	served        int         // number of attempts
+	digest        *Digest     // digest of all actions, nil for none
 }
 
-// fleetLatency is how long a node takes for any attempt.
+// fleetLatency is the time in which a node ends any attempt.
 const fleetLatency = 20 * ms
 
+// sentUnits is one send to the node.
 type sentUnits struct {
 	at    Time
 	units float64
 }
 
+// fleetEvent is an event that an instance will handle.
 type fleetEvent struct {
 	at       Time
 	instance int
-	event    Event // nil for the next arrival, at an instance drawn then
+	event    Event // nil for the next arrival, whose instance is drawn at that time
 }
 
+// fleetEvents is a heap of events by time.
 type fleetEvents []fleetEvent
 
 func (q fleetEvents) Len() int           { return len(q) }
@@ -60,16 +64,17 @@
 	f := &fleet{settings: s, random: rand.New(rand.NewPCG(seed, 9)), now: time.Minute}
 	sum := 0.0
 	for i := range s.Instances {
-		h, _ := New(s, seed<<16+uint64(i)+1, f.now)
-		f.instances = append(f.instances, h)
-		sum += f.random.ExpFloat64() // some get several times the mean, some next to nothing
+		scheduler, _ := New(s, seed<<16+uint64(i)+1, f.now)
+		f.instances = append(f.instances, scheduler)
+		sum += f.random.ExpFloat64() // some instances get several times the mean, some next to nothing
 		f.cumulativeShare = append(f.cumulativeShare, sum)
 	}
 	f.attempts = map[uint64]int{}
 	return f
 }
 
-// updateEndpoints lists one node to all instances, to each within a second.
+// updateEndpoints lists one node to all instances. Each gets the update at a random time within a
+// second.
 func (f *fleet) updateEndpoints(node string, started Time) {
 	f.node = node
 	for i := range f.instances {
@@ -77,7 +82,7 @@
 	}
 }
 
-// run simulates some time with a rate of arrivals of mean size, in requests a second.
+// run simulates the time d with arrivals of mean size at a rate in requests per second.
 func (f *fleet) run(d time.Duration, rate float64) {
 	end := f.now + d
 	if !f.arrivalsStarted {
@@ -103,10 +108,10 @@
 	heap.Push(&f.queue, fleetEvent{f.now + Time(f.random.ExpFloat64()/rate*float64(time.Second)), 0, nil})
 }
 
-// drawArrival draws a request and the instance that it arrives at.
+// drawArrival draws a request and the instance at which it arrives.
 func (f *fleet) drawArrival() (instance int, arrival Arrival) {
-	x := f.random.Float64() * f.cumulativeShare[len(f.cumulativeShare)-1]
-	for f.cumulativeShare[instance] < x {
+	position := f.random.Float64() * f.cumulativeShare[len(f.cumulativeShare)-1]
+	for f.cumulativeShare[instance] < position {
 		instance++
 	}
 	f.lastID++
@@ -133,7 +138,7 @@
 	}
 }
 
-// serve has the node respond to an attempt, or reject it with a full queue.
+// serve makes the node respond to an attempt, or reject it with a full queue.
 func (f *fleet) serve(instance int, send Send) {
 	if send.Node == f.node {
 		f.sent = append(f.sent, sentUnits{f.now, f.settings.MeanUnits})
@@ -153,40 +158,41 @@
 	heap.Push(&f.queue, fleetEvent{f.now + fleetLatency, instance, ended})
 }
 
-// worstOverload returns the most that was sent to a node, which started then, within any overload
-// window: as a multiple of the N requests that it can bear, and of N plus what chance explains
-// (two standard deviations and two requests).
-func (f *fleet) worstOverload(started Time, units float64) (beyondChance, beyond float64) {
+// worstOverload returns the maximum, over all overload windows, of what was sent to a node that
+// started at a given time. The first result is relative to N requests, the capacity of the node in
+// that window, plus what chance explains (two standard deviations and two requests). The second is
+// relative to N alone.
+func (f *fleet) worstOverload(started Time, units float64) (ratioWithChance, ratio float64) {
 	s := f.settings
-	from, sum := 0, 0.0
-	for _, x := range f.sent {
-		if x.at < started {
-			from++
+	first, sum := 0, 0.0
+	for _, send := range f.sent {
+		if send.at < started {
+			first++
 			continue
 		}
-		sum += x.units
-		for f.sent[from].at <= x.at-s.SlowStart.OverloadWindow {
-			sum -= f.sent[from].units
-			from++
+		sum += send.units
+		for f.sent[first].at <= send.at-s.SlowStart.OverloadWindow {
+			sum -= f.sent[first].units
+			first++
 		}
-		age := math.Min(1, float64(x.at-started)/float64(s.SlowStart.WarmupDuration))
-		now := s.SlowStart.OverloadFactor * units * (s.SlowStart.InitialFraction + (1-s.SlowStart.InitialFraction)*age) * s.SlowStart.OverloadWindow.Seconds() / s.MeanUnits
-		beyondChance = max(beyondChance, sum/s.MeanUnits/(now+2*math.Sqrt(now)+2))
-		beyond = max(beyond, sum/s.MeanUnits/now)
+		age := math.Min(1, float64(send.at-started)/float64(s.SlowStart.WarmupDuration))
+		capacity := s.SlowStart.OverloadFactor * units * (s.SlowStart.InitialFraction + (1-s.SlowStart.InitialFraction)*age) * s.SlowStart.OverloadWindow.Seconds() / s.MeanUnits
+		ratioWithChance = max(ratioWithChance, sum/s.MeanUnits/(capacity+2*math.Sqrt(capacity)+2))
+		ratio = max(ratio, sum/s.MeanUnits/capacity)
 	}
-	return beyondChance, beyond
+	return ratioWithChance, ratio
 }
 
-// Each instance decides by itself what it sends a node that has just started. Added up over all
-// instances, that stays within what the node bears, and is not next to nothing. The instances have
-// uneven traffic and served the node's shard before, some of them restart, and the node rejects some
-// of the requests.
+// Verifies that what all instances together send to a node that has just started stays within its
+// capacity, although each instance decides by itself, and that a fair part of the requests is served.
+// The instances get uneven traffic, and the node's shard served them before. Some of them restart, and
+// the node rejects some of the requests.
 func TestSlowStartOfFleetStaysWithinCapacity(t *testing.T) {
 	if testing.Short() {
 		t.Skip("takes a minute")
 	}
 	for _, instances := range []int{4, 10, 20, 30, 140, 300} {
-		for _, units := range []float64{20, 120, 600} { // a second that the node serves when it is warm
+		for _, units := range []float64{20, 120, 600} { // units per second that the node serves when it is warm
 			for _, load := range []float64{0.4, 0.6, 0.9, 1.3} {
 				for _, restarts := range []int{0, 3} {
 					checkSlowStartFleet(t, instances, units, load, restarts)
@@ -198,23 +204,23 @@
 
 func checkSlowStartFleet(t *testing.T, instances int, units, load float64, restarts int) {
 	const seeds = 2
-	var beyondChance, beyond, served float64
+	var ratioWithChance, ratio, served float64
 	for seed := range uint64(seeds) {
-		c, n, fraction := runSlowStartFleet(seed, instances, units, load, restarts)
-		beyondChance, beyond, served = max(beyondChance, c), max(beyond, n), served+fraction/seeds
+		seedRatioWithChance, seedRatio, seedServed := runSlowStartFleet(seed, instances, units, load, restarts)
+		ratioWithChance, ratio, served = max(ratioWithChance, seedRatioWithChance), max(ratio, seedRatio), served+seedServed/seeds
 	}
-	result := fmt.Sprintf("%d instances, %v units a second, load %v, %d tenths restarted: at most %.2f of N + 2 sqrt N + 2, %.2f of N; served %.2f",
-		instances, units, load, restarts, beyondChance, beyond, served)
+	result := fmt.Sprintf("%d instances, %v units per second, load %v, %d tenths restarted: at most %.2f of N + 2 sqrt N + 2, %.2f of N; served fraction %.2f",
+		instances, units, load, restarts, ratioWithChance, ratio, served)
 	t.Log(result)
-	if beyondChance > 1 {
-		t.Errorf("a node that warms up is overloaded: %s", result)
+	if ratioWithChance > 1 {
+		t.Errorf("the starting node is overloaded: %s", result)
 	}
 	if served < 0.25 {
-		t.Errorf("next to nothing is served: %s", result)
+		t.Errorf("too few requests are served: %s", result)
 	}
 }
 
-// slowStartSettings are settings with slow start for nodes that serve so many units a second.
+// slowStartSettings returns settings with slow start, for nodes that serve the given units per second.
 func slowStartSettings(instances int, units float64) Settings {
 	return testSettings(func(s *Settings) {
 		s.Instances = instances
@@ -225,23 +231,23 @@
 	})
 }
 
-// runSlowStartFleet replaces the node of a shard by one that has just started. It returns
-// worstOverload, and the fraction of the arrivals that was served in the first 9 s.
-func runSlowStartFleet(seed uint64, instances int, units, load float64, restarts int) (beyondChance, beyond, served float64) {
+// runSlowStartFleet replaces the node of a shard by a node that has just started. It returns the
+// results of worstOverload, and the fraction of the arrivals that was served in the first 9 s.
+func runSlowStartFleet(seed uint64, instances int, units, load float64, restarts int) (ratioWithChance, ratio, served float64) {
 	s := slowStartSettings(instances, units)
 	f := newFleet(s, seed)
 	f.updateEndpoints("A", 0)
-	f.run(40*time.Second, min(load, 0.95)*units/s.MeanUnits) // it could not have served more
+	f.run(40*time.Second, min(load, 0.95)*units/s.MeanUnits) // the node cannot serve more than its capacity
 	started := f.now - 300*ms
 	f.sent, f.served, f.arrived, f.queueFullRate = nil, 0, 0, 0.1
 	f.updateEndpoints("B", started)
 	for i := range 9 {
-		for k := i; i < restarts && k < instances; k += 10 { // a tenth of the instances at a time
+		for k := i; i < restarts && k < instances; k += 10 { // a tenth of the instances restarts
 			f.instances[k], _ = New(s, seed<<20+uint64(k*10+i), f.now)
 			heap.Push(&f.queue, fleetEvent{f.now + 100*ms, k, EndpointUpdate{Full: true, Endpoints: []Endpoint{{Node: "B", Started: started}}}})
 		}
 		f.run(time.Second, load*units/s.MeanUnits)
 	}
-	beyondChance, beyond = f.worstOverload(started, units)
-	return beyondChance, beyond, float64(f.served) / float64(f.arrived)
+	ratioWithChance, ratio = f.worstOverload(started, units)
+	return ratioWithChance, ratio, float64(f.served) / float64(f.arrived)
 }
--- a/scheduler/golden_test.go
+++ b/scheduler/golden_test.go
@@ -17,10 +17,10 @@
 	"time"
 )
 
-var update = flag.Bool("update", false, "record the digests of the scheduler's actions anew")
+var update = flag.Bool("update", false, "record the digests of the scheduler's actions again")
 
-// Digest sums up the actions of a history by their kinds and values. It holds no name of a type or
-// field, so that renaming one leaves it as it is and a change of a decision does not.
+// Digest is a hash of the kinds and values of a history of actions. It does not depend on the names of
+// types or fields, so renaming one does not change it, but any change of a decision does.
 type Digest struct{ hash hash.Hash }
 
 // NewDigest returns the digest of no actions.
@@ -34,8 +34,8 @@
 	}
 }
 
-// writeAction writes an action's kind, as a word of its own, and its values in a fixed order, all
-// as integers or quoted text. A kind that is unknown here is a fault of this file.
+// writeAction writes an action's kind, as a word, and its values in a fixed order, as integers or
+// quoted text. It panics if this file has no encoding for the kind.
 func writeAction(w io.Writer, action Action) {
 	switch a := action.(type) {
 	case Send:
@@ -56,7 +56,7 @@
 // Sum returns the digest as text, shortened to 12 bytes.
 func (d *Digest) Sum() string { return hex.EncodeToString(d.hash.Sum(nil)[:12]) }
 
-// CheckGolden compares digests with those recorded under a name.
+// CheckGolden compares digests with those recorded in the golden file of the given name.
 func CheckGolden(t *testing.T, name string, sums map[string]string) {
 	t.Helper()
 	if runtime.GOARCH != "amd64" {
@@ -90,10 +90,10 @@
 			changed++
 		}
 	}
-	t.Errorf("%d of %d histories give other actions than those recorded in %s", changed, len(sums), file)
+	t.Errorf("%d of %d histories give actions that differ from those recorded in %s", changed, len(sums), file)
 }
 
-// The actions of whole fleets are those recorded.
+// Verifies that the actions of whole fleets are the recorded ones.
 func TestGoldenFleets(t *testing.T) {
 	sums := map[string]string{}
 	for _, instances := range []int{4, 30, 140} {
--- a/scheduler/harness_test.go
+++ b/scheduler/harness_test.go
@@ -8,8 +8,8 @@
 
 const ms = time.Millisecond
 
-// testSettings returns settings with one instance, one plan without reserve or limit, and a class
-// of each effect. Tests change what they need to.
+// testSettings returns settings with one instance, one plan without reserve or limit, and a class of
+// each effect, as altered by the given functions.
 func testSettings(change ...func(*Settings)) Settings {
 	s := Settings{Instances: 1, MaxUnits: 6, MeanUnits: 2, MaxAttempts: 4, ExcessWeight: 1,
 		Classes: []Class{
@@ -24,16 +24,16 @@
 	return s
 }
 
-// harness drives a scheduler on a clock of its own and records what it sends.
+// harness drives a scheduler on a simulated clock and records its sends.
 type harness struct {
 	scheduler *Scheduler
 	now       Time
-	actions   []Action
+	actions   []Action // returned by the last call of Handle
 	sends     []Send
-	attempts  map[uint64]int
+	attempts  map[uint64]int // number of attempts, by request id
 }
 
-// newHarness starts a scheduler with the nodes on its list.
+// newHarness starts a scheduler whose endpoint list holds the given nodes.
 func newHarness(t *testing.T, s Settings, nodes ...Endpoint) *harness {
 	t.Helper()
 	scheduler, err := New(s, 1, time.Minute)
@@ -45,7 +45,7 @@
 	return h
 }
 
-// handleAfter moves the clock on, reports the events and returns the actions.
+// handleAfter advances the clock, reports the events and returns the actions.
 func (h *harness) handleAfter(after time.Duration, events ...Event) []Action {
 	h.now += after
 	h.actions = h.scheduler.Handle(h.now, events)
@@ -58,7 +58,7 @@
 	return h.actions
 }
 
-// runFor fires a timer every 5 ms for some time and returns all actions.
+// runFor advances the clock by d, reports TimerFired every 5 ms, and returns all actions.
 func (h *harness) runFor(d time.Duration) (all []Action) {
 	for end := h.now + d; h.now < end; {
 		all = append(all, h.handleAfter(min(5*ms, end-h.now), TimerFired{})...)
@@ -79,19 +79,19 @@
 	return ids
 }
 
-// finalResponses returns the final responses among actions by request: "r" for a rejection, "f"
+// finalResponses returns the final responses among actions, by request id: "r" for a rejection, "f"
 // for a failure.
-func finalResponses(acts []Action) map[uint64]string {
-	m := map[uint64]string{}
-	for _, a := range acts {
+func finalResponses(actions []Action) map[uint64]string {
+	responses := map[uint64]string{}
+	for _, a := range actions {
 		switch a := a.(type) {
 		case Reject:
-			m[a.ID] += "r"
+			responses[a.ID] += "r"
 		case Fail:
-			m[a.ID] += "f"
+			responses[a.ID] += "f"
 		}
 	}
-	return m
+	return responses
 }
 
 // newArrival returns a request of the first class for volume v on shard 0.
--- a/scheduler/membership_test.go
+++ b/scheduler/membership_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// A draining node gets nothing new from the moment of the update. What was queued for it goes to the
-// next node of its shard.
+// Verifies that a draining node gets no requests after the update, and that the requests queued for it
+// go to the next node of its shard.
 func TestDrainingNodeGetsNoRequests(t *testing.T) {
 	h := newHarness(t, testSettings(), nodeA)
 	h.scheduler.members.nodes[0].window = 1
@@ -16,27 +16,28 @@
 	h.endAttempt(1, OK)
 	assertEqual(t, "sent to the draining node", len(h.sends), 1)
 	h.handleAfter(10*ms, EndpointUpdate{Endpoints: []Endpoint{{Node: "A2", Shard: 0}}})
-	assertEqual(t, "next node", h.sends[len(h.sends)-1], Send{ID: 2, Node: "A2"})
+	assertEqual(t, "last send, to the next node of the shard", h.sends[len(h.sends)-1], Send{ID: 2, Node: "A2"})
 }
 
-// With polled discovery the scheduler asks for the endpoint list at its start, and again after a pause
-// where the call failed.
+// Verifies that the scheduler with polled discovery asks for the endpoint list at its start, and again
+// after a pause if the call failed.
 func TestPolledDiscoveryIsRetried(t *testing.T) {
 	h := newHarness(t, testSettings(func(s *Settings) { s.PollDiscovery = true }))
-	count := func(actions []Action) (n int) {
+	countCalls := func(actions []Action) (calls int) {
 		for _, a := range actions {
 			if _, ok := a.(WatchEndpoints); ok {
-				n++
+				calls++
 			}
 		}
-		return n
+		return calls
 	}
-	assertEqual(t, "at the start", count(h.actions), 1)
+	assertEqual(t, "calls at the start", countCalls(h.actions), 1)
 	h.handleAfter(0, EndpointUpdate{Failed: true})
-	assertEqual(t, "after a failed call", count(h.runFor(1100*ms)), 1)
+	assertEqual(t, "calls after a failed one", countCalls(h.runFor(1100*ms)), 1)
 }
 
-// Nodes are replaced all the time in a fleet. Those removed from the list leave nothing behind.
+// Guards against memory that grows as nodes are replaced in a fleet: nodes that are removed from the
+// list must leave no state behind.
 func TestRemovedNodesAreForgotten(t *testing.T) {
 	h := newHarness(t, testSettings())
 	for i := range 5000 {
@@ -47,10 +48,10 @@
 		h.handleAfter(0, EndpointUpdate{Endpoints: []Endpoint{{Node: name, State: Removed}}})
 	}
 	if n := len(h.scheduler.members.nodes); n > 1 {
-		t.Errorf("%d nodes are kept, want those of the list alone", n)
+		t.Errorf("%d nodes are kept, want at most 1", n)
 	}
 	h.runFor(20 * time.Second)
 	if n := len(h.scheduler.volumes) + len(h.scheduler.attempts) + len(h.scheduler.requests); n > 0 {
-		t.Errorf("%d volumes, attempts and requests are kept", n)
+		t.Errorf("%d volumes, attempts and requests are kept, want 0", n)
 	}
 }
--- a/scheduler/placement_test.go
+++ b/scheduler/placement_test.go
@@ -4,7 +4,8 @@
 	"testing"
 )
 
-// A new object may go to any node and goes to the one with the least expected wait.
+// Verifies that a new object, which any node may store, is sent to the node with the least expected
+// wait.
 func TestNewObjectGoesToLeastLoadedNode(t *testing.T) {
 	h := newHarness(t, testSettings(), nodeA, nodeB)
 	h.handleAfter(0, newArrival(1), newArrival(2), newArrival(3), newArrival(4))
@@ -12,8 +13,8 @@
 	assertEqual(t, "node", h.sends[len(h.sends)-1], Send{ID: 5, Node: "B"})
 }
 
-// Instances that know the same of all nodes sent their new objects to the first of the list, all of
-// them. The search now starts at a random node.
+// Guards against all instances sending their new objects to the first node of the list when they know
+// the same about all nodes. The search starts at a random node.
 func TestNewObjectsOfManyInstancesAreSpread(t *testing.T) {
 	var nodes []Endpoint
 	for i := range 10 {
@@ -33,10 +34,10 @@
 	}
 	for node, count := range countByNode {
 		if count > 12 {
-			t.Errorf("node %s takes %d of 40 first objects", node, count)
+			t.Errorf("node %s gets %d of 40 first objects, want at most 12", node, count)
 		}
 	}
 	if len(countByNode) < 7 {
-		t.Errorf("%d nodes of 10 are used", len(countByNode))
+		t.Errorf("%d of 10 nodes get an object, want at least 7", len(countByNode))
 	}
 }
--- a/scheduler/retries_test.go
+++ b/scheduler/retries_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// A request is retried where its effect or the outcome of its attempt rules out that it runs twice,
-// and otherwise fails at once.
+// Verifies that a request is retried if its effect or the outcome of its attempt rules out that it
+// runs twice, and otherwise fails at once.
 func TestRetryByEffectAndOutcome(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -20,7 +20,7 @@
 		{"non-idempotent, error", 1, Failed, false, "f"},
 		{"non-idempotent, reset", 1, Reset, false, "f"},
 		{"non-idempotent, cancelled", 1, Cancelled, false, "f"},
-		{"non-idempotent, full", 1, QueueFull, true, ""},
+		{"non-idempotent, queue full", 1, QueueFull, true, ""},
 		{"non-idempotent, not connected", 1, ConnectFailed, true, ""},
 		{"non-idempotent, not sent", 1, NotSent, true, ""},
 		{"idempotent, reset", 2, Reset, true, ""},
@@ -36,9 +36,9 @@
 	}
 }
 
-// The nodes of one deduplication scope drop repeats of an idempotent request for the length of the
-// window. A retry at another node, or later, could run a second time: the request is failed then, or
-// rejected where a later retry by the client is harmless.
+// Guards against an idempotent request that runs twice. Only the nodes of one deduplication scope drop
+// repeats, and only during the window, so a retry at another node or later could run again. The
+// request must then fail or, if a later retry by the client is harmless, be rejected.
 func TestIdempotentRetryStaysInDeduplicationScopeAndWindow(t *testing.T) {
 	other := Endpoint{Node: "A2", Shard: 0, Zone: 1}
 	for _, c := range []struct {
@@ -70,7 +70,7 @@
 	}
 }
 
-// After the last attempt allowed, a request that never ran is rejected.
+// Verifies that a request that never ran is rejected after its last permitted attempt.
 func TestMaxAttempts(t *testing.T) {
 	h := newHarness(t, testSettings(func(s *Settings) { s.MaxAttempts = 2 }), nodeA)
 	h.handleAfter(0, newArrival(1))
@@ -80,18 +80,18 @@
 	assertEqual(t, "response", finalResponses(h.endAttempt(1, QueueFull))[1], "r")
 }
 
-// Retries of one outage must not double the load of the next. They are bounded by a few, and a
-// fraction of the requests that arrived, within a window.
+// Guards against the load of retries during an outage. Within a window, retries must not exceed a
+// small number plus a fraction of the requests that arrived.
 func TestRetryBudget(t *testing.T) {
 	s := testSettings(func(s *Settings) {
 		s.RetryBudget = &RetryBudget{MinRetries: 1, Ratio: 0.5, Window: 5 * time.Second}
 		s.MaxAttempts = 0
 	})
 	h := newHarness(t, s, nodeA)
-	h.runFor(s.RetryBudget.Window + ms) // the budget counts as spent until then
+	h.runFor(s.RetryBudget.Window + ms) // until then the budget counts as spent
 	h.scheduler.members.nodes[0].window = 8
-	long := func(a *Arrival) { a.TimeRemaining = time.Minute }
-	h.handleAfter(0, newArrival(1, long), newArrival(2, long))
+	longWait := func(a *Arrival) { a.TimeRemaining = time.Minute }
+	h.handleAfter(0, newArrival(1, longWait), newArrival(2, longWait))
 	for range 20 { // two arrivals: 1 + 0.5*2 retries in five seconds
 		for id := range h.attempts {
 			h.endAttempt(id, QueueFull)
@@ -101,25 +101,25 @@
 	assertEqual(t, "attempts", h.attempts[1]+h.attempts[2], 4)
 }
 
-// An instance that restarts does not know the retries of its earlier process. It makes none for as
-// long as they may count against the budget.
+// Verifies that an instance makes no retries for one window after its start, because it does not know
+// how much of the budget its earlier process has spent.
 func TestRetryBudgetCountsAsSpentAfterRestart(t *testing.T) {
 	s := testSettings(func(s *Settings) {
 		s.RetryBudget = &RetryBudget{MinRetries: 3, Ratio: 1, Window: 2 * time.Second}
 	})
 	h := newHarness(t, s, nodeA)
-	long := func(a *Arrival) { a.TimeRemaining = time.Minute }
-	h.handleAfter(0, newArrival(1, long))
+	longWait := func(a *Arrival) { a.TimeRemaining = time.Minute }
+	h.handleAfter(0, newArrival(1, longWait))
 	h.endAttempt(1, Reset)
 	h.runFor(s.RetryBudget.Window - 100*ms)
 	assertEqual(t, "attempts within a window of the start", h.attempts[1], 1)
 	assertEqual(t, "reason", h.scheduler.WaitReason(1), ReasonRetryBudget)
 	h.runFor(200 * ms)
-	assertEqual(t, "attempts after it", h.attempts[1], 2)
+	assertEqual(t, "attempts after the window", h.attempts[1], 2)
 }
 
-// A body that was streamed to a node is gone, so its request cannot be sent again. It gets its final
-// response at once: a rejection where a retry by the client is harmless, otherwise a failure.
+// Verifies that a request whose body was streamed to a node, and is no longer available, gets its
+// final response at once: a rejection if a retry by the client is harmless, otherwise a failure.
 func TestRequestWithConsumedBodyIsNotRetried(t *testing.T) {
 	for _, c := range []struct {
 		effect   Effect
@@ -138,7 +138,7 @@
 		for _, a := range actions {
 			switch a.(type) {
 			case Send:
-				t.Errorf("%+v: retried", c)
+				t.Errorf("%+v: request was retried", c)
 			case Reject:
 				rejected = true
 			case Fail:
@@ -146,7 +146,7 @@
 			}
 		}
 		if rejected != c.rejected || failed == c.rejected {
-			t.Errorf("%+v: rejected %v, failed %v", c, rejected, failed)
+			t.Errorf("%+v: got rejected %v, failed %v", c, rejected, failed)
 		}
 	}
 }
--- a/scheduler/send_rules_test.go
+++ b/scheduler/send_rules_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// waitReasonSettings has a rule of every kind.
+// waitReasonSettings changes settings so that each send rule can block.
 func waitReasonSettings(s *Settings) {
 	s.ExcessWeight, s.KeyCooldown = 0.3, time.Second
 	s.Classes[0].Ordered, s.Classes[1].PriorityWeight = true, 1
@@ -14,7 +14,7 @@
 	s.SlowStart = SlowStart{WarmupDuration: 10 * time.Second, InitialFraction: 0.25, MinUnits: 1, OverloadWindow: time.Second, OverloadFactor: 1}
 }
 
-// A request that waits reports the reason of the first rule that blocks it.
+// Verifies that WaitReason returns the reason of the first rule that blocks a waiting request.
 func TestWaitReason(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -24,7 +24,7 @@
 		{"unknown", ReasonAllowed, func(h *harness) uint64 { return 99 }},
 		{"in flight", ReasonAllowed, func(h *harness) uint64 { h.handleAfter(0, newArrival(1)); return 1 }},
 		{"no node of the shard", ReasonNoNode, func(h *harness) uint64 { h.handleAfter(0, newArrival(1, withShard(7))); return 1 }},
-		{"behind another of its key", ReasonKeyOrder, func(h *harness) uint64 {
+		{"behind another request of its key", ReasonKeyOrder, func(h *harness) uint64 {
 			h.handleAfter(0, newArrival(1, withKey("k")), newArrival(2, withKey("k")))
 			return 2
 		}},
@@ -33,7 +33,7 @@
 			h.endAttempt(1, Reset)
 			return 2
 		}},
-		{"after a queue full", ReasonRetryBackoff, func(h *harness) uint64 { h.handleAfter(0, newArrival(1)); h.endAttempt(1, QueueFull); return 1 }},
+		{"after a full queue", ReasonRetryBackoff, func(h *harness) uint64 { h.handleAfter(0, newArrival(1)); h.endAttempt(1, QueueFull); return 1 }},
 		{"breaker open", ReasonBreakerOpen, func(h *harness) uint64 {
 			n := h.scheduler.members.nodes[0]
 			n.breaker.open, n.breaker.trialAt = true, h.now+time.Hour
@@ -78,21 +78,21 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			h := newHarness(t, testSettings(waitReasonSettings), nodeA)
-			h.runFor(2 * time.Second) // the limit's bucket fills
+			h.runFor(2 * time.Second) // fills the bucket of the limit
 			id := c.setUp(h)
 			if got := h.scheduler.WaitReason(id); got != c.want {
-				t.Errorf("request %d waits for %v, want %v", id, got, c.want)
+				t.Errorf("request %d has wait reason %v, want %v", id, got, c.want)
 			}
 		})
 	}
 }
 
-// Every reason has a name of its own, and every rule a reason and a condition.
+// Verifies that each reason has a unique name, and each send rule a reason and a condition.
 func TestReasonsAndSendRulesAreNamed(t *testing.T) {
 	seen := map[string]bool{}
 	for reason := ReasonAllowed; reason < reasonCount; reason++ {
 		if name := reason.String(); name == "" || name == "unknown" || seen[name] {
-			t.Errorf("reason %d has the name %q", reason, name)
+			t.Errorf("reason %d has the name %q, want a unique one", reason, name)
 		} else {
 			seen[name] = true
 		}
@@ -100,7 +100,7 @@
 	for _, list := range [][]sendRule{nodeRules, profileRules, requestRules} {
 		for _, rule := range list {
 			if rule.reason == ReasonAllowed || rule.blocks == nil {
-				t.Errorf("a send rule without a reason or a condition: %+v", rule.reason)
+				t.Errorf("send rule without a reason or a condition: %+v", rule.reason)
 			}
 		}
 	}
--- a/scheduler/slow_start_test.go
+++ b/scheduler/slow_start_test.go
@@ -6,16 +6,17 @@
 	"time"
 )
 
-// With forty instances, each one's even part of what a starting node bears in a window is less than a
-// request. The node is used all the same, and within what it bears in every window.
-func TestSlowStartAccruesOverManyInstances(t *testing.T) {
+// Verifies slow start with forty instances, where an instance's even share of the capacity of a
+// starting node in a window is less than one request. The node must still be used, and not get more
+// than its capacity in any window.
+func TestSlowStartWithShareBelowOneRequest(t *testing.T) {
 	const instances, minUnits = 40, 24.0
 	s := testSettings(func(s *Settings) {
 		s.Instances = instances
 		s.SlowStart = SlowStart{WarmupDuration: 10 * time.Second, InitialFraction: 0.5, MinUnits: minUnits, OverloadWindow: time.Second}
 		s.Plans[0].Reserve = 100
 	})
-	sent := map[int]float64{} // units by tenth of a second
+	sent := map[int]float64{} // units sent, by tenth of a second
 	for seed := uint64(1); seed <= instances; seed++ {
 		scheduler, err := New(s, seed, 0)
 		if err != nil {
@@ -25,71 +26,72 @@
 		for i := range 50 {
 			now := 2*time.Second + time.Duration(i)*100*ms
 			for _, a := range scheduler.Handle(now, []Event{newArrival(uint64(i+1), func(a *Arrival) { a.TimeRemaining = 200 * ms })}) {
-				if x, ok := a.(Send); ok {
+				if send, ok := a.(Send); ok {
 					sent[i] += 2
-					scheduler.Handle(now, []Event{AttemptEnded{ID: x.ID, Outcome: OK, Responded: true, Node: "A"}})
+					scheduler.Handle(now, []Event{AttemptEnded{ID: send.ID, Outcome: OK, Responded: true, Node: "A"}})
 				}
 			}
 		}
 	}
-	var all float64
+	var total float64
 	for i := range 50 {
 		var window float64
 		for k := i; k < i+10; k++ {
 			window += sent[k]
 		}
-		if most := minUnits * (1 + max(0, float64(i)-10)/100) * 1.5; window > most {
-			t.Errorf("window from %d: %v units, more than %v", i, window, most)
+		if maxUnits := minUnits * (1 + max(0, float64(i)-10)/100) * 1.5; window > maxUnits {
+			t.Errorf("window from %d: %v units sent, want at most %v", i, window, maxUnits)
 		}
-		all += sent[i]
+		total += sent[i]
 	}
-	if all < minUnits*5/2 {
-		t.Errorf("%v units in five windows of %v: the node is left idle", all, minUnits)
+	if total < minUnits*5/2 {
+		t.Errorf("%v units sent in five windows of %v, want at least half of that", total, minUnits)
 	}
 }
 
-// The capacity of a starting node is not known. What an instance was served on its shard before shows
-// its part of what the node bore, and it may send a fraction of that.
-func TestSlowStartFollowsUnitsServedBefore(t *testing.T) {
+// Verifies that an instance may send a starting node a fraction of what the node's shard served for it
+// before. The capacity of the node is not known, but was at least that.
+func TestSlowStartRateFollowsServedRate(t *testing.T) {
 	s := testSettings(func(s *Settings) {
 		s.Instances = 100
 		s.SlowStart = SlowStart{WarmupDuration: 10 * time.Second, InitialFraction: 0.25, MinUnits: 1, OverloadWindow: time.Second, OverloadFactor: 3}
 	})
 	h := newHarness(t, s, nodeA, nodeB)
-	for id := uint64(1); id <= 400; id++ { // 20 units a second on A, none on B
+	for id := uint64(1); id <= 400; id++ { // 20 units per second at A, none at B
 		h.handleAfter(100*ms, newArrival(id))
 		h.endAttempt(id, OK)
 	}
 	h.handleAfter(0, EndpointUpdate{Endpoints: []Endpoint{{Node: "A", Shard: 0, Started: h.now}, {Node: "B", Shard: 1, Started: h.now}}})
-	a, b := h.scheduler.members.nodes[0].slowStart.rate, h.scheduler.members.nodes[1].slowStart.rate
-	if want := 3.0 * 0.25 * 20; math.Abs(a-want) > want/5 {
-		t.Errorf("rate at A %.2f, want about %.2f", a, want)
+	rateA, rateB := h.scheduler.members.nodes[0].slowStart.rate, h.scheduler.members.nodes[1].slowStart.rate
+	if want := 3.0 * 0.25 * 20; math.Abs(rateA-want) > want/5 {
+		t.Errorf("rate at A is %.2f, want about %.2f", rateA, want)
 	}
-	if b > a/10 {
-		t.Errorf("rate at B %.2f, where nothing was served, against %.2f at A", b, a)
+	if rateB > rateA/10 {
+		t.Errorf("rate at B, where nothing was served, is %.2f, want at most a tenth of %.2f at A", rateB, rateA)
 	}
 }
 
-// Two nodes shared a shard. One that restarts bears its half of what both bore, not all of it.
-func TestSlowStartOfNodeThatSharesItsShard(t *testing.T) {
+// Verifies that a restarting node that shares its shard with another node gets half of the load that
+// both served, not all of it.
+func TestSlowStartRateIsDividedAmongNodesOfShard(t *testing.T) {
 	s := testSettings(func(s *Settings) {
 		s.Instances = 100
 		s.SlowStart = SlowStart{WarmupDuration: 10 * time.Second, InitialFraction: 0.25, MinUnits: 1, OverloadWindow: time.Second, OverloadFactor: 3}
 	})
 	both := []Endpoint{{Node: "A", Shard: 0}, {Node: "B", Shard: 0}}
 	h := newHarness(t, s, both...)
-	for id := uint64(1); id <= 400; id++ { // 20 units a second on the shard
+	for id := uint64(1); id <= 400; id++ { // 20 units per second on the shard
 		h.handleAfter(100*ms, newArrival(id))
 		h.endAttempt(id, OK)
 	}
 	h.handleAfter(0, EndpointUpdate{Endpoints: []Endpoint{{Node: "A", Shard: 0, Started: h.now}}})
-	if a, want := h.scheduler.members.nodes[0].slowStart.rate, 3.0*0.25*20/2; math.Abs(a-want) > want/5 {
-		t.Errorf("rate at A %.2f, want about %.2f", a, want)
+	if rateA, want := h.scheduler.members.nodes[0].slowStart.rate, 3.0*0.25*20/2; math.Abs(rateA-want) > want/5 {
+		t.Errorf("rate at A is %.2f, want about %.2f", rateA, want)
 	}
 }
 
-// After its own start an instance sends nothing to a starting node for one window: its earlier process
-// may have sent all that the node bears in it.
+// Verifies that an instance sends nothing to a starting node for one window after its own start,
+// because its earlier process may have sent all that the node can serve in that window.
 func TestSlowStartWindowCountsAsSpentAfterRestart(t *testing.T) {
 	s := testSettings(func(s *Settings) {
 		s.SlowStart = SlowStart{WarmupDuration: 10 * time.Second, InitialFraction: 0.25, MinUnits: 12, OverloadWindow: time.Second}
@@ -99,13 +101,13 @@
 	h.runFor(900 * ms)
 	assertEqual(t, "sent in the first window", len(h.sends), 0)
 	h.runFor(300 * ms)
-	assertEqual(t, "sent after it", len(h.sends), 1)
+	assertEqual(t, "sent after the first window", len(h.sends), 1)
 }
 
-// During a rolling release, exports and requests beyond the reserve used up what starting nodes bear,
-// while reads within reserves waited. The used part counts as pressure, so that the rest is kept for
-// higher priorities.
-func TestSlowStartIsKeptForHighPriority(t *testing.T) {
+// Guards against requests of low priority, such as exports and requests beyond the reserve, using up
+// the capacity of starting nodes while reads within reserves wait. The used part of the bucket counts
+// as pressure, so the rest is kept for higher priorities.
+func TestSlowStartPrefersHighPriority(t *testing.T) {
 	s := testSettings(func(s *Settings) {
 		s.SlowStart = SlowStart{WarmupDuration: 10 * time.Second, InitialFraction: 0.25, MinUnits: 12, OverloadWindow: time.Second}
 		s.ExcessWeight = 0.3
@@ -118,8 +120,8 @@
 	n.window = 8
 	n.slowStart.level = n.slowStart.capacity / 2
 	h.handleAfter(0, newArrival(1, withVolume("excess", 0), withUnits(1)), newArrival(10, withVolume("reserved", 1), withUnits(1)))
-	assertEqual(t, "sent with half of the bucket", h.sentIDs(), []uint64{10})
+	assertEqual(t, "sent with half a bucket", h.sentIDs(), []uint64{10})
 	n.slowStart.level = n.slowStart.capacity
 	h.handleAfter(20*ms, TimerFired{})
-	assertEqual(t, "sent with all of it", h.sentIDs(), []uint64{10, 1})
+	assertEqual(t, "sent with a full bucket", h.sentIDs(), []uint64{10, 1})
 }
