--- a/scheduler/reference_comparison_test.go
+++ b/scheduler/reference_comparison_test.go
@@ -12,14 +12,14 @@
 	. "maddergap/scheduler"
 )
 
-// historyShape says what kind of history is drawn.
+// historyShape says what kind of random history is drawn.
 type historyShape struct {
 	volumes, nodes, keys int
-	steps                int     // calls of Handle
-	maxArrivals          int     // in one step
+	steps                int     // number of calls of Handle
+	maxArrivals          int     // maximum number of arrivals in one step
 	faults               float64 // fraction of the attempts that end with a random outcome
-	varied               bool    // units and times differ from request to request
-	crowded              bool    // one attempt at most ends in a step
+	varied               bool    // whether units and times differ from request to request
+	crowded              bool    // whether at most one attempt ends in a step, so that queues grow
 }
 
 var historyShapes = map[string]historyShape{
@@ -32,18 +32,18 @@
 	"nodes that are sick": {volumes: 4, nodes: 4, steps: 400, maxArrivals: 4, keys: 3, faults: 0.8},
 }
 
-// drawnHistory draws the events of a history from a seed, in part from the actions that a scheduler
-// gives: attempts end that were sent, and timers fire that were set.
-type drawnHistory struct {
+// randomHistory draws the events of a random history from a seed. Some events depend on the actions of
+// the scheduler: only attempts that were sent end, and only timers that were set fire.
+type randomHistory struct {
 	random     *rand.Rand
 	settings   Settings
 	shape      historyShape
 	now        Time
-	timerAt    Time // 0 for none
-	id         uint64
+	timerAt    Time   // when the timer fires, 0 for none
+	id         uint64 // id of the last request
 	arrivedIDs []uint64
 	inFlight   []inFlightAttempt
-	attempts   map[uint64]int // by request
+	attempts   map[uint64]int // number of attempts, by request id
 	nodes      []Endpoint
 }
 
@@ -53,8 +53,8 @@
 	node    string
 }
 
-func newHistory(seed uint64, shape historyShape) *drawnHistory {
-	h := &drawnHistory{random: rand.New(rand.NewPCG(seed, 1)), now: time.Hour, shape: shape, attempts: map[uint64]int{}}
+func newRandomHistory(seed uint64, shape historyShape) *randomHistory {
+	h := &randomHistory{random: rand.New(rand.NewPCG(seed, 1)), now: time.Hour, shape: shape, attempts: map[uint64]int{}}
 	h.settings = drawSettings(h.random)
 	for i := range shape.nodes {
 		h.nodes = append(h.nodes, Endpoint{Node: fmt.Sprint("n", i), Zone: i % 2, Shard: i})
@@ -87,8 +87,9 @@
 	return s
 }
 
-// run draws the history step by step and carries out the actions that handle returns.
-func (h *drawnHistory) run(handle func(step int, events []Event) []Action) {
+// run draws the history step by step. In each step it passes the events to handle and carries out the
+// actions that handle returns.
+func (h *randomHistory) run(handle func(step int, events []Event) []Action) {
 	events := []Event{h.drawEndpointUpdate()}
 	for step := range h.shape.steps {
 		h.apply(handle(step, events))
@@ -101,7 +102,7 @@
 }
 
 // apply carries out actions.
-func (h *drawnHistory) apply(actions []Action) {
+func (h *randomHistory) apply(actions []Action) {
 	for _, action := range actions {
 		switch action := action.(type) {
 		case Send:
@@ -113,8 +114,8 @@
 	}
 }
 
-// drawEvents draws what happens at one moment.
-func (h *drawnHistory) drawEvents() (events []Event) {
+// drawEvents draws the events of one step.
+func (h *randomHistory) drawEvents() (events []Event) {
 	if h.timerAt > 0 && h.now >= h.timerAt {
 		h.timerAt = 0
 		events = append(events, TimerFired{})
@@ -130,7 +131,7 @@
 		maxEnds = min(maxEnds, 1)
 	}
 	for range h.random.IntN(maxEnds + 1) {
-		events = append(events, h.drawEnd()...)
+		events = append(events, h.drawAttemptEnd()...)
 	}
 	if len(h.arrivedIDs) > 0 && h.random.IntN(12) == 0 {
 		events = append(events, ClientDisconnected{ID: h.arrivedIDs[h.random.IntN(len(h.arrivedIDs))]})
@@ -138,7 +139,7 @@
 	return events
 }
 
-func (h *drawnHistory) drawArrival() Arrival {
+func (h *randomHistory) drawArrival() Arrival {
 	h.id++
 	volume := h.random.IntN(h.shape.volumes)
 	a := Arrival{
@@ -159,7 +160,7 @@
 	return a
 }
 
-func (h *drawnHistory) drawEndpointUpdate() Event {
+func (h *randomHistory) drawEndpointUpdate() Event {
 	for i := range h.nodes {
 		switch h.random.IntN(6) {
 		case 0:
@@ -173,8 +174,8 @@
 	return EndpointUpdate{Full: true, Endpoints: append([]Endpoint(nil), h.nodes...)}
 }
 
-// drawEnd ends one of the attempts in flight.
-func (h *drawnHistory) drawEnd() (events []Event) {
+// drawAttemptEnd ends a random attempt in flight.
+func (h *randomHistory) drawAttemptEnd() (events []Event) {
 	i := h.random.IntN(len(h.inFlight))
 	a := h.inFlight[i]
 	h.inFlight[i] = h.inFlight[len(h.inFlight)-1]
@@ -193,8 +194,9 @@
 	return append(events, ended)
 }
 
-// The scheduler finds its next request by a look at a few subqueues. It decides as the reference does,
-// which looks at all that waits: the same events give the same actions in the same order.
+// Verifies that the scheduler, which looks at a few subqueues to find the next request, decides as the
+// reference does, which looks at all waiting requests: the same events give the same actions in the
+// same order.
 func TestSameAsReference(t *testing.T) {
 	for name, shape := range historyShapes {
 		t.Run(name, func(t *testing.T) {
@@ -207,7 +209,7 @@
 }
 
 func compareWithReference(t *rapid.T, seed uint64, shape historyShape) {
-	h := newHistory(seed, shape)
+	h := newRandomHistory(seed, shape)
 	scheduler, err := New(h.settings, seed, h.now)
 	if err != nil {
 		t.Fatalf("%v", err)
@@ -216,20 +218,20 @@
 	h.run(func(step int, events []Event) []Action {
 		got, want := scheduler.Handle(h.now, events), reference.Handle(h.now, events)
 		if len(got)+len(want) > 0 && !reflect.DeepEqual(got, want) {
-			t.Fatalf("seed %d, step %d at %v, after %+v:\n%+v\nwant\n%+v", seed, step, h.now-time.Hour, events, got, want)
+			t.Fatalf("seed %d, step %d at %v, after %+v:\ngot\n%+v\nwant\n%+v", seed, step, h.now-time.Hour, events, got, want)
 		}
 		return got
 	})
 }
 
-// The actions are those recorded, for a number of seeds of every kind of history.
+// Verifies that the actions are the recorded ones, for a number of seeds and every kind of history.
 func TestGoldenHistories(t *testing.T) {
 	const seeds = 40
 	sums := map[string]string{}
 	for name, shape := range historyShapes {
 		for seed := range uint64(seeds) {
 			digest := NewDigest()
-			h := newHistory(seed, shape)
+			h := newRandomHistory(seed, shape)
 			scheduler, err := New(h.settings, seed, h.now)
 			if err != nil {
 				t.Fatal(err)
@@ -245,23 +247,23 @@
 	CheckGolden(t, "histories", sums)
 }
 
-// The log of nodes asks for wait reasons and status at any time. Two schedulers with the same events
-// give the same actions, though one of them is asked all the time.
+// Guards against decisions that depend on WaitReason or Status, which the log calls at any time. Two
+// schedulers with the same events must give the same actions although only one of them is queried.
 func TestWaitReasonDoesNotChangeDecisions(t *testing.T) {
 	reasons := map[Reason]int{}
 	for _, shape := range historyShapes {
 		for seed := range uint64(5) {
-			h := newHistory(seed, shape)
-			asked, _ := New(h.settings, seed, h.now)
-			unasked, _ := New(h.settings, seed, h.now)
+			h := newRandomHistory(seed, shape)
+			queried, _ := New(h.settings, seed, h.now)
+			unqueried, _ := New(h.settings, seed, h.now)
 			h.run(func(step int, events []Event) []Action {
 				for _, id := range h.arrivedIDs {
-					reasons[asked.WaitReason(id)]++
+					reasons[queried.WaitReason(id)]++
 				}
-				asked.Status()
-				got, want := asked.Handle(h.now, events), unasked.Handle(h.now, events)
+				queried.Status()
+				got, want := queried.Handle(h.now, events), unqueried.Handle(h.now, events)
 				if len(got)+len(want) > 0 && !reflect.DeepEqual(got, want) {
-					t.Fatalf("seed %d, step %d: %+v, want %+v", seed, step, got, want)
+					t.Fatalf("seed %d, step %d: got %+v, want %+v", seed, step, got, want)
 				}
 				return got
 			})
@@ -269,6 +271,6 @@
 	}
 	t.Log(reasons)
 	if len(reasons) < 10 {
-		t.Errorf("only %d reasons were met: %v", len(reasons), reasons)
+		t.Errorf("got only %d different reasons, want at least 10: %v", len(reasons), reasons)
 	}
 }
--- a/scheduler/reference_test.go
+++ b/scheduler/reference_test.go
@@ -1,13 +1,13 @@
-// This file holds reference, an earlier form of the scheduler in which every choice reads all that
-// waits. It is an oracle: TestSameAsReference gives it and Scheduler the same random histories and
-// compares their actions, which checks the queues (internal/waitqueue, internal/orderedset) and the
-// rules that were rewritten for them. The golden digests beside it hold the actions for fixed seeds.
+// This file contains reference, an earlier form of the scheduler in which every choice looks at all
+// waiting requests. TestSameAsReference gives reference and Scheduler the same random histories and
+// compares their actions. This checks the queues (internal/waitqueue, internal/orderedset) and the
+// rules that were rewritten for them. The golden digests record the actions for fixed seeds.
 //
-// Read it when TestSameAsReference fails and the first differing action does not explain itself, or
-// before a change that is meant to change decisions: such a change is made here as well, in the most
-// direct form. It is not part of the gateway, and its logic is kept as it was written. Constants,
-// types, fields and methods have the names of the scheduler and mean the same.
-// One line deviates on purpose and is marked so.
+// Read this file if TestSameAsReference fails and the first differing action does not explain the
+// failure, or before a change that is meant to change decisions. Such a change is made here as well,
+// in the most direct form. The reference is not part of the gateway, and its logic is kept as it was
+// written. Constants, types, fields and methods have the names of their counterparts in the scheduler
+// and mean the same. One line deviates on purpose and is marked.
 package scheduler_test
 
 import (
@@ -41,10 +41,10 @@
 	volumeIdleTimeout              = 10 * time.Second
 	expiryMargin                   = 10 * time.Millisecond
 	queueChecksPerObjective        = 12
-	firstAttemptFraction           = 0.5
-	overtakingSends                = 2
-	unresponsiveObjectives         = 2.0
-	unresponsiveLatencies          = 4.0
+	firstAttemptWaitFraction       = 0.5
+	minOvertakingSends             = 2
+	responseTimeoutObjectives      = 2.0
+	responseTimeoutLatencies       = 4.0
 	maxConsecutiveFailures         = 3
 	maxTrialInterval               = time.Second
 	watchRetryDelay                = time.Second
@@ -74,12 +74,12 @@
 	filledWindow bool
 }
 
-type attemptID struct{ id, n uint64 }
+type attemptID struct{ request, number uint64 }
 
 type stream struct {
-	finishTag          float64
-	unitsRequestedThen float64
-	lastUsedAt         Time
+	finishTag                float64
+	volumeUnitsAtLastRequest float64
+	lastUsedAt               Time
 }
 
 type volume struct {
@@ -118,8 +118,8 @@
 
 type observations struct{ weight, latency, waitingFraction decayingSum }
 
-func (s *observations) add(now Time, weight, lat, part float64) (w, l, p float64) {
-	return s.weight.add(now, weight, observationHalfLife), s.latency.add(now, lat, observationHalfLife), s.waitingFraction.add(now, part, observationHalfLife)
+func (s *observations) add(now Time, weight, latencySeconds, fraction float64) (weightSum, latencySum, fractionSum float64) {
+	return s.weight.add(now, weight, observationHalfLife), s.latency.add(now, latencySeconds, observationHalfLife), s.waitingFraction.add(now, fraction, observationHalfLife)
 }
 
 type keyOrder struct {
@@ -128,185 +128,186 @@
 	cooldownOwner *request
 }
 
+// reference has the same Handle method as Scheduler.
 type reference struct {
-	settings          Settings
-	now               Time
-	startedAt         Time
-	shortestObjective time.Duration
-	totalWeight       float64
-	instancesPerNode  float64
-	maxPriorityWeight float64
-	sequence          int
-	actions           []Action
-	nodes             []*node
-	byShard           map[int][]*node
-	dirty             []*node
-	nextWakeAt        Time
-	unitServiceTime   float64
-	allNodes          observations
-	servedByShard     map[int]*decayingSum
-	random            *rand.Rand
-	requests          map[uint64]*request
-	attempts          map[attemptID]*attempt
-	volumes           map[string]*volume
-	keyOrders         map[string]*keyOrder
-	unassigned        []*request
-	arrivals          []Time
-	retries           []Time
-	sweptAt           Time
-	watchAt           Time
-	timerAt           Time
+	settings           Settings
+	now                Time
+	startedAt          Time
+	shortestObjective  time.Duration
+	totalWeight        float64
+	instancesPerNode   float64
+	maxPriorityWeight  float64
+	sequence           int
+	actions            []Action
+	nodes              []*node
+	byShard            map[int][]*node
+	dirty              []*node
+	nextWakeAt         Time
+	unitServiceTime    float64
+	allNodes           observations
+	servedUnitsByShard map[int]*decayingSum
+	random             *rand.Rand
+	requests           map[uint64]*request
+	attempts           map[attemptID]*attempt
+	volumes            map[string]*volume
+	keyOrders          map[string]*keyOrder
+	unassigned         []*request
+	arrivals           []Time
+	retries            []Time
+	sweptAt            Time
+	watchAt            Time
+	timerAt            Time
 }
 
 func newReference(s Settings, seed uint64, now Time) (*reference, error) {
-	h := &reference{settings: s, now: now, instancesPerNode: 1, startedAt: now, sweptAt: now, watchAt: -1, timerAt: now,
+	ref := &reference{settings: s, now: now, instancesPerNode: 1, startedAt: now, sweptAt: now, watchAt: -1, timerAt: now,
 		requests: map[uint64]*request{}, attempts: map[attemptID]*attempt{}, volumes: map[string]*volume{},
-		keyOrders: map[string]*keyOrder{}, servedByShard: map[int]*decayingSum{}, random: rand.New(rand.NewPCG(seed, seed))}
-	h.shortestObjective = s.Classes[0].LatencyObjective
+		keyOrders: map[string]*keyOrder{}, servedUnitsByShard: map[int]*decayingSum{}, random: rand.New(rand.NewPCG(seed, seed))}
+	ref.shortestObjective = s.Classes[0].LatencyObjective
 	for _, c := range s.Classes {
-		h.shortestObjective = min(h.shortestObjective, c.LatencyObjective)
+		ref.shortestObjective = min(ref.shortestObjective, c.LatencyObjective)
 	}
 	for _, p := range s.Plans {
-		h.totalWeight += p.Weight
+		ref.totalWeight += p.Weight
 		for _, c := range s.Classes {
-			h.maxPriorityWeight = max(h.maxPriorityWeight, c.PriorityWeight*p.PriorityFactor, 1e-9)
+			ref.maxPriorityWeight = max(ref.maxPriorityWeight, c.PriorityWeight*p.PriorityFactor, 1e-9)
 		}
 	}
 	if s.PollDiscovery {
-		h.watchAt = now
+		ref.watchAt = now
 	}
-	return h, nil
+	return ref, nil
 }
 
-func (h *reference) Handle(now Time, events []Event) []Action {
-	h.now, h.actions = max(now, h.now), nil
+func (ref *reference) Handle(now Time, events []Event) []Action {
+	ref.now, ref.actions = max(now, ref.now), nil
 	for _, e := range events {
 		switch e := e.(type) {
 		case Arrival:
-			h.handleArrival(e)
+			ref.handleArrival(e)
 		case EndpointUpdate:
-			h.handleEndpointUpdate(e)
+			ref.handleEndpointUpdate(e)
 		case AttemptEnded:
-			h.handleAttemptEnded(e)
+			ref.handleAttemptEnded(e)
 		case ResponseStarted:
-			if r := h.requests[e.ID]; r != nil {
+			if r := ref.requests[e.ID]; r != nil {
 				r.responding = true
 			}
 		case ClientDisconnected:
-			if r := h.requests[e.ID]; r != nil {
-				h.complete(r)
+			if r := ref.requests[e.ID]; r != nil {
+				ref.complete(r)
 			}
 		}
 	}
-	h.dispatch()
-	return h.actions
+	ref.dispatch()
+	return ref.actions
 }
 
-func (h *reference) markDirty(n *node) {
+func (ref *reference) markDirty(n *node) {
 	if n != nil && !n.dirty {
 		n.dirty = true
-		h.dirty = append(h.dirty, n)
+		ref.dirty = append(ref.dirty, n)
 	}
 }
 
-func (h *reference) emit(a Action) { h.actions = append(h.actions, a) }
+func (ref *reference) emit(a Action) { ref.actions = append(ref.actions, a) }
 
-func (h *reference) handleArrival(a Arrival) {
-	if h.requests[a.ID] != nil {
-		return // reported twice
+func (ref *reference) handleArrival(a Arrival) {
+	if ref.requests[a.ID] != nil {
+		return // duplicate
 	}
-	if a.Class < 0 || a.Class >= len(h.settings.Classes) || math.IsNaN(a.Units) {
-		h.emit(Reject{ID: a.ID}) // it did not run
+	if a.Class < 0 || a.Class >= len(ref.settings.Classes) || math.IsNaN(a.Units) {
+		ref.emit(Reject{ID: a.ID}) // it did not run
 		return
 	}
-	if h.settings.RetryBudget != nil {
-		h.arrivals = append(h.arrivals, h.now)
+	if ref.settings.RetryBudget != nil {
+		ref.arrivals = append(ref.arrivals, ref.now)
 	}
-	h.sequence++
+	ref.sequence++
 	a.Units = max(a.Units, 0)
-	r := &request{Arrival: a, sequence: h.sequence, class: &h.settings.Classes[a.Class], volume: h.volumeOf(a)}
-	r.deadline = h.now + a.TimeRemaining
-	r.latencyDeadline = min(h.now+r.class.LatencyObjective, r.deadline) // changed on purpose: no latency deadline is after the deadline
-	r.expiresAt = max(h.now+Time(firstAttemptFraction*float64(a.TimeRemaining)), r.latencyDeadline)
+	r := &request{Arrival: a, sequence: ref.sequence, class: &ref.settings.Classes[a.Class], volume: ref.upsertVolume(a)}
+	r.deadline = ref.now + a.TimeRemaining
+	r.latencyDeadline = min(ref.now+r.class.LatencyObjective, r.deadline) // deviates on purpose: no latency deadline is after the deadline
+	r.expiresAt = max(ref.now+Time(firstAttemptWaitFraction*float64(a.TimeRemaining)), r.latencyDeadline)
 	if c := r.class; a.ClientRetry && c.Deadline > a.TimeRemaining {
-		r.latencyDeadline = min(r.latencyDeadline, h.now+c.LatencyObjective-(c.Deadline-a.TimeRemaining))
-		r.expiresAt = max(h.now+Time(firstAttemptFraction*float64(a.TimeRemaining)), r.latencyDeadline)
+		r.latencyDeadline = min(r.latencyDeadline, ref.now+c.LatencyObjective-(c.Deadline-a.TimeRemaining))
+		r.expiresAt = max(ref.now+Time(firstAttemptWaitFraction*float64(a.TimeRemaining)), r.latencyDeadline)
 	}
-	h.requests[a.ID] = r
+	ref.requests[a.ID] = r
 	if r.volume.plan.Limit > 0 && r.volume.limit.cap < a.Units {
-		h.rejectOrFail(r) // larger than this instance's part of the burst
+		ref.rejectOrFail(r) // larger than this instance's share of the burst
 		return
 	}
 	if r.class.Ordered && a.Key != "" {
-		t := h.keyOrders[a.Key]
-		if t == nil {
-			t = &keyOrder{}
-			h.keyOrders[a.Key] = t
+		order := ref.keyOrders[a.Key]
+		if order == nil {
+			order = &keyOrder{}
+			ref.keyOrders[a.Key] = order
 		}
-		t.requests = append(t.requests, r)
+		order.requests = append(order.requests, r)
 	}
-	h.enqueue(r)
+	ref.enqueue(r)
 }
 
-func (h *reference) volumeOf(a Arrival) *volume {
-	v := h.volumes[a.Volume]
+func (ref *reference) upsertVolume(a Arrival) *volume {
+	v := ref.volumes[a.Volume]
 	if v == nil {
-		p := &h.settings.Plans[min(max(a.Plan, 0), len(h.settings.Plans)-1)]
-		v = &volume{plan: p, weight: 1 / float64(len(h.settings.Plans)), streams: map[*node]*stream{}}
-		if h.totalWeight > 0 {
-			v.weight = max(p.Weight/h.totalWeight, 1e-6)
+		p := &ref.settings.Plans[min(max(a.Plan, 0), len(ref.settings.Plans)-1)]
+		v = &volume{plan: p, weight: 1 / float64(len(ref.settings.Plans)), streams: map[*node]*stream{}}
+		if ref.totalWeight > 0 {
+			v.weight = max(p.Weight/ref.totalWeight, 1e-6)
 		}
-		v.reserve.updatedAt, v.limit.updatedAt = h.startedAt, h.startedAt
-		h.volumes[a.Volume] = v
+		v.reserve.updatedAt, v.limit.updatedAt = ref.startedAt, ref.startedAt
+		ref.volumes[a.Volume] = v
 	}
-	heads, hosts := float64(h.settings.Instances), float64(a.Instances)
-	if hosts < 1 || hosts > heads {
-		hosts = heads
+	allInstances, volumeInstances := float64(ref.settings.Instances), float64(a.Instances)
+	if volumeInstances < 1 || volumeInstances > allInstances {
+		volumeInstances = allInstances
 	}
-	v.instances, h.instancesPerNode = hosts, max(h.instancesPerNode, min(heads, instancesPerNodeFactor*hosts))
-	if part := min(1, reserveShareFactor/hosts); v.plan.Reserve > 0 {
-		v.reserve.rate = part * v.plan.Reserve
-		v.reserve.cap = max(part*(v.plan.Reserve+h.settings.MaxUnits), h.settings.MaxUnits)
+	v.instances, ref.instancesPerNode = volumeInstances, max(ref.instancesPerNode, min(allInstances, instancesPerNodeFactor*volumeInstances))
+	if share := min(1, reserveShareFactor/volumeInstances); v.plan.Reserve > 0 {
+		v.reserve.rate = share * v.plan.Reserve
+		v.reserve.cap = max(share*(v.plan.Reserve+ref.settings.MaxUnits), ref.settings.MaxUnits)
 	}
 	if v.lastUsedAt == 0 {
 		v.reserve.level = v.reserve.cap
 	}
-	v.limit.rate, v.limit.cap = v.plan.Limit/hosts, v.plan.LimitBurst/hosts
-	v.lastUsedAt = h.now
+	v.limit.rate, v.limit.cap = v.plan.Limit/volumeInstances, v.plan.LimitBurst/volumeInstances
+	v.lastUsedAt = ref.now
 	return v
 }
 
-func (h *reference) enqueue(r *request) {
-	n := h.selectNode(r)
+func (ref *reference) enqueue(r *request) {
+	n := ref.selectNode(r)
 	if n == nil {
 		r.node = nil
-		h.unassigned = append(h.unassigned, r)
+		ref.unassigned = append(ref.unassigned, r)
 		return
 	}
 	if r.node != n || r.attempts == 0 {
-		h.tag(r, n)
+		ref.tag(r, n)
 	}
 	r.node, n.queue = n, append(n.queue, r)
 	r.sendCountAtEnqueue = n.sendCount
-	h.markDirty(n)
+	ref.markDirty(n)
 }
 
-func (h *reference) selectNode(r *request) (best *node) {
+func (ref *reference) selectNode(r *request) (best *node) {
 	var bestLoad float64
-	nodes, first := h.byShard[r.Shard], 0
-	if r.Shard < 0 && len(h.nodes) > 0 {
-		nodes, first = h.nodes, h.random.IntN(len(h.nodes)) // instances must not all select the same node
+	nodes, start := ref.byShard[r.Shard], 0
+	if r.Shard < 0 && len(ref.nodes) > 0 {
+		nodes, start = ref.nodes, ref.random.IntN(len(ref.nodes)) // otherwise all instances would select the same node
 	}
 	for i := range nodes {
-		n := nodes[(first+i)%len(nodes)]
-		if n.State != Serving || !h.mayRunOn(r, n) {
+		n := nodes[(start+i)%len(nodes)]
+		if n.State != Serving || !ref.mayRunOn(r, n) {
 			continue
 		}
-		load := max(n.latency, h.shortestObjective.Seconds()/10) * (1 + float64(len(n.queue)+len(n.inFlight))) / n.window
+		load := max(n.latency, ref.shortestObjective.Seconds()/10) * (1 + float64(len(n.queue)+len(n.inFlight))) / n.window
 		if n.open {
 			load += 1e6
 		}
-		if h.isWarmingUp(n) {
+		if ref.isWarmingUp(n) {
 			load += 1e3
 		}
 		if best == nil || load < bestLoad {
@@ -316,375 +317,375 @@
 	return best
 }
 
-func (h *reference) mayRunOn(r *request, n *node) bool {
+func (ref *reference) mayRunOn(r *request, n *node) bool {
 	if r.mayHaveRunOn == nil || r.class.Effect == Safe {
 		return true
 	}
-	if r.class.Effect == NonIdempotent || h.now >= r.mayHaveRunSince+r.class.DeduplicationWindow {
+	if r.class.Effect == NonIdempotent || ref.now >= r.mayHaveRunSince+r.class.DeduplicationWindow {
 		return false
 	}
 	return r.class.DeduplicationScope == ScopeAll || (r.class.DeduplicationScope == ScopeZone && n.Zone == r.mayHaveRunOn.Zone) ||
 		(r.class.DeduplicationScope == ScopeShard && n.Shard == r.mayHaveRunOn.Shard)
 }
 
-func (h *reference) tag(r *request, n *node) {
-	e := r.volume.streams[n]
-	if e == nil {
-		e = &stream{unitsRequestedThen: r.volume.unitsRequested}
-		r.volume.streams[n] = e
+func (ref *reference) tag(r *request, n *node) {
+	nodeStream := r.volume.streams[n]
+	if nodeStream == nil {
+		nodeStream = &stream{volumeUnitsAtLastRequest: r.volume.unitsRequested}
+		r.volume.streams[n] = nodeStream
 	}
-	delay := r.volume.unitsRequested - e.unitsRequestedThen
+	delay := r.volume.unitsRequested - nodeStream.volumeUnitsAtLastRequest
 	if phi := r.volume.weight; phi < 1 {
 		delay = min(delay, (1/minShareFraction-1)/(1-phi)*r.Units)
 	} else {
 		delay = 0
 	}
 	r.volume.unitsRequested += r.Units
-	e.unitsRequestedThen, e.lastUsedAt = r.volume.unitsRequested, h.now
-	r.volume.reserve.fill(h.now)
+	nodeStream.volumeUnitsAtLastRequest, nodeStream.lastUsedAt = r.volume.unitsRequested, ref.now
+	r.volume.reserve.fill(ref.now)
 	if r.volume.reserve.level >= r.Units {
 		r.volume.reserve.level -= r.Units
 		r.startTag, r.beyondReserve = n.virtualTime, false
 		return
 	}
 	r.beyondReserve = true
-	r.startTag = max(n.virtualTime, e.finishTag+delay/r.volume.weight)
-	e.finishTag = r.startTag + r.Units/r.volume.weight
+	r.startTag = max(n.virtualTime, nodeStream.finishTag+delay/r.volume.weight)
+	nodeStream.finishTag = r.startTag + r.Units/r.volume.weight
 }
 
-func (h *reference) rejectOrFail(r *request) {
+func (ref *reference) rejectOrFail(r *request) {
 	switch {
 	case r.completed:
 	case r.mayHaveRunOn == nil || r.class.Effect == Safe || (r.class.Effect == Idempotent && r.class.DeduplicationScope == ScopeAll):
-		h.emit(Reject{ID: r.ID, RetryAfter: h.settings.MaxRetryAfter})
+		ref.emit(Reject{ID: r.ID, RetryAfter: ref.settings.MaxRetryAfter})
 	default:
-		h.emit(Fail{ID: r.ID})
+		ref.emit(Fail{ID: r.ID})
 	}
-	h.complete(r)
+	ref.complete(r)
 }
 
-func (h *reference) complete(r *request) {
+func (ref *reference) complete(r *request) {
 	r.completed = true
-	delete(h.requests, r.ID)
-	h.markDirty(r.node)
-	h.leaveKeyOrder(r)
+	delete(ref.requests, r.ID)
+	ref.markDirty(r.node)
+	ref.leaveKeyOrder(r)
 }
 
-func (h *reference) leaveKeyOrder(r *request) {
-	t := h.keyOrders[r.Key]
-	if t == nil || !r.completed || r.inFlight > 0 {
+func (ref *reference) leaveKeyOrder(r *request) {
+	order := ref.keyOrders[r.Key]
+	if order == nil || !r.completed || r.inFlight > 0 {
 		return
 	}
-	if i := slices.Index(t.requests, r); i >= 0 {
-		t.requests = slices.Delete(t.requests, i, i+1)
-		for _, next := range t.requests[:min(1, len(t.requests))] {
-			h.markDirty(next.node)
+	if i := slices.Index(order.requests, r); i >= 0 {
+		order.requests = slices.Delete(order.requests, i, i+1)
+		for _, next := range order.requests[:min(1, len(order.requests))] {
+			ref.markDirty(next.node)
 		}
 	}
 }
 
-func (h *reference) isNextOfKey(r *request) bool {
-	t := h.keyOrders[r.Key]
-	if !r.class.Ordered || t == nil {
+func (ref *reference) isNextOfKey(r *request) bool {
+	order := ref.keyOrders[r.Key]
+	if !r.class.Ordered || order == nil {
 		return true
 	}
-	return len(t.requests) > 0 && t.requests[0] == r && (t.cooldownOwner == r || h.now >= t.cooldownUntil)
+	return len(order.requests) > 0 && order.requests[0] == r && (order.cooldownOwner == r || ref.now >= order.cooldownUntil)
 }
 
-func (h *reference) handleAttemptEnded(e AttemptEnded) {
+func (ref *reference) handleAttemptEnded(e AttemptEnded) {
 	id := attemptID{e.ID, uint64(e.Attempt)}
-	a := h.attempts[id]
+	a := ref.attempts[id]
 	if a == nil {
 		return
 	}
-	delete(h.attempts, id)
+	delete(ref.attempts, id)
 	r, n := a.request, a.node
 	r.inFlight--
-	n.inFlight = slices.DeleteFunc(n.inFlight, func(o *attempt) bool { return o == a })
-	h.markDirty(n)
-	h.recordOutcome(n, a, e)
-	proven := e.Outcome == QueueFull || e.Outcome == ConnectFailed || e.Outcome == NotSent
+	n.inFlight = slices.DeleteFunc(n.inFlight, func(other *attempt) bool { return other == a })
+	ref.markDirty(n)
+	ref.recordOutcome(n, a, e)
+	provesNotRun := e.Outcome == QueueFull || e.Outcome == ConnectFailed || e.Outcome == NotSent
 	if e.Outcome != ConnectFailed && e.Outcome != NotSent {
 		r.expiresAt = r.deadline
 	}
-	if !proven && e.Outcome != OK && r.mayHaveRunOn == nil {
+	if !provesNotRun && e.Outcome != OK && r.mayHaveRunOn == nil {
 		r.mayHaveRunOn, r.mayHaveRunSince = n, a.sentAt
 	}
-	if t := h.keyOrders[r.Key]; t != nil && r.class.Ordered && !proven && e.Outcome != OK && e.Outcome != Failed {
-		t.cooldownUntil, t.cooldownOwner = h.now+h.settings.KeyCooldown, r
+	if order := ref.keyOrders[r.Key]; order != nil && r.class.Ordered && !provesNotRun && e.Outcome != OK && e.Outcome != Failed {
+		order.cooldownUntil, order.cooldownOwner = ref.now+ref.settings.KeyCooldown, r
 	}
 	switch {
 	case r.completed:
-		h.leaveKeyOrder(r)
+		ref.leaveKeyOrder(r)
 	case e.Responded:
-		h.complete(r)
+		ref.complete(r)
 	case r.inFlight > 0:
-	case r.responding || e.BodyConsumed || h.now+expiryMargin >= r.deadline ||
-		(h.settings.MaxAttempts > 0 && r.attempts >= h.settings.MaxAttempts):
-		h.rejectOrFail(r)
-	case !proven && (r.class.Effect == NonIdempotent || h.selectNode(r) == nil):
-		h.rejectOrFail(r)
+	case r.responding || e.BodyConsumed || ref.now+expiryMargin >= r.deadline ||
+		(ref.settings.MaxAttempts > 0 && r.attempts >= ref.settings.MaxAttempts):
+		ref.rejectOrFail(r)
+	case !provesNotRun && (r.class.Effect == NonIdempotent || ref.selectNode(r) == nil):
+		ref.rejectOrFail(r)
 	default:
-		r.notBefore = h.now + h.shortestObjective/10
-		h.enqueue(r)
+		r.notBefore = ref.now + ref.shortestObjective/10
+		ref.enqueue(r)
 	}
 }
 
-func (h *reference) serviceTime(took float64, r *request) float64 {
-	if x := took / max(r.Units, 1); h.unitServiceTime == 0 {
-		h.unitServiceTime = x
-	} else if x < h.unitServiceTime {
-		h.unitServiceTime *= 1 - 3*serviceTimeStep
+func (ref *reference) updateServiceTime(seconds float64, r *request) float64 {
+	if perUnit := seconds / max(r.Units, 1); ref.unitServiceTime == 0 {
+		ref.unitServiceTime = perUnit
+	} else if perUnit < ref.unitServiceTime {
+		ref.unitServiceTime *= 1 - 3*serviceTimeStep
 	} else {
-		h.unitServiceTime *= 1 + serviceTimeStep
+		ref.unitServiceTime *= 1 + serviceTimeStep
 	}
-	return h.unitServiceTime * r.Units
+	return ref.unitServiceTime * r.Units
 }
 
-func (h *reference) observe(n *node, took, part float64, answered bool) {
-	part = min(max(part, 0), 1)
-	if n.observations.add(h.now, 1, took, part); answered {
-		h.allNodes.add(h.now, 1, took, part) // a failure counts at its node alone
+func (ref *reference) observe(n *node, latencySeconds, fraction float64, isResponse bool) {
+	fraction = min(max(fraction, 0), 1)
+	if n.observations.add(ref.now, 1, latencySeconds, fraction); isResponse {
+		ref.allNodes.add(ref.now, 1, latencySeconds, fraction) // a failure counts for its node alone
 	}
 }
 
-func (h *reference) updateEstimate(n *node) {
-	n.window = min(n.window, maxWindow, max(1, maxWindowAllInstances/h.instancesPerNode))
-	weight, lat, part := n.observations.add(h.now, 0, 0, 0)
-	all, allLat, allPart := h.allNodes.add(h.now, 0, 0, 0)
-	k := priorWeight / max(all, priorWeight)
-	weight = max(weight+k*all, 1e-9)
-	n.latency, n.pressure = (lat+k*allLat)/weight, (part+k*allPart)/weight
+func (ref *reference) updateEstimate(n *node) {
+	n.window = min(n.window, maxWindow, max(1, maxWindowAllInstances/ref.instancesPerNode))
+	weight, latencySum, waitingSum := n.observations.add(ref.now, 0, 0, 0)
+	allWeight, allLatency, allWaiting := ref.allNodes.add(ref.now, 0, 0, 0)
+	priorScale := priorWeight / max(allWeight, priorWeight)
+	weight = max(weight+priorScale*allWeight, 1e-9)
+	n.latency, n.pressure = (latencySum+priorScale*allLatency)/weight, (waitingSum+priorScale*allWaiting)/weight
 }
 
-func (h *reference) recordOutcome(n *node, a *attempt, e AttemptEnded) {
-	took := (h.now - a.sentAt).Seconds()
+func (ref *reference) recordOutcome(n *node, a *attempt, e AttemptEnded) {
+	seconds := (ref.now - a.sentAt).Seconds()
 	switch e.Outcome {
 	case OK, Failed:
-		n.lastResponseAt, n.open, n.trialInterval, n.consecutiveFailures = h.now, false, 0, 0
-		part := took / a.request.class.LatencyObjective.Seconds()
-		wait := took - h.serviceTime(took, a.request)
+		n.lastResponseAt, n.open, n.trialInterval, n.consecutiveFailures = ref.now, false, 0, 0
+		objectiveFraction := seconds / a.request.class.LatencyObjective.Seconds()
+		waitedSeconds := seconds - ref.updateServiceTime(seconds, a.request)
 		if e.HasLoadReport && e.ReportedLoad >= 0 && e.ReportedLoad < math.Inf(1) {
-			wait = (max(wait, 0) + e.ReportedLoad*h.unitServiceTime*h.settings.MeanUnits) / 2
+			waitedSeconds = (max(waitedSeconds, 0) + e.ReportedLoad*ref.unitServiceTime*ref.settings.MeanUnits) / 2
 		}
-		h.observe(n, took, wait/a.request.class.LatencyObjective.Seconds(), true)
-		h.servedRate(n.Shard, h.now, a.request.Units)
-		if part > windowDecreaseAbove && a.sentAt >= n.lastDecreaseAt {
-			n.window, n.lastDecreaseAt = max(min(1, n.window), n.window*windowDecreaseFactor), h.now
-		} else if part < windowIncreaseBelow && a.filledWindow {
+		ref.observe(n, seconds, waitedSeconds/a.request.class.LatencyObjective.Seconds(), true)
+		ref.servedRate(n.Shard, ref.now, a.request.Units)
+		if objectiveFraction > windowDecreaseAbove && a.sentAt >= n.lastDecreaseAt {
+			n.window, n.lastDecreaseAt = max(min(1, n.window), n.window*windowDecreaseFactor), ref.now
+		} else if objectiveFraction < windowIncreaseBelow && a.filledWindow {
 			n.window += min(n.window, 1/n.window)
 		}
 	case QueueFull:
-		h.observe(n, n.latency, 1, false)
-		n.lastResponseAt, n.window, n.lastDecreaseAt = h.now, 1/h.instancesPerNode, h.now
+		ref.observe(n, n.latency, 1, false)
+		n.lastResponseAt, n.window, n.lastDecreaseAt = ref.now, 1/ref.instancesPerNode, ref.now
 	case ConnectFailed, Reset:
 		if n.consecutiveFailures++; n.consecutiveFailures >= maxConsecutiveFailures {
-			h.openBreaker(n)
+			ref.openBreaker(n)
 		}
 	case TimedOut:
-		h.observe(n, took, 1, false)
-		n.window, n.lastDecreaseAt = 1/h.instancesPerNode, h.now
+		ref.observe(n, seconds, 1, false)
+		n.window, n.lastDecreaseAt = 1/ref.instancesPerNode, ref.now
 	}
 }
 
-func (h *reference) openBreaker(n *node) {
+func (ref *reference) openBreaker(n *node) {
 	if !n.open {
-		n.open, n.trialInterval, n.trialAt = true, h.shortestObjective, h.now+h.shortestObjective
+		n.open, n.trialInterval, n.trialAt = true, ref.shortestObjective, ref.now+ref.shortestObjective
 		n.window = min(1, n.window)
 	}
 	if len(n.inFlight) > 0 {
-		n.window, n.inFlight = max(1/h.instancesPerNode, min(1, n.window)/2), nil
+		n.window, n.inFlight = max(1/ref.instancesPerNode, min(1, n.window)/2), nil
 	}
 }
 
-func (h *reference) handleEndpointUpdate(l EndpointUpdate) {
-	if l.Failed {
-		h.watchAt = h.now + watchRetryDelay
+func (ref *reference) handleEndpointUpdate(update EndpointUpdate) {
+	if update.Failed {
+		ref.watchAt = ref.now + watchRetryDelay
 		return
 	}
-	seen := map[string]bool{}
-	for _, e := range l.Endpoints {
-		seen[e.Node] = true
-		i := slices.IndexFunc(h.nodes, func(n *node) bool { return n.Node == e.Node })
+	listed := map[string]bool{}
+	for _, endpoint := range update.Endpoints {
+		listed[endpoint.Node] = true
+		i := slices.IndexFunc(ref.nodes, func(n *node) bool { return n.Node == endpoint.Node })
 		if i < 0 {
-			n := &node{Endpoint: e, window: initialWindow, lastResponseAt: h.now}
-			h.nodes = append(h.nodes, n)
-			h.beginSlowStart(n)
+			n := &node{Endpoint: endpoint, window: initialWindow, lastResponseAt: ref.now}
+			ref.nodes = append(ref.nodes, n)
+			ref.beginSlowStart(n)
 			continue
 		}
-		n := h.nodes[i]
-		restart := e.Started != n.Started && e.State == Serving
-		n.Endpoint = e
-		if restart { // what was learned of it is void
-			n.window, n.observations, n.lastResponseAt = 1, observations{}, h.now
+		n := ref.nodes[i]
+		restarted := endpoint.Started != n.Started && endpoint.State == Serving
+		n.Endpoint = endpoint
+		if restarted { // estimates from before the restart no longer hold
+			n.window, n.observations, n.lastResponseAt = 1, observations{}, ref.now
 			n.open, n.trialInterval, n.consecutiveFailures = false, 0, 0
-			h.beginSlowStart(n)
+			ref.beginSlowStart(n)
 		}
 	}
-	for _, n := range h.nodes {
-		if l.Full && !seen[n.Node] {
+	for _, n := range ref.nodes {
+		if update.Full && !listed[n.Node] {
 			n.State = Removed
 		}
 	}
-	moved := h.unassigned
-	h.unassigned, h.byShard = nil, map[int][]*node{}
-	for _, n := range h.nodes {
-		h.markDirty(n)
-		h.byShard[n.Shard] = append(h.byShard[n.Shard], n)
+	displaced := ref.unassigned
+	ref.unassigned, ref.byShard = nil, map[int][]*node{}
+	for _, n := range ref.nodes {
+		ref.markDirty(n)
+		ref.byShard[n.Shard] = append(ref.byShard[n.Shard], n)
 		if n.State != Serving {
-			moved = append(moved, n.queue...)
+			displaced = append(displaced, n.queue...)
 			n.queue = nil
 		}
 	}
-	for _, r := range moved {
+	for _, r := range displaced {
 		if !r.completed {
-			h.enqueue(r)
+			ref.enqueue(r)
 		}
 	}
-	h.nodes = slices.DeleteFunc(h.nodes, func(n *node) bool { return n.State == Removed && len(n.inFlight) == 0 })
+	ref.nodes = slices.DeleteFunc(ref.nodes, func(n *node) bool { return n.State == Removed && len(n.inFlight) == 0 })
 }
 
-func (h *reference) isWarmingUp(n *node) bool {
-	return n.Started > 0 && h.settings.SlowStart.WarmupDuration > 0 && h.now < n.Started+h.settings.SlowStart.WarmupDuration
+func (ref *reference) isWarmingUp(n *node) bool {
+	return n.Started > 0 && ref.settings.SlowStart.WarmupDuration > 0 && ref.now < n.Started+ref.settings.SlowStart.WarmupDuration
 }
 
-func (h *reference) servedRate(shard int, until Time, units float64) float64 {
-	f := h.servedByShard[shard]
-	if f == nil {
-		f = &decayingSum{}
-		h.servedByShard[shard] = f
+func (ref *reference) servedRate(shard int, until Time, units float64) float64 {
+	served := ref.servedUnitsByShard[shard]
+	if served == nil {
+		served = &decayingSum{}
+		ref.servedUnitsByShard[shard] = served
 	}
-	life := float64(until-h.startedAt) / float64(servedHalfLife)
-	if sum := f.add(until, units, servedHalfLife); life > 0 {
-		return sum * math.Ln2 / servedHalfLife.Seconds() / (1 - math.Exp2(-life))
+	halfLives := float64(until-ref.startedAt) / float64(servedHalfLife)
+	if sum := served.add(until, units, servedHalfLife); halfLives > 0 {
+		return sum * math.Ln2 / servedHalfLife.Seconds() / (1 - math.Exp2(-halfLives))
 	}
 	return 0
 }
 
-func (h *reference) beginSlowStart(n *node) {
-	if !h.isWarmingUp(n) {
+func (ref *reference) beginSlowStart(n *node) {
+	if !ref.isWarmingUp(n) {
 		return
 	}
-	window, units := max(h.settings.SlowStart.OverloadWindow.Seconds(), 1e-3), cmp.Or(h.settings.SlowStart.MinUnits, h.settings.MeanUnits)
-	rate := max(slowStartRateFraction*units/float64(h.settings.Instances)/window,
-		h.settings.SlowStart.OverloadFactor*h.settings.SlowStart.InitialFraction*h.servedRate(n.Shard, n.Started, 0)/h.nodesOfShard(n))
+	window, units := max(ref.settings.SlowStart.OverloadWindow.Seconds(), 1e-3), cmp.Or(ref.settings.SlowStart.MinUnits, ref.settings.MeanUnits)
+	rate := max(slowStartRateFraction*units/float64(ref.settings.Instances)/window,
+		ref.settings.SlowStart.OverloadFactor*ref.settings.SlowStart.InitialFraction*ref.servedRate(n.Shard, n.Started, 0)/ref.nodesOfShard(n))
 	n.slowStart = tokenBucket{rate: rate, cap: rate * window * (1 - slowStartRateFraction) / slowStartRateFraction}
-	n.slowStart.updatedAt = max(h.now, h.startedAt+h.settings.SlowStart.OverloadWindow)
-	n.slowStart.level = n.slowStart.cap - h.random.Float64()*h.settings.MeanUnits
+	n.slowStart.updatedAt = max(ref.now, ref.startedAt+ref.settings.SlowStart.OverloadWindow)
+	n.slowStart.level = n.slowStart.cap - ref.random.Float64()*ref.settings.MeanUnits
 }
 
-func (h *reference) nodesOfShard(started *node) (nodes float64) {
-	for _, n := range h.byShard[started.Shard] {
+func (ref *reference) nodesOfShard(started *node) (count float64) {
+	for _, n := range ref.byShard[started.Shard] {
 		if n.State != Removed {
-			nodes++
+			count++
 		}
 	}
-	return max(nodes, 1)
+	return max(count, 1)
 }
 
-func (h *reference) slowStartLevel(n *node) tokenBucket {
-	grown := 1.0
-	if from := h.settings.SlowStart.InitialFraction; from > 0 && from < 1 {
-		age := float64(h.now-n.Started-h.settings.SlowStart.OverloadWindow) / float64(h.settings.SlowStart.WarmupDuration)
-		grown += max(0, age) * (1 - from) / from
+func (ref *reference) fillSlowStart(n *node) tokenBucket {
+	growth := 1.0
+	if initialFraction := ref.settings.SlowStart.InitialFraction; initialFraction > 0 && initialFraction < 1 {
+		warmFraction := float64(ref.now-n.Started-ref.settings.SlowStart.OverloadWindow) / float64(ref.settings.SlowStart.WarmupDuration)
+		growth += max(0, warmFraction) * (1 - initialFraction) / initialFraction
 	}
-	b := n.slowStart
-	if b.rate, b.cap = b.rate*grown, b.cap*grown; h.now > b.updatedAt {
-		b.fill(h.now)
-		n.slowStart.level, n.slowStart.updatedAt = b.level, b.updatedAt
+	bucket := n.slowStart
+	if bucket.rate, bucket.cap = bucket.rate*growth, bucket.cap*growth; ref.now > bucket.updatedAt {
+		bucket.fill(ref.now)
+		n.slowStart.level, n.slowStart.updatedAt = bucket.level, bucket.updatedAt
 	}
-	return b
+	return bucket
 }
 
-func (h *reference) slowStartAllows(n *node, units float64) bool {
-	if !h.isWarmingUp(n) {
+func (ref *reference) slowStartAllows(n *node, units float64) bool {
+	if !ref.isWarmingUp(n) {
 		return true
 	}
-	b := h.slowStartLevel(n)
-	return h.now >= b.updatedAt && b.level >= min(units, b.cap)
+	bucket := ref.fillSlowStart(n)
+	return ref.now >= bucket.updatedAt && bucket.level >= min(units, bucket.cap)
 }
 
-func (h *reference) expectedLatency(n *node, r *request) time.Duration {
-	t := max(n.latency+h.unitServiceTime*(r.Units-h.settings.MeanUnits), 0)
+func (ref *reference) expectedLatency(n *node, r *request) time.Duration {
+	seconds := max(n.latency+ref.unitServiceTime*(r.Units-ref.settings.MeanUnits), 0)
 	if len(n.inFlight) > 0 {
-		t = max(t, (h.now-n.inFlight[0].sentAt).Seconds()/2)
+		seconds = max(seconds, (ref.now-n.inFlight[0].sentAt).Seconds()/2)
 	}
-	return time.Duration(t * float64(time.Second))
+	return time.Duration(seconds * float64(time.Second))
 }
 
-func (h *reference) allowed(r *request, n *node) bool {
-	if h.now < r.notBefore || !h.isNextOfKey(r) || !h.mayRunOn(r, n) {
+func (ref *reference) canBeSent(r *request, n *node) bool {
+	if ref.now < r.notBefore || !ref.isNextOfKey(r) || !ref.mayRunOn(r, n) {
 		return false
 	}
-	if h.now+h.expectedLatency(n, r) > r.deadline && (len(n.inFlight) > 0 || h.now < n.lastSendAt+maxTrialInterval) {
+	if ref.now+ref.expectedLatency(n, r) > r.deadline && (len(n.inFlight) > 0 || ref.now < n.lastSendAt+maxTrialInterval) {
 		return false
 	}
-	if r.attempts > 0 && !h.retryBudgetAllows() {
+	if r.attempts > 0 && !ref.retryBudgetAllows() {
 		return false
 	}
 	if r.attempts == 0 && r.volume.plan.Limit > 0 {
-		r.volume.limit.fill(h.now)
+		r.volume.limit.fill(ref.now)
 		if r.volume.limit.level < r.Units {
 			return false
 		}
 	}
-	return h.slowStartAllows(n, r.Units)
+	return ref.slowStartAllows(n, r.Units)
 }
 
-func (h *reference) retryBudgetAllows() bool {
-	if h.settings.RetryBudget == nil {
+func (ref *reference) retryBudgetAllows() bool {
+	if ref.settings.RetryBudget == nil {
 		return true
 	}
-	h.arrivals = slices.DeleteFunc(h.arrivals, func(t Time) bool { return t <= h.now-h.settings.RetryBudget.Window })
-	h.retries = slices.DeleteFunc(h.retries, func(t Time) bool { return t < h.now-h.settings.RetryBudget.Window })
-	if h.now <= h.startedAt+h.settings.RetryBudget.Window { // an earlier process may have spent it
+	ref.arrivals = slices.DeleteFunc(ref.arrivals, func(t Time) bool { return t <= ref.now-ref.settings.RetryBudget.Window })
+	ref.retries = slices.DeleteFunc(ref.retries, func(t Time) bool { return t < ref.now-ref.settings.RetryBudget.Window })
+	if ref.now <= ref.startedAt+ref.settings.RetryBudget.Window { // an earlier process may have spent it
 		return false
 	}
-	return float64(len(h.retries)+1) <= h.settings.RetryBudget.MinRetries+h.settings.RetryBudget.Ratio*float64(len(h.arrivals))
+	return float64(len(ref.retries)+1) <= ref.settings.RetryBudget.MinRetries+ref.settings.RetryBudget.Ratio*float64(len(ref.arrivals))
 }
 
-func (h *reference) shedsForPriority(r *request, n *node, late bool) bool {
-	worth, calm := h.priorityWeight(r)/h.maxPriorityWeight, pressureHalfLifeObjectives
-	if late {
-		worth, calm = worth*r.class.LateWeightFactor, pressureHalfLifeObjectivesLate
+func (ref *reference) backpressureBlocks(r *request, n *node, isLate bool) bool {
+	priority, halfLife := ref.priorityWeight(r)/ref.maxPriorityWeight, pressureHalfLifeObjectives
+	if isLate {
+		priority, halfLife = priority*r.class.LateWeightFactor, pressureHalfLifeObjectivesLate
 	}
 	if r.beyondReserve {
-		worth *= h.settings.ExcessWeight
+		priority *= ref.settings.ExcessWeight
 	}
-	pressure := n.pressure * math.Exp2(-float64(h.now-n.lastResponseAt)/float64(h.shortestObjective)/calm/max(1, 2*r.volume.instances-2))
-	if h.isWarmingUp(n) { // what it can bear is kept for high priorities
-		b := h.slowStartLevel(n)
-		pressure = max(pressure, 1-b.level/max(b.cap, 1e-9))
+	pressure := n.pressure * math.Exp2(-float64(ref.now-n.lastResponseAt)/float64(ref.shortestObjective)/halfLife/max(1, 2*r.volume.instances-2))
+	if ref.isWarmingUp(n) { // the rest of the bucket is kept for high priorities
+		bucket := ref.fillSlowStart(n)
+		pressure = max(pressure, 1-bucket.level/max(bucket.cap, 1e-9))
 	}
-	return pressure > max(worth, minPressure) && worth < 1
+	return pressure > max(priority, minPressure) && priority < 1
 }
 
-func (h *reference) priorityWeight(r *request) float64 {
+func (ref *reference) priorityWeight(r *request) float64 {
 	return r.class.PriorityWeight * r.volume.plan.PriorityFactor
 }
 
-func (h *reference) nextRequest(n *node) (best *request) {
-	late := func(r *request) bool { return h.now+h.expectedLatency(n, r) > r.latencyDeadline }
-	before := func(a, b *request) bool { // higher priority weight, then earlier latency deadline
-		if wa, wb := h.priorityWeight(a), h.priorityWeight(b); wa != wb {
-			return wa > wb
+func (ref *reference) nextRequest(n *node) (best *request) {
+	isLate := func(r *request) bool { return ref.now+ref.expectedLatency(n, r) > r.latencyDeadline }
+	hasPriorityOver := func(a, b *request) bool { // higher priority weight, then earlier latency deadline
+		if weightA, weightB := ref.priorityWeight(a), ref.priorityWeight(b); weightA != weightB {
+			return weightA > weightB
 		}
 		return a.latencyDeadline < b.latencyDeadline || (a.latencyDeadline == b.latencyDeadline && a.sequence < b.sequence)
 	}
-	var bestLate bool
+	var bestIsLate bool
 	var ready []*request
 	for _, r := range n.queue {
-		if !h.allowed(r, n) {
+		if !ref.canBeSent(r, n) {
 			continue
 		}
-		l := late(r)
-		if h.shedsForPriority(r, n, l) {
+		requestIsLate := isLate(r)
+		if ref.backpressureBlocks(r, n, requestIsLate) {
 			continue
 		}
 		ready = append(ready, r)
-		if best == nil || (bestLate && !l) || (bestLate == l && (r.startTag < best.startTag ||
-			(r.startTag == best.startTag && before(r, best)))) {
-			best, bestLate = r, l
+		if best == nil || (bestIsLate && !requestIsLate) || (bestIsLate == requestIsLate && (r.startTag < best.startTag ||
+			(r.startTag == best.startTag && hasPriorityOver(r, best)))) {
+			best, bestIsLate = r, requestIsLate
 		}
 	}
 	if best == nil {
@@ -692,7 +693,7 @@
 	}
 	first := best
 	for _, r := range ready {
-		if r.volume == first.volume && late(r) == bestLate && before(r, best) {
+		if r.volume == first.volume && isLate(r) == bestIsLate && hasPriorityOver(r, best) {
 			best = r
 		}
 	}
@@ -701,43 +702,43 @@
 	return best
 }
 
-func (h *reference) dispatchNode(n *node) {
+func (ref *reference) dispatchNode(n *node) {
 	n.dirty = false
-	h.updateEstimate(n)
-	patience := max(unresponsiveObjectives*h.shortestObjective.Seconds(), unresponsiveLatencies*n.latency)
-	if len(n.inFlight) > 0 && (h.now-max(n.lastResponseAt, n.inFlight[0].sentAt)).Seconds() >= patience {
-		h.openBreaker(n)
+	ref.updateEstimate(n)
+	responseTimeout := max(responseTimeoutObjectives*ref.shortestObjective.Seconds(), responseTimeoutLatencies*n.latency)
+	if len(n.inFlight) > 0 && (ref.now-max(n.lastResponseAt, n.inFlight[0].sentAt)).Seconds() >= responseTimeout {
+		ref.openBreaker(n)
 	}
-	n.queue = h.rejectExpired(n.queue)
+	n.queue = ref.completeExpired(n.queue)
 	for len(n.queue) > 0 {
-		if n.open && h.now < n.trialAt {
+		if n.open && ref.now < n.trialAt {
 			break
-		} else if n.open { // half-open: one trial, at growing intervals
-			h.openBreaker(n)
+		} else if n.open { // half-open: one trial request at a time, at growing intervals
+			ref.openBreaker(n)
 		}
-		if h.nextSendAt(n) > h.now {
+		if ref.nextSendAt(n) > ref.now {
 			break
 		}
-		r := h.nextRequest(n)
+		r := ref.nextRequest(n)
 		if r == nil {
 			break
 		}
 		if n.open {
 			n.trialInterval = min(2*n.trialInterval, maxTrialInterval)
-			n.trialAt = h.now + n.trialInterval
+			n.trialAt = ref.now + n.trialInterval
 		}
-		h.send(n, r)
+		ref.send(n, r)
 	}
 	n.wakeAt = math.MaxInt64
 	if len(n.inFlight) > 0 {
-		n.wakeAt = h.now + h.shortestObjective/4
+		n.wakeAt = ref.now + ref.shortestObjective/4
 	}
-	if len(n.queue) > 0 { // time alone may let one go
-		n.wakeAt = min(n.wakeAt, h.nextExpiry(n.queue), max(h.nextSendAt(n), h.now+h.shortestObjective/queueChecksPerObjective))
+	if len(n.queue) > 0 { // a request may become ready to send by time alone
+		n.wakeAt = min(n.wakeAt, ref.nextExpiry(n.queue), max(ref.nextSendAt(n), ref.now+ref.shortestObjective/queueChecksPerObjective))
 	}
 }
 
-func (h *reference) nextSendAt(n *node) Time {
+func (ref *reference) nextSendAt(n *node) Time {
 	switch {
 	case float64(len(n.inFlight))+1 <= n.window:
 		return 0
@@ -747,113 +748,113 @@
 	return n.lastSendAt + Time(n.pacingJitter*n.latency/n.window*float64(time.Second))
 }
 
-func (h *reference) send(n *node, r *request) {
+func (ref *reference) send(n *node, r *request) {
 	n.sendCount++
-	n.lastSendAt, n.pacingJitter = h.now, 0.5+h.random.Float64()
-	n.queue = slices.DeleteFunc(n.queue, func(o *request) bool { return o == r })
+	n.lastSendAt, n.pacingJitter = ref.now, 0.5+ref.random.Float64()
+	n.queue = slices.DeleteFunc(n.queue, func(other *request) bool { return other == r })
 	n.virtualTime = max(n.virtualTime, r.startTag)
 	if r.attempts == 0 {
 		if r.volume.plan.Limit > 0 {
-			r.volume.limit.fill(h.now)
+			r.volume.limit.fill(ref.now)
 			r.volume.limit.level -= r.Units
 		}
-	} else if h.settings.RetryBudget != nil {
-		h.retries = append(h.retries, h.now)
+	} else if ref.settings.RetryBudget != nil {
+		ref.retries = append(ref.retries, ref.now)
 	}
-	if h.isWarmingUp(n) {
+	if ref.isWarmingUp(n) {
 		n.slowStart.level -= r.Units
 	}
-	a := &attempt{request: r, node: n, sentAt: h.now, filledWindow: float64(len(n.inFlight))+2 > n.window}
+	a := &attempt{request: r, node: n, sentAt: ref.now, filledWindow: float64(len(n.inFlight))+2 > n.window}
 	n.inFlight = append(n.inFlight, a)
-	h.attempts[attemptID{r.ID, uint64(r.attempts)}] = a
+	ref.attempts[attemptID{r.ID, uint64(r.attempts)}] = a
 	r.attempts++
 	r.inFlight++
-	by := Time(0)
+	startBefore := Time(0)
 	if r.mayHaveRunOn != nil && r.class.Effect == Idempotent {
-		by = r.mayHaveRunSince + r.class.DeduplicationWindow
+		startBefore = r.mayHaveRunSince + r.class.DeduplicationWindow
 	}
-	h.emit(Send{ID: r.ID, Node: n.Node, StartBefore: by})
+	ref.emit(Send{ID: r.ID, Node: n.Node, StartBefore: startBefore})
 }
 
-func (h *reference) rejectExpired(held []*request) []*request {
-	return slices.DeleteFunc(held, func(r *request) bool {
-		if n := r.node; !r.completed && h.now+expiryMargin >= r.expiresAt && r.expiresAt < r.deadline && n != nil && n.sendCount-r.sendCountAtEnqueue < overtakingSends {
+func (ref *reference) completeExpired(queue []*request) []*request {
+	return slices.DeleteFunc(queue, func(r *request) bool {
+		if n := r.node; !r.completed && ref.now+expiryMargin >= r.expiresAt && r.expiresAt < r.deadline && n != nil && n.sendCount-r.sendCountAtEnqueue < minOvertakingSends {
 			r.expiresAt = r.deadline
 		}
-		if !r.completed && h.now+expiryMargin >= r.expiresAt {
-			h.rejectOrFail(r)
+		if !r.completed && ref.now+expiryMargin >= r.expiresAt {
+			ref.rejectOrFail(r)
 		}
 		return r.completed
 	})
 }
 
-func (h *reference) nextExpiry(held []*request) Time {
+func (ref *reference) nextExpiry(queue []*request) Time {
 	first := Time(math.MaxInt64)
-	for _, r := range held {
+	for _, r := range queue {
 		first = min(first, r.expiresAt-expiryMargin)
 	}
 	return first
 }
 
-func (h *reference) dispatch() {
-	wake := Time(math.MaxInt64)
-	if h.watchAt >= 0 && h.now >= h.watchAt {
-		h.emit(WatchEndpoints{})
-		h.watchAt = -1
-	} else if h.watchAt >= 0 {
-		wake = h.watchAt
+func (ref *reference) dispatch() {
+	wakeTime := Time(math.MaxInt64)
+	if ref.watchAt >= 0 && ref.now >= ref.watchAt {
+		ref.emit(WatchEndpoints{})
+		ref.watchAt = -1
+	} else if ref.watchAt >= 0 {
+		wakeTime = ref.watchAt
 	}
-	if h.now >= h.nextWakeAt { // otherwise only nodes that something happened to
-		h.nextWakeAt = math.MaxInt64
-		for _, n := range h.nodes {
-			if h.now >= n.wakeAt {
-				h.markDirty(n)
+	if ref.now >= ref.nextWakeAt { // otherwise no wake time has come, and only nodes affected by events are dispatched
+		ref.nextWakeAt = math.MaxInt64
+		for _, n := range ref.nodes {
+			if ref.now >= n.wakeAt {
+				ref.markDirty(n)
 			} else {
-				h.nextWakeAt = min(h.nextWakeAt, n.wakeAt)
+				ref.nextWakeAt = min(ref.nextWakeAt, n.wakeAt)
 			}
 		}
 	}
-	touched := h.dirty
-	h.dirty = nil
-	for _, n := range touched {
-		h.dispatchNode(n)
-		h.nextWakeAt = min(h.nextWakeAt, n.wakeAt)
+	dirtyNodes := ref.dirty
+	ref.dirty = nil
+	for _, n := range dirtyNodes {
+		ref.dispatchNode(n)
+		ref.nextWakeAt = min(ref.nextWakeAt, n.wakeAt)
 	}
-	if wake = min(wake, h.nextWakeAt); len(h.dirty) > 0 { // by what was just done
-		wake = h.now
+	if wakeTime = min(wakeTime, ref.nextWakeAt); len(ref.dirty) > 0 { // marked by dispatchNode
+		wakeTime = ref.now
 	}
-	h.unassigned = h.rejectExpired(h.unassigned)
-	wake = min(wake, h.nextExpiry(h.unassigned))
-	if h.now >= h.sweptAt+volumeIdleTimeout/2 {
-		h.sweep()
+	ref.unassigned = ref.completeExpired(ref.unassigned)
+	wakeTime = min(wakeTime, ref.nextExpiry(ref.unassigned))
+	if ref.now >= ref.sweptAt+volumeIdleTimeout/2 {
+		ref.sweep()
 	}
-	if wake < math.MaxInt64 && (h.timerAt <= h.now || wake < h.timerAt) {
-		in := max(wake-h.now+time.Millisecond-1, time.Millisecond).Truncate(time.Millisecond)
-		h.timerAt = h.now + in
-		h.emit(SetTimer{After: in})
+	if wakeTime < math.MaxInt64 && (ref.timerAt <= ref.now || wakeTime < ref.timerAt) {
+		after := max(wakeTime-ref.now+time.Millisecond-1, time.Millisecond).Truncate(time.Millisecond)
+		ref.timerAt = ref.now + after
+		ref.emit(SetTimer{After: after})
 	}
 }
 
-func (h *reference) sweep() {
-	h.sweptAt = h.now
-	for name, v := range h.volumes {
-		for n, e := range v.streams {
-			if h.now-e.lastUsedAt > volumeIdleTimeout {
+func (ref *reference) sweep() {
+	ref.sweptAt = ref.now
+	for name, v := range ref.volumes {
+		for n, nodeStream := range v.streams {
+			if ref.now-nodeStream.lastUsedAt > volumeIdleTimeout {
 				delete(v.streams, n)
 			}
 		}
-		v.limit.fill(h.now)
-		if h.now-v.lastUsedAt > volumeIdleTimeout && len(v.streams) == 0 && v.limit.level >= v.limit.cap {
-			delete(h.volumes, name)
+		v.limit.fill(ref.now)
+		if ref.now-v.lastUsedAt > volumeIdleTimeout && len(v.streams) == 0 && v.limit.level >= v.limit.cap {
+			delete(ref.volumes, name)
 		}
 	}
-	for key, t := range h.keyOrders {
-		if len(t.requests) == 0 && h.now >= t.cooldownUntil {
-			delete(h.keyOrders, key)
+	for key, t := range ref.keyOrders {
+		if len(t.requests) == 0 && ref.now >= t.cooldownUntil {
+			delete(ref.keyOrders, key)
 		}
 	}
-	if h.settings.RetryBudget != nil {
-		h.arrivals = slices.DeleteFunc(h.arrivals, func(t Time) bool { return t <= h.now-h.settings.RetryBudget.Window })
+	if ref.settings.RetryBudget != nil {
+		ref.arrivals = slices.DeleteFunc(ref.arrivals, func(t Time) bool { return t <= ref.now-ref.settings.RetryBudget.Window })
 	}
 }
 
@@ -868,12 +869,12 @@
 }
 
 type decayingSum struct {
-	sum float64
-	at  Time
+	sum       float64
+	updatedAt Time
 }
 
-func (f *decayingSum) add(now Time, x float64, half time.Duration) float64 {
-	f.sum = f.sum*math.Exp2(-float64(max(now-f.at, 0))/float64(half)) + x
-	f.at = max(now, f.at)
-	return f.sum
+func (d *decayingSum) add(now Time, value float64, halfLife time.Duration) float64 {
+	d.sum = d.sum*math.Exp2(-float64(max(now-d.updatedAt, 0))/float64(halfLife)) + value
+	d.updatedAt = max(now, d.updatedAt)
+	return d.sum
 }
