--- a/scheduler/events.go
+++ b/scheduler/events.go
@@ -43,7 +43,7 @@
 // Outcome is how an attempt ended.
 type Outcome int
 
-// Any other value is treated as Cancelled.
+// The outcomes of an attempt. Any other value is treated as Cancelled.
 const (
 	// OK is a successful response, or a response that reports an error of the client.
 	OK Outcome = iota
--- a/scheduler/fleet_test.go
+++ b/scheduler/fleet_test.go
@@ -225,7 +225,7 @@
 	return testSettings(func(s *Settings) {
 		s.Instances = instances
 		s.SlowStart = SlowStart{WarmupDuration: 10 * time.Second, InitialFraction: 0.25, OverloadWindow: 1500 * ms, OverloadFactor: 3}
-		s.SlowStart.MinUnits = 0.7 * 3 * 0.25 * units * 1.5 // what the weakest node bears
+		s.SlowStart.MinUnits = 0.7 * 3 * 0.25 * units * 1.5 // capacity of the weakest node at its start
 		s.Plans[0].Reserve = 4 * units
 		s.ExcessWeight, s.MaxRetryAfter = 0.3, 500*ms
 	})
--- a/scheduler/membership.go
+++ b/scheduler/membership.go
@@ -48,7 +48,7 @@
 	scheduled bool // whether the node is in timers.scheduled
 }
 
-// handleEndpointUpdate applies an update of the endpoint list. It then selects nodes anew for the
+// handleEndpointUpdate applies an update of the endpoint list. It then selects nodes again for the
 // requests without a node, and for those queued for a node that no longer serves.
 func (s *Scheduler) handleEndpointUpdate(update EndpointUpdate) {
 	if update.Failed {
--- a/scheduler/outcomes.go
+++ b/scheduler/outcomes.go
@@ -35,7 +35,7 @@
 }
 
 // recordConnectionFailure counts consecutive failures. A node that resets only some connections still
-// responds on others, and these responses start the count anew.
+// responds on others, and these responses reset the count.
 func (s *Scheduler) recordConnectionFailure(n *node) {
 	n.breaker.consecutiveFailures++
 	if n.breaker.consecutiveFailures >= maxConsecutiveFailures {
--- a/scheduler/settings.go
+++ b/scheduler/settings.go
@@ -36,7 +36,8 @@
 	return "unknown"
 }
 
-// DeduplicationScope names the nodes that drop each other's repeats of an idempotent request.
+// DeduplicationScope is the set of nodes that share idempotency keys: each of them drops repeats of an
+// idempotent request that another one has received.
 type DeduplicationScope int
 
 const (
--- a/scheduler/status.go
+++ b/scheduler/status.go
@@ -88,9 +88,9 @@
 	return s.sendBlockedBy(r)
 }
 
-// ExpiryReason returns what kept a request from being sent that the last call of Handle rejected or
-// failed. It returns ReasonAllowed if nothing did: other requests were sent first, or its last attempt
-// failed and no further one was allowed.
+// ExpiryReason returns the wait reason of a request that the last call of Handle rejected or failed.
+// It returns ReasonAllowed if nothing kept the request from being sent: other requests were sent
+// first, or its last attempt failed and no further one was allowed.
 func (s *Scheduler) ExpiryReason(id uint64) Reason { return s.expiryReasons[id] }
 
 // sendBlockedBy returns the reason of the first send rule that blocks a ready request, ReasonAllowed
--- a/scheduler/volumes.go
+++ b/scheduler/volumes.go
@@ -91,7 +91,7 @@
 }
 
 // sweepVolumes deletes idle volumes and streams. A volume is kept until the bucket of its limit is
-// full, because the bucket of a volume that is created anew could hold more.
+// full, because the bucket of a volume that is created again could hold more.
 func (s *Scheduler) sweepVolumes() {
 	for name, v := range s.volumes {
 		s.sweepStreams(v)
