--- a/internal/eventloop/accept.go
+++ b/internal/eventloop/accept.go
@@ -8,98 +8,103 @@
 )
 
 const (
-	// maxAccepts is how many connections one iteration accepts at most.
+	// maxAccepts is the maximum number of connections accepted in one iteration.
 	maxAccepts = 64
-	// maxAcceptsShared is the same where processes share the listeners. It is small, so
-	// that a burst is spread over the processes.
+	// maxAcceptsShared replaces maxAccepts if several processes share the listeners. It is
+	// small, so that a burst of connections is spread over the processes.
 	maxAcceptsShared = 4
-	// acceptPause is for how long no connection is accepted after the process has run
-	// out of descriptors or client slots.
+	// acceptPause is how long the loop stops accepting after the process has run out of
+	// descriptors or client slots.
 	acceptPause = 50 * time.Millisecond
-	// maxAborted is how many connections in a row may be gone before they are accepted.
-	// Guards against an error that lasts, over which the loop would spin.
-	maxAborted = 16
+	// maxTransientErrors is how many transient errors in a row are retried at once. A
+	// persistent error would otherwise keep the loop busy.
+	maxTransientErrors = 16
 
-	// Accepting may take as long as all else in the iteration, within these bounds: an
-	// idle loop accepts for at least the one, a busy one for at most the other.
+	// The accept phase may last as long as the rest of the iteration has taken, but at
+	// least minAcceptTime and at most maxAcceptTime.
 	minAcceptTime = 100 * time.Microsecond
 	maxAcceptTime = 500 * time.Microsecond
 )
 
-// acceptState tells whether connections are accepted, and from which queue first.
+// acceptState holds the limits and the current state of accepting connections.
 type acceptState struct {
-	maxClients    int           // client connections open at once
-	firstListener int           // index, modulo the listeners, of the first in the next round
-	resumeAt      time.Duration // end of a pause, 0: not paused
-	aborted       int           // connections in a row that were gone before they were accepted
+	maxClients      int           // maximum number of open client connections
+	firstListener   int           // index of the listener that the next round starts with, modulo their number
+	resumeAt        time.Duration // end of the current pause; 0 if accepting is not paused
+	transientErrors int           // number of transient errors in a row, not counting EAGAIN
 }
 
 func (a *acceptState) paused() bool { return a.resumeAt > 0 }
 
-// pauseAccepting stops accepting for acceptPause. Guards against a busy loop over a
-// listener that is ready while no descriptor is free for its connections.
+// pauseAccepting stops accepting for acceptPause. Without the pause, a listener that has
+// connections waiting would keep waking the loop although no descriptor or slot is free for them.
 func (l *Loop) pauseAccepting() {
 	now := l.Now()
 	l.accepting.resumeAt = now + acceptPause
-	for _, n := range l.listeners {
-		n.wait.pauseBegins(now)
-		l.unwatchListener(n)
+	for _, ln := range l.listeners {
+		ln.wait.beginPause(now)
+		l.unwatchListener(ln)
 	}
 }
 
-// resumeAccepting ends a pause. Where epoll fails, another begins.
+// resumeAccepting ends a pause. If a listener cannot be added to epoll, another pause begins.
 func (l *Loop) resumeAccepting() {
 	l.accepting.resumeAt = 0
-	for _, n := range l.listeners {
-		l.endPause(n)
-		l.rewatchListener(n)
+	for _, ln := range l.listeners {
+		l.recordQueueLength(ln)
+		l.rewatchListener(ln)
 	}
 }
 
-// rearmSharedListeners puts this process last among those that wait for a shared
-// listener, so that each gets connections and not always the same one.
+// rearmSharedListeners registers the shared listeners with epoll again. This puts the process
+// at the end of the kernel's list of waiters, so that the connections are spread over all
+// processes instead of going to the same process each time.
 func (l *Loop) rearmSharedListeners() {
-	for _, n := range l.listeners {
-		if n.shared && !l.accepting.paused() {
-			l.rewatchListener(n)
+	for _, ln := range l.listeners {
+		if ln.shared && !l.accepting.paused() {
+			l.rewatchListener(ln)
 		}
 	}
 }
 
-func (l *Loop) unwatchListener(n *listener) {
-	unix.EpollCtl(l.epollFD, unix.EPOLL_CTL_DEL, n.fd, nil)
+// unwatchListener removes a listener from epoll.
+func (l *Loop) unwatchListener(ln *listener) {
+	unix.EpollCtl(l.epollFD, unix.EPOLL_CTL_DEL, ln.fd, nil)
 }
 
-func (l *Loop) rewatchListener(n *listener) {
-	l.unwatchListener(n)
-	if l.watchListener(n) != nil {
+// rewatchListener removes a listener from epoll and adds it again. If that fails, accepting
+// is paused.
+func (l *Loop) rewatchListener(ln *listener) {
+	l.unwatchListener(ln)
+	if l.watchListener(ln) != nil {
 		now := l.Now()
-		n.wait.pauseBegins(now)
+		ln.wait.beginPause(now)
 		l.accepting.resumeAt = now + acceptPause
 	}
 }
 
-// acceptBudget bounds the accepts of one iteration.
+// acceptBudget limits how much one iteration accepts.
 type acceptBudget struct {
-	remaining int           // connections
-	until     time.Duration // of the clock
-	spent     bool
+	remaining int           // number of connections that may still be accepted
+	until     time.Duration // time at which accepting stops, by the loop's clock
+	spent     bool          // set when no more is accepted in this iteration
 }
 
-// serveListeners is the accept phase of an iteration that began at a time. What is
-// due in the meantime is done first, and ends the phase early.
+// serveListeners runs the accept phase of an iteration that began at iterationStart. Actions
+// that are due by now are applied first, and the phase ends early for the gateway's next timer.
 func (l *Loop) serveListeners(iterationStart time.Duration) {
 	nextTimer := l.applyActions()
 	l.endPhase(PhaseActions)
-	spent := l.phaseStart - iterationStart
-	until := l.phaseStart + min(max(spent, minAcceptTime), maxAcceptTime)
+	elapsed := l.phaseStart - iterationStart
+	until := l.phaseStart + min(max(elapsed, minAcceptTime), maxAcceptTime)
 	until = min(until, max(nextTimer, l.phaseStart+minAcceptTime))
 	l.acceptUntil(until)
 	l.endPhase(PhaseAccept)
 }
 
-// acceptUntil accepts connections until a time: those in the queues of known clients
-// first, then the others, one of each queue in a round.
+// acceptUntil accepts connections until the given time, or until a limit is reached. The queues
+// of known clients come first, then the other queues. Queues of the same kind are served
+// round-robin, one connection each.
 func (l *Loop) acceptUntil(until time.Duration) {
 	defer l.rearmSharedListeners()
 	budget := acceptBudget{remaining: maxAccepts, until: until}
@@ -113,12 +118,12 @@
 	}
 }
 
-// acceptRound accepts one connection from each queue of known clients, or of the
-// others, and returns whether there may be more.
+// acceptRound accepts one connection from each queue of known clients, or from each other
+// queue, and reports whether more connections may be waiting.
 func (l *Loop) acceptRound(knownClients bool, budget *acceptBudget) (more bool) {
 	for i := range l.listeners {
-		n := l.listeners[(l.accepting.firstListener+i)%len(l.listeners)]
-		if n.knownClients != knownClients || !l.acceptOne(n) {
+		ln := l.listeners[(l.accepting.firstListener+i)%len(l.listeners)]
+		if ln.knownClients != knownClients || !l.acceptOne(ln) {
 			continue
 		}
 		more = true
@@ -135,9 +140,10 @@
 	return more
 }
 
-// DrainListenQueues accepts all connections that stand in the listen queues, before
-// these are closed, and returns whether none is left. It returns false where
-// descriptors have run out; it is then to be called again.
+// DrainListenQueues accepts all connections that wait in the listen queues and reports
+// whether the queues are empty. It is called before the listeners are closed. It returns
+// false if accepting is paused, for example for lack of descriptors; the caller then calls
+// it again later.
 func (l *Loop) DrainListenQueues() bool {
 	if l.accepting.paused() {
 		if l.Now() < l.accepting.resumeAt {
@@ -145,9 +151,9 @@
 		}
 		l.resumeAccepting()
 	}
-	for _, n := range l.listeners {
-		for accepted := 0; l.acceptOne(n); accepted++ {
-			if accepted > listenBacklog { // more than the queue can have had: new ones still come
+	for _, ln := range l.listeners {
+		for accepted := 0; l.acceptOne(ln); accepted++ {
+			if accepted > listenBacklog { // more than fit in the queue: new connections still arrive
 				break
 			}
 		}
@@ -158,37 +164,37 @@
 	return true
 }
 
-// acceptOne accepts one connection and returns whether there may be another.
-func (l *Loop) acceptOne(n *listener) bool {
+// acceptOne accepts one connection and reports whether another may be waiting.
+func (l *Loop) acceptOne(ln *listener) bool {
 	if l.conns.clientCount >= l.accepting.maxClients {
 		l.pauseAccepting()
 		return false
 	}
-	fd, peer, err := l.calls.Accept(n.fd)
+	fd, peer, err := l.calls.Accept(ln.fd)
 	switch {
 	case err == nil:
-		l.accepting.aborted = 0
-		l.admit(n, fd, peer)
+		l.accepting.transientErrors = 0
+		l.handleAccepted(ln, fd, peer)
 		return true
 	case errors.Is(err, unix.EAGAIN):
-		n.wait.emptied()
+		ln.wait.recordEmpty()
 		return false
-	case isAborted(err) && l.accepting.aborted < maxAborted:
-		l.accepting.aborted++
+	case isTransientAcceptError(err) && l.accepting.transientErrors < maxTransientErrors:
+		l.accepting.transientErrors++
 		return true
-	default: // no descriptor or memory for it, or an error that lasts
-		l.accepting.aborted = 0
+	default: // no descriptor or memory, or a persistent error
+		l.accepting.transientErrors = 0
 		l.pauseAccepting()
 		return false
 	}
 }
 
-// admit asks the gateway about an accepted connection and does as it decides: keep
-// it, reject it with a response, or close it.
-func (l *Loop) admit(n *listener, fd int, peer unix.Sockaddr) {
+// handleAccepted asks the gateway whether to admit an accepted connection, and keeps it,
+// rejects it with a response, or closes it without one.
+func (l *Loop) handleAccepted(ln *listener, fd int, peer unix.Sockaddr) {
 	now := l.Now()
-	delay := n.wait.accepted(now)
-	decision := l.Gateway.Accept(now, addrPort(peer), n.addressKey)
+	delay := ln.wait.recordAccept(now)
+	decision := l.Gateway.Accept(now, addrPort(peer), ln.addressKey)
 	switch {
 	case decision.Admitted:
 		if delay > 0 {
@@ -197,7 +203,7 @@
 		l.conns.add(socket{fd: fd, id: decision.ID, side: clientSide, state: socketOpen, wanted: readEvents})
 		l.registerConn(decision.ID)
 	case len(decision.Answer) > 0 && l.rejected.hasCapacity():
-		// At once and without epoll: the buffer of a new socket has room for it.
+		// Written at once and without epoll: the response fits in the send buffer of a new socket.
 		l.calls.Write(fd, decision.Answer)
 		unix.Shutdown(fd, unix.SHUT_WR)
 		l.rejected.add(fd, l.Now()+decision.Linger)
@@ -206,9 +212,9 @@
 	}
 }
 
-// isAborted tells whether accept failed for this one connection, which ended
-// meanwhile (accept(2) passes network errors on), or for a signal.
-func isAborted(err error) bool {
+// isTransientAcceptError reports whether accept failed because of this one connection, which
+// ended before it was accepted (accept(2) passes its network error on), or because of a signal.
+func isTransientAcceptError(err error) bool {
 	for _, errno := range []unix.Errno{unix.ECONNABORTED, unix.EINTR, unix.EPROTO, unix.ENETDOWN, unix.ENOPROTOOPT, unix.EHOSTDOWN,
 		unix.ENONET, unix.EHOSTUNREACH, unix.EOPNOTSUPP, unix.ENETUNREACH, unix.ETIMEDOUT, unix.EPERM} {
 		if errors.Is(err, errno) {
--- a/internal/eventloop/dial.go
+++ b/internal/eventloop/dial.go
@@ -12,20 +12,19 @@
 	"maddergap/internal/gateway"
 )
 
-// delayedDials are dials that failed for want of the gateway's own machine and
-// wait for their retry.
+// delayedDials holds the dials that wait to be retried after a local error (see isLocal).
 type delayedDials struct {
 	waiting []gateway.Action
 	backoff backoff
-	err     error // of the last dial that was delayed
+	err     error // error of the last dial that failed locally
 }
 
-// remove gives up the dial of a connection, if it waits.
+// remove drops the dial of a connection if it is among the delayed ones.
 func (d *delayedDials) remove(id gateway.ConnID) {
 	d.waiting = slices.DeleteFunc(d.waiting, func(a gateway.Action) bool { return a.Conn == id })
 }
 
-// next is when the dials are retried, never if none waits.
+// next returns the time of the next retry, or never if no dial waits.
 func (d *delayedDials) next() time.Duration {
 	if len(d.waiting) == 0 {
 		return never
@@ -33,12 +32,12 @@
 	return d.backoff.retryAt
 }
 
-// dial begins a connection. A failure of the gateway's own machine is not held
-// against the peer: the dial is retried later.
+// dial begins to open a connection. After a local error the dial is retried later and is not
+// reported to the gateway as failed, as the peer is not the cause.
 func (l *Loop) dial(a gateway.Action) {
-	if len(l.dials.waiting) > 0 && l.Now() < l.dials.backoff.retryAt { // it would fail as those did
+	if len(l.dials.waiting) > 0 && l.Now() < l.dials.backoff.retryAt { // would likely fail in the same way
 		l.dials.waiting = append(l.dials.waiting, a)
-		l.reportDelay(a.Conn)
+		l.reportDialDelay(a.Conn)
 		return
 	}
 	address, family, err := parseSockaddr(a.Addr)
@@ -53,8 +52,9 @@
 	}
 	unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1)
 	err = l.calls.Connect(fd, address)
-	underWay := err == nil || errors.Is(err, unix.EINPROGRESS) || errors.Is(err, unix.EINTR) // connect(2): goes on in the background
-	if !underWay {
+	// An interrupted connect goes on in the background, see connect(2).
+	inProgress := err == nil || errors.Is(err, unix.EINPROGRESS) || errors.Is(err, unix.EINTR)
+	if !inProgress {
 		unix.Close(fd)
 		if isLocal(err) {
 			l.delayDial(a, err)
@@ -67,7 +67,8 @@
 	l.registerConn(a.Conn)
 }
 
-// finishDial looks at the result of a connect.
+// finishDial handles an event of a socket whose connect is in progress: the connection is
+// open, has failed, or is to be dialed again after a local error.
 func (l *Loop) finishDial(s *socket, events uint32) {
 	id := s.id
 	code, err := l.calls.SocketError(s.fd)
@@ -78,7 +79,7 @@
 		l.delayDial(a, cmp.Or(err, error(code)))
 		return
 	case code != 0:
-		l.connectionFailed(id)
+		l.failConnection(id)
 		return
 	}
 	if events&unix.EPOLLOUT == 0 {
@@ -90,16 +91,17 @@
 	l.Gateway.Connected(l.Now(), id)
 }
 
-// delayDial has a dial that failed with a local error retried later.
+// delayDial schedules the retry of a dial that failed with a local error.
 func (l *Loop) delayDial(a gateway.Action, err error) {
 	l.dials.waiting = append(l.dials.waiting, a)
 	l.dials.backoff.extend(l.Now())
 	l.dials.err = err
-	l.reportDelay(a.Conn)
+	l.reportDialDelay(a.Conn)
 }
 
-// reportDelay tells the gateway that a dial is delayed, and whether the peer may be the cause.
-func (l *Loop) reportDelay(id gateway.ConnID) {
+// reportDialDelay tells the gateway that a dial is delayed, and whether the cause is a shortage
+// of resources, which no peer can bring about.
+func (l *Loop) reportDialDelay(id gateway.ConnID) {
 	if isShortage(l.dials.err) {
 		l.Gateway.DialShort(l.Now(), id)
 	} else {
@@ -107,8 +109,8 @@
 	}
 }
 
-// retryDials begins the delayed dials once their time has come, up to the first
-// that fails again.
+// retryDials retries the delayed dials when the backoff is over. It stops at the first
+// dial that is delayed again; the dials after it keep waiting.
 func (l *Loop) retryDials() {
 	if len(l.dials.waiting) == 0 || l.Now() < l.dials.backoff.retryAt {
 		return
@@ -124,7 +126,7 @@
 	}
 }
 
-// parseSockaddr reads "address:port" and returns the address family with it.
+// parseSockaddr parses "address:port" and also returns the address family.
 func parseSockaddr(text string) (unix.Sockaddr, int, error) {
 	ap, err := netip.ParseAddrPort(text)
 	if err != nil {
@@ -136,7 +138,7 @@
 	return &unix.SockaddrInet6{Port: int(ap.Port()), Addr: ap.Addr().As16()}, unix.AF_INET6, nil
 }
 
-// addrPort converts a socket address, the zero value for one that is not of IP.
+// addrPort converts a socket address. It returns the zero value if sa is not an IP address.
 func addrPort(sa unix.Sockaddr) netip.AddrPort {
 	switch a := sa.(type) {
 	case *unix.SockaddrInet4:
--- a/internal/eventloop/filewatch.go
+++ b/internal/eventloop/filewatch.go
@@ -10,16 +10,16 @@
 
 // fileWatch is an inotify descriptor that watches one file.
 type fileWatch struct {
-	fd   int    // noDescriptor: no file is watched
-	name string // without its directory
+	fd   int    // noDescriptor if no file is watched
+	name string // name of the file, without its directory
 }
 
-// WatchFile has OnFileChange called whenever the file is replaced or written.
-// It watches one file only.
+// WatchFile makes the loop call OnFileChange whenever the file is replaced or written.
+// A loop watches one file only; WatchFile must not be called twice.
 func (l *Loop) WatchFile(file string) error {
 	fd, err := unix.InotifyInit1(unix.IN_CLOEXEC | unix.IN_NONBLOCK)
 	if err == nil {
-		// The directory is watched, as a replaced file is another inode.
+		// The directory is watched, as a replaced file has another inode.
 		_, err = unix.InotifyAddWatch(fd, filepath.Dir(file), unix.IN_CLOSE_WRITE|unix.IN_MOVED_TO)
 	}
 	if err != nil {
@@ -30,15 +30,16 @@
 	return l.addToEpoll(fd, unix.EPOLLIN)
 }
 
+// serveFileWatch calls OnFileChange if the watched file may have changed.
 func (l *Loop) serveFileWatch() {
 	if l.fileWatch.readEvents(l.readBuffer) && l.OnFileChange != nil {
 		l.OnFileChange()
 	}
 }
 
-// readEvents reads all pending inotify events and returns whether the watched
-// file may have changed. An overflow of the kernel's queue counts as a change,
-// as the file's event may be the one that was dropped.
+// readEvents reads all pending inotify events and reports whether the watched
+// file may have changed. An overflow of the kernel's event queue counts as a change,
+// as an event of the file may have been dropped.
 func (w *fileWatch) readEvents(buffer []byte) (changed bool) {
 	for {
 		n, err := unix.Read(w.fd, buffer)
@@ -56,7 +57,8 @@
 	}
 }
 
-// nextInotifyEvent cuts one struct inotify_event (inotify(7)) off the bytes read.
+// nextInotifyEvent decodes the first struct inotify_event (see inotify(7)) in p and returns the
+// bytes after it as rest.
 func nextInotifyEvent(p []byte) (mask uint32, name, rest []byte) {
 	const maskOffset, nameLengthOffset = 4, 12
 	mask = binary.NativeEndian.Uint32(p[maskOffset:])
--- a/internal/eventloop/io.go
+++ b/internal/eventloop/io.go
@@ -9,11 +9,11 @@
 	"maddergap/internal/gateway"
 )
 
-// readEvents are the epoll events that a connection is read for.
+// readEvents are the epoll events that call for a read.
 const readEvents = unix.EPOLLIN | unix.EPOLLRDHUP
 
-// applyActions applies the gateway's actions until it has none left, and returns
-// when the gateway is to be advanced again.
+// applyActions advances the gateway and applies its actions until none is left. It returns
+// the time by which the gateway has to be advanced again.
 func (l *Loop) applyActions() time.Duration {
 	for {
 		actions, next := l.Gateway.Advance(l.Now())
@@ -26,13 +26,14 @@
 	}
 }
 
+// apply carries out one action of the gateway.
 func (l *Loop) apply(a gateway.Action) {
 	if a.Op == gateway.Dial {
 		l.dial(a)
 		return
 	}
 	s := l.conns.lookup(a.Conn)
-	if s == nil { // closed already, or its dial is delayed and is now given up
+	if s == nil { // already closed, or a delayed dial that the gateway gives up
 		l.dials.remove(a.Conn)
 		return
 	}
@@ -52,22 +53,22 @@
 	}
 }
 
-// serveSocket serves the events of one connection.
+// serveSocket handles the epoll events of one connection.
 func (l *Loop) serveSocket(s *socket, events uint32) {
 	if s.state == socketConnecting {
 		l.finishDial(s, events)
 		return
 	}
-	if events == 0 { // served in this iteration
+	if events == 0 { // already handled in this iteration
 		return
 	}
 	id := s.id
 	paused := s.wanted&unix.EPOLLIN == 0
 	if events&unix.EPOLLERR != 0 {
-		// What a node sent before it reset the connection may be a complete response:
-		// it is read first, and the read after it finds the reset.
+		// A node may have sent a complete response before it reset the connection. The
+		// response is read first; the next read then returns the reset.
 		if s.side == clientSide || s.state == socketReadClosed || paused || events&unix.EPOLLIN == 0 {
-			l.connectionFailed(id)
+			l.failConnection(id)
 			return
 		}
 	} else if events&unix.EPOLLOUT != 0 {
@@ -81,21 +82,21 @@
 	switch {
 	case readable && s.state != socketReadClosed && !paused:
 		l.read(s)
-	case hangup: // nothing more is read, and nothing can be written
-		l.connectionFailed(id)
+	case hangup: // reading is paused or over, and nothing can be written any more
+		l.failConnection(id)
 	}
 }
 
-// read reads once from a connection and passes the bytes to the gateway.
+// read calls read(2) once on a connection and passes the result to the gateway.
 func (l *Loop) read(s *socket) {
 	id := s.id
 	n, err := l.calls.Read(s.fd, l.readBuffer)
 	switch {
 	case errors.Is(err, unix.EAGAIN) || errors.Is(err, unix.EINTR):
-	case outOfMemory(err):
-		l.suspend(s)
+	case isOutOfMemory(err):
+		l.stallAndReport(s)
 	case err != nil:
-		l.connectionFailed(id)
+		l.failConnection(id)
 	case n == 0:
 		s.state = socketReadClosed
 		l.setWanted(s, s.wanted&^readEvents)
@@ -105,7 +106,8 @@
 	}
 }
 
-// write sends what the gateway has for a connection, as far as the kernel takes it.
+// write sends the gateway's pending output on a connection until none is left or the send
+// buffer is full.
 func (l *Loop) write(s *socket) {
 	id := s.id
 	interrupts := 0
@@ -126,12 +128,12 @@
 		switch {
 		case errors.Is(err, unix.EINTR) && interrupts < maxInterrupts:
 			interrupts++
-		case outOfMemory(err), errors.Is(err, unix.EINTR):
+		case isOutOfMemory(err), errors.Is(err, unix.EINTR):
 			s.wanted |= unix.EPOLLOUT
-			l.suspend(s)
+			l.stallAndReport(s)
 			return
 		case err != nil && !errors.Is(err, unix.EAGAIN):
-			l.connectionFailed(id)
+			l.failConnection(id)
 			return
 		case s != nil:
 			l.setWanted(s, s.wanted|unix.EPOLLOUT)
@@ -140,8 +142,8 @@
 	}
 }
 
-// shutdownWrite ends a connection's sending side. If the machine has no means for
-// that now, it is retried.
+// shutdownWrite shuts down the sending side of a connection. After a local error the
+// call is retried.
 func (l *Loop) shutdownWrite(s *socket) {
 	err := l.calls.Shutdown(s.fd, unix.SHUT_WR)
 	s.closeWritePending = err != nil && isLocal(err)
--- a/internal/eventloop/listen.go
+++ b/internal/eventloop/listen.go
@@ -10,29 +10,28 @@
 // listenBacklog is the length of a listen queue, in connections.
 const listenBacklog = 4096
 
-// listener is one listen queue. An address may have two: the second takes the
-// known clients that the kernel's filter picks, so that they do not wait behind a
-// burst of others.
+// listener is one listening socket with its queue. An address may have two: the second is for
+// the known clients, which a filter in the kernel directs to it, so that they do not wait
+// behind a burst of other clients.
 type listener struct {
 	fd           int
-	addressKey   int  // the same in both queues of an address
-	knownClients bool // it is the queue of the known clients
-	shared       bool // other processes accept from it too
+	addressKey   int  // identifies the address; the same in both of its queues
+	knownClients bool // set for the queue of the known clients
+	shared       bool // set if other processes accept from the queue too
 	wait         queueWait
 }
 
-// ListenQueue is a listen queue that processes share.
+// ListenQueue describes a listen queue that several processes share.
 type ListenQueue struct {
 	FD           int
-	AddressKey   int  // the same in both queues of an address
-	KnownClients bool // it is the queue of the known clients
+	AddressKey   int  // identifies the address; the same in both of its queues
+	KnownClients bool // set for the queue of the known clients
 }
 
-// Listen opens the listen queues of an address and returns the address, with the
-// port that the system chose if none was given. filter is a program that the kernel
-// runs over a new connection's packet; 1 puts the connection into the queue of the
-// known clients. Without a filter, or if the kernel does not take it, the address
-// has one queue.
+// Listen opens the listen queues of an address and returns the bound address. If the port
+// is 0, the kernel chooses one. filter is a classic BPF program that the kernel runs on the
+// first packet of a new connection; result 1 selects the queue of the known clients. Without
+// a filter, or if the kernel does not support it, the address has one queue.
 func (l *Loop) Listen(addr string, filter []bpf.RawInstruction) (string, error) {
 	sa, family, err := parseSockaddr(addr)
 	if err != nil {
@@ -53,7 +52,7 @@
 			return nil, err
 		}
 	}
-	fd, err := openBound(sa, family, twoQueues)
+	fd, err := openBoundSocket(sa, family, twoQueues)
 	if err != nil {
 		return nil, err
 	}
@@ -67,24 +66,24 @@
 	if !twoQueues {
 		return sa, nil
 	}
-	second, err := openBound(sa, family, true)
+	secondFD, err := openBoundSocket(sa, family, true)
 	if err != nil {
 		return nil, err
 	}
-	if err := l.startListener(&listener{fd: second, addressKey: fd, knownClients: true}); err != nil {
+	if err := l.startListener(&listener{fd: secondFD, addressKey: fd, knownClients: true}); err != nil {
 		return nil, err
 	}
-	if l.SetKnownClientFilter(filter) != nil { // an old kernel: one queue takes all
+	if l.SetKnownClientFilter(filter) != nil { // an old kernel: one queue takes all connections
 		l.closeListener(len(l.listeners) - 1)
 	}
 	return sa, nil
 }
 
-// checkAddressFree tells by a bind without SO_REUSEPORT whether an address is in use.
-// Guards against a second gateway on the same address: the two queues of one address
-// need SO_REUSEPORT, with which both would listen, each for a part of the connections.
+// checkAddressFree returns an error if the address is in use, which it checks by a bind without
+// SO_REUSEPORT. The two queues of an address need SO_REUSEPORT, and with it a second gateway
+// could bind the same address too: each gateway would get a part of the connections.
 func checkAddressFree(sa unix.Sockaddr, family int) error {
-	fd, err := openBound(sa, family, false)
+	fd, err := openBoundSocket(sa, family, false)
 	if err != nil {
 		return err
 	}
@@ -92,9 +91,9 @@
 	return nil
 }
 
-// openBound returns a socket bound to an address. Accepted connections inherit its
-// TCP_NODELAY, which saves a call for each.
-func openBound(sa unix.Sockaddr, family int, reusePort bool) (int, error) {
+// openBoundSocket returns a socket bound to an address. Accepted connections inherit its
+// TCP_NODELAY option, which saves a setsockopt call on each of them.
+func openBoundSocket(sa unix.Sockaddr, family int, reusePort bool) (int, error) {
 	fd, err := unix.Socket(family, unix.SOCK_STREAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
 		return noDescriptor, err
@@ -114,54 +113,54 @@
 	return fd, nil
 }
 
-// startListener begins to listen on a bound socket. It closes the socket on an error.
-func (l *Loop) startListener(n *listener) error {
-	err := unix.Listen(n.fd, listenBacklog)
+// startListener starts to listen on a bound socket. It closes the socket on an error.
+func (l *Loop) startListener(ln *listener) error {
+	err := unix.Listen(ln.fd, listenBacklog)
 	if err == nil {
-		err = l.watchListener(n)
+		err = l.watchListener(ln)
 	}
 	if err != nil {
-		unix.Close(n.fd)
+		unix.Close(ln.fd)
 		return err
 	}
-	l.descriptors[n.fd] = descriptorListener
-	l.listeners = append(l.listeners, n)
+	l.descriptors[ln.fd] = descriptorListener
+	l.listeners = append(l.listeners, ln)
 	return nil
 }
 
-// watchListener adds a listener to epoll. Of the processes that share it, the kernel
-// wakes only the one that waits for the longest.
-func (l *Loop) watchListener(n *listener) error {
+// watchListener adds a listener to epoll. For a shared listener, the kernel wakes only the
+// process that has been waiting longest.
+func (l *Loop) watchListener(ln *listener) error {
 	events := uint32(unix.EPOLLIN)
-	if n.shared {
+	if ln.shared {
 		events |= unix.EPOLLEXCLUSIVE
 	}
-	return l.addToEpoll(n.fd, events)
+	return l.addToEpoll(ln.fd, events)
 }
 
 // ListenQueues returns the open listen queues, for other processes to adopt.
 func (l *Loop) ListenQueues() (queues []ListenQueue) {
-	for _, n := range l.listeners {
-		queues = append(queues, ListenQueue{FD: n.fd, AddressKey: n.addressKey, KnownClients: n.knownClients})
+	for _, ln := range l.listeners {
+		queues = append(queues, ListenQueue{FD: ln.fd, AddressKey: ln.addressKey, KnownClients: ln.knownClients})
 	}
 	return queues
 }
 
-// AdoptQueue accepts connections from a listen queue that other processes accept
-// from too, and returns its address.
+// AdoptQueue makes the loop accept connections from a listen queue that it shares with other
+// processes, and returns the queue's address.
 func (l *Loop) AdoptQueue(q ListenQueue) (string, error) {
 	sa, err := unix.Getsockname(q.FD)
 	if err != nil {
-		return "", fmt.Errorf("adopt descriptor %d: %w", q.FD, err)
+		return "", fmt.Errorf("adopt listen queue on descriptor %d: %w", q.FD, err)
 	}
 	unix.CloseOnExec(q.FD)
 	unix.SetNonblock(q.FD, true)
-	n := &listener{fd: q.FD, addressKey: q.AddressKey, knownClients: q.KnownClients, shared: true}
-	return addrPort(sa).String(), l.startListener(n)
+	ln := &listener{fd: q.FD, addressKey: q.AddressKey, knownClients: q.KnownClients, shared: true}
+	return addrPort(sa).String(), l.startListener(ln)
 }
 
 // SetKnownClientFilter replaces the filter of every address that has two queues.
-// An empty filter sends all connections to the first.
+// An empty filter sends all connections to the first queue.
 func (l *Loop) SetKnownClientFilter(filter []bpf.RawInstruction) error {
 	if len(filter) == 0 {
 		const firstQueue = 0
@@ -171,33 +170,33 @@
 	for i, in := range filter {
 		program[i] = unix.SockFilter{Code: in.Op, Jt: in.Jt, Jf: in.Jf, K: in.K}
 	}
-	for _, n := range l.listeners {
-		if !n.knownClients {
+	for _, ln := range l.listeners {
+		if !ln.knownClients {
 			continue
 		}
-		if err := attachFilter(n.fd, unix.SO_ATTACH_REUSEPORT_CBPF, program); err != nil {
+		if err := attachFilter(ln.fd, unix.SO_ATTACH_REUSEPORT_CBPF, program); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// attachFilter attaches a program to a socket by one of the SO_ATTACH options.
+// attachFilter attaches a BPF program to a socket. option is one of the SO_ATTACH options.
 func attachFilter(fd, option int, program []unix.SockFilter) error {
 	return unix.SetsockoptSockFprog(fd, unix.SOL_SOCKET, option, &unix.SockFprog{Len: uint16(len(program)), Filter: &program[0]})
 }
 
-// DropNewConnections has the kernel drop the first packet of new connections, while
-// those already under way still enter the listen queues. Guards against a connection
-// that is made between the last accept and the close of its listener: the close would
-// reset it, and its request would be lost. A queue that other processes share is left
-// as it is, and so is one whose kernel does not take the filter.
+// DropNewConnections makes the kernel drop the first packet (SYN) of new connections.
+// Handshakes in progress still complete and enter the listen queues. Otherwise a
+// connection established between the last accept and the close of its listener would be
+// reset by the close, and its request lost. A queue shared with other processes is left
+// unchanged, and so is every queue if the kernel does not support the filter.
 func (l *Loop) DropNewConnections() {
 	const (
-		flagsOffset = 13 // of the TCP header
+		flagsOffset = 13 // offset of the flags in the TCP header
 		synFlag     = 0x02
 		drop        = 0
-		keep        = 1 << 18 // bytes: more than any packet has
+		keep        = 1 << 18 // number of bytes to keep: more than any packet has
 	)
 	program := []unix.SockFilter{
 		{Code: unix.BPF_LD | unix.BPF_B | unix.BPF_ABS, K: flagsOffset},
@@ -205,23 +204,23 @@
 		{Code: unix.BPF_RET | unix.BPF_K, K: drop},
 		{Code: unix.BPF_RET | unix.BPF_K, K: keep},
 	}
-	for _, n := range l.listeners {
-		if !n.shared {
-			attachFilter(n.fd, unix.SO_ATTACH_FILTER, program)
+	for _, ln := range l.listeners {
+		if !ln.shared {
+			attachFilter(ln.fd, unix.SO_ATTACH_FILTER, program)
 		}
 	}
 }
 
-// closeListener closes one listener by its index.
+// closeListener closes the listener with index i and removes it from the loop.
 func (l *Loop) closeListener(i int) {
-	n := l.listeners[i]
+	ln := l.listeners[i]
 	l.listeners = append(l.listeners[:i], l.listeners[i+1:]...)
-	delete(l.descriptors, n.fd)
-	unix.Close(n.fd)
+	delete(l.descriptors, ln.fd)
+	unix.Close(ln.fd)
 }
 
-// CloseListeners closes the listen queues. Connections that still stand in them are
-// reset by the kernel: see DropNewConnections and DrainListenQueues.
+// CloseListeners closes the listen queues. The kernel resets the connections that still wait
+// in them; DropNewConnections and DrainListenQueues, called before, prevent that.
 func (l *Loop) CloseListeners() {
 	for len(l.listeners) > 0 {
 		l.closeListener(len(l.listeners) - 1)
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -1,6 +1,6 @@
-// Package eventloop drives one gateway over real sockets: one epoll instance,
-// one goroutine, level triggered. It alone owns descriptors and reads the
-// clock. It knows nothing of HTTP and makes no scheduling decision.
+// Package eventloop runs one gateway on real sockets, with one level-triggered epoll
+// instance and one goroutine. The loop owns all descriptors and reads the clock; the gateway
+// does neither. The loop does not interpret HTTP and makes no scheduling decisions.
 package eventloop
 
 import (
@@ -16,41 +16,41 @@
 )
 
 const (
-	// readBufferSize is how many bytes one read takes at most.
+	// readBufferSize is the maximum number of bytes taken by one read.
 	readBufferSize = 64 << 10
-	// maxEvents is how many events one iteration takes from epoll at most.
+	// maxEvents is the maximum number of events that one iteration takes from epoll.
 	maxEvents = 256
-	// maxWait bounds one wait for events.
+	// maxWait is the longest timeout of one wait for events.
 	maxWait = time.Minute
-	// waitUnit is the unit of epoll's timeout. Waits are rounded up to it.
-	waitUnit = time.Millisecond
-	// clockOffset is the clock's reading when the loop is made. It is above zero so
-	// that things that began before the process did, such as the start of a node that
-	// is still warming up, have a positive time. Warm-ups of up to a day can be told so.
+	// timeoutResolution is the unit of epoll_wait's timeout. Waits are rounded up to it.
+	timeoutResolution = time.Millisecond
+	// clockOffset is the reading of the loop's clock when the loop is created. It is a day, so
+	// that events of up to a day before the process started have a positive time too, such
+	// as the start of a node that is still warming up.
 	clockOffset = 24 * time.Hour
-	// never is a time that does not come. The gateway's own value for it is later.
+	// never is a time that is not reached. The gateway's own value for it is greater.
 	never = time.Duration(1 << 62)
 )
 
-// Loop is an epoll loop around a gateway. All methods but Wake are for the
-// goroutine that calls Run.
+// Loop is an epoll event loop that runs a gateway. All methods except Wake may be called
+// only on the goroutine that calls Run.
 type Loop struct {
 	// Gateway is set once, before Run.
 	Gateway *gateway.Gateway
 
-	// OnFileChange is called when the watched file was replaced or written.
+	// OnFileChange is called after the watched file was replaced or written; see WatchFile.
 	OnFileChange func()
 	// OnWake is called after Wake, on the loop's goroutine.
 	OnWake func()
-	// OnIteration, if set, is called after each iteration. It must not keep its argument.
+	// OnIteration, if set, is called after each iteration. It must not retain its argument.
 	OnIteration func(*Iteration)
 
 	calls      syscalls.Calls
-	clockStart time.Time // the monotonic clock at reading zero of Now
-	origin     time.Time // the wall clock at reading zero of Now
+	clockStart time.Time // monotonic clock reading at which Now is zero
+	origin     time.Time // wall-clock time at which Now is zero
 
 	epollFD     int
-	descriptors map[int]descriptorKind // of descriptors other than connections
+	descriptors map[int]descriptorKind // kinds of the descriptors that are not connections
 	wakeup      wakeup
 	fileWatch   fileWatch
 	listeners   []*listener
@@ -61,12 +61,12 @@
 	dials       delayedDials
 	stalled     stalledConns
 
-	phaseStart time.Duration
-	iteration  Iteration
+	phaseStart time.Duration // start of the current phase
+	iteration  Iteration     // durations of the current iteration
 }
 
-// descriptorKind tells what a descriptor is that is no connection. The zero
-// value stands for a descriptor that the loop does not know (any more).
+// descriptorKind is the kind of a descriptor that is not a connection. The zero value stands
+// for a descriptor that the loop does not know or has closed.
 type descriptorKind uint8
 
 const (
@@ -75,18 +75,20 @@
 	descriptorFileWatch
 )
 
-// New returns a loop. maxClients is how many client connections are open at
-// once; more wait in the listen queue. maxRejected is how many rejected
-// connections are held beside them until they have read their response.
+// New returns a loop. maxClients is the maximum number of open client connections; further
+// clients wait in the listen queue. maxRejected is the maximum number of rejected
+// connections that are kept open in addition, until the client has had time to read its
+// response.
 func New(maxClients, maxRejected int) (*Loop, error) {
 	return NewWithCalls(syscalls.Linux{}, maxClients, maxRejected)
 }
 
-// NewWithCalls is New with other system calls, as for the injection of faults.
+// NewWithCalls is like New but makes its system calls through calls, for example to inject
+// faults.
 func NewWithCalls(calls syscalls.Calls, maxClients, maxRejected int) (*Loop, error) {
 	epollFD, err := unix.EpollCreate1(unix.EPOLL_CLOEXEC)
 	if err != nil {
-		return nil, fmt.Errorf("epoll: %w", err)
+		return nil, fmt.Errorf("epoll_create1: %w", err)
 	}
 	monotonic, wall := calls.Clocks()
 	l := &Loop{
@@ -119,13 +121,14 @@
 	}
 }
 
-// Now is the loop's monotonic clock. It reads a day when the loop is made.
+// Now returns the reading of the loop's monotonic clock. It is clockOffset, a day, when the loop
+// is created.
 func (l *Loop) Now() time.Duration { return time.Since(l.clockStart) }
 
-// Origin is the wall-clock time at which Now was zero.
+// Origin returns the wall-clock time that corresponds to zero of Now.
 func (l *Loop) Origin() time.Time { return l.origin }
 
-// addToEpoll begins to watch a descriptor that is no connection.
+// addToEpoll registers a descriptor that is not a connection.
 func (l *Loop) addToEpoll(fd int, events uint32) error {
 	if err := l.calls.EpollCtl(l.epollFD, unix.EPOLL_CTL_ADD, fd, &unix.EpollEvent{Events: events, Fd: int32(fd)}); err != nil {
 		return fmt.Errorf("epoll_ctl: %w", err)
@@ -133,12 +136,12 @@
 	return nil
 }
 
-// Run iterates until done, which is called once an iteration, returns true. Its
-// error is one of epoll itself.
+// Run iterates until done returns true; done is called once per iteration. Run returns an
+// error only if epoll_wait fails.
 //
-// An iteration serves what nodes sent, then clients, then runs timers and
-// writes, and accepts new connections last and for a bounded time. Guards
-// against a burst of connections that delays responses which are ready.
+// An iteration handles the events of nodes, then those of clients, then runs timers and
+// writes. It accepts new connections last and for a bounded time, so that a burst of
+// connections does not delay responses that are ready.
 func (l *Loop) Run(done func() bool) error {
 	events := make([]unix.EpollEvent, maxEvents)
 	l.phaseStart = l.Now()
@@ -159,7 +162,7 @@
 		}
 		l.phaseStart = l.Now()
 		if n <= 0 && next < never { // woken by the timeout, not by events
-			l.iteration.Durations[PhaseWakeup] = max(l.phaseStart-next-waitUnit, 0)
+			l.iteration.Durations[PhaseWakeup] = max(l.phaseStart-next-timeoutResolution, 0)
 		}
 		l.serveEvents(events[:max(n, 0)])
 		l.retryDials()
@@ -167,8 +170,8 @@
 	}
 }
 
-// nextOwnTimer is when the loop itself has something to do, apart from the
-// gateway's timers: close a rejected connection, retry a call, accept again.
+// nextOwnTimer returns the time of the loop's own next timer, as opposed to the gateway's: to
+// close a rejected connection, to retry a call, or to resume accepting.
 func (l *Loop) nextOwnTimer() time.Duration {
 	next := min(l.rejected.next(), l.dials.next(), l.stalled.next())
 	if l.accepting.paused() {
@@ -177,25 +180,26 @@
 	return next
 }
 
-// waitTimeout is epoll's timeout for a wait until a time: -1 for no bound.
+// waitTimeout returns the timeout of epoll_wait, in milliseconds, for a wait until the
+// given time. It is -1, which means no timeout, if until is never.
 func (l *Loop) waitTimeout(until time.Duration) int {
 	if until >= never {
 		return -1
 	}
-	units := (until - l.Now() + waitUnit - 1) / waitUnit
-	return int(min(max(units, 0), maxWait/waitUnit))
+	timeout := (until - l.Now() + timeoutResolution - 1) / timeoutResolution
+	return int(min(max(timeout, 0), maxWait/timeoutResolution))
 }
 
-// pendingEvents tells which descriptors other than connections have an event.
+// pendingEvents tells which kinds of descriptors other than connections have an event.
 type pendingEvents struct {
-	newConnections bool // a listener
-	notifications  bool // the wake-up descriptor or the file watch
+	newConnections bool // set if a listener has an event
+	notifications  bool // set if the wake-up descriptor or the file watch has an event
 }
 
-// serveEvents serves the events of one iteration, phase by phase.
+// serveEvents handles the events of one iteration, phase by phase.
 func (l *Loop) serveEvents(events []unix.EpollEvent) {
 	l.iteration.Events = len(events)
-	started := l.phaseStart
+	iterationStart := l.phaseStart
 	var pending pendingEvents
 	l.serveConnections(events, nodeSide, &pending)
 	l.endPhase(PhaseNodes)
@@ -212,19 +216,19 @@
 			l.resumeAccepting()
 		}
 	case pending.newConnections:
-		l.serveListeners(started)
+		l.serveListeners(iterationStart)
 	case len(events) < maxEvents:
-		l.noteEmptyQueues()
+		l.recordEmptyQueues()
 	}
 }
 
-// serveConnections serves the events of one side's connections, and notes in
-// pending what else has an event.
-func (l *Loop) serveConnections(events []unix.EpollEvent, of side, pending *pendingEvents) {
+// serveConnections handles the events of the connections on one side, and records in pending
+// which other descriptors have an event.
+func (l *Loop) serveConnections(events []unix.EpollEvent, onSide side, pending *pendingEvents) {
 	for i := range events {
 		fd := int(events[i].Fd)
 		if s := l.conns.byDescriptor(fd); s != nil {
-			if s.side == of {
+			if s.side == onSide {
 				l.serveSocket(s, events[i].Events)
 				events[i].Events = 0
 			}
@@ -239,7 +243,7 @@
 	}
 }
 
-// serveNotifications serves the wake-up descriptor and the file watch.
+// serveNotifications handles the events of the wake-up descriptor and the file watch.
 func (l *Loop) serveNotifications(events []unix.EpollEvent) {
 	for i := range events {
 		switch fd := int(events[i].Fd); l.descriptors[fd] {
--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -27,9 +27,9 @@
 known 127.9.0.0/16
 `
 
-// newLoop returns a loop around a gateway with 64 clients, 16 of them reserved for the known
-// clients of 127.9.0.0/16, and so many listeners with their addresses.
-func newLoop(t *testing.T, listeners int) (*Loop, *gateway.Gateway, []string) {
+// newLoop returns a loop, its gateway, and the addresses of listenerCount listeners. The gateway
+// has 64 client slots, 16 of them reserved for the known clients of 127.9.0.0/16.
+func newLoop(t *testing.T, listenerCount int) (*Loop, *gateway.Gateway, []string) {
 	t.Helper()
 	c, err := config.Parse("m.conf", []byte(testConfig))
 	if err != nil {
@@ -47,17 +47,17 @@
 	g.SetNodes(l.Now(), []nodelist.Node{{Name: "n", Addr: "127.0.0.1:1"}})
 	l.Gateway = g
 	var addrs []string
-	for range listeners {
-		a, err := l.Listen("127.0.0.1:0", c.Admission.KnownClientFilter(admission.NetworkHeader))
+	for range listenerCount {
+		addr, err := l.Listen("127.0.0.1:0", c.Admission.KnownClientFilter(admission.NetworkHeader))
 		if err != nil {
 			t.Fatal(err)
 		}
-		addrs = append(addrs, a)
+		addrs = append(addrs, addr)
 	}
 	return l, g, addrs
 }
 
-// dial connects from a loopback address.
+// dial connects to an address from the given loopback address.
 func dial(t *testing.T, from, to string) net.Conn {
 	t.Helper()
 	d := net.Dialer{LocalAddr: &net.TCPAddr{IP: net.ParseIP(from)}, Timeout: 5 * time.Second}
@@ -69,7 +69,8 @@
 	return c
 }
 
-// runIterations runs the loop for n iterations, those without an event too.
+// runIterations runs the loop for n iterations. It wakes the loop each time, so that no
+// iteration waits for an event.
 func (l *Loop) runIterations(n int) {
 	l.Run(func() bool {
 		l.Wake()
@@ -78,12 +79,13 @@
 	})
 }
 
-// While the loop stands still, a burst of unknown clients fills their queue, and a known
-// client connects last. It has a queue of its own, so the first iteration accepts it.
+// Verifies that a known client does not wait behind a burst of unknown clients. While the loop
+// is not running, the unknown clients fill their listen queue, and a known client connects last.
+// It enters the queue of the known clients, so the first iteration accepts it.
 func TestKnownClientsAreAcceptedFirst(t *testing.T) {
 	l, g, addrs := newLoop(t, 1)
 	if len(l.listeners) != 2 {
-		t.Skip("this kernel takes no filter over a listen queue")
+		t.Skip("this kernel does not support a filter that selects the listen queue")
 	}
 	for i := range 600 {
 		dial(t, fmt.Sprintf("127.20.0.%d", i%200+1), addrs[0])
@@ -91,68 +93,68 @@
 	dial(t, "127.9.0.1", addrs[0])
 	l.runIterations(1)
 	if n := g.Counts().Admitted.Known; n != 1 {
-		t.Errorf("%d known clients after the first iteration", n)
+		t.Errorf("%d known clients were admitted in the first iteration, want 1", n)
 	}
 }
 
-// A burst of 600 clients connects at once. Each iteration accepts a bounded number of
-// them, and later ones the rest. No more rejected connections are held until they have
-// read their response than the bound allows; the others are closed at once.
-func TestAcceptsOfAnIterationAreBounded(t *testing.T) {
+// Verifies that an iteration accepts a bounded number of connections when a burst of 600 clients
+// connects, and that later iterations accept the rest. Only as many rejected connections are
+// kept open for their response as New was told; the others are closed at once.
+func TestAcceptsPerIterationAreBounded(t *testing.T) {
 	l, g, addrs := newLoop(t, 1)
 	for i := range 600 {
 		dial(t, fmt.Sprintf("127.20.0.%d", i%200+1), addrs[0])
 	}
 	decided := func() (n uint64) {
-		c := g.Counts()
-		for _, x := range c.ConnectionsRejected {
-			n += x
+		counts := g.Counts()
+		for _, count := range counts.ConnectionsRejected {
+			n += count
 		}
-		return n + uint64(c.Clients)
+		return n + uint64(counts.Clients)
 	}
 	for iteration := range 3 {
 		before := decided()
 		l.runIterations(1)
 		if n := decided() - before; n > maxAccepts {
-			t.Errorf("iteration %d accepted %d connections, want %d at most", iteration, n, maxAccepts)
+			t.Errorf("iteration %d accepted %d connections, want at most %d", iteration, n, maxAccepts)
 		}
 	}
 	for until := time.Now().Add(10 * time.Second); decided() < 600 && time.Now().Before(until); {
 		l.runIterations(1)
 	}
 	if n := decided(); n != 600 {
-		t.Errorf("%d of 600 were admitted or rejected", n)
+		t.Errorf("%d connections were admitted or rejected, want 600", n)
 	}
 	if n := len(l.rejected.waiting); n != 4 {
-		t.Errorf("%d rejected connections are held, want 4", n)
+		t.Errorf("%d rejected connections are kept open, want 4", n)
 	}
 }
 
-// One of two listeners is flooded. The other's connection does not wait behind the
-// flood, as each round accepts one connection of each queue.
-func TestListenersAreServedInRounds(t *testing.T) {
+// Verifies that a connection of one listener does not wait behind a burst of 400 connections of
+// another: each round accepts one connection from each queue.
+func TestListenersAreServedRoundRobin(t *testing.T) {
 	l, g, addrs := newLoop(t, 2)
 	for i := range 400 {
 		dial(t, fmt.Sprintf("127.20.0.%d", i%200+1), addrs[0])
 	}
 	dial(t, "127.30.0.1", addrs[1])
-	l.runIterations(len(l.listeners)) // each queue is the first in one of them, however little time the machine leaves
+	l.runIterations(len(l.listeners)) // each queue comes first in one iteration, even if time allows one accept only
 	waiting := 0
-	for _, n := range l.listeners {
-		if !n.knownClients && n.addressKey == l.listeners[len(l.listeners)-2].addressKey {
-			_, _, err := unix.Accept4(n.fd, unix.SOCK_NONBLOCK)
+	for _, ln := range l.listeners {
+		if !ln.knownClients && ln.addressKey == l.listeners[len(l.listeners)-2].addressKey {
+			_, _, err := unix.Accept4(ln.fd, unix.SOCK_NONBLOCK)
 			if err == nil {
 				waiting++
 			}
 		}
 	}
 	if waiting != 0 || g.Counts().Clients == 0 {
-		t.Error("the connection of the other listener still waits, behind 400 of the first")
+		t.Error("the connection of the second listener still waits, or no client was admitted")
 	}
 }
 
-// A gateway without a free slot rejects a client that has sent its request already. The
-// client reads the complete response, then the end of the connection, and no reset.
+// Verifies that a client rejected for lack of a free slot, which has already sent its request,
+// reads the complete response and then the end of the connection instead of a reset.
 func TestRejectedClientReadsItsResponse(t *testing.T) {
 	l, g, addrs := newLoop(t, 1)
 	for i := range 64 {
@@ -168,9 +170,9 @@
 		l.runIterations(1)
 	}
 	c.SetReadDeadline(time.Now().Add(5 * time.Second))
-	b, err := io.ReadAll(c)
-	if err != nil || len(b) < 100 || string(b[:12]) != "HTTP/1.1 503" {
-		t.Errorf("%v %q", err, b)
+	response, err := io.ReadAll(c)
+	if err != nil || len(response) < 100 || string(response[:12]) != "HTTP/1.1 503" {
+		t.Errorf("read error %v, response %q; want a complete 503 response and no error", err, response)
 	}
 }
 
--- a/internal/eventloop/phases.go
+++ b/internal/eventloop/phases.go
@@ -2,33 +2,32 @@
 
 import "time"
 
-// Phase is a part of an iteration of the loop.
+// Phase is a part of an iteration of the event loop, whose duration is measured separately.
 type Phase int
 
-// Phases, in their order within an iteration: responses and timers come before
-// new connections. PhaseCount is how many there are.
+// The phases of an iteration. Responses and timers come before new connections.
 const (
-	PhaseWakeup  Phase = iota // how much later than asked the kernel woke the loop
-	PhaseNodes                // reads from nodes
-	PhaseClients              // reads from clients
-	PhaseActions              // timers, scheduling decisions and writes
-	PhaseAccept               // new connections, rejected ones included
-	PhaseFiles                // node list, configuration, signals
-	PhaseCount
+	PhaseWakeup  Phase = iota // delay with which the kernel woke the loop after a timeout
+	PhaseNodes                // events of connections to nodes
+	PhaseClients              // events of client connections
+	PhaseActions              // timers, scheduling decisions, writes and retries
+	PhaseAccept               // new connections, including rejected ones
+	PhaseFiles                // changes of the watched file, and wake-ups, for example by signals
+	PhaseCount                // number of phases
 )
 
-// String is the phase's name in logs and metrics.
+// String returns the phase's name in logs and metrics.
 func (p Phase) String() string {
 	return [...]string{"wake", "nodes", "clients", "acts", "accept", "files"}[p]
 }
 
-// Iteration is what one iteration of the loop took, without its wait for events.
+// Iteration holds the durations of one iteration of the loop, without its wait for events.
 type Iteration struct {
 	Durations [PhaseCount]time.Duration
-	Events    int // that epoll returned
+	Events    int // number of events that epoll returned
 }
 
-// Total is the time of all phases.
+// Total returns the sum of the durations of all phases.
 func (i *Iteration) Total() (sum time.Duration) {
 	for _, d := range i.Durations {
 		sum += d
@@ -36,7 +35,7 @@
 	return sum
 }
 
-// endPhase adds the time since the end of the phase before to a phase.
+// endPhase adds the time since the end of the previous phase to the duration of phase p.
 func (l *Loop) endPhase(p Phase) {
 	now := l.Now()
 	l.iteration.Durations[p] += now - l.phaseStart
--- a/internal/eventloop/queue_wait.go
+++ b/internal/eventloop/queue_wait.go
@@ -2,62 +2,69 @@
 
 import "time"
 
-// queueWait tells for how long the connections that stand in a listen queue may have waited for
-// a pause of accepting to end. The kernel does not tell when a connection came, but how many
-// stand in the queue at the end of a pause: of those accepted afterwards, as many have waited
-// and the others have not. Guards against new connections whose requests are given no time,
-// as if they had waited too.
+// queueWait estimates how long the connections of a listen queue may have waited because
+// accepting was paused. The kernel does not report when a connection arrived, only the length
+// of the queue. If the length is n at the end of a pause, the next n accepted connections may
+// have waited since the start of the pause, and the connections after them have not. Without
+// the count, new connections would be regarded as delayed too, and the time for their requests
+// as used up.
 type queueWait struct {
-	since time.Duration // begin of the first pause that a connection may have waited through, 0: none has
-	count int           // how many may have, at the end of the last pause, less those accepted since
+	// delayedSince is the start of the earliest pause during which a connection of the queue
+	// may have arrived, or 0 if no connection is delayed.
+	delayedSince time.Duration
+	// delayedCount is the length of the queue at the end of the last pause, less the number
+	// of connections accepted since.
+	delayedCount int
 }
 
-// pauseBegins notes that connections that come now have to wait.
-func (w *queueWait) pauseBegins(now time.Duration) {
-	if w.since == 0 {
-		w.since = now
+// beginPause records that connections that arrive from now on have to wait.
+func (w *queueWait) beginPause(now time.Duration) {
+	if w.delayedSince == 0 {
+		w.delayedSince = now
 	}
 }
 
-// pauseEnds takes the length of the queue at the end of a pause.
-func (w *queueWait) pauseEnds(length int) {
-	w.count = length
-	w.forgetIfNone()
+// endPause records the length of the queue at the end of a pause.
+func (w *queueWait) endPause(length int) {
+	w.delayedCount = length
+	w.clearIfNoneDelayed()
 }
 
-// accepted returns how long a connection that is accepted now may have waited.
-func (w *queueWait) accepted(now time.Duration) time.Duration {
-	if w.count == 0 {
+// recordAccept records that a connection is accepted now, and returns how long it may have waited.
+func (w *queueWait) recordAccept(now time.Duration) time.Duration {
+	if w.delayedCount == 0 {
 		return 0
 	}
-	delay := now - w.since
-	w.count--
-	w.forgetIfNone()
+	delay := now - w.delayedSince
+	w.delayedCount--
+	w.clearIfNoneDelayed()
 	return delay
 }
 
-// emptied notes that the queue was seen empty while accepting was not paused.
-func (w *queueWait) emptied() { *w = queueWait{} }
+// recordEmpty records that the queue was seen empty while accepting was not paused.
+func (w *queueWait) recordEmpty() { *w = queueWait{} }
 
-func (w *queueWait) forgetIfNone() {
-	if w.count == 0 {
-		w.since = 0
+// clearIfNoneDelayed resets delayedSince if no delayed connection is left.
+func (w *queueWait) clearIfNoneDelayed() {
+	if w.delayedCount == 0 {
+		w.delayedSince = 0
 	}
 }
 
-// endPause notes how many connections stand in a listener's queue. Where the kernel does not
-// tell, as many as can be are taken to stand there.
-func (l *Loop) endPause(n *listener) {
-	length, err := l.calls.ListenQueueLength(n.fd)
+// recordQueueLength records the length of a listener's queue at the end of a pause. If the
+// kernel does not report it, the queue is assumed to be full.
+func (l *Loop) recordQueueLength(ln *listener) {
+	length, err := l.calls.ListenQueueLength(ln.fd)
 	if err != nil {
 		length = listenBacklog + 1
 	}
-	n.wait.pauseEnds(length)
+	ln.wait.endPause(length)
 }
 
-// noteEmptyQueues is called when epoll, which watched the listeners, reported none of them.
-func (l *Loop) noteEmptyQueues() {
-	for _, n := range l.listeners {
-		n.wait.emptied()
+// recordEmptyQueues records that all listen queues are empty. It is called when epoll reported
+// no event of a listener although all of them are registered.
+func (l *Loop) recordEmptyQueues() {
+	for _, ln := range l.listeners {
+		ln.wait.recordEmpty()
 	}
 }
--- a/internal/eventloop/rejected.go
+++ b/internal/eventloop/rejected.go
@@ -6,28 +6,32 @@
 	"golang.org/x/sys/unix"
 )
 
-// rejectedQueue holds the descriptors of rejected connections that were sent a
-// response, in the order of their closing. Guards against a response that the client
-// never sees: if the descriptor were closed at once, the kernel would answer the
-// request that the client still sends by a reset, which discards the response.
+// rejectedQueue holds the descriptors of rejected connections that were sent a response
+// and are closed after a linger time. If a descriptor were closed at once, the kernel would
+// reply to the request that the client is still sending with a reset, and the reset would
+// discard the response before the client has read it.
 type rejectedQueue struct {
-	waiting  []rejectedConn
-	capacity int
+	waiting  []rejectedConn // ordered by closeAt
+	capacity int            // maximum length of waiting
 }
 
+// rejectedConn is a rejected connection that lingers until closeAt.
 type rejectedConn struct {
 	fd      int
 	closeAt time.Duration
 }
 
+// hasCapacity reports whether another connection may be added.
 func (q *rejectedQueue) hasCapacity() bool { return len(q.waiting) < q.capacity }
 
-// add takes over a descriptor. closeAt is not before that of the one added last.
+// add adds a descriptor, which the queue closes at closeAt. closeAt must not be before that of
+// the previous call.
 func (q *rejectedQueue) add(fd int, closeAt time.Duration) {
 	q.waiting = append(q.waiting, rejectedConn{fd: fd, closeAt: closeAt})
 }
 
-// next is when the first is to be closed, never if there is none.
+// next returns the time at which the first descriptor is to be closed, or never if the queue
+// is empty.
 func (q *rejectedQueue) next() time.Duration {
 	if len(q.waiting) == 0 {
 		return never
@@ -35,12 +39,12 @@
 	return q.waiting[0].closeAt
 }
 
-// closeExpired closes those whose time has come.
+// closeExpired closes the descriptors whose linger time is over.
 func (q *rejectedQueue) closeExpired(now time.Duration) {
-	n := 0
-	for n < len(q.waiting) && q.waiting[n].closeAt <= now {
-		unix.Close(q.waiting[n].fd)
-		n++
+	expired := 0
+	for expired < len(q.waiting) && q.waiting[expired].closeAt <= now {
+		unix.Close(q.waiting[expired].fd)
+		expired++
 	}
-	q.waiting = append(q.waiting[:0], q.waiting[n:]...)
+	q.waiting = append(q.waiting[:0], q.waiting[expired:]...)
 }
--- a/internal/eventloop/retry.go
+++ b/internal/eventloop/retry.go
@@ -7,20 +7,20 @@
 	"golang.org/x/sys/unix"
 )
 
-// A call may fail because the gateway's own machine is short of descriptors,
-// ports or memory. Such a failure says nothing of the peer and passes, so the call
-// is retried after a backoff of the loop's own. Guards against nodes that are taken
-// for down, one after the other, while it is this machine that has run out.
+// A system call may fail with a local error: the gateway's own machine is short of
+// descriptors, ports or memory. Such an error is temporary and says nothing about the peer, so
+// the loop retries the call after a backoff of its own. Otherwise one node after the other
+// would be regarded as down because of a shortage on this machine.
 const (
-	// initialRetryDelay is the first delay before a call is retried. It doubles up to
-	// maxRetryDelay while the failure lasts.
+	// initialRetryDelay is the delay before the first retry of a call. For dials it doubles
+	// after each further failure, up to maxRetryDelay.
 	initialRetryDelay = 5 * time.Millisecond
 	maxRetryDelay     = 100 * time.Millisecond
-	// maxInterrupts is how often a call that a signal interrupted is repeated at once.
+	// maxInterrupts is how often a call interrupted by a signal is repeated at once.
 	maxInterrupts = 8
 )
 
-// isLocal tells whether an error is due to the gateway's own machine.
+// isLocal reports whether an error is caused by the gateway's own machine and not by the peer.
 func isLocal(err error) bool {
 	for _, errno := range []unix.Errno{unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM, unix.ENOSPC, unix.EAGAIN, unix.EINTR,
 		unix.EADDRNOTAVAIL, unix.ENETUNREACH, unix.ENETDOWN} {
@@ -31,24 +31,24 @@
 	return false
 }
 
-// isShortage tells whether a local error is a lack of descriptors, memory or ports, which no peer
-// can cause. An unreachable network, which is local too, may be that of one peer alone.
+// isShortage reports whether an error is a local lack of descriptors, memory or ports, which no
+// peer can cause. An unreachable network is a local error too, but it may affect one peer only.
 func isShortage(err error) bool {
 	return isLocal(err) && !errors.Is(err, unix.ENETUNREACH) && !errors.Is(err, unix.ENETDOWN)
 }
 
-// outOfMemory tells whether the kernel had no memory or buffer for a read or write.
-func outOfMemory(err error) bool {
+// isOutOfMemory reports whether the kernel had no memory or buffer for a read or write.
+func isOutOfMemory(err error) bool {
 	return errors.Is(err, unix.ENOBUFS) || errors.Is(err, unix.ENOMEM)
 }
 
-// backoff is an exponential backoff.
+// backoff computes the times of retries with exponentially increasing delays.
 type backoff struct {
-	retryAt time.Duration // 0: at once
-	delay   time.Duration // the last one, 0 before the first failure
+	retryAt time.Duration // time of the next retry; 0 before the first failure
+	delay   time.Duration // delay before that retry; 0 before the first failure
 }
 
-// extend sets the next retry after another failure.
+// extend schedules the next retry after a failure at time now.
 func (b *backoff) extend(now time.Duration) {
 	b.delay = min(max(2*b.delay, initialRetryDelay), maxRetryDelay)
 	b.retryAt = now + b.delay
--- a/internal/eventloop/retry_test.go
+++ b/internal/eventloop/retry_test.go
@@ -9,7 +9,9 @@
 	"maddergap/internal/syscalls"
 )
 
-// newFaultyLoop returns a loop whose system calls fail as a fault table says.
+// newFaultyLoop returns a loop whose system calls fail according to a fault table, given as text
+// for syscalls.ParseFaultTable, with the calls that inject the faults and the addresses of the
+// loop's listeners.
 func newFaultyLoop(t *testing.T, text string) (*Loop, *syscalls.Faulty, []string) {
 	t.Helper()
 	l, _, addrs := newLoop(t, 1)
@@ -22,10 +24,10 @@
 	return l, faulty, addrs
 }
 
-// A client waits in the listen queue while every accept fails with the same error. The
-// loop pauses between its attempts in place of spinning, both in its iterations and when
-// it drains the queue before closing it.
-func TestLastingAcceptErrorsPauseAccepting(t *testing.T) {
+// Verifies that the loop does not spin when every accept fails with the same error while a
+// client waits in the listen queue. It pauses between its attempts, both in its iterations and
+// when it drains the queue before closing it.
+func TestPersistentAcceptErrorsPauseAccepting(t *testing.T) {
 	for _, errno := range []string{"ECONNABORTED", "ENFILE", "ENOBUFS", "EINVAL", "EINTR", "EPERM"} {
 		t.Run(errno, func(t *testing.T) {
 			l, faulty, addrs := newFaultyLoop(t, "accept "+errno)
@@ -34,23 +36,23 @@
 			if err := l.Run(func() bool { return time.Since(began) > 200*time.Millisecond }); err != nil {
 				t.Fatal(err)
 			}
-			if n := faulty.Injected(); n == 0 || n > 10*(maxAborted+1) {
-				t.Errorf("accept was called %d times within 200 ms", n)
+			if n := faulty.Injected(); n == 0 || n > 10*(maxTransientErrors+1) {
+				t.Errorf("accept was called %d times in 200 ms, want at least 1 and a pause after each series", n)
 			}
 			before := faulty.Injected()
 			if l.DrainListenQueues() {
-				t.Error("the queue counts as drained")
+				t.Error("DrainListenQueues reports an empty queue while accept fails")
 			}
-			if n := faulty.Injected() - before; n > maxAborted+1 {
-				t.Errorf("accept was called %d times to drain the queue", n)
+			if n := faulty.Injected() - before; n > maxTransientErrors+1 {
+				t.Errorf("accept was called %d times to drain the queue, want one series of retries at most", n)
 			}
 		})
 	}
 }
 
-// Signals interrupt about half of the waits for events. The loop goes on and still serves its
-// wake-ups.
-func TestInterruptedWaitsGoOn(t *testing.T) {
+// Verifies that Run continues and still serves wake-ups when signals interrupt about half of its
+// waits for events.
+func TestLoopContinuesAfterInterruptedWaits(t *testing.T) {
 	l, faulty, _ := newFaultyLoop(t, "epoll_wait EINTR chance 0.5")
 	iterations, began := 0, time.Now()
 	go func() {
@@ -61,20 +63,20 @@
 	}()
 	err := l.Run(func() bool { iterations++; return time.Since(began) > 100*time.Millisecond && iterations > 20 })
 	if err != nil || faulty.Injected() == 0 {
-		t.Errorf("%v, %d interrupted", err, faulty.Injected())
+		t.Errorf("Run returned %v, with %d interrupted waits; want no error, and at least 1", err, faulty.Injected())
 	}
 }
 
-// Errors of the gateway's own machine are told from those of the peer.
+// Verifies that errors of the gateway's own machine are distinguished from errors of the peer.
 func TestLocalErrors(t *testing.T) {
 	for _, errno := range []unix.Errno{unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.EADDRNOTAVAIL, unix.ENETUNREACH} {
 		if !isLocal(errno) {
-			t.Errorf("%v counts as an error of the peer", errno)
+			t.Errorf("%v is not regarded as a local error", errno)
 		}
 	}
 	for _, errno := range []unix.Errno{unix.ECONNREFUSED, unix.ETIMEDOUT, unix.EHOSTUNREACH, unix.ECONNRESET} {
 		if isLocal(errno) {
-			t.Errorf("%v counts as an error of this machine", errno)
+			t.Errorf("%v is regarded as a local error", errno)
 		}
 	}
 }
--- a/internal/eventloop/stalled.go
+++ b/internal/eventloop/stalled.go
@@ -8,15 +8,15 @@
 	"maddergap/internal/gateway"
 )
 
-// stalledConns are connections on which a call failed for want of the gateway's own
-// machine: epoll does not watch them for all that they need, or a write or a
-// shutdown has to be repeated.
+// stalledConns holds the connections on which a system call failed with a local error: epoll
+// is not registered for all their wanted events, or a read, write or shutdown has to be
+// repeated.
 type stalledConns struct {
 	ids     []gateway.ConnID
-	retryAt time.Duration // 0: none is stalled
+	retryAt time.Duration // time of the next retry; 0 if no connection is stalled
 }
 
-// next is when the stalled connections are retried, never if there are none.
+// next returns the time of the next retry, or never if no connection is stalled.
 func (c *stalledConns) next() time.Duration {
 	if c.retryAt == 0 {
 		return never
@@ -24,8 +24,8 @@
 	return c.retryAt
 }
 
-// stall has a connection retried a little later. Until then epoll does not watch it
-// for what would wake the loop at once.
+// stall schedules a retry for a connection. While it is stalled, register leaves out the
+// events that would wake the loop at once.
 func (l *Loop) stall(s *socket) {
 	if !s.stalled {
 		s.stalled = true
@@ -36,19 +36,18 @@
 	}
 }
 
-// suspend stalls a connection whose read or write failed, and tells the gateway that
-// the peer is not the cause.
-func (l *Loop) suspend(s *socket) {
+// stallAndReport stalls a connection whose read or write failed, and tells the gateway, so that
+// it does not blame the peer for the delay.
+func (l *Loop) stallAndReport(s *socket) {
 	id := s.id
 	l.stall(s)
 	l.register(s)
 	l.Gateway.Stalled(l.Now(), id)
 }
 
-// retryStalled goes on with the stalled connections once their time has come. Those
-// that epoll still cannot watch are asked for their events by poll. Guards against a
-// connection that came up, or a response that arrived, but is taken for silence of
-// the peer.
+// retryStalled retries the stalled connections when their time has come. Connections that still
+// cannot be registered with epoll are polled. Otherwise the gateway would not learn of an
+// established connection or a response, and would regard the peer as silent.
 func (l *Loop) retryStalled() {
 	if l.stalled.retryAt == 0 || l.Now() < l.stalled.retryAt {
 		return
@@ -72,7 +71,7 @@
 	l.pollStalled()
 }
 
-// pollStalled serves the stalled connections whose events epoll does not report.
+// pollStalled handles the events of the stalled connections that epoll does not report.
 func (l *Loop) pollStalled() {
 	var ids []gateway.ConnID
 	var fds []unix.PollFd
@@ -86,7 +85,7 @@
 		return
 	}
 	if _, err := l.calls.Poll(fds); err != nil {
-		return // they are still stalled, and so retried
+		return // the connections are still stalled and are retried
 	}
 	for i, id := range ids {
 		if s := l.conns.lookup(id); s != nil && fds[i].Revents != 0 {
--- a/internal/eventloop/wakeup.go
+++ b/internal/eventloop/wakeup.go
@@ -11,13 +11,13 @@
 // noDescriptor stands for a descriptor that is not open.
 const noDescriptor = -1
 
-// wakeup is the eventfd by which other goroutines wake the loop.
+// wakeup is the eventfd with which other goroutines wake the loop.
 type wakeup struct {
 	mu sync.Mutex
-	fd int // noDescriptor after release
+	fd int // eventfd; noDescriptor after release
 }
 
-// openWakeup opens the eventfd and watches it.
+// openWakeup opens the eventfd and registers it with epoll.
 func (l *Loop) openWakeup() (err error) {
 	if l.wakeup.fd, err = unix.Eventfd(0, unix.EFD_CLOEXEC|unix.EFD_NONBLOCK); err != nil {
 		return fmt.Errorf("eventfd: %w", err)
@@ -26,26 +26,27 @@
 	return l.addToEpoll(l.wakeup.fd, unix.EPOLLIN)
 }
 
-// Wake has a waiting loop call OnWake. It may be called from any goroutine, also
-// after Close. Guards against a late call that writes to another file which has
-// got the descriptor's number by then: the number is given up under the lock.
+// Wake makes the loop call OnWake, and ends its wait for events. It may be called from any
+// goroutine, even after Close: Close releases the descriptor under the lock, so that a late
+// call does not write to another file that has been given the same descriptor number.
 func (l *Loop) Wake() { l.wakeup.signal() }
 
+// signal writes to the eventfd, unless it has been released.
 func (w *wakeup) signal() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.fd < 0 {
 		return
 	}
-	one := [8]byte{7: 1}
+	increment := [8]byte{7: 1}
 	for range maxInterrupts {
-		if _, err := unix.Write(w.fd, one[:]); !errors.Is(err, unix.EINTR) {
-			return // EAGAIN means that a wake-up is pending already
+		if _, err := unix.Write(w.fd, increment[:]); !errors.Is(err, unix.EINTR) {
+			return // EAGAIN: a wake-up is already pending
 		}
 	}
 }
 
-// release gives up the descriptor and returns it for the caller to close.
+// release marks the descriptor as closed and returns it for the caller to close.
 func (w *wakeup) release() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -54,8 +55,8 @@
 	return fd
 }
 
-// serveWakeup resets the eventfd and calls OnWake. It also rearms shared listeners:
-// the kernel may have given the wake-up for a new connection to a process that hangs.
+// serveWakeup resets the eventfd and calls OnWake. It also rearms the shared listeners, because
+// the kernel may have notified a process that hangs of a new connection.
 func (l *Loop) serveWakeup(fd int) {
 	var counter [8]byte
 	unix.Read(fd, counter[:])
