--- a/internal/syscalls/faulttable.go
+++ b/internal/syscalls/faulttable.go
@@ -11,23 +11,23 @@
 	"golang.org/x/sys/unix"
 )
 
-// Fault is a line of a fault table: a call that fails, or that transfers one byte only.
+// Fault is an entry of a fault table. It makes a system call fail, or transfer one byte only.
 type Fault struct {
-	// Call is one of the names in callNames.
+	// Call is the system call, one of callNames.
 	Call string
-	// Errno is what the call fails with; 0 is a read or write of one byte.
+	// Errno is the error that the call returns. 0 stands for a read or write of one byte.
 	Errno unix.Errno
-	// Probability is that of each call, from 0 to 1.
+	// Probability is the probability that the fault applies to a call, from 0 to 1.
 	Probability float64
-	// MaxCount is how many calls fail at most, 0 for no bound.
+	// MaxCount is the maximum number of calls that the fault applies to, 0 for no limit.
 	MaxCount int
-	// StartAfter is the time from the start of the process's loop to the first failure.
+	// StartAfter is the time from NewFaulty until the fault begins to apply.
 	StartAfter time.Duration
-	// Duration is for how long calls fail, 0 for no end.
+	// Duration is how long the fault applies, 0 for no end.
 	Duration time.Duration
 }
 
-// activeAt tells whether the fault is in force at an age of the table.
+// activeAt reports whether the fault applies at the given age of the table.
 func (f *Fault) activeAt(age time.Duration) bool {
 	if age < f.StartAfter {
 		return false
@@ -35,40 +35,42 @@
 	return f.Duration <= 0 || age < f.StartAfter+f.Duration
 }
 
-// FaultTable is what a Faulty injects.
+// FaultTable holds the faults that a Faulty injects.
 type FaultTable struct {
-	Seed   uint64
+	Seed   uint64 // seed of the random draws; 1 if the text names none
 	Faults []Fault
-	// WallClockStep is how far the wall clock is ahead of the true time.
+	// WallClockStep is added to the readings of the wall clock.
 	WallClockStep time.Duration
 }
 
-// FaultTableError is a mistake in the text of a fault table.
+// FaultTableError reports a mistake in the text of a fault table.
 type FaultTableError struct {
-	Entry string // the entry at fault
-	Err   error  // what is wrong with it
+	Entry string // text of the wrong entry
+	Err   error  // cause
 }
 
 func (e *FaultTableError) Error() string { return fmt.Sprintf("%q: %v", e.Entry, e.Err) }
 
-// Unwrap returns what is wrong with the entry.
+// Unwrap returns the cause of the error.
 func (e *FaultTableError) Unwrap() error { return e.Err }
 
-// shortTransfer stands in a table for a read or write of one byte.
+// shortTransfer takes the place of an errno name for a read or write of one byte.
 const shortTransfer = "SHORT"
 
-// callNames are the calls that can fail.
+// callNames lists the system calls that a fault can apply to.
 var callNames = []string{"epoll_wait", "epoll_ctl", "poll", "socket", "connect", "accept", "read", "write", "shutdown"}
 
+// errnoByName maps the errno names of a fault table to their values.
 var errnoByName = map[string]unix.Errno{shortTransfer: 0, "EINTR": unix.EINTR, "EAGAIN": unix.EAGAIN, "EMFILE": unix.EMFILE,
 	"ENFILE": unix.ENFILE, "ENOBUFS": unix.ENOBUFS, "ENOMEM": unix.ENOMEM, "ENOSPC": unix.ENOSPC,
 	"ECONNABORTED": unix.ECONNABORTED, "EADDRNOTAVAIL": unix.EADDRNOTAVAIL, "ENETUNREACH": unix.ENETUNREACH,
 	"EHOSTUNREACH": unix.EHOSTUNREACH, "ETIMEDOUT": unix.ETIMEDOUT, "ECONNRESET": unix.ECONNRESET, "EPIPE": unix.EPIPE,
 	"EPERM": unix.EPERM, "EPROTO": unix.EPROTO, "EINVAL": unix.EINVAL}
 
-// ParseFaultTable reads a table: entries separated by semicolons, each "seed N",
-// "step DURATION", or "CALL ERRNO [chance P] [count N] [from DURATION] [for DURATION]".
-// Its error is a *FaultTableError.
+// ParseFaultTable parses a fault table. Its entries are separated by semicolons; each is
+// "seed N", "step DURATION" (of the wall clock), or
+// "CALL ERRNO [chance P] [count N] [from DURATION] [for DURATION]". An error is a
+// *FaultTableError.
 func ParseFaultTable(text string) (*FaultTable, error) {
 	t := &FaultTable{Seed: 1}
 	for entry := range strings.SplitSeq(text, ";") {
@@ -83,9 +85,10 @@
 	return t, nil
 }
 
+// parseEntry parses the words of one entry and stores the result in the table.
 func (t *FaultTable) parseEntry(words []string) (err error) {
 	if len(words) < 2 {
-		return errors.New("want a keyword and its value")
+		return errors.New("want a keyword or system call and its value")
 	}
 	switch words[0] {
 	case "seed":
@@ -103,19 +106,19 @@
 	return nil
 }
 
-// parseFault reads "CALL ERRNO" and the options after it.
+// parseFault parses "CALL ERRNO" and the options after it.
 func parseFault(words []string) (Fault, error) {
 	f := Fault{Call: words[0], Probability: 1}
 	errno, known := errnoByName[words[1]]
 	if !known || !slices.Contains(callNames, f.Call) {
-		return f, fmt.Errorf("want one of %v and a known error", callNames)
+		return f, fmt.Errorf("want one of the system calls %v and a known errno name", callNames)
 	}
 	f.Errno = errno
 	if errno == 0 && f.Call != "read" && f.Call != "write" {
-		return f, fmt.Errorf("%s is for read and write", shortTransfer)
+		return f, fmt.Errorf("%s applies to read and write only", shortTransfer)
 	}
 	if len(words)%2 != 0 {
-		return f, errors.New("an option without its value")
+		return f, errors.New("an option has no value")
 	}
 	for i := 2; i < len(words); i += 2 {
 		if err := f.parseOption(words[i], words[i+1]); err != nil {
@@ -125,6 +128,7 @@
 	return f, nil
 }
 
+// parseOption parses the value of one option of a fault.
 func (f *Fault) parseOption(name, value string) (err error) {
 	switch name {
 	case "chance":
--- a/internal/syscalls/faulty.go
+++ b/internal/syscalls/faulty.go
@@ -7,22 +7,22 @@
 	"golang.org/x/sys/unix"
 )
 
-// randStream is the stream of the generator that a table's seed selects within.
+// randStream is the second seed of the random generator, whose first seed is the table's.
 const randStream = 0x66617578
 
-// Faulty makes system calls that fail as a table says. It is not safe for concurrent
-// use: it is for one loop, which makes its calls one at a time.
+// Faulty implements Calls and injects the faults of a table. It is not safe for concurrent
+// use: it is for one event loop, which makes one call at a time.
 type Faulty struct {
-	Calls
+	Calls     // calls that are made if no fault applies
 	table     FaultTable
 	rand      *rand.Rand
-	start     time.Time
-	remaining []int // calls left of each fault's MaxCount
-	injected  []int // how often each was injected
+	start     time.Time // time of NewFaulty, from which the table's times count
+	remaining []int     // number of calls left of each fault's MaxCount, if that is not 0
+	injected  []int     // number of calls that each fault applied to
 }
 
-// NewFaulty returns calls that fail as the table says, and otherwise are those given.
-// The table's times count from now.
+// NewFaulty returns a Faulty that injects the faults of a table and otherwise makes the given
+// calls. The table's times count from the call of NewFaulty.
 func NewFaulty(calls Calls, table FaultTable) *Faulty {
 	f := &Faulty{
 		Calls:     calls,
@@ -38,8 +38,8 @@
 	return f
 }
 
-// Injected is how many calls the table applied to. All of them failed or were cut short, but for the
-// removal of a descriptor from epoll, which does not fail.
+// Injected returns the number of calls that a fault applied to. All of them failed or transferred
+// one byte, except removals of a descriptor from epoll, which are counted but do not fail.
 func (f *Faulty) Injected() (n int) {
 	for _, count := range f.injected {
 		n += count
@@ -47,7 +47,8 @@
 	return n
 }
 
-// drawFault draws whether a call fails now, and with what error.
+// drawFault decides by random draws whether a fault applies to a call now, and returns the
+// fault's errno. fails also covers errno 0, a transfer of one byte.
 func (f *Faulty) drawFault(call string) (errno unix.Errno, fails bool) {
 	age := time.Since(f.start)
 	for i := range f.table.Faults {
@@ -68,7 +69,7 @@
 	return 0, false
 }
 
-// EpollWait is Calls.EpollWait, with faults.
+// EpollWait is Calls.EpollWait with injected faults.
 func (f *Faulty) EpollWait(epollFD int, events []unix.EpollEvent, timeout int) (int, error) {
 	if errno, fails := f.drawFault("epoll_wait"); fails {
 		return -1, errno
@@ -76,7 +77,7 @@
 	return f.Calls.EpollWait(epollFD, events, timeout)
 }
 
-// EpollCtl is Calls.EpollCtl, with faults. A removal never fails.
+// EpollCtl is Calls.EpollCtl with injected faults. The removal of a descriptor never fails.
 func (f *Faulty) EpollCtl(epollFD, op, fd int, event *unix.EpollEvent) error {
 	if errno, fails := f.drawFault("epoll_ctl"); fails && op != unix.EPOLL_CTL_DEL {
 		return errno
@@ -84,7 +85,7 @@
 	return f.Calls.EpollCtl(epollFD, op, fd, event)
 }
 
-// Poll is Calls.Poll, with faults.
+// Poll is Calls.Poll with injected faults.
 func (f *Faulty) Poll(fds []unix.PollFd) (int, error) {
 	if errno, fails := f.drawFault("poll"); fails {
 		return -1, errno
@@ -92,7 +93,7 @@
 	return f.Calls.Poll(fds)
 }
 
-// Socket is Calls.Socket, with faults.
+// Socket is Calls.Socket with injected faults.
 func (f *Faulty) Socket(family int) (int, error) {
 	if errno, fails := f.drawFault("socket"); fails {
 		return -1, errno
@@ -100,8 +101,8 @@
 	return f.Calls.Socket(family)
 }
 
-// Connect is Calls.Connect, with faults. An interrupted one goes on in the background,
-// as connect(2) says.
+// Connect is Calls.Connect with injected faults. With EINTR the connection attempt goes on in
+// the background, as described in connect(2).
 func (f *Faulty) Connect(fd int, to unix.Sockaddr) error {
 	if errno, fails := f.drawFault("connect"); fails {
 		if errno == unix.EINTR {
@@ -112,7 +113,8 @@
 	return f.Calls.Connect(fd, to)
 }
 
-// Accept is Calls.Accept, with faults. The connection stays in the listen queue.
+// Accept is Calls.Accept with injected faults. After a fault the connection stays in the listen
+// queue.
 func (f *Faulty) Accept(fd int) (int, unix.Sockaddr, error) {
 	if errno, fails := f.drawFault("accept"); fails {
 		return -1, nil, errno
@@ -120,7 +122,7 @@
 	return f.Calls.Accept(fd)
 }
 
-// Read is Calls.Read, with faults.
+// Read is Calls.Read with injected faults.
 func (f *Faulty) Read(fd int, p []byte) (int, error) {
 	if errno, fails := f.drawFault("read"); fails {
 		if errno != 0 {
@@ -131,7 +133,7 @@
 	return f.Calls.Read(fd, p)
 }
 
-// Write is Calls.Write, with faults.
+// Write is Calls.Write with injected faults.
 func (f *Faulty) Write(fd int, p []byte) (int, error) {
 	if errno, fails := f.drawFault("write"); fails {
 		if errno != 0 {
@@ -142,7 +144,7 @@
 	return f.Calls.Write(fd, p)
 }
 
-// Shutdown is Calls.Shutdown, with faults.
+// Shutdown is Calls.Shutdown with injected faults.
 func (f *Faulty) Shutdown(fd, how int) error {
 	if errno, fails := f.drawFault("shutdown"); fails {
 		return errno
@@ -150,7 +152,7 @@
 	return f.Calls.Shutdown(fd, how)
 }
 
-// Clocks is Calls.Clocks, with the table's step of the wall clock.
+// Clocks is Calls.Clocks with the table's WallClockStep added to the wall clock.
 func (f *Faulty) Clocks() (monotonic, wall time.Time) {
 	monotonic, wall = f.Calls.Clocks()
 	return monotonic, wall.Add(f.table.WallClockStep)
--- a/internal/syscalls/faulty_test.go
+++ b/internal/syscalls/faulty_test.go
@@ -11,23 +11,24 @@
 func TestParseFaultTable(t *testing.T) {
 	table, err := ParseFaultTable("seed 7; step -1h; accept ENFILE chance 0.5 count 3 from 1s for 2s; read SHORT; ")
 	if err != nil || table.Seed != 7 || table.WallClockStep != -time.Hour || len(table.Faults) != 2 {
-		t.Fatalf("%+v, %v", table, err)
+		t.Fatalf("parsed table is %+v, error %v", table, err)
 	}
 	want := Fault{Call: "accept", Errno: unix.ENFILE, Probability: 0.5, MaxCount: 3, StartAfter: time.Second, Duration: 2 * time.Second}
 	if table.Faults[0] != want {
-		t.Errorf("%+v, want %+v", table.Faults[0], want)
+		t.Errorf("parsed fault is %+v, want %+v", table.Faults[0], want)
 	}
 	for _, text := range []string{"accept", "open EINTR", "accept SHORT", "read EWHAT", "read EINTR chance", "read EINTR often 2", "step soon"} {
 		if _, err := ParseFaultTable(text); err == nil {
-			t.Errorf("%q is accepted", text)
+			t.Errorf("ParseFaultTable(%q) returned no error", text)
 		}
 	}
 }
 
-// Two tables with the same seed fail the same calls, and no more than their count. A
-// short read or write transfers one byte, and the wall clock alone is stepped.
+// Verifies that two tables with the same seed make the same calls fail, and no more calls than
+// the count allows; that a short read or write transfers one byte; and that a step changes the
+// wall clock only.
 func TestFaulty(t *testing.T) {
-	draw := func() (failed []int) {
+	failedCalls := func() (failed []int) {
 		table, err := ParseFaultTable("seed 3; socket ENFILE chance 0.3 count 4")
 		if err != nil {
 			t.Fatal(err)
@@ -42,13 +43,13 @@
 			unix.Close(fd)
 		}
 		if f.Injected() != len(failed) {
-			t.Errorf("%d injected, %d failed", f.Injected(), len(failed))
+			t.Errorf("Injected() = %d, but %d calls failed", f.Injected(), len(failed))
 		}
 		return failed
 	}
-	one, two := draw(), draw()
-	if len(one) != 4 || one[0] != two[0] || one[3] != two[3] {
-		t.Errorf("failed %v and %v", one, two)
+	first, second := failedCalls(), failedCalls()
+	if len(first) != 4 || first[0] != second[0] || first[3] != second[3] {
+		t.Errorf("failed calls are %v and %v, want the same 4 calls in both", first, second)
 	}
 	pair, err := unix.Socketpair(unix.AF_UNIX, unix.SOCK_STREAM, 0)
 	if err != nil {
@@ -59,14 +60,14 @@
 	table, _ := ParseFaultTable("write SHORT count 1; read SHORT count 1; step 1h")
 	f := NewFaulty(Linux{}, *table)
 	if n, err := f.Write(pair[0], []byte("abc")); n != 1 || err != nil {
-		t.Errorf("wrote %d, %v", n, err)
+		t.Errorf("short write: %d bytes, error %v; want 1 byte", n, err)
 	}
 	f.Write(pair[0], []byte("bc"))
-	b := make([]byte, 8)
-	if n, err := f.Read(pair[1], b); n != 1 || err != nil {
-		t.Errorf("read %d, %v", n, err)
+	buffer := make([]byte, 8)
+	if n, err := f.Read(pair[1], buffer); n != 1 || err != nil {
+		t.Errorf("short read: %d bytes, error %v; want 1 byte", n, err)
 	}
 	if monotonic, wall := f.Clocks(); wall.Sub(monotonic.Round(0)) < 59*time.Minute || time.Since(monotonic) > time.Second {
-		t.Errorf("clocks %v and %v", monotonic, wall)
+		t.Errorf("monotonic clock %v, wall clock %v; want the wall clock alone an hour ahead", monotonic, wall)
 	}
 }
