--- a/internal/atomicfile/atomicfile.go
+++ b/internal/atomicfile/atomicfile.go
@@ -1,4 +1,4 @@
-// Package atomicfile replaces files as a whole.
+// Package atomicfile replaces files atomically.
 package atomicfile
 
 import (
@@ -7,9 +7,10 @@
 	"path/filepath"
 )
 
-// Replace writes data in place of the file at path, which need not exist, by a rename: a reader
-// sees the old content or the new one, never a part. Only the owner may read the new file (mode
-// 0600). The errors are those of package os; after one the old content is still there.
+// Replace replaces the content of the file at path with data, or creates the file. It writes a
+// temporary file in the same directory and renames it, so that a reader sees either the old or the
+// new content, never a part of it. Only the owner may read and write the new file (mode 0600).
+// Errors are those of package os; after an error the old content is unchanged.
 func Replace(path string, data []byte) error {
 	tmp, err := os.CreateTemp(filepath.Dir(path), "."+filepath.Base(path)+"-*")
 	if err != nil {
--- a/internal/atomicfile/atomicfile_test.go
+++ b/internal/atomicfile/atomicfile_test.go
@@ -6,6 +6,8 @@
 	"testing"
 )
 
+// Verifies that Replace creates a file and replaces it by a shorter one, and that it leaves no
+// temporary file behind.
 func TestReplace(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	for _, want := range []string{"a longer first content", "second"} {
@@ -17,12 +19,12 @@
 		}
 	}
 	if entries, err := os.ReadDir(filepath.Dir(path)); err != nil || len(entries) != 1 {
-		t.Errorf("files left behind: %v, %v", entries, err)
+		t.Errorf("directory holds %v, error %v; want the file alone", entries, err)
 	}
 }
 
-// A replacement that fails leaves neither a changed file nor a temporary one. Here the rename
-// fails, because there is a directory of that name.
+// Verifies that a failed replacement leaves no temporary file behind and what stood at the path
+// unchanged. The rename fails because the path is a directory.
 func TestReplaceFails(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "config.json")
@@ -30,12 +32,12 @@
 		t.Fatal(err)
 	}
 	if err := Replace(path, []byte("content")); err == nil {
-		t.Error("a directory was replaced by a file")
+		t.Error("Replace returned no error though the path is a directory")
 	}
 	if entries, err := os.ReadDir(dir); err != nil || len(entries) != 1 || !entries[0].IsDir() {
-		t.Errorf("left behind: %v, %v", entries, err)
+		t.Errorf("directory holds %v, error %v; want the subdirectory alone", entries, err)
 	}
 	if err := Replace(filepath.Join(dir, "none", "config.json"), nil); !os.IsNotExist(err) {
-		t.Errorf("without a directory: %v", err)
+		t.Errorf("error for a missing directory is %v, want a not-exist error", err)
 	}
 }
--- a/internal/loopback/loopback_test.go
+++ b/internal/loopback/loopback_test.go
@@ -9,8 +9,8 @@
 	"testing"
 )
 
-// A program listens at an address, ends, and listens at it again, while connections go out to it.
-// At 127.0.0.1 the port could be lost to one of them, since it would be their source address.
+// Verifies that an address of the block can be listened on again while connections to it are
+// opened. On 127.0.0.1 such a connection could take the port, as 127.0.0.1 is its source address.
 func TestAddressStaysFree(t *testing.T) {
 	addr := Addr(1, 1, 17100)
 	for range 20 {
@@ -23,20 +23,21 @@
 			t.Fatal(err)
 		}
 		if host, _, _ := net.SplitHostPort(conn.LocalAddr().String()); host != "127.0.0.1" {
-			t.Errorf("an outgoing connection comes from %s", host)
+			t.Errorf("the source address of an outgoing connection is %s, want 127.0.0.1", host)
 		}
 		conn.Close()
 		listener.Close()
 	}
 }
 
-// Two processes run at the same time, and the second tries to claim the block of the first.
+// Verifies that a process cannot claim the block of another that is running. The test starts itself
+// as a second process, which tries to claim the block of the first.
 func TestBlocksDiffer(t *testing.T) {
 	const parentBlock = "LOOPBACK_TEST_PARENT_BLOCK"
 	if block, err := strconv.Atoi(os.Getenv(parentBlock)); err == nil {
 		if listener, err := net.Listen("tcp", claimAddr(block)); err == nil {
 			listener.Close()
-			t.Error("the block of a running process could be claimed")
+			t.Error("the block of a running process was claimed again")
 		}
 		return
 	}
