--- a/internal/platform/bounds.go
+++ b/internal/platform/bounds.go
@@ -2,64 +2,66 @@
 
 import "fmt"
 
-// Bounds divide the platform's resource limits among the gateway's uses of them.
+// Bounds are the limits of an instance on descriptors and memory. newBounds derives them from the
+// platform's limits.
 type Bounds struct {
 	// RuntimeMemoryBytes is the memory limit of the Go runtime.
 	RuntimeMemoryBytes int64
-	// DescriptorLimit is the platform's limit of open descriptors; the counts below stay within it.
+	// DescriptorLimit is the platform's limit on open descriptors. The descriptors of all connections
+	// and ReservedDescriptors together stay within it.
 	DescriptorLimit int
-	// MaxClientConns is the number of admitted client connections.
+	// MaxClientConns is the maximum number of admitted client connections.
 	MaxClientConns int
-	// IdlePressureConns is the number of client connections above which idle ones are closed soon,
+	// IdlePressureConns is the number of client connections above which idle connections are closed
 	// after idleTimeoutUnderPressure.
 	IdlePressureConns int
-	// MaxRejectionConns is the number of rejected connections that are open at a time, to take the
-	// response that says so.
+	// MaxRejectionConns is the maximum number of rejected connections that are kept open until their
+	// client has received the rejection response.
 	MaxRejectionConns int
-	// MaxNodeConns is the number of connections to nodes.
+	// MaxNodeConns is the maximum number of connections to nodes.
 	MaxNodeConns int
-	// ReservedDescriptors are for everything that is not a client's or node's connection.
+	// ReservedDescriptors is the number of descriptors for anything but client and node connections.
 	ReservedDescriptors int
-	// ClientBufferBytes is the memory for what clients sent and have to be sent.
+	// ClientBufferBytes is the maximum size of all buffers for data from and to clients.
 	ClientBufferBytes int64
-	// MaxResponseBytes is the size of one response. Nodes send some that are larger than the
-	// protocol says.
+	// MaxResponseBytes is the maximum size of one response. It has to be larger than the protocol
+	// specifies, since nodes send responses that exceed that size.
 	MaxResponseBytes int64
-	// MaxBufferedResponseBytes is the size of all responses that are buffered until they are
-	// complete.
+	// MaxBufferedResponseBytes is the maximum total size of the responses that are being buffered.
+	// A response is buffered until it is complete.
 	MaxBufferedResponseBytes int64
 }
 
 const (
-	// acceptMargin is the number of connections that are accepted beyond MaxClientConns: each is
-	// rejected, or admitted in place of another.
+	// acceptMargin is the number of connections that may be accepted beyond MaxClientConns. Each of
+	// them is either rejected or admitted in place of another connection.
 	acceptMargin = 8
-	// maxRejectionConns is Bounds.MaxRejectionConns.
+	// maxRejectionConns is the value of Bounds.MaxRejectionConns.
 	maxRejectionConns = 8
-	// reservedDescriptors are the listener, the standard streams, those of the event loop and the
-	// runtime's poller, and discovery's connections.
+	// reservedDescriptors covers the listener, the standard streams, the descriptors of the event loop
+	// and of the runtime's poller, and the connections to discovery.
 	reservedDescriptors = 24
-	// minConnDescriptors and minMemoryMB are what a gateway needs to serve at all.
+	// minConnDescriptors and minMemoryMB are the smallest values with which a gateway can serve.
 	minConnDescriptors = 32
 	minMemoryMB        = 16
-	// runtimeMemoryFraction is the runtime's share of the platform's memory limit. The rest is for
-	// what the runtime does not count, and for its overshoot: beyond the platform's limit the
-	// process is killed.
+	// runtimeMemoryFraction is the Go runtime's fraction of the platform's memory limit. The rest is
+	// for memory that the runtime does not count and for exceeding its own limit: the platform kills
+	// a process that exceeds the platform's limit.
 	runtimeMemoryFraction = 0.6
-	// Clients' buffers, all buffered responses and one response have this part of the runtime's
-	// memory each: one in so many. Four of the largest responses fit at a time.
-	clientBufferPart      = 4
-	bufferedResponsesPart = 4
-	oneResponsePart       = 16
-	// idlePressurePart is the part of the descriptors above which idle client connections are
-	// closed soon. The platform lets its clients hold a third, so that it has to be less.
-	idlePressurePart = 4
-	// minConnBufferBytes is the buffer that each client connection can have at any time.
+	// The runtime's memory divided by these is the limit of all client buffers, of all buffered
+	// responses and of one response. Four responses of the largest size can be buffered at a time.
+	clientBufferDivisor      = 4
+	bufferedResponsesDivisor = 4
+	maxResponseDivisor       = 16
+	// idlePressureDivisor sets IdlePressureConns to a quarter of the descriptors. The platform lets
+	// its clients occupy a third of them, so IdlePressureConns has to be lower.
+	idlePressureDivisor = 4
+	// minConnBufferBytes is the buffer space that each client connection can use at any time.
 	minConnBufferBytes = 4 << 10
 )
 
-// newBounds divides the limits: descriptors is the platform's of open descriptors, memoryMB that
-// of memory, in MiB. The error says that they are too low to serve.
+// newBounds derives the bounds from the platform's limits on open descriptors and on memory, in MiB.
+// It returns an error if the limits are too low for a gateway to serve.
 func newBounds(descriptors int, memoryMB float64) (Bounds, error) {
 	b := Bounds{
 		RuntimeMemoryBytes:  int64(memoryMB * runtimeMemoryFraction * (1 << 20)),
@@ -71,22 +73,22 @@
 	if connDescriptors < minConnDescriptors || memoryMB < minMemoryMB {
 		return b, fmt.Errorf("limits: %d sockets and %v MB are less than a gateway needs", descriptors, memoryMB)
 	}
-	// Clients have the larger part: a node connection is used only while an attempt is in flight, a
-	// client's also by requests that wait and between requests.
+	// Clients get the larger part: a node connection is in use only while an attempt is in flight, a
+	// client connection also while a request waits and between requests.
 	b.MaxClientConns = connDescriptors * 3 / 5
 	b.MaxNodeConns = connDescriptors - b.MaxClientConns
-	b.IdlePressureConns = descriptors / idlePressurePart
-	b.MaxResponseBytes = b.RuntimeMemoryBytes / oneResponsePart
-	b.MaxBufferedResponseBytes = b.RuntimeMemoryBytes / bufferedResponsesPart
-	b.ClientBufferBytes = max(b.RuntimeMemoryBytes/clientBufferPart, int64(b.MaxClientConns)*minConnBufferBytes)
+	b.IdlePressureConns = descriptors / idlePressureDivisor
+	b.MaxResponseBytes = b.RuntimeMemoryBytes / maxResponseDivisor
+	b.MaxBufferedResponseBytes = b.RuntimeMemoryBytes / bufferedResponsesDivisor
+	b.ClientBufferBytes = max(b.RuntimeMemoryBytes/clientBufferDivisor, int64(b.MaxClientConns)*minConnBufferBytes)
 	return b, nil
 }
 
-// RequiredDescriptors returns how many descriptors are open with every bound reached.
+// RequiredDescriptors returns the number of descriptors that are open when every bound is reached.
 func (b Bounds) RequiredDescriptors() int {
 	return b.MaxAcceptedConns() + b.MaxRejectionConns + b.MaxNodeConns + b.ReservedDescriptors
 }
 
-// MaxAcceptedConns returns how many client connections may be open, those included that were
-// accepted and are not admitted yet.
+// MaxAcceptedConns returns the maximum number of open client connections. It includes connections
+// that were accepted and are not yet admitted.
 func (b Bounds) MaxAcceptedConns() int { return b.MaxClientConns + acceptMargin }
--- a/internal/platform/changes.go
+++ b/internal/platform/changes.go
@@ -9,9 +9,9 @@
 	"maddergap/internal/settings"
 )
 
-// ChangesWithoutEffect returns the keys by which a configuration that is reloaded differs from
-// this one, the running one's, and which take effect at a restart only though a reload accepts
-// them. The scheduler's settings are not among them: a reload that changes those is rejected.
+// ChangesWithoutEffect compares c, the running configuration, with next, a reloaded one. It returns
+// the keys that differ and that a reload accepts although they take effect only after a restart. A
+// change of the scheduler's settings is not such a key: the reload is rejected.
 func (c *Config) ChangesWithoutEffect(next *Config) (keys []string) {
 	if next.InstanceName != c.InstanceName {
 		keys = append(keys, "name")
@@ -22,8 +22,8 @@
 	return append(keys, changedSettings(c.Settings, next.Settings)...)
 }
 
-// changedSettings returns the keys of the settings that differ, those of an object as
-// "object.key", in order.
+// changedSettings returns the sorted keys of the settings that differ, each as "settings.key" or, for
+// a key within an object, "settings.object.key".
 func changedSettings(a, b *settings.Site) (keys []string) {
 	before, after := settingsByKey(a), settingsByKey(b)
 	for _, key := range slices.Sorted(maps.Keys(after)) {
@@ -34,12 +34,13 @@
 	return keys
 }
 
-// settingsByKey returns the values of the settings by their keys in the file.
+// settingsByKey returns the values of the settings by their JSON keys. A key within an object has the
+// form "object.key".
 func settingsByKey(site *settings.Site) map[string]any {
 	data, err := json.Marshal(site)
 	var object map[string]any
 	if err != nil || json.Unmarshal(data, &object) != nil {
-		return nil // a Site always can be marshalled
+		return nil // unreachable: a Site can always be marshalled
 	}
 	values := map[string]any{}
 	for key, value := range object {
--- a/internal/platform/config_file.go
+++ b/internal/platform/config_file.go
@@ -14,12 +14,12 @@
 	"maddergap/scheduler"
 )
 
-// maxFileBytes bounds the configuration file.
+// maxFileBytes is the maximum size of the configuration file.
 const maxFileBytes = 16 << 20
 
-// configFile is the form of the platform's configuration.
+// configFile is the JSON form of the platform's configuration.
 type configFile struct {
-	Name      string `json:"name"`      // of the instance
+	Name      string `json:"name"`      // name of the instance
 	Listen    string `json:"listen"`    // host:port
 	Discovery string `json:"discovery"` // host:port
 	Seed      string `json:"seed"`      // 16 hex digits
@@ -28,22 +28,22 @@
 		MemoryMB float64 `json:"memory_mb"`
 		Sockets  int     `json:"sockets"` // open descriptors
 	} `json:"limits"`
-	Known    *discovery.EndpointList `json:"known"` // the initial node list
+	Known    *discovery.EndpointList `json:"known"` // initial node list
 	Settings *settings.Site          `json:"settings"`
 }
 
-// Config is the configuration that the platform gives an instance, checked.
+// Config is the checked configuration that the platform gives an instance.
 type Config struct {
 	InstanceName  string
 	DiscoveryAddr string                  // host:port
-	InitialList   *discovery.EndpointList // the node list as the platform had it; may be old; nil: none
+	InitialList   *discovery.EndpointList // node list from the configuration, possibly outdated; nil if none
 	Settings      *settings.Site
 	Gateway       *config.Config
 	Bounds        Bounds
 }
 
-// ConfigError is a mistake in the platform's configuration. It wraps the error of package json,
-// settings, admission or scheduler that found it, if one did.
+// ConfigError reports a mistake in the platform's configuration. Err may be an error of package json,
+// settings, admission or scheduler.
 type ConfigError struct {
 	File string
 	Err  error // names the key
@@ -53,8 +53,8 @@
 
 func (e *ConfigError) Unwrap() error { return e.Err }
 
-// Load reads the configuration file that the environment names. Errors are those of package os,
-// and those of Parse.
+// Load reads the configuration file whose path is in the environment variable EnvConfig. It returns an
+// error of package os or of Parse, or an error that reports a missing variable or too large a file.
 func Load(env func(string) string) (*Config, error) {
 	path := env(EnvConfig)
 	if path == "" {
@@ -65,7 +65,7 @@
 		return nil, err
 	}
 	if info.Size() > maxFileBytes {
-		return nil, fmt.Errorf("%s has %d bytes, more than %d", path, info.Size(), maxFileBytes)
+		return nil, fmt.Errorf("%s has %d bytes, more than the limit of %d", path, info.Size(), maxFileBytes)
 	}
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -74,8 +74,9 @@
 	return Parse(path, data, env)
 }
 
-// Parse reads a configuration. path is the file's, for errors; name and addresses that the file
-// leaves out are taken from the environment. The error joins a *ConfigError for each mistake.
+// Parse parses and checks a configuration. path is the path of the file, for error messages. A name or
+// address that is missing in the file is taken from the environment. The error contains a *ConfigError
+// for each mistake.
 func Parse(path string, data []byte, env func(string) string) (*Config, error) {
 	var f configFile
 	if err := json.Unmarshal(data, &f); err != nil {
@@ -103,6 +104,7 @@
 	return c, nil
 }
 
+// joinConfigErrors joins the errors, each in a ConfigError of the file.
 func joinConfigErrors(path string, errs []error) error {
 	var configErrors []error
 	for _, err := range errs {
@@ -111,7 +113,7 @@
 	return errors.Join(configErrors...)
 }
 
-// addEnvironment fills in what the file leaves out.
+// addEnvironment sets the name and addresses that are missing in the file from the environment.
 func (f *configFile) addEnvironment(env func(string) string) {
 	setDefault := func(value *string, variable string) {
 		if *value == "" {
@@ -123,7 +125,8 @@
 	setDefault(&f.Discovery, EnvDiscovery)
 }
 
-// check returns the mistakes of the file, in a fixed order, and what it computes on the way.
+// check returns the mistakes in the file, in a fixed order. seed and bounds are the values computed
+// from it; they are valid if there is no mistake.
 func (f *configFile) check() (seed uint64, bounds Bounds, errs []error) {
 	addError := func(format string, args ...any) { errs = append(errs, fmt.Errorf(format, args...)) }
 	if _, err := netip.ParseAddrPort(f.Listen); err != nil {
--- a/internal/platform/config_test.go
+++ b/internal/platform/config_test.go
@@ -13,7 +13,8 @@
 	"maddergap/internal/settings"
 )
 
-// configJSON is a configuration as the platform writes it, with a part replaced.
+// configJSON returns a valid configuration as the platform writes it, with the first occurrence of old
+// replaced.
 func configJSON(old, replacement string) []byte {
 	return []byte(strings.Replace(`{"name":"h1","listen":"127.0.0.1:0","discovery":"127.0.0.1:9","seed":"00000000000000a1",
 "limits":{"cores":0.5,"memory_mb":48,"sockets":256},
@@ -26,10 +27,10 @@
 "limits":{"maxAttempts":3,"maxRetryAfter":500000,"retryAfter":true,"connIdle":30000000,"connectTimeout":250000}}}`, old, replacement, 1))
 }
 
-// noEnvironment is an environment without a variable.
+// noEnvironment is an environment in which no variable is set.
 func noEnvironment(string) string { return "" }
 
-// newProtocol returns the protocol by configJSON.
+// newProtocol returns the protocol of the unchanged configJSON.
 func newProtocol(t testing.TB) *Protocol {
 	t.Helper()
 	c, err := Parse("c", configJSON("", ""), noEnvironment)
@@ -39,7 +40,7 @@
 	return c.Protocol()
 }
 
-func TestConfigMistakesAreNamed(t *testing.T) {
+func TestParseErrorsNameKey(t *testing.T) {
 	for _, c := range []struct{ old, new, want string }{
 		{`"seed":"00000000000000a1"`, `"seed":"x"`, "seed"},
 		{`"retryable"`, `"sometimes"`, `effect "sometimes" is unknown`},
@@ -54,30 +55,31 @@
 	} {
 		_, err := Parse("file", configJSON(c.old, c.new), noEnvironment)
 		if err == nil || !strings.Contains(err.Error(), c.want) || !strings.HasPrefix(err.Error(), "file: ") {
-			t.Errorf("%s: %v, want %q", c.new, err, c.want)
+			t.Errorf("%s: got error %v, want one that names the file and contains %q", c.new, err, c.want)
 		}
 		var configError *ConfigError
 		if !errors.As(err, &configError) || configError.File != "file" {
-			t.Errorf("%s: %v is not a ConfigError", c.new, err)
+			t.Errorf("%s: error %v is not a ConfigError of the file", c.new, err)
 		}
 	}
 	if _, err := Load(noEnvironment); err == nil || !strings.Contains(err.Error(), EnvConfig) {
-		t.Errorf("without the variable: %v", err)
+		t.Errorf("without variables: got error %v, want one that names the missing variable", err)
 	}
 }
 
-func TestEnvironmentFillsInConfig(t *testing.T) {
+func TestEnvironmentSetsMissingKeys(t *testing.T) {
 	file := t.TempDir() + "/c"
 	if err := os.WriteFile(file, configJSON(`"discovery":"127.0.0.1:9"`, `"discovery":""`), 0o644); err != nil {
 		t.Fatal(err)
 	}
 	c, err := Load(func(name string) string { return map[string]string{EnvConfig: file, EnvDiscovery: "127.0.0.2:1"}[name] })
 	if err != nil || c.DiscoveryAddr != "127.0.0.2:1" {
-		t.Errorf("%v %v", c, err)
+		t.Errorf("got %v, %v; want the discovery address of the environment", c, err)
 	}
 }
 
-// Every bound is reached at once. The platform's limits hold, from its smallest to its largest.
+// Verifies that the platform's limits are not exceeded when every bound is reached at once, for the
+// smallest to the largest limits of the platform.
 func TestBoundsFitLimits(t *testing.T) {
 	for _, descriptors := range []int{256, 384, 512, 1024, 4096} {
 		for _, memoryMB := range []float64{32, 48, 64, 192, 2048} {
@@ -86,20 +88,20 @@
 				t.Fatal(err)
 			}
 			if b.RequiredDescriptors() > descriptors || b.MaxClientConns < descriptors/3 || b.IdlePressureConns >= descriptors/3 || b.MaxNodeConns < descriptors/4 {
-				t.Errorf("%d descriptors: %+v takes %d", descriptors, b, b.RequiredDescriptors())
+				t.Errorf("limit of %d descriptors: %+v requires %d", descriptors, b, b.RequiredDescriptors())
 			}
 			if b.MaxResponseBytes < 1<<20 || b.MaxBufferedResponseBytes < b.MaxResponseBytes {
-				t.Errorf("%v MB: %+v", memoryMB, b)
+				t.Errorf("memory limit of %v MB: a response limit is too low: %+v", memoryMB, b)
 			}
 			if float64(b.RuntimeMemoryBytes+b.ClientBufferBytes) > memoryMB*(1<<20)*0.95 {
-				t.Errorf("%v MB: %+v", memoryMB, b)
+				t.Errorf("memory limit of %v MB: runtime and client buffers take more than 95%%: %+v", memoryMB, b)
 			}
 		}
 	}
 }
 
-// A shutdown ends before the platform kills the process, by the lead for the last responses, also
-// where deadlines are long or not known.
+// Verifies that a shutdown ends finalResponseLead before the platform kills the process, also if the
+// deadlines of classes are long or unknown.
 func TestShutdownEndsBeforeKill(t *testing.T) {
 	for _, c := range []struct{ deadlineMicros, countedMicros int64 }{{100_000, 100_000}, {2_000_000, 2_000_000}, {90_000_000, 3_000_000}, {0, 3_000_000}} {
 		var site settings.Site
@@ -109,12 +111,12 @@
 		}
 		killedAt := settings.Microseconds(c.countedMicros) + 700*time.Millisecond
 		if end := drainTime + shutdownTime(&site); end != killedAt-finalResponseLead {
-			t.Errorf("deadline %v: ends after %v, killed after %v", settings.Microseconds(c.deadlineMicros), end, killedAt)
+			t.Errorf("deadline %v: shutdown ends after %v, process is killed after %v", settings.Microseconds(c.deadlineMicros), end, killedAt)
 		}
 	}
 }
 
-// FuzzParseConfig checks that a configuration of any text is an error or can be used.
+// FuzzParseConfig checks that Parse returns an error or a usable configuration for any text.
 func FuzzParseConfig(f *testing.F) {
 	f.Add(configJSON("", ""))
 	f.Fuzz(func(t *testing.T, b []byte) {
--- a/internal/platform/gateway_config.go
+++ b/internal/platform/gateway_config.go
@@ -12,43 +12,43 @@
 
 // Timeouts of connections.
 const (
-	// headerTimeout is how long a client may take for a request's header.
+	// headerTimeout is the time that a client has to send the header of a request.
 	headerTimeout = 1500 * time.Millisecond
-	// noProgressTimeout is how long a client may pause within a request.
+	// noProgressTimeout is the longest pause of a client within a request.
 	noProgressTimeout = 1200 * time.Millisecond
-	// idleTimeout is when a client connection without a request is closed. The platform permits
-	// that after 2 s. Clients that send one request and keep the connection would otherwise use
-	// up the connections that the platform allows its clients.
+	// idleTimeout is the time after which a client connection without a request is closed. The
+	// platform permits closing after 2 s. Without the timeout, clients that send one request and
+	// keep the connection open would use up the connections that the platform allows its clients.
 	idleTimeout = 2050 * time.Millisecond
-	// idleTimeoutUnderPressure is idleTimeout above Bounds.IdlePressureConns. The platform lets
-	// its clients hold a third of an instance's descriptors, silent connections included. The
-	// failure guarded against is silent connections that leave none to clients with requests,
-	// long before the gateway's own bound is reached.
+	// idleTimeoutUnderPressure replaces idleTimeout above Bounds.IdlePressureConns. The platform lets
+	// its clients occupy a third of an instance's descriptors, idle connections included. Without the
+	// shorter timeout, idle connections could occupy that third and leave no connection to clients with
+	// requests, long before the gateway's own bound is reached.
 	idleTimeoutUnderPressure = 100 * time.Millisecond
-	// defaultNodeIdle and defaultDialTimeout are for settings without such a time.
+	// defaultNodeIdle and defaultDialTimeout are used if the settings do not contain the time.
 	defaultNodeIdle    = 10 * time.Second
 	defaultDialTimeout = time.Second
 )
 
-// Bounds of a request's header. Requests of the protocol stay far below them.
+// headerLimits bounds the header of a request. Headers of the protocol are much smaller.
 var headerLimits = http1.Limits{HeaderBytes: 8 << 10, TargetBytes: 2 << 10, FieldCount: 64}
 
 const (
-	// unused is for the settings of package route, which have to be above 0 and have no effect
-	// here: a request of the platform states its class, units and deadline itself.
+	// unused is the value of settings of package route that must be above 0 but have no effect on a
+	// platform, where each request states its class, units and deadline itself.
 	unused = 1
-	// rejectionsPerSecond bounds the responses to rejected connections. Beyond it they are closed
-	// without one, so that a flood costs little.
+	// rejectionsPerSecond limits the responses to rejected connections. Connections beyond the limit
+	// are closed without a response, so that a flood costs little.
 	rejectionsPerSecond = 50
-	// addressTableEntries is the size of admission's tables of addresses. Nothing is limited by
-	// address, so that a small one does.
+	// addressTableEntries is the size of admission's tables of addresses. Small tables suffice, since
+	// there are no limits by address.
 	addressTableEntries = 256
 )
 
-// Times of a shutdown, from SIGTERM on. Clients keep connecting for up to 0.4 s. The platform
-// kills the process after the longest deadline, counted as maxCountedDeadline at most, and
-// killDelay. A request without a response is lost then, so that the last response is sent
-// finalResponseLead before.
+// Times of a shutdown, which begins with SIGTERM. Clients may still connect for up to 0.4 s. The
+// platform kills the process killDelay after the longest deadline of a class, where a deadline counts
+// as at most maxCountedDeadline. Requests without a response are lost then, so the last responses must
+// be sent finalResponseLead before the kill.
 const (
 	drainTime          = 500 * time.Millisecond
 	maxCountedDeadline = 3 * time.Second
@@ -60,7 +60,7 @@
 func shutdownTime(site *settings.Site) time.Duration {
 	longest := time.Duration(0)
 	for _, class := range site.Classes {
-		if class.Deadline <= 0 { // not known
+		if class.Deadline <= 0 { // unknown
 			longest = maxCountedDeadline
 		}
 		longest = max(longest, settings.Microseconds(class.Deadline))
@@ -68,11 +68,11 @@
 	return min(longest, maxCountedDeadline) + killDelay - drainTime - finalResponseLead
 }
 
-// positiveOr returns d, or a default where d is not above 0.
+// positiveOr returns d if it is above 0, and byDefault otherwise.
 func positiveOr(d, byDefault time.Duration) time.Duration { return cmp.Or(max(d, 0), byDefault) }
 
-// gatewayConfig returns the gateway's configuration. What WebDAV and node list files need is off.
-// There is no cap or rate by client address, since clients of every kind may share one.
+// gatewayConfig returns the configuration of the gateway. Settings for WebDAV and for node list files
+// are left unset. There are no limits by client address, since different clients may share an address.
 func gatewayConfig(path, listen string, seed uint64, site *settings.Site, b Bounds) *config.Config {
 	return &config.Config{
 		File:         path,
@@ -88,8 +88,8 @@
 			Idle:       idleTimeout,
 			NoProgress: noProgressTimeout,
 			Dial:       positiveOr(settings.Microseconds(site.Limits.ConnectTimeout), defaultDialTimeout),
-			// Half of the time after which nodes close idle connections: a request on one that is
-			// about to be closed would end as a reset.
+			// Half of the time after which nodes close idle connections: an attempt on a connection
+			// that its node is about to close would fail with a reset.
 			NodeIdle: positiveOr(settings.Microseconds(site.Limits.ConnectionIdle)/2, defaultNodeIdle),
 			Drain:    drainTime,
 			Shutdown: shutdownTime(site),
--- a/internal/platform/node.go
+++ b/internal/platform/node.go
@@ -9,13 +9,13 @@
 	"maddergap/internal/http1"
 )
 
-// maxReportedLoad bounds the requests in a load report that is believed.
+// maxReportedLoad is the number of requests from which on a load report is ignored as implausible.
 const maxReportedLoad = 1e6
 
-// AppendRequest appends the start line and fields of an attempt: those of the client's request
-// but for the ones of its connection alone, and the timeout of the attempt. The rest is passed on
-// unread, since nodes may use fields that the gateway does not know, as the one by which they
-// deduplicate.
+// AppendRequest appends the request line and the header fields of an attempt. It forwards the client's
+// end-to-end fields except Expect, and replaces the client's time remaining by the timeout of the
+// attempt. Fields that the gateway does not know are forwarded too, since nodes may use them, for
+// instance to deduplicate.
 func (p *Protocol) AppendRequest(b []byte, r *http1.Request, timeout time.Duration) []byte {
 	b = append(append(b, r.Method...), ' ')
 	b = append(append(b, r.Target...), " HTTP/1.1\r\nHost: "...)
@@ -26,15 +26,16 @@
 	return append(b, "u\r\n"...)
 }
 
-// ParseResponse reads the header of a node's response.
+// ParseResponse returns the outcome of an attempt and the node's load report, from the header of the
+// node's response.
 func (p *Protocol) ParseResponse(r *http1.Response) gateway.ResponseInfo {
-	info := gateway.ResponseInfo{Outcome: outcomeOf(r.Status, string(r.Get(headerNodeRejected)) == headerIsSet)}
+	info := gateway.ResponseInfo{Outcome: outcomeOf(r.Status, string(r.Get(headerNodeRejected)) == flagHeaderValue)}
 	info.ReportedLoad, info.HasLoadReport = parseLoadReport(r.Get(headerLoadReport))
 	return info
 }
 
-// parseLoadReport returns the greatest number of requests in a load report. A report that cannot
-// be read is as none.
+// parseLoadReport returns the highest of the numbers of requests in a load report. ok is false if the
+// report contains no such number or an invalid one.
 func parseLoadReport(b []byte) (load float64, ok bool) {
 	for member := range http1.ListElements(b) {
 		name, value, _ := bytes.Cut(member, []byte("="))
@@ -42,7 +43,7 @@
 			continue
 		}
 		requests, err := strconv.ParseFloat(string(value), 64)
-		if err != nil || !(requests >= 0 && requests < maxReportedLoad) { // also for NaN
+		if err != nil || !(requests >= 0 && requests < maxReportedLoad) { // rejects NaN too
 			return 0, false
 		}
 		load, ok = max(load, requests), true
@@ -50,8 +51,8 @@
 	return load, ok
 }
 
-// AppendRetryAfter appends the field that asks a client to wait before a retry, in decimal seconds
-// as the platform's clients read them. 0: no field.
+// AppendRetryAfter appends a Retry-After field unless after is 0. The platform's clients expect decimal
+// seconds, where HTTP has whole seconds.
 func (p *Protocol) AppendRetryAfter(b []byte, after time.Duration) []byte {
 	if after <= 0 {
 		return b
--- a/internal/platform/node_test.go
+++ b/internal/platform/node_test.go
@@ -9,8 +9,8 @@
 	"maddergap/scheduler"
 )
 
-// A node deduplicates by a field that the gateway does not know. The attempt has all fields of the
-// request but for those of the client's connection, and the attempt's own timeout.
+// Verifies that an attempt has the end-to-end fields of the client's request, also one that the gateway
+// does not know and by which a node deduplicates, no hop-by-hop fields, and its own timeout.
 func TestAppendRequest(t *testing.T) {
 	p := newProtocol(t)
 	var r http1.Request
@@ -61,7 +61,7 @@
 			t.Fatal(err)
 		}
 		if got := p.ParseResponse(&r); got.Outcome != c.outcome || got.ReportedLoad != c.load || got.HasLoadReport != c.hasLoadReport {
-			t.Errorf("%q: %+v", c.text, got)
+			t.Errorf("%q: got the wrong outcome or load: %+v", c.text, got)
 		}
 	}
 }
--- a/internal/platform/protocol.go
+++ b/internal/platform/protocol.go
@@ -1,10 +1,10 @@
-// Package platform adapts the gateway to the platform that runs it: the protocol of its clients
-// and storage nodes, the configuration it gives an instance, and the resource limits it sets.
+// Package platform adapts the gateway to the platform that runs it: to the protocol of the platform's
+// clients and storage nodes, the configuration of an instance, and the resource limits.
 // Only Load does I/O.
 //
-// wire.go maps the platform's words to the terms of this module; protocol.go, request.go,
-// values.go, node.go and request_ids.go are the protocol; config_file.go, gateway_config.go and
-// bounds.go are the configuration.
+// wire.go maps the platform's names to the terms of this module. protocol.go, request.go, values.go,
+// node.go and request_ids.go implement the protocol; config_file.go, gateway_config.go, bounds.go and
+// changes.go the configuration.
 package platform
 
 import (
@@ -14,16 +14,16 @@
 	"maddergap/internal/http1"
 )
 
-// Protocol reads and writes the platform's messages. It is a gateway.Protocol, and not safe for
-// concurrent use.
+// Protocol parses and writes the platform's messages. It implements gateway.Protocol. It is not safe
+// for concurrent use.
 type Protocol struct {
-	// Ready reports whether the instance may be put to use; it decides the response to the
-	// readiness check. nil: it may.
+	// Ready reports whether the instance is ready to serve; it decides the response to the readiness
+	// check. If it is nil, the instance is ready.
 	Ready func() bool
 
-	classes     map[string]int // indices by name
-	plans       map[string]int // indices by name
-	classWrites []bool         // by class: its requests are writes; empty: not known
+	classes     map[string]int // class index by name
+	plans       map[string]int // plan index by name
+	classWrites []bool         // whether the requests of a class are writes, by class index; empty if unknown
 	ids         *requestIDs
 	limits      requestLimits
 
@@ -34,14 +34,14 @@
 
 var _ gateway.Protocol = (*Protocol)(nil)
 
-// requestLimits bound the numbers in a request.
+// requestLimits bounds the numbers in a request.
 type requestLimits struct {
-	units     float64 // at most
-	shards    int     // shard numbers are below it; 0: not known
-	instances int     // at most
+	units     float64 // maximum size of a request
+	shards    int     // number of shards; 0 if unknown
+	instances int     // number of instances
 }
 
-// Protocol returns a new reader and writer of messages by the configuration.
+// Protocol returns a new Protocol for the classes, plans and limits of the configuration.
 func (c *Config) Protocol() *Protocol {
 	info := c.Settings.Workload
 	p := &Protocol{
@@ -65,8 +65,8 @@
 
 var errDuplicateID = &http1.Error{Status: 409, Reason: "the id is that of a request that is open, or that was answered"}
 
-// BeginRequest registers a request's ID. The error, with status 409, is for one that is in use or
-// was used.
+// BeginRequest registers the ID of a request. It returns an error with status 409 if the ID belongs to
+// a request in progress, or to an ended request that is still remembered.
 func (p *Protocol) BeginRequest(r *gateway.RequestInfo) *http1.Error {
 	if !p.ids.begin(r.ID) {
 		return errDuplicateID
@@ -74,14 +74,15 @@
 	return nil
 }
 
-// EndRequest releases or remembers a request's ID, by the request's outcome.
+// EndRequest releases the ID of a request that was rejected, and remembers the ID after any other
+// outcome.
 func (p *Protocol) EndRequest(id string, o gateway.Outcome) { p.ids.end(id, o) }
 
-// MaxResponseBytes returns how many bytes one response may have, and all that are buffered at a
-// time.
+// MaxResponseBytes returns the maximum size of one response, and of all responses that are buffered at
+// a time.
 func (p *Protocol) MaxResponseBytes() (one, all int64) {
 	return p.maxResponseBytes, p.maxBufferedResponseBytes
 }
 
-// ResponseNoProgressTimeout returns how long a response may pause once it has begun.
+// ResponseNoProgressTimeout returns the longest pause of a node within a response.
 func (p *Protocol) ResponseNoProgressTimeout() time.Duration { return p.responseNoProgressTimeout }
--- a/internal/platform/random_settings_test.go
+++ b/internal/platform/random_settings_test.go
@@ -14,8 +14,8 @@
 	"maddergap/internal/gateway"
 )
 
-// The platform may give any settings, also at their extremes. The gateway serves by them, or names
-// the setting that it cannot use at its start.
+// Verifies that a gateway either serves requests with the platform's settings or fails at start with an
+// error that names the invalid key. The settings are random and include extreme values.
 func TestRandomSettings(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		classes := drawClasses(rt)
@@ -30,7 +30,7 @@
 			class := c.Gateway.Scheduler.Classes[i]
 			timeRemaining := max(class.Deadline, class.LatencyObjective, 50*time.Millisecond)
 			if status := serveOneRequest(rt, c, fmt.Sprint("c", i), timeRemaining, len(plans) > 0); status != "200" {
-				rt.Fatalf("class %d gets %s by %s", i, status, text)
+				rt.Fatalf("class %d: got status %s, want 200, with the configuration %s", i, status, text)
 			}
 		}
 	})
@@ -125,18 +125,18 @@
 	return text
 }
 
-// checkNamesKey checks that an error names the file and one of the keys that may be wrong.
+// checkNamesKey checks that an error names the file and one of the keys that the test makes invalid.
 func checkNamesKey(t *rapid.T, err error) {
 	named := false
 	for _, key := range []string{"classes", "grades", "fleetSize", "unitsTop", "sockets"} {
 		named = named || strings.Contains(err.Error(), key)
 	}
 	if !named || !strings.HasPrefix(err.Error(), "file: ") {
-		t.Fatalf("%v names no key", err)
+		t.Fatalf("the error %v does not name the file and an invalid key", err)
 	}
 }
 
-// serveOneRequest has a gateway serve a request of a class, with a node that responds at once, and
+// serveOneRequest sends a request of a class to a new gateway whose only node responds at once, and
 // returns the status that the client gets.
 func serveOneRequest(t *rapid.T, c *Config, class string, timeRemaining time.Duration, hasPlans bool) string {
 	now := 24 * time.Hour
@@ -161,8 +161,8 @@
 	return awaitStatus(g, client, now, now+timeRemaining+time.Second)
 }
 
-// awaitStatus advances a gateway until it responds to a client, and returns the status, or "none"
-// if it does not by the end.
+// awaitStatus advances a gateway until it responds to a client, and returns the status of the response,
+// or "none" if there is no response before the time end.
 func awaitStatus(g *gateway.Gateway, client gateway.ConnID, now, end time.Duration) string {
 	for now < end {
 		actions, next := g.Advance(now)
--- a/internal/platform/request.go
+++ b/internal/platform/request.go
@@ -8,13 +8,13 @@
 	"maddergap/scheduler"
 )
 
-// maxBodyBytes bounds the body of a request.
+// maxBodyBytes is the maximum size of a request's body.
 const maxBodyBytes = 64 << 10
 
-// ParseRequest reads the header of a request. The result has a status where the gateway itself
-// responds: to a health check, or to a request that is not of the protocol.
+// ParseRequest parses the header of a request. The result has a Status if the gateway itself responds:
+// to a health check, or to a request that does not conform to the protocol.
 func (p *Protocol) ParseRequest(r *http1.Request) gateway.RequestInfo {
-	if bytes.HasPrefix(r.Target, []byte(pathReserved)) {
+	if bytes.HasPrefix(r.Target, []byte(reservedPathPrefix)) {
 		return p.healthCheck(r.Target)
 	}
 	var headers requestHeaders
@@ -28,17 +28,17 @@
 	if rejection, ok := p.checkMethod(r, info.Arrival.Class); !ok {
 		return rejection
 	}
-	info.Arrival.ClientRetry = string(r.Get(headerClientRetry)) == headerIsSet
+	info.Arrival.ClientRetry = string(r.Get(headerClientRetry)) == flagHeaderValue
 	return info
 }
 
-// badRequest is the gateway's response to a request that is not of the protocol. What follows on
-// its connection is not read: client and gateway may disagree about where it begins.
+// badRequest returns the gateway's response to a request that does not conform to the protocol. It
+// closes the connection, since client and gateway may disagree about where the next request begins.
 func badRequest(reason string) gateway.RequestInfo {
 	return gateway.RequestInfo{Status: 400, Reason: reason, Close: true}
 }
 
-// healthCheck is the gateway's response to a reserved path.
+// healthCheck returns the gateway's response to a request for a reserved path.
 func (p *Protocol) healthCheck(target []byte) gateway.RequestInfo {
 	path, _, _ := bytes.Cut(target, []byte("?"))
 	switch string(path) {
@@ -53,16 +53,16 @@
 	return gateway.RequestInfo{Status: 404, Reason: "there is no such page"}
 }
 
-// requestHeaders are the values of a request's header fields, nil where absent.
+// requestHeaders holds the values of the protocol's header fields in a request, nil for a missing field.
 type requestHeaders struct {
 	id, class, plan, key, timeRemaining, ioInfo []byte
 }
 
-// read finds the values, each of which may be there once at most. It returns the reason for a bad
-// request, "" for none.
+// read sets the values from the fields of a request. If the request is invalid, for instance because
+// one of the fields occurs twice, it returns the reason, otherwise "".
 func (h *requestHeaders) read(r *http1.Request) (reason string) {
-	// A field that Connection lists is not forwarded. The failure guarded against is a request
-	// that reaches its node without a field by which the gateway chose the node.
+	// A field that Connection lists is not forwarded. Without this check, a request could reach its
+	// node without a field that the gateway used to select the node.
 	for name := range http1.ListElements(r.Get("connection")) {
 		if r.Get(string(name)) != nil && !http1.HopByHop(name, nil) {
 			return "Connection lists a field of the request"
@@ -94,7 +94,8 @@
 	return ""
 }
 
-// parseHeaders converts the values. It returns the reason for a bad request, "" for none.
+// parseHeaders converts the values of the header fields. If one is invalid, it returns the reason,
+// otherwise "".
 func (p *Protocol) parseHeaders(h *requestHeaders) (info gateway.RequestInfo, reason string) {
 	if !isID(h.id) {
 		return info, "want " + headerRequestID + ", the request's id"
@@ -132,8 +133,9 @@
 	return info, ""
 }
 
-// checkMethod checks that a read is a GET without a body, a write a PUT, and that the class is one
-// of such requests. Where they are not, it returns the gateway's response.
+// checkMethod checks that a request is either a read, which is a GET without a body, or a write, which
+// is a PUT, and that its class is for such requests. If not, ok is false and rejection is the gateway's
+// response.
 func (p *Protocol) checkMethod(r *http1.Request, class int) (rejection gateway.RequestInfo, ok bool) {
 	isWrite := string(r.Method) == "PUT"
 	isRead := string(r.Method) == "GET"
--- a/internal/platform/request_ids_test.go
+++ b/internal/platform/request_ids_test.go
@@ -7,14 +7,14 @@
 	"maddergap/internal/gateway"
 )
 
-// An ID comes twice. It is rejected while its request is in progress, and after an end that may
-// have had an effect, as far back as the ring reaches.
+// Verifies that a duplicate ID is detected while its request is in progress, and also after the end of
+// a request that may have had an effect, until the ring buffer overwrites the ID.
 func TestRequestIDs(t *testing.T) {
 	ids := newRequestIDs(3)
 	begin := func(id string, want bool) {
 		t.Helper()
 		if ids.begin(id) != want {
-			t.Errorf("%s: want %v", id, want)
+			t.Errorf("begin(%s): want %v", id, want)
 		}
 	}
 	begin("a", true)
@@ -35,7 +35,7 @@
 		ids.begin(id)
 		ids.end(id, gateway.Outcome(i%4))
 	}
-	if len(ids.inProgress) != 1 || len(ids.ended) != 3 {
-		t.Errorf("%d in progress, %d ended", len(ids.inProgress), len(ids.ended))
+	if len(ids.inProgress) != 1 || len(ids.remembered) != 3 {
+		t.Errorf("got %d IDs in progress and %d remembered, want 1 and 3", len(ids.inProgress), len(ids.remembered))
 	}
 }
--- a/internal/platform/request_test.go
+++ b/internal/platform/request_test.go
@@ -36,7 +36,7 @@
 	}
 }
 
-// Each replacement makes a request that is not of the protocol.
+// Each replacement in the valid request makes it violate the protocol.
 func TestBadRequests(t *testing.T) {
 	p := newProtocol(t)
 	for _, c := range [][2]string{
@@ -50,7 +50,7 @@
 		{"X-Lane", "Connection: close, Tier\r\nX-Lane"}, {"X-Lane", "Connection: x-txn\r\nX-Lane"}, {"X-Lane", "Connection: Key\r\nKey: 1\r\nX-Lane"},
 	} {
 		if info := parseRequest(t, p, strings.Replace(goodRequest, c[0], c[1], 1)); info.Status < 400 || info.Status > 499 {
-			t.Errorf("%q for %q: %+v", c[1], c[0], info)
+			t.Errorf("%q instead of %q: got %+v, want a status 4xx", c[1], c[0], info)
 		}
 	}
 }
@@ -61,14 +61,14 @@
 	p.Ready = func() bool { return ready }
 	for _, want := range []int{503, 200} {
 		if info := parseRequest(t, p, "GET /-/ready HTTP/1.1\r\nHost: b\r\n\r\n"); info.Status != want {
-			t.Errorf("ready %v: %d", ready, info.Status)
+			t.Errorf("ready is %v: got status %d", ready, info.Status)
 		}
 		ready = true
 	}
 }
 
-// FuzzParseRequest checks that whatever a client sends is responded to by the gateway itself, or
-// is a request with every number in its range, and that a node reads the same of the attempt.
+// FuzzParseRequest checks that any request is either responded to by the gateway itself or has all
+// numbers in their ranges, and that the attempt is parsed to the same values.
 func FuzzParseRequest(f *testing.F) {
 	f.Add([]byte(goodRequest))
 	f.Add([]byte("GET /api HTTP/1.1\r\nHost: b\r\nX-Remaining: 1u\r\nIO-Info: units=1,shard=0,hosts=1,volume=0000000000000000\r\n\r\n"))
@@ -85,15 +85,15 @@
 		}
 		if a := info.Arrival; info.ID == "" || a.TimeRemaining <= 0 || a.TimeRemaining > maxTimeRemaining || !(a.Units > 0 && a.Units <= 6) ||
 			a.Shard < -1 || a.Shard > 3 || a.Instances < 1 || a.Instances > 3 || math.IsNaN(a.Units) {
-			t.Fatalf("%q: %+v", b, info)
+			t.Fatalf("%q: a value is out of range: %+v", b, info)
 		}
 		attempt := append(p.AppendRequest(nil, &r, info.Arrival.TimeRemaining), "\r\n"...)
 		var forwarded http1.Request
 		if err := http1.ParseRequest(attempt, &forwarded, http1.DefaultLimits); err != nil {
 			t.Fatalf("%q is forwarded as %q: %v", b, attempt, err)
 		}
-		if again := p.ParseRequest(&forwarded); again.ID != info.ID || again.Arrival.Volume != info.Arrival.Volume || again.Arrival.Units != info.Arrival.Units {
-			t.Fatalf("%q is forwarded as %q", b, attempt)
+		if reparsed := p.ParseRequest(&forwarded); reparsed.ID != info.ID || reparsed.Arrival.Volume != info.Arrival.Volume || reparsed.Arrival.Units != info.Arrival.Units {
+			t.Fatalf("%q is forwarded as %q, which has other values", b, attempt)
 		}
 	})
 }
--- a/internal/platform/values.go
+++ b/internal/platform/values.go
@@ -11,14 +11,14 @@
 
 const (
 	maxIDBytes       = 64
-	keyBytes         = 16 // hex digits of a key and of a volume
-	maxDecimalBytes  = 18 // more digits than any value of the protocol needs
+	keyHexDigits     = 16 // length of a key and of a volume
+	maxDecimalBytes  = 18 // longer than any value of the protocol
 	maxTimeRemaining = time.Hour
-	// maxShards bounds shard numbers where the settings do not.
+	// maxShards bounds shard numbers if the settings do not contain the number of shards.
 	maxShards = 1 << 20
 )
 
-// isID reports whether b is a request ID: 1 to maxIDBytes letters, digits, dashes and underscores.
+// isID reports whether b is a valid request ID: 1 to maxIDBytes letters, digits, dashes and underscores.
 func isID(b []byte) bool {
 	for _, c := range b {
 		if !('0' <= c && c <= '9' || 'a' <= c|0x20 && c|0x20 <= 'z' || c == '-' || c == '_') {
@@ -28,18 +28,18 @@
 	return len(b) > 0 && len(b) <= maxIDBytes
 }
 
-// isHexKey reports whether b is a key or a volume.
+// isHexKey reports whether b has the form of a key or volume: keyHexDigits hexadecimal digits.
 func isHexKey(b []byte) bool {
 	for _, c := range b {
 		if !('0' <= c && c <= '9' || 'a' <= c|0x20 && c|0x20 <= 'f') {
 			return false
 		}
 	}
-	return len(b) == keyBytes
+	return len(b) == keyHexDigits
 }
 
-// parseDecimal reads digits and, if any, a fraction: no sign, exponent, NaN or infinity, which
-// strconv would take.
+// parseDecimal parses digits with an optional fraction. Unlike strconv.ParseFloat, it accepts no sign,
+// exponent, NaN or infinity.
 func parseDecimal(b []byte) (x float64, ok bool) {
 	if len(b) == 0 || len(b) > maxDecimalBytes || b[0] == '.' || b[len(b)-1] == '.' {
 		return 0, false
@@ -53,8 +53,8 @@
 	return x, err == nil
 }
 
-// parseTimeRemaining reads a decimal and its unit, m for milliseconds or u for microseconds. It
-// has to be 1 ns to maxTimeRemaining.
+// parseTimeRemaining parses a decimal with its unit, m for milliseconds or u for microseconds. The time
+// must be in the range of 1 ns to maxTimeRemaining.
 func parseTimeRemaining(b []byte) (time.Duration, bool) {
 	if len(b) < 2 {
 		return 0, false
@@ -71,16 +71,16 @@
 	return time.Duration(x), ok && x >= 1 && x <= float64(maxTimeRemaining)
 }
 
-// ioInfo is the content of headerIOInfo.
+// ioInfo is the parsed value of headerIOInfo.
 type ioInfo struct {
 	volume    string
 	units     float64
-	shard     int // -1: a new object
-	instances int // through which the volume's requests come
+	shard     int // -1 for a new object
+	instances int // number of instances that receive requests of the volume
 }
 
-// parseIOInfo reads the four members, each of which has to be there once. Others, of a later
-// version of the protocol, are ignored.
+// parseIOInfo parses the four members of headerIOInfo, each of which is required exactly once. Unknown
+// members are ignored, since later versions of the protocol may add some.
 func parseIOInfo(b []byte, limits requestLimits) (info ioInfo, ok bool) {
 	var seen struct{ volume, units, shard, instances bool }
 	for member := range http1.ListElements(b) {
@@ -114,7 +114,8 @@
 	return info, seen.volume && seen.units && seen.shard && seen.instances
 }
 
-// parseShard reads a shard number below a limit, or -1. limit 0: not known.
+// parseShard parses a shard number: -1, or a number from 0 to below limit. A limit of 0 means that the
+// number of shards is unknown.
 func parseShard(value []byte, limit int) (shard int, ok bool) {
 	if string(value) == newObjectShard {
 		return -1, true
@@ -123,7 +124,7 @@
 	return int(n), ok && n < int64(cmp.Or(limit, maxShards))
 }
 
-// parseInstances reads a number from 1 to a limit.
+// parseInstances parses a number from 1 to limit.
 func parseInstances(value []byte, limit int) (instances int, ok bool) {
 	n, ok := http1.ParseDecimal(value)
 	return int(n), ok && n >= 1 && n <= int64(limit)
--- a/internal/platform/wire.go
+++ b/internal/platform/wire.go
@@ -2,9 +2,9 @@
 
 import "maddergap/scheduler"
 
-// The platform has words of its own. They stay on the wire, in its configuration and in its
-// environment, and are mapped to the terms of this module here and in packages discovery (the
-// node list) and settings (the settings object):
+// The platform uses its own names on the wire, in the configuration and in the environment. They are
+// mapped to the terms of this module here and in packages discovery (node list) and settings (settings
+// object):
 //
 //	platform              here
 //	head                  gateway, instance
@@ -17,18 +17,18 @@
 //	IO-Info units         units, the size of a request
 //	IO-Info shard         shard that holds the data
 //	IO-Info hosts         instances through which the volume's requests come
-//	X-Remaining           time remaining of a client, timeout of an attempt
+//	X-Remaining           time remaining of a request, timeout of an attempt
 //	X-Resent              client retry
 //	X-Pressure            load report of a node
-//	X-Turned-Away         rejected by the node, without having run
+//	X-Turned-Away         rejected by the node without being executed
 //	known (configuration) initial node list
 
 // Environment variables that the platform sets.
 const (
 	EnvConfig    = "ROUTER_CONFIG"    // path of the configuration file
-	EnvName      = "ROUTER_NAME"      // the instance's name, where the file has none
-	EnvListen    = "ROUTER_LISTEN"    // host:port to listen on, where the file has none
-	EnvDiscovery = "ROUTER_DISCOVERY" // host:port of discovery, where the file has none
+	EnvName      = "ROUTER_NAME"      // name of the instance, if missing in the file
+	EnvListen    = "ROUTER_LISTEN"    // host:port to listen on, if missing in the file
+	EnvDiscovery = "ROUTER_DISCOVERY" // host:port of discovery, if missing in the file
 )
 
 // Header fields of requests.
@@ -49,8 +49,8 @@
 	headerRetryAfter   = "Retry-After"
 )
 
-// headerIsSet is the value of a header field that is a flag.
-const headerIsSet = "1"
+// flagHeaderValue is the value of headerClientRetry and headerNodeRejected if the flag is set.
+const flagHeaderValue = "1"
 
 // Members of headerIOInfo.
 const (
@@ -58,18 +58,19 @@
 	ioInfoUnits     = "units"
 	ioInfoShard     = "shard"
 	ioInfoInstances = "hosts"
-	newObjectShard  = "-1" // the shard of an object that no node holds yet
+	newObjectShard  = "-1" // value of ioInfoShard for an object that no node stores yet
 )
 
-// Paths that the gateway itself responds to.
+// Paths of health checks, to which the gateway itself responds.
 const (
-	pathReserved = "/-/" // prefix of them all
-	pathReady    = "/-/ready"
-	pathHealthy  = "/-/healthy"
+	reservedPathPrefix = "/-/" // requests with this prefix are not forwarded
+	pathReady          = "/-/ready"
+	pathHealthy        = "/-/healthy"
 )
 
-// isLoadMember reports whether a member of a load report is a number of requests that the node
-// holds or has waiting: by the names that settings may give and by those of the protocol.
+// isLoadMember reports whether a member of a load report is a number of requests at the node, waiting
+// or in progress. It accepts the names of the protocol and the alternative names that the platform's
+// settings may choose.
 func isLoadMember(name []byte) bool {
 	switch string(name) {
 	case "concurrent", "inflight", "depth", "queue":
@@ -78,8 +79,8 @@
 	return false
 }
 
-// outcomeOf maps the status of a node's response to the attempt's outcome. A node that rejected
-// an attempt says so: without that, an error may have come after the attempt ran.
+// outcomeOf returns the outcome of an attempt, from the status of the node's response and its
+// headerNodeRejected flag. Without the flag, the node may have executed the attempt before the error.
 func outcomeOf(status int, nodeRejected bool) scheduler.Outcome {
 	switch status {
 	case 200:
--- a/internal/platform/write_test.go
+++ b/internal/platform/write_test.go
@@ -22,15 +22,16 @@
 "familyInfo":{"unitsTop":6,"usualUnits":2,"fairWorth":0.3,"nShards":4,"writes":[false]},
 "limits":{"maxAttempts":4,"maxRetryAfter":500000,"retryAfter":true,"connIdle":30000000,"connectTimeout":250000}}}`
 
-// pendingAttempt is a gateway with an attempt that is encoded and not written: the connection to
-// its node is open and takes no bytes yet.
+// pendingAttempt is a gateway with an attempt that is encoded but not yet written. The connection to
+// the node is open.
 type pendingAttempt struct {
 	gateway  *gateway.Gateway
 	now      gateway.Time
 	nodeConn gateway.ConnID
 }
 
-// newPendingAttempt has a client, which waited to be accepted, send a request with a second left.
+// newPendingAttempt starts a gateway and sends it a request with 1 s remaining, on a connection that
+// waited in the listen queue for acceptDelay.
 func newPendingAttempt(t *testing.T, acceptDelay time.Duration) *pendingAttempt {
 	t.Helper()
 	c, err := platform.Parse("config", []byte(oneNodeConfig), func(string) string { return "" })
@@ -61,7 +62,7 @@
 	}
 }
 
-// timeout is the one in the attempt, if that is written now.
+// timeout returns the timeout that the attempt contains if it is written now.
 func (a *pendingAttempt) timeout(t *testing.T) time.Duration {
 	t.Helper()
 	_, remaining, found := strings.Cut(string(a.gateway.Out(a.now, a.nodeConn)), "X-Remaining: ")
@@ -73,27 +74,28 @@
 	return time.Duration(micros) * time.Microsecond
 }
 
-// An attempt waits in a buffer, or its client waited to be accepted. The timeout that the node is
-// told is the time remaining at the write: with a longer one the node would work for nobody.
+// Verifies that the timeout in an attempt is the time remaining when the attempt is written. Time that
+// the attempt spent in a buffer, or its client's connection in the listen queue, must be subtracted:
+// with a longer timeout the node would work on a request whose client has given up.
 func TestTimeoutIsTimeRemainingAtWrite(t *testing.T) {
 	attempt := newPendingAttempt(t, 0)
 	if timeout := attempt.timeout(t); timeout != time.Second {
-		t.Errorf("%v at once", timeout)
+		t.Errorf("written at once: got a timeout of %v, want 1s", timeout)
 	}
 	attempt.now += 300 * time.Millisecond
 	if timeout := attempt.timeout(t); timeout != 700*time.Millisecond {
-		t.Errorf("%v after 300 ms in a buffer", timeout)
+		t.Errorf("after 300 ms in a buffer: got a timeout of %v, want 700ms", timeout)
 	}
 	if timeout := newPendingAttempt(t, 400*time.Millisecond).timeout(t); timeout != 600*time.Millisecond {
-		t.Errorf("%v after 400 ms in the listen queue", timeout)
+		t.Errorf("after 400 ms in the listen queue: got a timeout of %v, want 600ms", timeout)
 	}
 }
 
-// A node drains while an attempt waits in a buffer. The attempt is not written.
+// Verifies that an attempt that waits in a buffer is not written after its node has started to drain.
 func TestNoWriteToDrainingNode(t *testing.T) {
 	attempt := newPendingAttempt(t, 0)
 	attempt.gateway.SetNodes(attempt.now, []nodelist.Node{{Name: "n", Addr: "10.0.0.1:1", State: scheduler.Draining}})
 	if out := attempt.gateway.Out(attempt.now, attempt.nodeConn); len(out) > 0 {
-		t.Errorf("%q is written", out)
+		t.Errorf("%q is written to a draining node", out)
 	}
 }
