--- a/internal/http1/append.go
+++ b/internal/http1/append.go
@@ -2,7 +2,7 @@
 
 import "strconv"
 
-// AppendStatus appends a response's status line.
+// AppendStatus appends the status line of a response.
 func AppendStatus(dst []byte, status int) []byte {
 	dst = append(dst, "HTTP/1.1 "...)
 	dst = strconv.AppendInt(dst, int64(status), 10)
@@ -19,7 +19,7 @@
 	return append(dst, "\r\n"...)
 }
 
-// AppendIntField appends a field line with a decimal.
+// AppendIntField appends a field line whose value is a decimal integer.
 func AppendIntField(dst []byte, name string, n int64) []byte {
 	dst = append(dst, name...)
 	dst = append(dst, ": "...)
@@ -27,8 +27,8 @@
 	return append(dst, "\r\n"...)
 }
 
-// AppendEndToEndFields appends the fields of a message that are forwarded: those that are
-// not hop-by-hop, apart from those excluded by name.
+// AppendEndToEndFields appends the field lines of a message that are to be forwarded. Hop-by-hop fields
+// and the excluded names are left out.
 func AppendEndToEndFields(dst []byte, m *Message, excluded ...string) []byte {
 	connection := m.Get("connection")
 	for i := range m.Fields {
@@ -44,6 +44,7 @@
 	return dst
 }
 
+// equalFoldAny reports whether a field name equals one of the words, regardless of case.
 func equalFoldAny(name []byte, words []string) bool {
 	for _, word := range words {
 		if EqualFold(name, word) {
@@ -53,7 +54,7 @@
 	return false
 }
 
-// AppendChunk appends data as a chunk of a chunked body. Empty data appends nothing, as an
+// AppendChunk appends data as one chunk of a chunked body. It appends nothing for empty data, since an
 // empty chunk would end the body.
 func AppendChunk(dst, data []byte) []byte {
 	if len(data) == 0 {
@@ -65,5 +66,5 @@
 	return append(dst, "\r\n"...)
 }
 
-// AppendLastChunk ends a chunked body.
+// AppendLastChunk appends the last chunk and an empty trailer, which end a chunked body.
 func AppendLastChunk(dst []byte) []byte { return append(dst, "0\r\n\r\n"...) }
--- a/internal/http1/body.go
+++ b/internal/http1/body.go
@@ -3,76 +3,79 @@
 import "bytes"
 
 const (
-	// maxSkippedBytes bounds the bytes of a chunked body that are read and dropped: chunk
-	// sizes with their extensions, and the trailer.
+	// maxSkippedBytes limits the bytes between the data of two chunks, and after the last chunk. They
+	// are line breaks, chunk sizes with their extensions, and the trailer, and are discarded.
 	maxSkippedBytes = 4 << 10
-	// maxHexDigits is how many digits of a chunk's size fit into an int64 whatever they are.
+	// maxHexDigits is the maximum length of a chunk size. Any number of 15 digits fits into an int64.
 	maxHexDigits = 15
 )
 
-// bodyFraming is what marks the end of a body.
+// bodyFraming is the way in which the end of a body is determined.
 type bodyFraming uint8
 
 const (
-	byLength  bodyFraming = iota // after ContentLength bytes
-	byChunks                     // after the last chunk and the trailer
-	byClosing                    // at the end of the connection
+	framedByLength bodyFraming = iota // after ContentLength bytes
+	framedByChunks                    // after the last chunk and the trailer
+	framedByClose                     // at the end of the connection
 )
 
-// chunkState is where a decoder stands in a chunked body.
+// chunkState is the position of a decoder within a chunked body.
 type chunkState uint8
 
 const (
 	atChunkSize chunkState = iota
 	inChunkData
-	afterChunkData // at the line break that ends a chunk
+	afterChunkData // at the line break after the data of a chunk
 	inTrailer
 )
 
-// BodyDecoder takes a message's body out of the bytes of its connection. Reset begins one.
+// BodyDecoder extracts the body of a message from the bytes received on its connection. Reset must be
+// called before each body.
 type BodyDecoder struct {
-	framing bodyFraming
-	done    bool
-	left    int64 // bytes of the body, or of the present chunk
-	chunk   chunkState
-	line    []byte // of a chunk's size or the trailer, until it is complete
-	skipped int    // bytes since the last chunk's data; see maxSkippedBytes
+	framing      bodyFraming
+	done         bool       // set when the body is complete
+	remaining    int64      // number of bytes that remain of the body, or of the data of the current chunk
+	chunk        chunkState // valid for framedByChunks
+	line         []byte     // beginning of an incomplete line: a chunk size or a line of the trailer
+	skippedBytes int        // number of bytes since the data of the last chunk; see maxSkippedBytes
 }
 
-// Reset begins the body of a message.
+// Reset prepares the decoder for the body of a message.
 func (b *BodyDecoder) Reset(m *Message) {
-	*b = BodyDecoder{line: b.line[:0], left: m.ContentLength}
+	*b = BodyDecoder{line: b.line[:0], remaining: m.ContentLength}
 	switch {
 	case m.Chunked:
-		b.framing = byChunks
+		b.framing = framedByChunks
 	case m.ContentLength < 0:
-		b.framing = byClosing
+		b.framing = framedByClose
 	default:
 		b.done = m.ContentLength == 0
 	}
 }
 
-// Done tells whether the body is complete.
+// Done reports whether the body is complete.
 func (b *BodyDecoder) Done() bool { return b.done }
 
-// UntilClose tells whether the body ends with the connection.
-func (b *BodyDecoder) UntilClose() bool { return b.framing == byClosing }
+// UntilClose reports whether the body ends with the connection.
+func (b *BodyDecoder) UntilClose() bool { return b.framing == framedByClose }
 
-// InputEnded reports the end of the connection and returns whether the body is complete.
+// InputEnded must be called when the peer has ended the connection. It reports whether the body is
+// complete.
 func (b *BodyDecoder) InputEnded() bool {
-	b.done = b.done || b.framing == byClosing
+	b.done = b.done || b.framing == framedByClose
 	return b.done
 }
 
-// Next returns the next bytes of the body in p, and the rest of p. Unless p is empty or the
-// body done, it consumes some of p; data may be empty all the same. The error is an *Error.
+// Next decodes the next part of p. It returns data, the bytes of the body in this part, and rest, the
+// bytes of p after it. Unless p is empty or the body is complete, it consumes at least one byte; data
+// can still be empty. The error is an *Error.
 func (b *BodyDecoder) Next(p []byte) (data, rest []byte, err error) {
 	switch {
 	case b.done:
 		return nil, p, nil
-	case b.framing == byClosing:
+	case b.framing == framedByClose:
 		return p, nil, nil
-	case b.framing == byLength || b.chunk == inChunkData:
+	case b.framing == framedByLength || b.chunk == inChunkData:
 		data, rest = b.nextData(p)
 		return data, rest, nil
 	}
@@ -80,18 +83,19 @@
 	return nil, rest, err
 }
 
-// nextData returns the bytes of p that are of the body, or of the present chunk.
+// nextData splits p at the end of the body or of the current chunk.
 func (b *BodyDecoder) nextData(p []byte) (data, rest []byte) {
-	n := min(int64(len(p)), b.left)
-	b.left -= n
-	if b.left == 0 {
-		b.done = b.framing == byLength
+	n := min(int64(len(p)), b.remaining)
+	b.remaining -= n
+	if b.remaining == 0 {
+		b.done = b.framing == framedByLength
 		b.chunk = afterChunkData
 	}
 	return p[:n], p[n:]
 }
 
-// readChunkLines reads what stands between the data of two chunks, or after the last one.
+// readChunkLines parses the lines before the data of a chunk, and the trailer. A line may come in
+// several calls.
 func (b *BodyDecoder) readChunkLines(p []byte) (rest []byte, err error) {
 	for len(p) > 0 && !b.done && b.chunk != inChunkData {
 		n := bytes.IndexByte(p, '\n') + 1
@@ -99,8 +103,8 @@
 		if !complete {
 			n = len(p)
 		}
-		b.skipped += n
-		if b.skipped > maxSkippedBytes {
+		b.skippedBytes += n
+		if b.skippedBytes > maxSkippedBytes {
 			return p, errTrailerTooLong
 		}
 		b.line = append(b.line, p[:n]...)
@@ -120,14 +124,14 @@
 	return p, nil
 }
 
-// applyLine takes a complete line, without its line break.
+// applyLine processes a complete line, given without its line break.
 func (b *BodyDecoder) applyLine(line []byte) error {
 	switch b.chunk {
 	case afterChunkData:
 		if len(line) != 0 {
 			return errChunk
 		}
-		b.chunk, b.skipped = atChunkSize, 0
+		b.chunk, b.skippedBytes = atChunkSize, 0
 	case atChunkSize:
 		return b.applyChunkSize(line)
 	case inTrailer:
@@ -136,7 +140,8 @@
 	return nil
 }
 
-// applyChunkSize takes a chunk's size; extensions are dropped. Size 0 is the last chunk.
+// applyChunkSize processes the line with the size of a chunk. Extensions are ignored. The chunk of size
+// 0 is the last one.
 func (b *BodyDecoder) applyChunkSize(line []byte) error {
 	if i := bytes.IndexByte(line, ';'); i >= 0 {
 		line = bytes.TrimRight(line[:i], optionalSpace)
@@ -145,13 +150,14 @@
 	if !ok {
 		return errChunk
 	}
-	b.left, b.chunk = size, inChunkData
+	b.remaining, b.chunk = size, inChunkData
 	if size == 0 {
 		b.chunk = inTrailer
 	}
 	return nil
 }
 
+// parseHex parses a hexadecimal number of up to maxHexDigits digits.
 func parseHex(digits []byte) (n int64, ok bool) {
 	if len(digits) == 0 || len(digits) > maxHexDigits {
 		return 0, false
--- a/internal/http1/errors.go
+++ b/internal/http1/errors.go
@@ -2,16 +2,16 @@
 
 import "fmt"
 
-// Error is a mistake in a message, with the status of the response to it.
+// Error reports why a message is rejected.
 type Error struct {
-	Status int
-	Reason string // sent to the client in the response's body
+	Status int    // status of the response to the client
+	Reason string // sent to the client in the body of that response
 }
 
 func (e *Error) Error() string { return fmt.Sprintf("%d: %s", e.Status, e.Reason) }
 
-// The errors of parsing. They are made once, so that a flood of malformed requests
-// allocates nothing.
+// Errors of parsing. They are allocated once, so that a flood of malformed requests causes no
+// allocations.
 var (
 	errBareLineBreak      = &Error{400, "a bare CR or LF in the header"}
 	errRequestLine        = &Error{400, "the request line is not METHOD SP TARGET SP VERSION"}
--- a/internal/http1/fields.go
+++ b/internal/http1/fields.go
@@ -5,21 +5,20 @@
 	"iter"
 )
 
-// Field is a header field.
+// Field is a header field. Value has no white space around it.
 type Field struct{ Name, Value []byte }
 
-// optionalSpace is the white space around values and list elements (RFC 9110 5.6.3).
+// optionalSpace contains the characters of optional white space (RFC 9110 5.6.3).
 const optionalSpace = " \t"
 
-// framing is what the fields of a header say about the message's end, as far as it takes
-// more than one field to tell.
+// framing collects the values that finishFraming evaluates once all fields are parsed.
 type framing struct {
-	chunked   bool
+	chunked   bool // Transfer-Encoding: chunked
 	keepAlive bool // Connection: keep-alive
 }
 
-// parseFields parses the field lines up to the empty line, and takes out of them what
-// frames the message: ContentLength, Chunked and Close.
+// parseFields parses the field lines up to the empty line. It also sets ContentLength, Chunked and
+// Close, which depend on the fields.
 func (m *Message) parseFields(p []byte, limits Limits) error {
 	var fr framing
 	for {
@@ -64,7 +63,7 @@
 	return Field{Name: line[:colon], Value: value}, nil
 }
 
-// applyFraming takes one field's part in the framing of the message.
+// applyFraming updates the framing of the message if the field concerns it.
 func (m *Message) applyFraming(f Field, fr *framing) error {
 	switch {
 	case EqualFold(f.Name, "content-length"):
@@ -85,7 +84,8 @@
 	return nil
 }
 
-// finishFraming rejects a framing that two parsers may read differently.
+// finishFraming rejects a framing that another parser may interpret differently, and sets Chunked and
+// Close.
 func (m *Message) finishFraming(fr framing) error {
 	if fr.chunked && m.ContentLength >= 0 {
 		return errLengthAndCoding
@@ -100,7 +100,7 @@
 	return nil
 }
 
-// EqualFold compares a field name or token with a word, regardless of case in ASCII.
+// EqualFold reports whether a field name or token equals a word, regardless of ASCII case.
 func EqualFold(b []byte, word string) bool {
 	if len(b) != len(word) {
 		return false
@@ -120,7 +120,7 @@
 	return c
 }
 
-// isTokenChar marks the bytes of a token (RFC 9110 5.6.2).
+// isTokenChar is true for the bytes that are allowed in a token (RFC 9110 5.6.2).
 var isTokenChar = func() (table [256]bool) {
 	for c := '0'; c <= '9'; c++ {
 		table[c] = true
@@ -143,10 +143,10 @@
 	return len(b) > 0
 }
 
-// maxDecimalDigits is how many digits fit into an int64 whatever they are.
+// maxDecimalDigits is the maximum length of a decimal. Any number of 18 digits fits into an int64.
 const maxDecimalDigits = 18
 
-// ParseDecimal parses a decimal of up to 18 digits without a sign.
+// ParseDecimal parses an unsigned decimal integer of 1 to 18 digits.
 func ParseDecimal(b []byte) (n int64, ok bool) {
 	if len(b) == 0 || len(b) > maxDecimalDigits {
 		return 0, false
@@ -160,7 +160,7 @@
 	return n, true
 }
 
-// HasToken tells whether a comma-separated list has a token, in any case.
+// HasToken reports whether a comma-separated list contains a token, regardless of case.
 func HasToken(list []byte, token string) bool {
 	for element := range ListElements(list) {
 		if EqualFold(element, token) {
@@ -170,7 +170,8 @@
 	return false
 }
 
-// ListElements are the elements of a comma-separated list, without the white space around them.
+// ListElements returns an iterator over the elements of a comma-separated list, without the white space
+// around them. It includes empty elements.
 func ListElements(list []byte) iter.Seq[[]byte] {
 	return func(yield func([]byte) bool) {
 		for len(list) > 0 {
@@ -185,12 +186,12 @@
 
 var comma = []byte(",")
 
-// HopByHop tells whether a field is for one connection only and is not forwarded (RFC 9110
-// 7.6.1). connection is the value of the Connection field, which lists further ones. Host is
-// forwarded even if it is listed. Guards against a client that lists it to have the node get
-// a request without one.
+// HopByHop reports whether a field is valid for one connection only and must not be forwarded (RFC 9110
+// 7.6.1). connection is the value of the Connection field, which lists further such fields. Host is
+// forwarded even if it is listed; otherwise a client could list it and make the gateway send a request
+// without Host to a node.
 func HopByHop(name, connection []byte) bool {
-	// By length first, as this is called for each field of each message.
+	// The length is compared first, since this is called for each field of each message.
 	switch len(name) {
 	case 2:
 		return EqualFold(name, "te")
@@ -208,7 +209,7 @@
 		}
 	case 14:
 		if EqualFold(name, "content-length") {
-			return true // it is written anew with the body
+			return true // the gateway writes its own with the body
 		}
 	case 16:
 		if EqualFold(name, "proxy-connection") {
--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -1,38 +1,37 @@
-// Package http1 is the codec of HTTP/1.1 messages (RFC 9112, with the field syntax of
-// RFC 9110). It parses headers and bodies out of bytes that it is given, and does no I/O.
-// Parsed messages point into those bytes; nothing is allocated once the field slice of a
-// reused message is large enough.
+// Package http1 implements parsing and writing of HTTP/1.1 messages (RFC 9112, with the field syntax of
+// RFC 9110). It works on byte slices and does no I/O. Parsed messages refer to the bytes that were
+// parsed. Parsing into a reused message allocates nothing once its field slice is large enough.
 //
-// Parsing is strict where a lenient parser lets a request be smuggled: a bare CR or LF, a
-// folded line, white space before the colon, two lengths, or a length beside a transfer
-// coding are errors and are never repaired.
+// Parsing is strict where lenience would permit request smuggling: a bare CR or LF, a folded line, white
+// space before the colon, two different lengths, and a length together with a transfer coding are always
+// errors.
 package http1
 
 import "bytes"
 
-// Limits bound the header of one message.
+// Limits bounds the header of a message.
 type Limits struct {
-	HeaderBytes int // of the whole header, its empty line included
-	TargetBytes int // of the request target
-	FieldCount  int // of header fields
+	HeaderBytes int // maximum size of the whole header, with the empty line at its end
+	TargetBytes int // maximum size of the request target
+	FieldCount  int // maximum number of header fields
 }
 
-// DefaultLimits leave ample room for what common WebDAV clients send.
+// DefaultLimits is far above what common WebDAV clients send.
 var DefaultLimits = Limits{HeaderBytes: 16 << 10, TargetBytes: 4 << 10, FieldCount: 100}
 
-// MaxInterimResponses is how many 1xx responses may precede a final one.
+// MaxInterimResponses is the maximum number of 1xx responses before a final response.
 const MaxInterimResponses = 16
 
-// Message is what requests and responses have in common.
+// Message is the common part of requests and responses.
 type Message struct {
-	MinorVersion  int // x of HTTP/1.x, 0 or 1
+	MinorVersion  int // 0 for HTTP/1.0, 1 for HTTP/1.1
 	Fields        []Field
-	ContentLength int64 // of the body in bytes; -1 if the header does not give it
-	Chunked       bool  // the body has the chunked transfer coding
-	Close         bool  // the connection ends with this message
+	ContentLength int64 // length of the body in bytes; -1 if the header does not determine it
+	Chunked       bool  // set if the body has the chunked transfer coding
+	Close         bool  // set if the connection ends with this message
 }
 
-// Get returns the value of the first field of the name, in any case; nil if there is none.
+// Get returns the value of the first field with the name, regardless of case, or nil if there is none.
 func (m *Message) Get(name string) []byte {
 	for i := range m.Fields {
 		if EqualFold(m.Fields[i].Name, name) {
@@ -42,12 +41,12 @@
 	return nil
 }
 
-// HeaderEnd returns the length of the header at the start of p, its empty line included,
-// or 0 if it is incomplete. scanned is how many bytes of p an earlier call has looked at. A
-// line that ends with a bare LF ends the header too: it is an error already, and more
-// bytes cannot make it valid.
+// HeaderEnd returns the length of the header at the start of p, with the empty line at its end, or 0 if
+// the header is incomplete. scanned is the number of bytes of p that an earlier call has already
+// searched. A line that ends with a bare LF counts as the end of the header: the header is invalid
+// whatever follows.
 func HeaderEnd(p []byte, scanned int) int {
-	const overlap = 3 // of a CRLFCRLF that an earlier call saw in part
+	const overlap = 3 // an earlier call may have seen up to 3 bytes of the final CRLFCRLF
 	for i := max(0, scanned-overlap); ; {
 		n := bytes.IndexByte(p[i:], '\n')
 		if n < 0 {
@@ -62,9 +61,9 @@
 	}
 }
 
-// HeaderBlock is HeaderEnd with a limit: once p is longer, it returns all of p, which the
-// parser rejects. It returns 0 while more bytes are needed. scanned is kept by the caller
-// between the calls for one header.
+// HeaderBlock is like HeaderEnd, but if p contains no complete header and exceeds the limit, it returns
+// the length of p, which the parser then rejects. It returns 0 while more bytes are needed. The caller
+// keeps scanned between the calls for one header; it starts at 0.
 func (l Limits) HeaderBlock(p []byte, scanned *int) int {
 	n := HeaderEnd(p, *scanned)
 	if n == 0 && len(p) <= l.HeaderBytes {
@@ -78,7 +77,8 @@
 	return n
 }
 
-// cutLine cuts the first line off a header. Its CRLF must be its only CR or LF.
+// cutLine splits p after its first line and returns the line without its CRLF. The line must contain no
+// other CR or LF.
 func cutLine(p []byte) (line, rest []byte, err error) {
 	i := bytes.IndexByte(p, '\n')
 	if i < 1 || p[i-1] != '\r' || bytes.IndexByte(p[:i-1], '\r') >= 0 {
@@ -87,7 +87,7 @@
 	return p[:i-1], p[i+1:], nil
 }
 
-// parseVersion parses "HTTP/1.x" and returns x.
+// parseVersion parses "HTTP/1.0" or "HTTP/1.1" and returns the minor version.
 func parseVersion(b []byte) (minor int, err error) {
 	if len(b) != len("HTTP/1.1") || string(b[:5]) != "HTTP/" || b[6] != '.' {
 		return 0, errRequestLine
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -16,8 +16,8 @@
 	return &r, ParseRequest([]byte(text), &r, DefaultLimits)
 }
 
-// Requests that two parsers may frame differently, or that pass a limit, are rejected with
-// the status that says why. Guards against request smuggling.
+// Verifies that requests which two parsers may frame differently are rejected with the right status;
+// this prevents request smuggling. Also covers other malformed requests and requests over a limit.
 func TestMalformedRequests(t *testing.T) {
 	long := strings.Repeat("a", 5000)
 	for name, c := range map[string]struct {
@@ -49,12 +49,13 @@
 		_, err := parseRequest(c.text)
 		var e *Error
 		if !errors.As(err, &e) || e.Status != c.status {
-			t.Errorf("%s: %v, want status %d", name, err, c.status)
+			t.Errorf("%s: got error %v, want status %d", name, err, c.status)
 		}
 	}
 }
 
-// The fields that frame a message are found in any case, and HTTP/1.0 closes by default.
+// Verifies that the fields that frame a message are recognized regardless of case, and that a
+// connection of HTTP/1.0 closes by default.
 func TestRequestFraming(t *testing.T) {
 	r, err := parseRequest("PUT /a/b HTTP/1.1\r\nHost: h\r\nConnection: x, Close\r\nContent-Length: 12\r\nExpect: 100-Continue\r\n\r\n")
 	if err != nil || string(r.Method) != "PUT" || r.ContentLength != 12 || !r.Close || !r.ExpectContinue || string(r.Host) != "h" {
@@ -65,17 +66,18 @@
 	}
 }
 
-// decode decodes a body in pieces of n bytes.
-func decode(m *Message, wire []byte, n int) (out, rest []byte, err error) {
+// decode decodes the body at the start of wire in pieces of up to pieceSize bytes. rest is what follows
+// the body.
+func decode(m *Message, wire []byte, pieceSize int) (out, rest []byte, err error) {
 	var b BodyDecoder
 	b.Reset(m)
 	for len(wire) > 0 && !b.Done() {
-		piece := wire[:min(n, len(wire))]
-		data, left, err := b.Next(piece)
+		piece := wire[:min(pieceSize, len(wire))]
+		data, unread, err := b.Next(piece)
 		if err != nil {
 			return out, wire, err
 		}
-		out, wire = append(out, data...), wire[len(piece)-len(left):]
+		out, wire = append(out, data...), wire[len(piece)-len(unread):]
 	}
 	if !b.Done() {
 		return out, wire, io.ErrUnexpectedEOF
@@ -83,9 +85,9 @@
 	return out, wire, nil
 }
 
-// A chunked body reads the same however it is cut into pieces, and what follows it stays.
-// Malformed chunks are errors.
-func TestChunkedInPieces(t *testing.T) {
+// Verifies that a chunked body is decoded the same whatever pieces it arrives in, that the bytes after
+// it are not consumed, and that malformed chunks are errors.
+func TestChunkedBodyInPieces(t *testing.T) {
 	var wire []byte
 	want := bytes.Repeat([]byte("0123456789"), 100)
 	for p := want; len(p) > 0; {
@@ -96,36 +98,37 @@
 	for n := 1; n < 50; n++ {
 		got, rest, err := decode(&Message{Chunked: true, ContentLength: -1}, wire, n)
 		if err != nil || !bytes.Equal(got, want) || string(rest) != "GET" {
-			t.Fatalf("pieces of %d: %d bytes, rest %q, %v", n, len(got), rest, err)
+			t.Fatalf("pieces of %d: got %d bytes, rest %q, error %v", n, len(got), rest, err)
 		}
 	}
 	for _, bad := range []string{"g\r\n", "\r\n", "3\r\nabcd\r\n", "3\nabc\r\n", "-1\r\n", "3;a\rb\r\nabc\r\n",
 		"1234567890123456\r\n", "0\r\n" + strings.Repeat("X: y\r\n", 2000)} {
 		if _, _, err := decode(&Message{Chunked: true, ContentLength: -1}, []byte(bad), 7); err == nil || err == io.ErrUnexpectedEOF {
-			t.Errorf("%.20q: %v, want an error", bad, err)
+			t.Errorf("%.20q: got %v, want an error of the decoder", bad, err)
 		}
 	}
 }
 
-// Guards against a node's mistake that is reported as one of a request: whatever is wrong with a
-// status line, the error names that line and is the gateway's 502.
+// Verifies that any mistake in a node's status line is an error with status 502 that names the status
+// line. It must not be reported with a status that blames the request.
 func TestMalformedStatusLine(t *testing.T) {
 	for _, line := range []string{"nonsense", "HTTP/1.1 2x0 OK", "HTTP/1.1 099 Low", "HTTQ/1.1 200 OK", "HTTP/2.0 200 OK", "HTTP/1.1200 OK ok"} {
 		var r Response
 		err := ParseResponse([]byte(line+"\r\n\r\n"), &r, "GET", DefaultLimits)
 		var malformed *Error
 		if !errors.As(err, &malformed) || malformed.Status != 502 || !strings.Contains(malformed.Reason, "status line") {
-			t.Errorf("%q: %v", line, err)
+			t.Errorf("%q: got %v, want an error 502 that names the status line", line, err)
 		}
 	}
 }
 
-// The status, the method and the fields tell how long a response's body is.
-func TestResponseBodies(t *testing.T) {
+// Verifies that the length of a response's body is determined by the status, the method of the request
+// and the fields.
+func TestResponseBodyLength(t *testing.T) {
 	for _, c := range []struct {
 		text, method string
 		length       int64
-		toEnd        bool
+		untilClose   bool
 	}{
 		{"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n", "GET", 5, false},
 		{"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n", "HEAD", 0, false},
@@ -136,27 +139,27 @@
 		if err := ParseResponse([]byte(c.text), &r, c.method, DefaultLimits); err != nil {
 			t.Fatal(err)
 		}
-		if r.ContentLength != c.length || r.Close != c.toEnd {
-			t.Errorf("%q to %s: length %d close %v", c.text, c.method, r.ContentLength, r.Close)
+		if r.ContentLength != c.length || r.Close != c.untilClose {
+			t.Errorf("%q to %s: got length %d, close %v", c.text, c.method, r.ContentLength, r.Close)
 		}
 	}
 }
 
-// A parsed request allocates nothing once its field slice is large enough.
+// Verifies that parsing a request allocates nothing once the field slice is large enough.
 func TestParseAllocatesNothing(t *testing.T) {
 	text := []byte("GET /feed-a/s1/x HTTP/1.1\r\nHost: 127.0.0.1\r\nUser-Agent: t\r\nAccept: */*\r\nRange: bytes=0-99\r\n\r\n")
 	var r Request
 	if n := testing.AllocsPerRun(100, func() {
 		if HeaderEnd(text, 0) != len(text) || ParseRequest(text, &r, DefaultLimits) != nil {
-			t.Fatal("not parsed")
+			t.Fatal("the request was not parsed")
 		}
 	}); n != 0 {
-		t.Errorf("%v allocations a request, want none", n)
+		t.Errorf("got %v allocations per request, want none", n)
 	}
 }
 
-// FuzzRequest checks that net/http reads what this parser accepts with the same method and
-// framing. Guards against request smuggling, which needs two readings of one header.
+// FuzzRequest checks that net/http parses a request that this parser accepts with the same method and
+// framing. Request smuggling needs two parsers that interpret a header differently.
 func FuzzRequest(f *testing.F) {
 	f.Add([]byte("GET / HTTP/1.1\r\nHost: h\r\n\r\n"))
 	f.Add([]byte("PUT /a HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n"))
@@ -169,17 +172,17 @@
 		}
 		std, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(p[:n])))
 		if err != nil {
-			return // net/http is stricter in some fields that do not frame the message
+			return // net/http is stricter about some fields that do not frame the message
 		}
 		if std.Method != string(r.Method) || (std.ContentLength >= 0 && std.ContentLength != r.ContentLength && !r.Chunked) ||
 			(len(std.TransferEncoding) > 0) != r.Chunked {
-			t.Fatalf("%q: %s %d %v, net/http %s %d %v", p[:n], r.Method, r.ContentLength, r.Chunked, std.Method,
+			t.Fatalf("%q: got %s %d %v, net/http has %s %d %v", p[:n], r.Method, r.ContentLength, r.Chunked, std.Method,
 				std.ContentLength, std.TransferEncoding)
 		}
 	})
 }
 
-// FuzzChunked checks that a chunked body reads the same in whatever pieces it comes.
+// FuzzChunked checks that a chunked body is decoded the same whatever pieces it arrives in.
 func FuzzChunked(f *testing.F) {
 	f.Add([]byte("5\r\nhello\r\n0\r\n\r\n"), 1)
 	f.Add([]byte("5;x=y\r\nhello\r\n0\r\nT: v\r\n\r\nrest"), 3)
@@ -189,7 +192,7 @@
 		a, restA, errA := decode(m, p, len(p)+1)
 		b, restB, errB := decode(m, p, n)
 		if (errA == nil) != (errB == nil) || (errA == nil && (!bytes.Equal(a, b) || !bytes.Equal(restA, restB))) {
-			t.Fatalf("in one piece: %q %v; by %d: %q %v", a, errA, n, b, errB)
+			t.Fatalf("in one piece: %q, error %v; in pieces of %d: %q, error %v", a, errA, n, b, errB)
 		}
 	})
 }
--- a/internal/http1/request.go
+++ b/internal/http1/request.go
@@ -7,10 +7,11 @@
 	Message
 	Method, Target []byte
 	Host           []byte
-	ExpectContinue bool // the client waits for a 100 response before it sends the body
+	ExpectContinue bool // set if the client waits for a 100 response before it sends the body
 }
 
-// ParseRequest parses a header that HeaderEnd measured. r is reused. The error is an *Error.
+// ParseRequest parses a request header into r. block ends where HeaderEnd or HeaderBlock found the end
+// of the header. The memory of r.Fields is reused. The error is an *Error.
 func ParseRequest(block []byte, r *Request, limits Limits) error {
 	*r = Request{Message: Message{Fields: r.Fields[:0], ContentLength: -1}}
 	if len(block) > limits.HeaderBytes {
@@ -60,7 +61,7 @@
 	return nil
 }
 
-// applyRequestFields takes Host and Expect out of the fields.
+// applyRequestFields sets Host and ExpectContinue from the fields.
 func (r *Request) applyRequestFields() error {
 	hosts := 0
 	for i := range r.Fields {
--- a/internal/http1/response.go
+++ b/internal/http1/response.go
@@ -6,8 +6,9 @@
 	Status int
 }
 
-// ParseResponse parses a header that HeaderEnd measured, of a response to a request of the
-// method. r is reused. The error is an *Error.
+// ParseResponse parses a response header into r. method is the method of the request, on which the
+// length of the body depends. block ends where HeaderEnd or HeaderBlock found the end of the header.
+// The memory of r.Fields is reused. The error is an *Error.
 func ParseResponse(block []byte, r *Response, method string, limits Limits) error {
 	*r = Response{Message: Message{Fields: r.Fields[:0], ContentLength: -1}}
 	if len(block) > limits.HeaderBytes {
@@ -23,7 +24,7 @@
 	if err := r.parseFields(rest, limits); err != nil {
 		return err
 	}
-	// RFC 9112 6.3: these have no body, whatever their fields say.
+	// RFC 9112 6.3: these responses have no body, whatever their fields say.
 	if method == "HEAD" || r.Status < 200 || r.Status == 204 || r.Status == 304 {
 		r.ContentLength, r.Chunked = 0, false
 	}
@@ -54,7 +55,7 @@
 	return nil
 }
 
-// StatusText is the reason phrase of a status, "Status" for one without.
+// StatusText returns the reason phrase of a status, or "Status" if there is none.
 func StatusText(status int) string {
 	if text := statusTexts[status]; text != "" {
 		return text
