--- a/internal/route/classify.go
+++ b/internal/route/classify.go
@@ -10,28 +10,28 @@
 	"maddergap/internal/http1"
 )
 
-// RequestHeader is what Classify looks at in a request's header.
+// RequestHeader contains the parts of a request's header that Classify uses.
 type RequestHeader struct {
 	Method         string
 	Location       Location
-	ContentLength  int64  // of the body in bytes, -1 if it is not known
-	Range          string // value of Range, "" for none
-	Prefer         string // value of Prefer, "" for none
-	IdempotencyKey string // value of Idempotency-Key, "" for none
+	ContentLength  int64  // length of the body in bytes, -1 if unknown
+	Range          string // value of the Range field, "" if missing
+	Prefer         string // value of the Prefer field, "" if missing
+	IdempotencyKey string // value of the Idempotency-Key field, "" if missing
 }
 
-// Classification is what the scheduler needs to know of a request.
+// Classification contains the properties of a request that the scheduler uses.
 type Classification struct {
-	Class       int           // index of the configuration's classes
-	Units       float64       // of work, 1 at least
-	Timeout     time.Duration // until the client gives up, less the response margin
-	OrderingKey string        // requests with the same key run in order; "" for a class without order
+	Class       int           // index of the class in the configuration
+	Units       float64       // cost in units of work, at least 1
+	Timeout     time.Duration // time until the client gives up, less the response margin
+	OrderingKey string        // requests with the same key run in order; "" if the class is not ordered
 }
 
-// unknownSize stands for a size that is not known.
+// unknownSize is the value of a size that is not known.
 const unknownSize = -1
 
-// Classify classifies a request.
+// Classify determines the class, cost, timeout and ordering key of a request.
 func (t *Table) Classify(r RequestHeader) Classification {
 	size := t.expectedSize(r)
 	class := t.selectClass(r, size)
@@ -43,18 +43,20 @@
 	}
 }
 
-// reads tells whether a request has no body of its own, and its response has the size.
-func (r *RequestHeader) reads() bool {
+// isRead reports whether the request is a read, whose size is that of the response instead of that of a
+// request body.
+func (r *RequestHeader) isRead() bool {
 	return r.Method == "GET" || r.Method == "HEAD" || r.Method == "PROPFIND"
 }
 
-// expectedSize is how many bytes a request transfers: those of its body, or of its response
-// as far as the range or an earlier response tells; unknownSize otherwise.
+// expectedSize returns the number of bytes that a request transfers in its body or, for a read, in its
+// response. The size of a response is estimated from the requested range and from earlier responses. It
+// is unknownSize if there is neither.
 func (t *Table) expectedSize(r RequestHeader) int64 {
 	switch {
 	case r.Method == "HEAD":
 		return 0
-	case !r.reads():
+	case !r.isRead():
 		return r.ContentLength
 	}
 	size := rangeLength(r.Range)
@@ -71,9 +73,11 @@
 			return t.config.Routes[i].Class
 		}
 	}
-	return 0 // not reached: a checked configuration's last route matches every request
+	return 0 // unreachable: the last route of a checked configuration matches every request
 }
 
+// matches reports whether a request of the given size matches a route. An unknown size is not above any
+// limit.
 func matches(rule *config.Route, r RequestHeader, size int64) bool {
 	switch {
 	case len(rule.Methods) > 0 && !slices.Contains(rule.Methods, r.Method):
@@ -86,7 +90,7 @@
 	return rule.SizeAbove < 0 || size > rule.SizeAbove
 }
 
-// units is the work of a request of the size; the configured mean if it is not known.
+// units returns the cost of a request of the given size, or the configured mean if the size is unknown.
 func (t *Table) units(size int64) float64 {
 	if size < 0 {
 		return max(1, t.config.Scheduler.MeanUnits)
@@ -94,9 +98,9 @@
 	return max(1, math.Ceil(float64(size)/float64(t.config.UnitBytes)))
 }
 
-// timeout is the class's deadline, or the client's shorter wait, less the response margin.
-// A body that is longer than the buffer extends it by its upload time, as the client itself
-// takes that; one of unknown length by the time for which a client may stall.
+// timeout returns the deadline of the class, or the wait that the client prefers if that is shorter, less
+// the response margin. For a body larger than the buffer, the expected upload time is added, since the
+// client itself spends that time. For a body of unknown length, Timeouts.NoProgress is added.
 func (t *Table) timeout(r RequestHeader, class int, size int64) time.Duration {
 	deadlines := &t.config.Deadlines
 	timeout := deadlines.ByClass[class]
@@ -105,7 +109,7 @@
 	}
 	timeout = max(timeout-deadlines.ResponseMargin, 0)
 	switch {
-	case r.reads():
+	case r.isRead():
 	case size > int64(t.config.Limits.BodyBuffer):
 		uploadSeconds := float64(size) / float64(deadlines.UploadRate)
 		timeout += time.Duration(uploadSeconds * float64(time.Second))
@@ -115,7 +119,8 @@
 	return timeout
 }
 
-// orderingKey is the client's key, or the path, for a class whose requests are ordered.
+// orderingKey returns the client's idempotency key or, if there is none, the path. It returns "" for a
+// class that is not ordered.
 func (t *Table) orderingKey(r RequestHeader, class int) string {
 	switch {
 	case !t.config.Scheduler.Classes[class].Ordered:
@@ -126,8 +131,8 @@
 	return r.Location.Path
 }
 
-// rangeLength is the number of bytes of a Range field with a single range: of a first and a
-// last byte, or of a suffix; unknownSize for any other.
+// rangeLength returns the number of bytes that a Range field requests. It returns unknownSize unless the
+// field has a single range, which gives either the first and the last byte or the length of a suffix.
 func rangeLength(value string) int64 {
 	spec, ok := strings.CutPrefix(value, "bytes=")
 	if !ok || strings.IndexByte(spec, ',') >= 0 {
@@ -145,7 +150,8 @@
 	return unknownSize
 }
 
-// preferredWait is N seconds of Prefer: wait=N (RFC 7240 4.3), 0 for none.
+// preferredWait returns the time in a Prefer field with wait=SECONDS (RFC 7240 4.3), or 0 if there is
+// none.
 func preferredWait(prefer string) time.Duration {
 	for preference := range strings.SplitSeq(prefer, ",") {
 		preference, _, _ = strings.Cut(preference, ";")
--- a/internal/route/location.go
+++ b/internal/route/location.go
@@ -7,38 +7,38 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Kind is what a path names.
+// Kind is the kind of resource that a path names.
 type Kind int
 
 // Kinds of locations.
 const (
 	Root       Kind = iota // "/", the list of volumes
-	VolumeRoot             // "/volume/", sharded over all shards of the volume
-	Unit                   // a placement unit or something below it, on one shard
+	VolumeRoot             // "/volume/", whose content is distributed over all shards of the volume
+	Unit                   // a placement unit or a resource below it, on one shard
 )
 
-// Location is where a path is stored.
+// Location is the place where the resource of a path is stored.
 type Location struct {
 	Kind   Kind
-	Volume int    // index of the configuration's volumes; not for Root
-	Unit   string // the placement unit's name, decoded; only for Unit
-	Shard  int    // only for Unit
-	Path   string // decoded
+	Volume int    // index of the volume in the configuration; not set for Root
+	Unit   string // decoded name of the placement unit; set for Unit only
+	Shard  int    // shard of the placement unit; set for Unit only
+	Path   string // decoded path
 }
 
 // Errors of targets and paths.
 var (
-	// ErrMalformedPath is a path that could be read in two ways, or that is not valid.
+	// ErrMalformedPath is returned for a path that is invalid or ambiguous.
 	ErrMalformedPath = errors.New("the path is malformed: a bad escape, an empty or a dot segment, an escaped slash or a control character")
-	// ErrUnknownVolume is a path below a volume that is not configured.
+	// ErrUnknownVolume is returned for a path whose volume is not configured.
 	ErrUnknownVolume = errors.New("there is no such volume")
-	// ErrTargetForm is a request target in neither origin nor absolute form.
+	// ErrTargetForm is returned for a request target that is neither in origin nor in absolute form.
 	ErrTargetForm = errors.New("the target is neither a path nor an http URL")
 )
 
-// SplitTarget takes path and authority out of a request target in origin or absolute form
-// (RFC 9112 3.2). authority is empty for origin form. The query is dropped, as no resource
-// has one. The error is ErrTargetForm.
+// SplitTarget returns the path and the authority of a request target in origin or absolute form
+// (RFC 9112 3.2). authority is empty for origin form. The query is dropped, since no resource has one.
+// The error is ErrTargetForm.
 func SplitTarget(target string) (path, authority string, err error) {
 	if !strings.HasPrefix(target, "/") {
 		rest, ok := cutScheme(target)
@@ -55,7 +55,8 @@
 	return path, authority, nil
 }
 
-// cutScheme cuts off "http://" or "https://", in any case, if something follows it.
+// cutScheme removes "http://" or "https://", regardless of case. ok is false if s does not begin with
+// one of them or nothing follows.
 func cutScheme(s string) (rest string, ok bool) {
 	for _, scheme := range [...]string{"http://", "https://"} {
 		if len(s) > len(scheme) && strings.EqualFold(s[:len(scheme)], scheme) {
@@ -65,9 +66,8 @@
 	return "", false
 }
 
-// DecodePath decodes percent escapes and rejects a path that has more than one reading.
-// Guards against two names for one resource, which would be placed on two shards. The error
-// is ErrMalformedPath.
+// DecodePath decodes the percent escapes of a path and rejects an ambiguous path. Otherwise one resource
+// could have two names, which would be placed on two shards. The error is ErrMalformedPath.
 func DecodePath(path string) (string, error) {
 	path, err := unescape(path)
 	if err != nil {
@@ -79,8 +79,8 @@
 	return path, nil
 }
 
-// unescape decodes percent escapes. An escaped slash is an error, as it would be read as
-// the end of a segment.
+// unescape decodes percent escapes. An escaped slash is an error, since it would become the end of a
+// segment. So is an escaped NUL.
 func unescape(path string) (string, error) {
 	if strings.IndexByte(path, '%') < 0 {
 		return path, nil
@@ -107,7 +107,7 @@
 	return string(b), nil
 }
 
-// hexDigit is the value of a hexadecimal digit, -1 for another character.
+// hexDigit returns the value of a hexadecimal digit, or -1 for any other character.
 func hexDigit(c byte) int {
 	switch {
 	case '0' <= c && c <= '9':
@@ -118,8 +118,8 @@
 	return -1
 }
 
-// checkSegments rejects control characters, backslashes, and empty and dot segments. The
-// last segment may be empty.
+// checkSegments rejects control characters, backslashes, empty segments and dot segments. The last
+// segment may be empty.
 func checkSegments(path string) error {
 	for i := 0; i < len(path); i++ {
 		if path[i] < ' ' || path[i] == 0x7f || path[i] == '\\' {
@@ -136,8 +136,8 @@
 	return nil
 }
 
-// Locate finds the location of a path as SplitTarget returns it. The errors are
-// ErrMalformedPath and ErrUnknownVolume.
+// Locate returns the location of a path that SplitTarget returned. The error is ErrMalformedPath or
+// ErrUnknownVolume.
 func (t *Table) Locate(path string) (Location, error) {
 	path, err := DecodePath(path)
 	if err != nil {
@@ -162,9 +162,10 @@
 	return location, nil
 }
 
-// selectShard selects the shard of a unit by rendezvous hashing: that with the highest hash
-// of unit and shard. So a shard more or less moves only the units that are then on it. The
-// result must never change for the same input, as stored data is found by it.
+// selectShard selects the shard of a placement unit by rendezvous hashing: the shard with the highest
+// hash of unit and shard. Adding a shard moves only the units that are then on the new shard, removing
+// one only the units that were on it. The result must never change for the same input, since it is used
+// to find stored data.
 func selectShard(unit string, shards []int) (selected int) {
 	unitHash := xxhash.Sum64String(unit)
 	highest := uint64(0)
@@ -177,7 +178,7 @@
 	return selected
 }
 
-// mixHash spreads each bit over the whole word, with the constants of MurmurHash3's finalizer.
+// mixHash mixes the bits of x, with the multipliers of MurmurHash3's finalizer.
 func mixHash(x uint64) uint64 {
 	x *= 0xff51afd7ed558ccd
 	x ^= x >> 32
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -1,20 +1,19 @@
-// Package route determines what a request is before the scheduler decides about it: the
-// location of its path, its class, its size in units, its timeout and its ordering key. It
-// does no I/O and reads no clock: the same request after the same history of responses gives
-// the same result.
+// Package route determines the properties of a request that the scheduler needs: the location of its
+// path, its class, its cost in units, its timeout and its ordering key. It does no I/O and reads no
+// clock: the result depends only on the request, the configuration and the sizes in earlier responses.
 package route
 
 import "maddergap/internal/config"
 
-// Table routes by one configuration. It is not safe for concurrent use.
+// Table locates and classifies requests according to a configuration. It is not safe for concurrent use.
 type Table struct {
 	config  *config.Config
-	volumes map[string]int // by name, the index in the configuration
+	volumes map[string]int // index of a volume in the configuration, by its name
 	sizes   *sizeCache
 }
 
-// NewTable returns the table of a checked configuration. A table that replaces another takes
-// over the sizes that were learned, unless their number has changed.
+// NewTable returns the table of a checked configuration. old is the table that it replaces, or nil. The
+// sizes that old has learned are kept unless the configured number of sizes has changed.
 func NewTable(c *config.Config, old *Table) *Table {
 	t := &Table{config: c, volumes: map[string]int{}}
 	for i, v := range c.Volumes {
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -10,7 +10,8 @@
 	"maddergap/internal/config"
 )
 
-// newTable routes two volumes, feed-a with five shards and feed-b with one, to four classes.
+// newTable returns a table with two volumes, feed-a with five shards and feed-b with one, and four
+// classes.
 func newTable(t testing.TB) *Table {
 	t.Helper()
 	c, err := config.Parse("t", []byte(`listen 127.0.0.1:0
@@ -37,31 +38,31 @@
 	return NewTable(c, nil)
 }
 
-// Each kind of path is located, and a path with two readings is rejected. An escape does
-// not change where a unit is.
+// Verifies that each kind of path is located, that ambiguous paths are rejected, and that percent
+// escapes do not change the location of a unit.
 func TestLocate(t *testing.T) {
-	tab := newTable(t)
+	table := newTable(t)
 	for path, want := range map[string]Kind{"/": Root, "/feed-a": VolumeRoot, "/feed-a/": VolumeRoot,
 		"/feed%2Da/": VolumeRoot, "/feed-a/x": Unit, "/feed-a/x/": Unit, "/feed-a/x/y": Unit} {
-		if p, err := tab.Locate(path); err != nil || p.Kind != want {
-			t.Errorf("%s: %+v %v", path, p, err)
+		if p, err := table.Locate(path); err != nil || p.Kind != want {
+			t.Errorf("%s: got location %+v, error %v", path, p, err)
 		}
 	}
 	for path, want := range map[string]error{"/nope/x": ErrUnknownVolume, "/feed-a//x": ErrMalformedPath, "/feed-a/../feed-b/x": ErrMalformedPath,
 		"/feed-a/%2e%2e/x": ErrMalformedPath, "/feed-a/a%2fb": ErrMalformedPath, "/feed-a/%zz": ErrMalformedPath, "/feed-a/%4": ErrMalformedPath, "/feed-a/.": ErrMalformedPath,
 		"//": ErrMalformedPath, "/feed-a/a%00": ErrMalformedPath, "/feed-a/a\\b": ErrMalformedPath} {
-		if _, err := tab.Locate(path); err != want {
-			t.Errorf("%s: %v, want %v", path, err, want)
+		if _, err := table.Locate(path); err != want {
+			t.Errorf("%s: got error %v, want %v", path, err, want)
 		}
 	}
-	a, _ := tab.Locate("/feed-a/st%61tion/one")
-	b, _ := tab.Locate("/feed-a/station")
+	a, _ := table.Locate("/feed-a/st%61tion/one")
+	b, _ := table.Locate("/feed-a/station")
 	if a.Unit != "station" || a.Shard != b.Shard {
-		t.Errorf("an escape changes the location: %+v %+v", a, b)
+		t.Errorf("an escape changes the location: %+v and %+v", a, b)
 	}
 	for target, want := range map[string]string{"http://h:1/a/b?q": "/a/b", "HTTP://h": "/", "/a?b": "/a"} {
 		if p, _, err := SplitTarget(target); err != nil || p != want {
-			t.Errorf("%s: %q %v", target, p, err)
+			t.Errorf("%s: got path %q, error %v", target, p, err)
 		}
 	}
 	for _, target := range []string{"a/b", "ftp://h/x", "http:///x", "*"} {
@@ -71,8 +72,8 @@
 	}
 }
 
-// A shard is removed from a random set. Only the units that were on it move, and they are
-// about its even part of all.
+// Verifies that removing a shard moves only the units that were on it, and that these were about an even
+// share of all units.
 func TestRemovedShardMovesOnlyItsUnits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		shards := rapid.SliceOfNDistinct(rapid.IntRange(0, 200), 2, 12, rapid.ID).Draw(t, "shards")
@@ -80,27 +81,27 @@
 		removed := shards[len(shards)-1]
 		moved := 0
 		for i := range 400 {
-			u := fmt.Sprint("station-", i)
-			a, b := selectShard(u, shards), selectShard(u, remaining)
-			if a != b && a != removed {
-				t.Fatalf("%s moved from %d to %d while %d was removed", u, a, b, removed)
+			unit := fmt.Sprint("station-", i)
+			before, after := selectShard(unit, shards), selectShard(unit, remaining)
+			if before != after && before != removed {
+				t.Fatalf("%s moved from shard %d to %d although %d was removed", unit, before, after, removed)
 			}
-			if a != b {
+			if before != after {
 				moved++
 			}
 		}
 		if ratio := float64(moved) / 400 * float64(len(shards)); ratio < 0.3 || ratio > 2 {
-			t.Fatalf("one shard of %d has %.2f times its even part", len(shards), ratio)
+			t.Fatalf("one shard of %d had %.2f times its even share, want 0.3 to 2", len(shards), ratio)
 		}
 	})
 }
 
-// Class, units, timeout and ordering key of reads, ranges, writes and ordered requests.
+// Verifies class, units, timeout and ordering key of reads, ranges, writes and ordered requests.
 func TestClassify(t *testing.T) {
-	tab := newTable(t)
-	at := func(path string) Location { p, _ := tab.Locate(path); return p }
-	tab.LearnSize("/feed-a/big/x", 5<<20)
-	tab.LearnSize("/feed-a/s/x", 150<<10)
+	table := newTable(t)
+	at := func(path string) Location { p, _ := table.Locate(path); return p }
+	table.LearnSize("/feed-a/big/x", 5<<20)
+	table.LearnSize("/feed-a/s/x", 150<<10)
 	for name, c := range map[string]struct {
 		header RequestHeader
 		class  int
@@ -120,46 +121,46 @@
 		"shorter wait":  {RequestHeader{Method: "PUT", Location: at("/feed-a/s/y"), Prefer: "respond-async, wait=1"}, 1, 1, 980 * time.Millisecond, ""},
 		"longer wait":   {RequestHeader{Method: "PUT", Location: at("/feed-a/s/y"), Prefer: "wait=100"}, 1, 1, 1980 * time.Millisecond, ""},
 	} {
-		if j := tab.Classify(c.header); j.Class != c.class || j.Units != c.units || j.Timeout != c.time || j.OrderingKey != c.key {
-			t.Errorf("%s: %+v, want %+v", name, j, c)
+		if got := table.Classify(c.header); got.Class != c.class || got.Units != c.units || got.Timeout != c.time || got.OrderingKey != c.key {
+			t.Errorf("%s: got %+v, want %+v", name, got, c)
 		}
 	}
-	if j := tab.Classify(RequestHeader{Method: "PUT", Location: at("/feed-a/s/y"), ContentLength: 10 << 20}); j.Timeout != 1980*time.Millisecond+10*time.Second {
-		t.Errorf("a body of 10 MiB at 1 MiB/s has %v", j.Timeout)
+	if got := table.Classify(RequestHeader{Method: "PUT", Location: at("/feed-a/s/y"), ContentLength: 10 << 20}); got.Timeout != 1980*time.Millisecond+10*time.Second {
+		t.Errorf("a body of 10 MiB at 1 MiB/s: got timeout %v, want 11.98s", got.Timeout)
 	}
 }
 
-// Ten thousand sizes are learned. The cache stays as large as it was made, and the last
-// size is in it.
+// Verifies that the size cache does not grow when many sizes are learned, and that it contains the last
+// one.
 func TestSizeCacheIsBounded(t *testing.T) {
-	tab := newTable(t)
+	table := newTable(t)
 	for i := range 10000 {
-		tab.LearnSize(fmt.Sprint("/feed-a/s/", i), int64(i))
+		table.LearnSize(fmt.Sprint("/feed-a/s/", i), int64(i))
 	}
-	if n := len(tab.sizes.entries); n != 64 {
-		t.Errorf("%d entries", n)
+	if n := len(table.sizes.entries); n != 64 {
+		t.Errorf("got %d entries, want 64", n)
 	}
-	if size, ok := tab.sizes.get("/feed-a/s/9999"); !ok || size != 9999 {
-		t.Errorf("the last is %d, %v", size, ok)
+	if size, ok := table.sizes.get("/feed-a/s/9999"); !ok || size != 9999 {
+		t.Errorf("last learned size: got %d, %v, want 9999", size, ok)
 	}
 }
 
-// FuzzLocate checks that a decoded path has the location of the path it was decoded from.
+// FuzzLocate checks that a path has the same location after it was decoded.
 func FuzzLocate(f *testing.F) {
 	f.Add("/feed-a/x/%41")
-	tab := newTable(f)
+	table := newTable(f)
 	f.Fuzz(func(t *testing.T, target string) {
 		path, _, err := SplitTarget(target)
 		if err != nil {
 			return
 		}
-		p, err := tab.Locate(path)
+		p, err := table.Locate(path)
 		if err != nil || p.Kind != Unit {
 			return
 		}
-		if decoded, err := DecodePath(p.Path); err == nil && decoded == p.Path { // no escape is left
-			if q, err := tab.Locate(p.Path); err != nil || q.Shard != p.Shard || q.Unit != p.Unit {
-				t.Fatalf("%q: %+v, decoded: %+v %v", target, p, q, err)
+		if decoded, err := DecodePath(p.Path); err == nil && decoded == p.Path { // the path contains no escape
+			if q, err := table.Locate(p.Path); err != nil || q.Shard != p.Shard || q.Unit != p.Unit {
+				t.Fatalf("%q: got location %+v, and %+v, error %v, when decoded", target, p, q, err)
 			}
 		}
 	})
--- a/internal/route/seed_test.go
+++ b/internal/route/seed_test.go
@@ -2,5 +2,5 @@
 
 import "flag"
 
-// Drawn histories are the same in every run; -rapid.seed=0 draws new ones.
+// Random tests use the same seed in every run. With -rapid.seed=0 each run uses a new seed.
 func init() { flag.Set("rapid.seed", "20261201") }
--- a/internal/route/sizes.go
+++ b/internal/route/sizes.go
@@ -2,14 +2,14 @@
 
 import "github.com/cespare/xxhash/v2"
 
-// sizeCache remembers the sizes of resources that responses showed. It is direct-mapped: a
-// path replaces another with the same slot. A forgotten size costs no more than a worse
-// estimate of units.
+// sizeCache is a direct-mapped cache of the sizes of resources, as seen in responses. A path replaces
+// another path with the same slot. The only effect of a lost entry is a worse estimate of a read's cost.
 type sizeCache struct{ entries []sizeEntry }
 
+// sizeEntry is a slot of a sizeCache. The zero value is an empty slot.
 type sizeEntry struct {
-	hash        uint64
-	sizePlusOne int64 // so that the zero value is an empty entry
+	hash        uint64 // hash of the path
+	sizePlusOne int64  // size in bytes plus 1; 0 for an empty slot
 }
 
 func newSizeCache(entries int) *sizeCache { return &sizeCache{make([]sizeEntry, entries)} }
@@ -25,5 +25,5 @@
 	c.entries[hash%uint64(len(c.entries))] = sizeEntry{hash: hash, sizePlusOne: size + 1}
 }
 
-// LearnSize notes the size of a resource in bytes, as a response showed it.
+// LearnSize records the size of a resource, in bytes, from a response.
 func (t *Table) LearnSize(path string, size int64) { t.sizes.put(path, size) }
