--- a/internal/webdav/decision.go
+++ b/internal/webdav/decision.go
@@ -7,31 +7,32 @@
 	"maddergap/internal/route"
 )
 
-// Handling is how a request is dealt with.
+// Handling is the way in which the gateway handles a request.
 type Handling int
 
-// Ways to deal with a request.
+// Ways to handle a request.
 const (
 	Forward       Handling = iota // forward it to the node of its location
 	Options                       // respond with the supported methods
 	ListRoot                      // respond with the list of volumes
 	MergeListings                 // request a listing from each shard of the volume and merge them
-	Respond                       // respond with Decision's Status and Reason
+	Respond                       // respond with Status and Reason of the Decision
 )
 
-// Decision is how a request is dealt with.
+// Decision is the result of Decide.
 type Decision struct {
 	Handling Handling
-	Status   int    // for Respond
-	Reason   string // for Respond: the text of the response
+	Status   int    // status of the response; set for Respond only
+	Reason   string // text of the response; set for Respond only
 }
 
+// respond returns the decision to respond with a status and a text.
 func respond(status int, reason string) Decision {
 	return Decision{Handling: Respond, Status: status, Reason: reason}
 }
 
-// Decide decides by the method, the location and the fields that matter: destination is the
-// value of Destination, depth that of Depth. host is the request's own authority.
+// Decide decides how a request is handled, by its method, its location and its fields: depth is the value
+// of the Depth field, destination that of Destination. host is the authority of the request.
 func Decide(t *route.Table, method string, location route.Location, depth, destination, host string) Decision {
 	switch method {
 	case "OPTIONS":
@@ -43,16 +44,16 @@
 		return respond(501, "the method is not known here")
 	}
 	if location.Kind != route.Unit {
-		return decideAboveUnits(method, location, depth)
+		return decideRootOrVolume(method, location, depth)
 	}
 	if method == "COPY" || method == "MOVE" {
-		return decideDestination(t, location, destination, host)
+		return decideCopyOrMove(t, location, destination, host)
 	}
 	return Decision{Handling: Forward}
 }
 
-// decideAboveUnits decides about the root and the volumes, which are on no single node.
-func decideAboveUnits(method string, location route.Location, depth string) Decision {
+// decideRootOrVolume decides on a request for the root or a volume, neither of which is on a single node.
+func decideRootOrVolume(method string, location route.Location, depth string) Decision {
 	switch method {
 	case "GET", "HEAD":
 		return respond(405, "a collection has no content of its own; list it with PROPFIND")
@@ -65,15 +66,15 @@
 		}
 		return Decision{Handling: MergeListings}
 	case "MKCOL", "PUT":
-		return respond(405, "volumes are made by configuration") // RFC 4918 9.3.1: it exists
+		return respond(405, "volumes are made by configuration") // RFC 4918 9.3.1: the collection exists
 	}
 	return respond(403, "volumes are changed by configuration alone")
 }
 
-// decideDestination decides about COPY and MOVE: both ends must be in one placement unit, and
-// so on one node. Guards against a copy that a node would make for itself in a place where no
-// request looks for it.
-func decideDestination(t *route.Table, source route.Location, destination, host string) Decision {
+// decideCopyOrMove decides on a COPY or MOVE. Source and destination must be in the same placement unit
+// and thus on the same node. Otherwise the node of the source would write the copy to its own storage,
+// where requests for the destination, which go to another node, do not find it.
+func decideCopyOrMove(t *route.Table, source route.Location, destination, host string) Decision {
 	if destination == "" {
 		return respond(400, "Destination is missing")
 	}
--- a/internal/webdav/multistatus.go
+++ b/internal/webdav/multistatus.go
@@ -13,8 +13,8 @@
 	multistatusEnd   = "</D:multistatus>\n"
 )
 
-// ListVolumes returns the response's body to a PROPFIND of "/", whose members are the
-// volumes. They are listed for depth "1".
+// ListVolumes returns the body of the response to a PROPFIND of "/". It lists "/" and, for depth "1", its
+// members, the volumes.
 func ListVolumes(p Propfind, volumes []string, depth string) []byte {
 	var b bytes.Buffer
 	b.WriteString(multistatusStart)
@@ -28,8 +28,8 @@
 	return b.Bytes()
 }
 
-// writeCollection writes the response element of a collection with the properties that were
-// asked for; those it does not have are listed with status 404.
+// writeCollection writes the response element of a collection with the requested properties. Properties
+// that the collection does not have are listed with status 404.
 func writeCollection(b *bytes.Buffer, p Propfind, href, name string) {
 	const resourceType = "<D:resourcetype><D:collection/></D:resourcetype>"
 	displayName := "<D:displayname>" + escape(name) + "</D:displayname>"
@@ -64,17 +64,18 @@
 	b.WriteString("<D:propstat><D:prop>" + properties + "</D:prop><D:status>HTTP/1.1 " + status + "</D:status></D:propstat>")
 }
 
+// escape returns s with the reserved characters of XML escaped.
 func escape(s string) string {
 	var b strings.Builder
 	xml.EscapeText(&b, []byte(s))
 	return b.String()
 }
 
-// MergeMultistatus makes one multistatus body of those that the shards sent for the same
-// collection. A response element whose href has been seen (that of the collection itself) is
-// left out. The errors are ErrMalformedListing and, for more than maxBytes,
-// ErrListingTooLarge. Guards against a listing that silently lacks a shard's part: one
-// malformed body fails the whole.
+// MergeMultistatus merges the multistatus bodies that the shards sent for the same collection into one.
+// Of several response elements with the same href, for instance that of the collection itself, only the
+// first is kept. The error is ErrMalformedListing or, if the result exceeds maxBytes, ErrListingTooLarge.
+// One malformed body is an error for the whole, since the part of a shard must not be missing
+// unnoticed.
 func MergeMultistatus(bodies [][]byte, maxBytes int) ([]byte, error) {
 	var out bytes.Buffer
 	out.WriteString(multistatusStart)
@@ -91,7 +92,7 @@
 	return out.Bytes(), nil
 }
 
-// appendResponses copies the response elements of a body, except those seen already.
+// appendResponses copies the response elements of a body to out, except those whose href is in seen.
 func appendResponses(out *bytes.Buffer, body []byte, seen map[string]bool) error {
 	r := newMultistatusReader(body)
 	for {
@@ -109,31 +110,31 @@
 	}
 }
 
-// multistatusReader reads the response elements of a multistatus body one by one.
+// multistatusReader reads the response elements of a multistatus body one after the other.
 type multistatusReader struct {
 	body      []byte
 	decoder   *xml.Decoder
-	rootAttrs []xml.Attr // of the multistatus element, with its namespaces
-	depth     int        // of open elements; the root's is 1
-	complete  bool       // the root has ended
-
-	inResponse    bool // the open element at depth 2 is a response
-	responseStart int64
-	inHref        bool
-	href          strings.Builder // of the open response
+	rootAttrs []xml.Attr // attributes of the multistatus element, which include namespace declarations
+	depth     int        // number of open elements; 1 directly within the root
+	rootEnded bool       // set when the root element has ended
+
+	inResponse    bool            // whether the last element at depth 2 is a response
+	responseStart int64           // offset in body of the last element at depth 2
+	inHref        bool            // set within the href element of a response
+	href          strings.Builder // content of the href element of the current response
 }
 
 func newMultistatusReader(body []byte) *multistatusReader {
-	return &multistatusReader{body: body, decoder: xml.NewDecoder(bytes.NewReader(body))} // which reads UTF-8 only
+	return &multistatusReader{body: body, decoder: xml.NewDecoder(bytes.NewReader(body))} // accepts UTF-8 only
 }
 
-// next returns the bytes of the next response element and its href. The errors are io.EOF
-// after the last, and ErrMalformedListing.
+// next returns the bytes of the next response element, and its href. The error is io.EOF after the last
+// element, or ErrMalformedListing.
 func (r *multistatusReader) next() (element []byte, href string, err error) {
 	for {
 		start := r.decoder.InputOffset()
 		token, err := r.decoder.Token()
-		if err == io.EOF && r.complete {
+		if err == io.EOF && r.rootEnded {
 			return nil, "", io.EOF
 		}
 		if err != nil {
@@ -148,7 +149,7 @@
 			if r.inHref {
 				r.href.Write(e)
 			}
-		case xml.Directive: // a node may define no entities
+		case xml.Directive: // a node must not define entities
 			return nil, "", ErrMalformedListing
 		case xml.EndElement:
 			if !r.endElement() {
@@ -165,29 +166,29 @@
 
 func (r *multistatusReader) startElement(e xml.StartElement, start int64) error {
 	r.depth++
-	dav := e.Name.Space == davNamespace
+	isDAV := e.Name.Space == davNamespace
 	switch {
 	case r.depth == 1:
-		if !dav || e.Name.Local != "multistatus" || r.complete {
+		if !isDAV || e.Name.Local != "multistatus" || r.rootEnded {
 			return ErrMalformedListing
 		}
 		r.rootAttrs = e.Attr
 	case r.depth == 2:
-		r.inResponse = dav && e.Name.Local == "response"
+		r.inResponse = isDAV && e.Name.Local == "response"
 		r.responseStart = start
 		r.href.Reset()
-	case r.depth == 3 && r.inResponse && dav && e.Name.Local == "href":
+	case r.depth == 3 && r.inResponse && isDAV && e.Name.Local == "href":
 		r.inHref = true
 	}
 	return nil
 }
 
-// endElement returns whether the element that ended is a response.
+// endElement reports whether the element that ended is a response element.
 func (r *multistatusReader) endElement() bool {
 	r.depth--
 	switch r.depth {
 	case 0:
-		r.complete = true
+		r.rootEnded = true
 	case 1:
 		return r.inResponse
 	case 2:
@@ -196,8 +197,8 @@
 	return false
 }
 
-// writeWithNamespaces writes an element and adds to its start tag the namespaces that the
-// root declares, unless the tag declares them itself.
+// writeWithNamespaces writes an element. It adds the namespace declarations of the root to the start tag,
+// except those that the tag itself contains.
 func writeWithNamespaces(out *bytes.Buffer, element []byte, rootAttrs []xml.Attr) {
 	nameEnd := bytes.IndexAny(element, " \t\r\n/>")
 	startTag := element[:bytes.IndexByte(element, '>')+1]
@@ -211,7 +212,8 @@
 	out.Write(element[nameEnd:])
 }
 
-// namespaceAttr returns the name of an attribute that declares a namespace.
+// namespaceAttr returns the name of an attribute with its prefix. ok reports whether the attribute
+// declares a namespace.
 func namespaceAttr(a xml.Attr) (name string, ok bool) {
 	switch {
 	case a.Name.Space == "xmlns":
--- a/internal/webdav/propfind.go
+++ b/internal/webdav/propfind.go
@@ -6,19 +6,18 @@
 	"io"
 )
 
-// maxProperties is how many properties a PROPFIND body may name.
+// maxProperties is the maximum number of properties in a PROPFIND body.
 const maxProperties = 200
 
-// Propfind is a parsed PROPFIND body. Either one of the booleans is set, or Properties are
-// the ones wanted.
+// Propfind is a parsed PROPFIND body. If none of the booleans is set, it requests Properties.
 type Propfind struct {
-	AllProperties bool // allprop
-	NamesOnly     bool // propname
+	AllProperties bool // allprop: all properties are requested
+	NamesOnly     bool // propname: the names of all properties are requested
 	Properties    []xml.Name
 }
 
-// ParsePropfind parses a PROPFIND body (RFC 4918 14.20). An empty one asks for all
-// properties. The error is ErrMalformedXML.
+// ParsePropfind parses a PROPFIND body (RFC 4918 14.20). An empty body requests all properties. The error
+// is ErrMalformedXML.
 func ParsePropfind(body []byte) (Propfind, error) {
 	if len(bytes.TrimSpace(body)) == 0 {
 		return Propfind{AllProperties: true}, nil
@@ -43,11 +42,11 @@
 			}
 		case xml.EndElement:
 			p.endElement()
-		case xml.Directive: // a client may define no entities
+		case xml.Directive: // a client must not define entities
 			return p.result, ErrMalformedXML
 		}
 	}
-	if !p.hasRoot || p.kinds != 1 {
+	if !p.hasRoot || p.kindCount != 1 {
 		return p.result, ErrMalformedXML
 	}
 	return p.result, nil
@@ -55,23 +54,23 @@
 
 // propfindParser is the state of ParsePropfind between two XML tokens.
 type propfindParser struct {
-	result  Propfind
-	hasRoot bool
-	depth   int  // of open elements; the root's is 1
-	inProp  bool // within the prop element
-	kinds   int  // of allprop, propname and prop elements; exactly one is valid
+	result    Propfind
+	hasRoot   bool // set after the start of the root element
+	depth     int  // number of open elements; 1 directly within the root
+	inProp    bool // set within the prop element
+	kindCount int  // number of allprop, propname and prop elements; a valid body has exactly one
 }
 
 func (p *propfindParser) startElement(e xml.StartElement) error {
 	p.depth++
-	dav := e.Name.Space == davNamespace
+	isDAV := e.Name.Space == davNamespace
 	switch {
 	case p.depth == 1:
-		if p.hasRoot || !dav || e.Name.Local != "propfind" {
+		if p.hasRoot || !isDAV || e.Name.Local != "propfind" {
 			return ErrMalformedXML
 		}
 		p.hasRoot = true
-	case p.depth == 2 && dav:
+	case p.depth == 2 && isDAV:
 		p.startKind(e.Name.Local)
 	case p.depth == 3 && p.inProp:
 		p.result.Properties = append(p.result.Properties, e.Name)
@@ -82,6 +81,8 @@
 	return nil
 }
 
+// startKind processes the start of an element that tells the kind of the PROPFIND: allprop, propname or
+// prop.
 func (p *propfindParser) startKind(name string) {
 	switch name {
 	case "allprop":
@@ -93,7 +94,7 @@
 	default: // RFC 4918 17: unknown elements are ignored
 		return
 	}
-	p.kinds++
+	p.kindCount++
 }
 
 func (p *propfindParser) endElement() {
@@ -103,15 +104,15 @@
 	}
 }
 
-// BindsEmptyNamespace tells whether an element binds a prefix to the empty namespace, which
-// Namespaces in XML 1.0 (2.2) forbids. Guards against a body that encoding/xml accepts
-// although it is invalid, and that a stricter reader of the response would not.
+// BindsEmptyNamespace reports whether an element binds a prefix to the empty namespace, which Namespaces
+// in XML 1.0 (2.2) forbids. encoding/xml accepts such a body, but a response with the same binding would
+// be rejected by a stricter parser.
 func BindsEmptyNamespace(body []byte) bool {
 	decoder := xml.NewDecoder(bytes.NewReader(body))
 	for {
 		token, err := decoder.RawToken()
 		if err != nil {
-			return false // malformed XML is the caller's to find
+			return false // the end of the body, or malformed XML, which the caller detects
 		}
 		e, ok := token.(xml.StartElement)
 		if !ok {
--- a/internal/webdav/webdav_test.go
+++ b/internal/webdav/webdav_test.go
@@ -9,7 +9,7 @@
 	"maddergap/internal/route"
 )
 
-// newTable routes two volumes, feed-a with five shards and feed-b with one.
+// newTable returns a table with two volumes, feed-a with five shards and feed-b with one.
 func newTable(t testing.TB) *route.Table {
 	c, err := config.Parse("t", []byte("listen 127.0.0.1:0\nnodes n\nclass read effect safe aim 100ms deadline 1s\n"+
 		"plan p rate 1\nvolume feed-a plan p shards 0-4\nvolume feed-b plan p shards 5\nroute * class read\n"))
@@ -19,10 +19,10 @@
 	return route.NewTable(c, nil)
 }
 
-// Each method on the root, a volume and a unit, and COPY and MOVE with each kind of
-// destination.
+// Verifies the decisions for methods on the root, a volume and a placement unit, and for COPY and MOVE
+// with each kind of destination.
 func TestDecide(t *testing.T) {
-	tab := newTable(t)
+	table := newTable(t)
 	for _, c := range []struct {
 		method, path, depth, dest string
 		handling                  Handling
@@ -51,26 +51,26 @@
 		{"COPY", "/feed-a/s/x", "", "http://h:1/feed-a/", Respond, 403},
 		{"COPY", "/feed-a/s/x", "", "http://h:1/feed-a/s/../x", Respond, 400},
 	} {
-		at, err := tab.Locate(c.path)
+		location, err := table.Locate(c.path)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if v := Decide(tab, c.method, at, c.depth, c.dest, "h:1"); v.Handling != c.handling || v.Status != c.status {
-			t.Errorf("%+v: %+v", c, v)
+		if got := Decide(table, c.method, location, c.depth, c.dest, "h:1"); got.Handling != c.handling || got.Status != c.status {
+			t.Errorf("%+v: got %+v", c, got)
 		}
 	}
 }
 
-const shard1 = `<?xml version="1.0"?><D:multistatus xmlns:D="DAV:" xmlns:e="urn:e"><D:response><D:href>/feed-a/</D:href>` +
+const listing1 = `<?xml version="1.0"?><D:multistatus xmlns:D="DAV:" xmlns:e="urn:e"><D:response><D:href>/feed-a/</D:href>` +
 	`<D:propstat><D:prop><e:x/></D:prop><D:status>HTTP/1.1 200 OK</D:status></D:propstat></D:response>` +
 	`<D:response><D:href>/feed-a/one</D:href><D:status>HTTP/1.1 200 OK</D:status></D:response></D:multistatus>`
-const shard2 = `<multistatus xmlns="DAV:"><response><href>/feed-a/</href><status>HTTP/1.1 200 OK</status></response>` +
+const listing2 = `<multistatus xmlns="DAV:"><response><href>/feed-a/</href><status>HTTP/1.1 200 OK</status></response>` +
 	`<response xmlns="DAV:"><href>/feed-a/t&amp;wo</href><status>HTTP/1.1 200 OK</status></response></multistatus>`
 
-// Two shards list the same collection, with the namespaces bound in different ways. The
-// merged listing has the collection once and both members.
+// Verifies that merging the listings of two shards, which declare namespaces in different ways, yields the
+// collection once and the members of both.
 func TestMergeMultistatus(t *testing.T) {
-	out, err := MergeMultistatus([][]byte{[]byte(shard1), []byte(shard2)}, 1<<20)
+	out, err := MergeMultistatus([][]byte{[]byte(listing1), []byte(listing2)}, 1<<20)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -89,21 +89,21 @@
 		hrefs = append(hrefs, r.Href)
 	}
 	if strings.Join(hrefs, " ") != "/feed-a/ /feed-a/one /feed-a/t&wo" {
-		t.Errorf("%v in %s", hrefs, out)
+		t.Errorf("got the members %v in %s", hrefs, out)
 	}
-	// A truncated or foreign body, or too large a result, is an error and never a shorter listing.
-	for _, bad := range []string{shard1[:len(shard1)-20], "", "<html/>", shard1 + shard1, `<!DOCTYPE x><D:multistatus xmlns:D="DAV:"/>`} {
-		if _, err := MergeMultistatus([][]byte{[]byte(shard2), []byte(bad)}, 1<<20); err != ErrMalformedListing {
-			t.Errorf("%.40q: %v", bad, err)
+	// A truncated or foreign body, or a result over the limit, is an error and never a shorter listing.
+	for _, bad := range []string{listing1[:len(listing1)-20], "", "<html/>", listing1 + listing1, `<!DOCTYPE x><D:multistatus xmlns:D="DAV:"/>`} {
+		if _, err := MergeMultistatus([][]byte{[]byte(listing2), []byte(bad)}, 1<<20); err != ErrMalformedListing {
+			t.Errorf("%.40q: got error %v, want ErrMalformedListing", bad, err)
 		}
 	}
-	if _, err := MergeMultistatus([][]byte{[]byte(shard1)}, 100); err != ErrListingTooLarge {
+	if _, err := MergeMultistatus([][]byte{[]byte(listing1)}, 100); err != ErrListingTooLarge {
 		t.Error(err)
 	}
 }
 
-// The root lists its volumes with the properties asked for, and status 404 for the others.
-// Malformed bodies are rejected.
+// Verifies that the root lists its volumes with the requested properties, and with status 404 for unknown
+// properties, and that malformed PROPFIND bodies are rejected.
 func TestListVolumes(t *testing.T) {
 	p, err := ParsePropfind([]byte(`<propfind xmlns="DAV:"><prop><resourcetype/><z:q xmlns:z="urn:z"/></prop></propfind>`))
 	if err != nil {
@@ -116,19 +116,19 @@
 	for _, bad := range []string{"<x/>", "<propfind/>", `<propfind xmlns="DAV:"/>`, `<propfind xmlns="DAV:"><allprop/><propname/></propfind>`, "<a",
 		`<!DOCTYPE a [<!ENTITY b "c">]><propfind xmlns="DAV:"><allprop/></propfind>`} {
 		if _, err := ParsePropfind([]byte(bad)); err != ErrMalformedXML {
-			t.Errorf("%s: %v", bad, err)
+			t.Errorf("%s: got error %v, want ErrMalformedXML", bad, err)
 		}
 	}
 }
 
-// FuzzMerge checks that what MergeMultistatus returns can be merged again.
+// FuzzMerge checks that a listing that MergeMultistatus returned can be merged again.
 func FuzzMerge(f *testing.F) {
-	f.Add([]byte(shard1))
-	f.Add([]byte(shard2))
+	f.Add([]byte(listing1))
+	f.Add([]byte(listing2))
 	f.Fuzz(func(t *testing.T, p []byte) {
 		if out, err := MergeMultistatus([][]byte{p}, 1<<20); err == nil {
 			if _, err := MergeMultistatus([][]byte{out}, 1<<20); err != nil {
-				t.Fatalf("%q merges to a listing that does not: %q", p, out)
+				t.Fatalf("%q is merged to %q, which cannot be merged", p, out)
 			}
 		}
 	})
@@ -138,20 +138,20 @@
 func FuzzPropfind(f *testing.F) {
 	f.Add([]byte(`<propfind xmlns="DAV:"><prop><resourcetype/></prop></propfind>`))
 	f.Fuzz(func(t *testing.T, p []byte) {
-		if q, err := ParsePropfind(p); err == nil {
-			ListVolumes(q, []string{"a"}, "1")
+		if propfind, err := ParsePropfind(p); err == nil {
+			ListVolumes(propfind, []string{"a"}, "1")
 		}
 	})
 }
 
-// FuzzDestination checks that no Destination makes Decide panic or respond with success.
+// FuzzDestination checks that no Destination makes Decide panic or respond with a success status.
 func FuzzDestination(f *testing.F) {
 	f.Add("http://h:1/feed-a/s/y")
-	tab := newTable(f)
-	at, _ := tab.Locate("/feed-a/s/x")
+	table := newTable(f)
+	location, _ := table.Locate("/feed-a/s/x")
 	f.Fuzz(func(t *testing.T, dest string) {
-		if v := Decide(tab, "MOVE", at, "", dest, "h:1"); v.Handling == Respond && v.Status < 400 {
-			t.Fatal(v)
+		if got := Decide(table, "MOVE", location, "", dest, "h:1"); got.Handling == Respond && got.Status < 400 {
+			t.Fatal(got)
 		}
 	})
 }
