--- a/internal/config/args.go
+++ b/internal/config/args.go
@@ -10,23 +10,24 @@
 	"time"
 )
 
-// maxDuration is the longest time that a file may give.
+// maxDuration is the longest duration that a file may contain.
 const maxDuration = 365 * 24 * time.Hour
 
-// Args takes a directive's arguments in turn. The first mistake is kept; what is taken after it
-// has no meaning. Each method's what names the argument in a message.
+// Args reads the arguments of a directive one after the other. It records the first mistake; the values
+// that it returns after a mistake are meaningless. The methods use their parameter name for the argument
+// in error messages.
 type Args struct {
-	words []string
-	err   error
+	words []string // remaining arguments
+	err   error    // first mistake
 }
 
-// keywords take the value that follows a keyword, by the keyword.
+// keywords maps each keyword of a directive to the function that reads its value.
 type keywords map[string]func(keyword string)
 
-// NewArgs starts after the directive's own word.
+// NewArgs returns the arguments of a line, without the name of the directive.
 func NewArgs(l Line) *Args { return &Args{words: l.Words[1:]} }
 
-// Errorf records a mistake, unless there is one already.
+// Errorf records a mistake unless one has been recorded already.
 func (a *Args) Errorf(format string, args ...any) {
 	if a.err == nil {
 		a.err = fmt.Errorf(format, args...)
@@ -36,7 +37,7 @@
 // Failed reports whether a mistake was recorded.
 func (a *Args) Failed() bool { return a.err != nil }
 
-// Err returns the first mistake; arguments left over are one.
+// Err returns the first mistake. Arguments that were not read count as a mistake.
 func (a *Args) Err() error {
 	if a.err == nil && len(a.words) > 0 {
 		a.Errorf("%q is an unexpected argument", a.words[0])
@@ -44,13 +45,13 @@
 	return a.err
 }
 
-// More reports whether arguments are left and no mistake was recorded.
+// More reports whether there are more arguments and no mistake was recorded.
 func (a *Args) More() bool { return a.err == nil && len(a.words) > 0 }
 
-// Word takes one word.
-func (a *Args) Word(what string) string {
+// Word reads one word.
+func (a *Args) Word(name string) string {
 	if len(a.words) == 0 {
-		a.Errorf("%s is missing", what)
+		a.Errorf("%s is missing", name)
 		return ""
 	}
 	w := a.words[0]
@@ -58,22 +59,22 @@
 	return w
 }
 
-// pairs takes pairs of a keyword and its value until the words end. Each keyword may stand
-// once; the required ones must.
-func (a *Args) pairs(take keywords, required ...string) {
+// pairs reads pairs of a keyword and its value up to the last argument. A keyword must not occur twice,
+// and the required keywords must occur.
+func (a *Args) pairs(readers keywords, required ...string) {
 	seen := map[string]bool{}
 	for a.More() {
 		keyword := a.Word("keyword")
-		value := take[keyword]
+		readValue := readers[keyword]
 		switch {
-		case value == nil:
-			names := slices.Sorted(maps.Keys(take))
+		case readValue == nil:
+			names := slices.Sorted(maps.Keys(readers))
 			a.Errorf("unknown keyword %q, want one of %s", keyword, strings.Join(names, ", "))
 		case seen[keyword]:
 			a.Errorf("%s is given twice", keyword)
 		default:
 			seen[keyword] = true
-			value(keyword)
+			readValue(keyword)
 		}
 	}
 	for _, keyword := range required {
@@ -83,48 +84,48 @@
 	}
 }
 
-// Int takes a whole number in [low, high].
-func (a *Args) Int(what string, low, high int) int {
-	w := a.Word(what)
+// Int reads a whole number from low to high.
+func (a *Args) Int(name string, low, high int) int {
+	w := a.Word(name)
 	n, err := strconv.Atoi(w)
 	if a.err == nil && (err != nil || n < low || n > high) {
-		a.Errorf("%s is %q, want a whole number from %d to %d", what, w, low, high)
+		a.Errorf("%s is %q, want a whole number from %d to %d", name, w, low, high)
 	}
 	return n
 }
 
-// Float takes a number from 0 to 1e12.
-func (a *Args) Float(what string) float64 {
-	w := a.Word(what)
+// Float reads a number from 0 to 1e12.
+func (a *Args) Float(name string) float64 {
+	w := a.Word(name)
 	x, err := strconv.ParseFloat(w, 64)
 	if a.err == nil && (err != nil || !(x >= 0 && x <= 1e12)) {
-		a.Errorf("%s is %q, want a number from 0 to 1e12", what, w)
+		a.Errorf("%s is %q, want a number from 0 to 1e12", name, w)
 	}
 	return x
 }
 
-// Fraction takes a number from 0 to 1.
-func (a *Args) Fraction(what string) float64 {
-	x := a.Float(what)
+// Fraction reads a number from 0 to 1.
+func (a *Args) Fraction(name string) float64 {
+	x := a.Float(name)
 	if a.err == nil && x > 1 {
-		a.Errorf("%s is %v, want a share from 0 to 1", what, x)
+		a.Errorf("%s is %v, want a share from 0 to 1", name, x)
 	}
 	return x
 }
 
-// Duration takes a time of at least low, as 150ms or 2s.
-func (a *Args) Duration(what string, low time.Duration) time.Duration {
-	w := a.Word(what)
+// Duration reads a duration of at least low, such as 150ms or 2s.
+func (a *Args) Duration(name string, low time.Duration) time.Duration {
+	w := a.Word(name)
 	d, err := time.ParseDuration(w)
 	if a.err == nil && (err != nil || d < low || d > maxDuration) {
-		a.Errorf("%s is %q, want a time of %v or more, as 150ms or 2s", what, w, low)
+		a.Errorf("%s is %q, want a time of at least %v, such as 150ms or 2s", name, w, low)
 	}
 	return d
 }
 
-// Bytes takes a size of at least low bytes, as 512, 64k, 16m or 1g.
-func (a *Args) Bytes(what string, low int64) int64 {
-	w := a.Word(what)
+// Bytes reads a size of at least low bytes, such as 512, 64k, 16m or 1g.
+func (a *Args) Bytes(name string, low int64) int64 {
+	w := a.Word(name)
 	shift, digits := 0, w
 	if n := len(w); n > 0 {
 		if i := strings.IndexByte("kmg", w[n-1]|0x20); i >= 0 {
@@ -133,31 +134,31 @@
 	}
 	x, err := strconv.ParseInt(digits, 10, 64)
 	if a.err == nil && (err != nil || x < 0 || x > math.MaxInt64>>(shift+10) || x<<shift < low) {
-		a.Errorf("%s is %q, want a size of at least %d bytes, as 512, 64k or 16m", what, w, low)
+		a.Errorf("%s is %q, want a size of at least %d bytes, such as 512, 64k or 16m", name, w, low)
 	}
 	return x << shift
 }
 
-// BytesUpTo takes a size as Bytes does; a larger one counts as high.
-func (a *Args) BytesUpTo(what string, low, high int64) int {
-	return int(min(a.Bytes(what, low), high))
+// BytesUpTo reads a size as Bytes does, and reduces it to high if it is larger.
+func (a *Args) BytesUpTo(name string, low, high int64) int {
+	return int(min(a.Bytes(name, low), high))
 }
 
-// OneOf takes one of some words and returns its index among them.
-func (a *Args) OneOf(what string, words ...string) int {
-	w := a.Word(what)
+// OneOf reads one of the given words and returns its index among them.
+func (a *Args) OneOf(name string, words ...string) int {
+	w := a.Word(name)
 	for i, x := range words {
 		if x == w {
 			return i
 		}
 	}
-	a.Errorf("%s is %q, want one of %s", what, w, strings.Join(words, ", "))
+	a.Errorf("%s is %q, want one of %s", name, w, strings.Join(words, ", "))
 	return 0
 }
 
-// IntList takes a list of whole numbers from 0 to high and of ranges of them, as 0,1,4-6.
-func (a *Args) IntList(what string, high int) (out []int) {
-	w := a.Word(what)
+// IntList reads a list of whole numbers from 0 to high and of ranges of such numbers, such as 0,1,4-6.
+func (a *Args) IntList(name string, high int) (out []int) {
+	w := a.Word(name)
 	for part := range strings.SplitSeq(w, ",") {
 		from, to, ranged := strings.Cut(part, "-")
 		if !ranged {
@@ -166,7 +167,7 @@
 		lo, err1 := strconv.Atoi(from)
 		hi, err2 := strconv.Atoi(to)
 		if err1 != nil || err2 != nil || lo < 0 || hi < lo || hi > high {
-			a.Errorf("%s is %q, want numbers up to %d, as 0,1 or 0-3", what, w, high)
+			a.Errorf("%s is %q, want numbers up to %d, such as 0,1 or 0-3", name, w, high)
 			return nil
 		}
 		for n := lo; n <= hi && len(out) <= high; n++ {
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// minRequestTime is the least that a deadline must leave beside ResponseMargin.
+// minRequestTime is the time that must remain of a deadline after subtracting ResponseMargin.
 const minRequestTime = 10 * time.Millisecond
 
-// check records the mistakes that concern more than one line, and fills in what follows from
-// several of them.
+// check records mistakes that concern several lines. It also sets the values that depend on several
+// lines.
 func (p *parser) check() {
 	p.checkRequired()
 	p.checkLastRoute()
@@ -16,7 +16,7 @@
 	p.checkVolumes()
 }
 
-// checkRequired records the directives that every configuration needs and this one lacks.
+// checkRequired records a mistake for each required directive that is missing.
 func (p *parser) checkRequired() {
 	c := p.c
 	for _, required := range []struct {
@@ -36,71 +36,73 @@
 	}
 }
 
-// checkLastRoute requires that every request has a class.
+// checkLastRoute checks that the last route matches every request, so that each request has a class.
 func (p *parser) checkLastRoute() {
 	if len(p.c.Routes) == 0 {
 		return
 	}
 	last := p.c.Routes[len(p.c.Routes)-1]
 	if len(last.Methods) > 0 || last.Prefix != "" || last.Ranged || last.SizeAbove >= 0 {
-		p.errorf(0, "the last route must take every request: route * class NAME")
+		p.errorf(0, "the last route must match every request: route * class NAME")
 	}
 }
 
-// checkAdmission completes the admission limits and records what does not add up. Such a
-// mistake is reported at the last line that sets them.
+// checkAdmission sets the admission limits that depend on other directives, and records the limits that
+// are inconsistent. The mistakes are reported for the last line that sets any of the limits.
 func (p *parser) checkAdmission() {
 	a := &p.c.Admission
 	a.MaxConns = p.c.Limits.Clients
-	a.Buffers.MinConnBytes = minConnBuffer
+	a.Buffers.MinConnBytes = minConnBufferBytes
 	if a.Buffers.TotalBytes == 0 {
-		a.Buffers.TotalBytes = max(defaultClientBuffers, defaultBuffersPerClient*minConnBuffer*int64(a.MaxConns))
+		a.Buffers.TotalBytes = max(defaultClientBufferBytes, defaultBuffersPerClient*minConnBufferBytes*int64(a.MaxConns))
 	}
 	err := a.Check()
 	if err == nil {
 		return
 	}
-	line := max(p.lines["admit"], p.lines["known"], p.lines["buffers"])
-	for _, mistake := range unjoin(err) {
+	line := max(p.lineOf["admit"], p.lineOf["known"], p.lineOf["buffers"])
+	for _, mistake := range unwrapJoined(err) {
 		p.errorf(line, "%v", mistake)
 	}
 }
 
+// checkDeadlines checks that each class has time for its requests besides the response margin.
 func (p *parser) checkDeadlines() {
 	margin := p.c.Deadlines.ResponseMargin
 	for i, deadline := range p.c.Deadlines.ByClass {
 		if deadline <= margin+minRequestTime {
-			p.errorf(p.lines["class "+p.c.Scheduler.Classes[i].Name], "the deadline %v leaves no time beside the answer-margin %v", deadline, margin)
+			p.errorf(p.lineOf["class "+p.c.Scheduler.Classes[i].Name], "the deadline %v leaves no time for the request after the answer-margin %v", deadline, margin)
 		}
 	}
 }
 
-// checkProcesses requires that the worker processes are counted among the instances, and that
-// the part of one worker is a usable configuration.
+// checkProcesses checks that there are at least as many instances as worker processes, each of which is
+// an instance, and that the admission limits of a single worker are consistent.
 func (p *parser) checkProcesses() {
-	c, line := p.c, p.lines["processes"]
+	c, line := p.c, p.lineOf["processes"]
 	if c.Processes > c.Scheduler.Instances {
-		p.errorf(line, "there are %d processes, each a head, but %d heads in all", c.Processes, c.Scheduler.Instances)
+		p.errorf(line, "there are %d processes, each of which is a head, but only %d heads in total", c.Processes, c.Scheduler.Instances)
 		return
 	}
 	if c.Processes == 1 {
 		return
 	}
 	if err := c.ForWorker(0).Admission.Check(); err != nil {
-		p.errorf(line, "the part of one of %d processes: %v", c.Processes, err)
+		p.errorf(line, "the limits of one of %d processes: %v", c.Processes, err)
 	}
 }
 
-// checkVolumes compares the instances of each volume with those of the fleet and of this machine.
+// checkVolumes checks the number of instances of each volume against the worker processes and the total
+// number of instances.
 func (p *parser) checkVolumes() {
 	c := p.c
 	for _, v := range c.Volumes {
-		line := p.lines["volume "+v.Name]
+		line := p.lineOf["volume "+v.Name]
 		if v.Instances < c.Processes {
-			p.errorf(line, "volume %s comes through %d heads, but the processes here are %d: its limit would count too often", v.Name, v.Instances, c.Processes)
+			p.errorf(line, "volume %s is served by %d heads, but there are %d processes: its limit would be applied too often", v.Name, v.Instances, c.Processes)
 		}
 		if v.Instances > c.Scheduler.Instances {
-			p.errorf(line, "volume %s comes through %d heads, but there are %d", v.Name, v.Instances, c.Scheduler.Instances)
+			p.errorf(line, "volume %s is served by %d heads, but there are only %d", v.Name, v.Instances, c.Scheduler.Instances)
 		}
 	}
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -9,28 +9,28 @@
 	"maddergap/scheduler"
 )
 
-// Config is a complete, checked configuration. It is read-only once loaded: a reload
-// replaces it as a whole. Defaults are those of the file format; a Config built in code
-// has only what its builder sets.
+// Config is a complete, checked configuration. It is read-only after loading: a reload replaces it as a
+// whole. The defaults in the comments apply to configuration files; a Config that is built in code has no
+// defaults.
 type Config struct {
-	// File is the path that the configuration was read from; a reload reads it again.
+	// File is the path of the configuration file; a reload reads it again.
 	File string
-	// Listen are the addresses that clients connect to, each as "host:port".
+	// Listen contains the addresses that clients connect to, each as "host:port".
 	Listen []string
-	// NodeList is the path of the node list file; empty on a platform, where discovery
-	// takes its place.
+	// NodeList is the path of the node list file. It is empty on a platform, which has discovery instead.
 	NodeList string
-	// Processes is how many worker processes share the listeners. Default 1.
+	// Processes is the number of worker processes that share the listeners. Default 1.
 	Processes int
-	// Seed seeds every random choice; 0 (the default) draws one at start.
+	// Seed is the seed of all random decisions. If it is 0 (the default), a random seed is used.
 	Seed uint64
 
-	// Scheduler is what the scheduler is told at start, classes and plans included.
+	// Scheduler contains the settings of the scheduler, including classes and plans.
 	Scheduler scheduler.Settings
-	// Volumes and Routes tell what a request is for and how it is classified.
+	// Volumes contains the volumes; the path of a request selects one of them.
 	Volumes []Volume
-	Routes  []Route
-	// UnitBytes is how many bytes of a body cost one unit of work. Default 64 KiB.
+	// Routes determine the class of each request.
+	Routes []Route
+	// UnitBytes is the number of bytes of a body that cost one unit of work. Default 64 KiB.
 	UnitBytes int64
 
 	Deadlines    Deadlines
@@ -41,126 +41,128 @@
 	Admission    admission.Config
 	Telemetry    Telemetry
 
-	// SyscallFaults makes chosen system calls fail, for tests and rehearsals; nil for none.
+	// SyscallFaults injects failures of system calls, for tests. It is nil in normal operation.
 	SyscallFaults *syscalls.FaultTable
 }
 
 // Volume is a set of shards under one plan. Its name is the first segment of a request's path.
 type Volume struct {
 	Name string
-	// Plan is an index of Scheduler.Plans.
+	// Plan is an index into Scheduler.Plans.
 	Plan int
-	// Shards are the shards that hold the volume's data.
+	// Shards contains the numbers of the shards that store the volume's data.
 	Shards []int
-	// Instances is how many gateway instances the volume's requests arrive at; its limit
-	// is divided among them. Default 1.
+	// Instances is the number of gateway instances that receive requests for the volume. The volume's
+	// limit is divided among them. Default 1.
 	Instances int
 }
 
 // Route assigns a class to the requests that match it. The first matching route decides.
 type Route struct {
-	// Methods are the methods that match; empty for any.
+	// Methods contains the methods that match; empty for any method.
 	Methods []string
-	// Prefix is what the path must begin with; empty for any path.
+	// Prefix is the required beginning of the path; empty for any path.
 	Prefix string
 	// Ranged restricts the route to requests with a Range field.
 	Ranged bool
-	// SizeAbove restricts the route to requests of more bytes; -1 for any size.
+	// SizeAbove restricts the route to requests that transfer more bytes; -1 for any size.
 	SizeAbove int64
-	// Class is an index of Scheduler.Classes.
+	// Class is an index into Scheduler.Classes.
 	Class int
 }
 
-// Deadlines say how long a client waits for its response.
+// Deadlines determine how long a client waits for its response.
 type Deadlines struct {
-	// ByClass is the deadline of a request, by the index of its class.
+	// ByClass contains the deadline of the requests of each class, by class index.
 	ByClass []time.Duration
-	// ResponseMargin is kept of each deadline for bringing the response to the client.
-	// Default 20ms.
+	// ResponseMargin is the part of each deadline that is reserved for sending the response to the
+	// client. Default 20ms.
 	ResponseMargin time.Duration
-	// UploadRate extends the deadline of a body longer than Limits.BodyBuffer: by a second
-	// for each UploadRate bytes. Default 1 MiB.
+	// UploadRate, in bytes per second, extends the deadline of a request whose body exceeds
+	// Limits.BodyBuffer by the time that the upload takes at this rate. Default 1 MiB.
 	UploadRate int64
 }
 
-// Timeouts bound how long the gateway waits on a connection, and for its own end.
+// Timeouts limit how long the gateway waits on a connection and during a shutdown.
 type Timeouts struct {
-	// Header is the time for a request's header, from its first byte. Default 10s.
+	// Header is the time within which the header of a request must arrive, from its first byte on.
+	// Default 10s.
 	Header time.Duration
-	// Idle closes a client connection that has no request. Default 60s.
+	// Idle is the time after which a client connection without a request is closed. Default 60s.
 	Idle time.Duration
-	// NoProgress ends a body or response that makes no progress. Default 10s.
+	// NoProgress is the time after which a body or response without progress is aborted. Default 10s.
 	NoProgress time.Duration
-	// Dial bounds connecting to a node. Default 1s.
+	// Dial is the time within which a connection to a node must be established. Default 1s.
 	Dial time.Duration
-	// NodeIdle closes a connection to a node that has no attempt. Default 20s.
+	// NodeIdle is the time after which a node connection without an attempt is closed. Default 20s.
 	NodeIdle time.Duration
-	// Drain is how long new connections are still taken after a stop was requested, as
-	// clients learn of it late. Default 0.
+	// Drain is the time for which new connections are still accepted after a stop was requested, since
+	// clients learn of it with a delay. Default 0.
 	Drain time.Duration
-	// Shutdown is the time for pending requests once no more are taken; what is left is
-	// aborted. Default 10s.
+	// Shutdown is the time for pending requests after Drain. Requests that remain after it are aborted.
+	// Default 10s.
 	Shutdown time.Duration
 }
 
 // Limits bound connections and memory.
 type Limits struct {
-	// Clients is the most client connections. Default 8192.
+	// Clients is the maximum number of client connections. Default 8192.
 	Clients int
-	// RequestsPerConn is the most requests on one client connection; 0 (the default) for any.
+	// RequestsPerConn is the maximum number of requests on one client connection; 0 (the default) for
+	// no limit.
 	RequestsPerConn int
-	// ConnsPerNode is the most connections to one node. Default 64.
+	// ConnsPerNode is the maximum number of connections to one node. Default 64.
 	ConnsPerNode int
-	// NodeConns is the most connections to all nodes together; 0 (the default) for any.
+	// NodeConns is the maximum number of connections to all nodes; 0 (the default) for no limit.
 	NodeConns int
-	// ConnBuffer is how many bytes may be on their way through one connection. Default 256 KiB.
+	// ConnBuffer is the maximum number of bytes that are buffered for one connection. Default 256 KiB.
 	ConnBuffer int
-	// BodyBuffer is how many bytes of a request's body are kept for a retry. Smaller bodies
-	// are read whole before the first attempt. Default 256 KiB.
+	// BodyBuffer is the maximum number of bytes of a request's body that are kept for a retry. A smaller
+	// body is received completely before the first attempt. Default 256 KiB.
 	BodyBuffer int
-	// ListingBytes is the most bytes of a merged listing. Default 8 MiB.
+	// ListingBytes is the maximum size of a merged listing. Default 8 MiB.
 	ListingBytes int
-	// SizeEntries is how many sizes of objects are remembered, to estimate what a read
-	// costs. Default 16384.
+	// SizeEntries is the number of object sizes that are cached to estimate the cost of reads.
+	// Default 16384.
 	SizeEntries int
 }
 
-// MinRates are the slowest transfers that are tolerated, so that a client cannot hold a
-// request open by trickling. A rate of 0 is no minimum.
+// MinRates are the minimum transfer rates of clients. Without them, a client could keep a request open by
+// transferring single bytes. A rate of 0 is no minimum.
 type MinRates struct {
-	// Body is the rate at which a request's body must arrive, in bytes a second. Default 100.
+	// Body is the minimum rate at which a client sends a body, in bytes per second. Default 100.
 	Body int64
-	// Response is the rate at which a client must take its response, in bytes a second.
+	// Response is the minimum rate at which a client receives a response, in bytes per second.
 	// Default 1000.
 	Response int64
-	// Grace is how long a transfer may last before its rate counts. Default 30s.
+	// Grace is the duration of a transfer from which on the minimum rate applies. Default 30s.
 	Grace time.Duration
 }
 
-// Telemetry says where logs, traces and metrics go.
+// Telemetry contains the destinations of logs, traces and metrics.
 type Telemetry struct {
-	// LogFile is appended to; empty (the default) for standard error.
+	// LogFile is the file to which log records are appended; empty (the default) for standard error.
 	LogFile string
-	// LogRequests logs every request and every failed attempt. Default true.
+	// LogRequests enables a log record for every request and every failed attempt. Default true.
 	LogRequests bool
-	// TraceFile is appended to with OpenTelemetry spans; empty (the default) for none.
+	// TraceFile is the file to which OpenTelemetry spans are appended; empty (the default) for none.
 	TraceFile string
 	// MetricsAddr is the address of the listener for /metrics; empty (the default) for none.
 	MetricsAddr string
 }
 
 const (
-	// minConnBuffer is what each client connection may hold in bytes whatever the others do.
-	minConnBuffer = 4 << 10
-	// defaultClientBuffers is what all client connections may hold in bytes, where the file
-	// does not say and the number of clients does not want more.
-	defaultClientBuffers = 512 << 20
-	// defaultBuffersPerClient is the least part of the default for each client, in multiples
-	// of minConnBuffer.
+	// minConnBufferBytes is the buffer space that each client connection can use at any time.
+	minConnBufferBytes = 4 << 10
+	// defaultClientBufferBytes is the default size of the buffers of all client connections, unless
+	// defaultBuffersPerClient results in more.
+	defaultClientBufferBytes = 512 << 20
+	// defaultBuffersPerClient is the minimum of that default for each client connection, in multiples
+	// of minConnBufferBytes.
 	defaultBuffersPerClient = 4
 )
 
-// defaults returns what holds where a file is silent.
+// defaults returns a configuration with the defaults of the file format.
 func defaults(file string) *Config {
 	return &Config{
 		File:         file,
--- a/internal/config/directives.go
+++ b/internal/config/directives.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// The largest values that a file may give, so that sums of them cannot overflow.
+// Maximum values in a file. They ensure that sums cannot overflow.
 const (
 	maxConnections = 1 << 20
 	maxInstances   = 100_000
@@ -15,12 +15,12 @@
 	maxSeed        = 1 << 40
 )
 
-// repeatable are the directives that may stand more than once.
+// repeatable contains the directives that may occur more than once.
 var repeatable = map[string]bool{"listen": true, "class": true, "plan": true, "volume": true, "route": true, "known": true}
 
-// directives apply a line's arguments, by the directive's name.
+// directives maps the name of a directive to the function that reads its arguments and applies them.
 var directives = map[string]func(p *parser, line int, a *Args){
-	// Where clients and nodes are.
+	// Listeners, nodes, instances and processes.
 	"listen":    (*parser).listen,
 	"nodes":     func(p *parser, _ int, a *Args) { p.c.NodeList = p.path(a) },
 	"heads":     func(p *parser, _ int, a *Args) { p.c.Scheduler.Instances = a.Int("number", 1, maxInstances) },
@@ -33,7 +33,7 @@
 	"traces":       func(p *parser, _ int, a *Args) { p.c.Telemetry.TraceFile = p.path(a) },
 	"metrics":      (*parser).metrics,
 
-	// What is scheduled, and how.
+	// Scheduling.
 	"class":       (*parser).class,
 	"plan":        (*parser).plan,
 	"volume":      (*parser).volume,
@@ -46,7 +46,7 @@
 	"order-rest":  func(p *parser, _ int, a *Args) { p.c.Scheduler.KeyCooldown = a.Duration("time", 0) },
 	"share-worth": func(p *parser, _ int, a *Args) { p.c.Scheduler.ExcessWeight = a.Fraction("share") },
 
-	// Times.
+	// Timeouts.
 	"answer-margin": func(p *parser, _ int, a *Args) { p.c.Deadlines.ResponseMargin = a.Duration("time", 0) },
 	"header-time":   func(p *parser, _ int, a *Args) { p.c.Timeouts.Header = a.Duration("time", time.Millisecond) },
 	"idle-time":     func(p *parser, _ int, a *Args) { p.c.Timeouts.Idle = a.Duration("time", time.Millisecond) },
@@ -55,7 +55,7 @@
 	"node-idle":     func(p *parser, _ int, a *Args) { p.c.Timeouts.NodeIdle = a.Duration("time", time.Millisecond) },
 	"dial-time":     func(p *parser, _ int, a *Args) { p.c.Timeouts.Dial = a.Duration("time", time.Millisecond) },
 
-	// Bounds of connections and memory.
+	// Limits on connections and memory.
 	"clients":          func(p *parser, _ int, a *Args) { p.c.Limits.Clients = a.Int("number", 1, maxConnections) },
 	"requests":         func(p *parser, _ int, a *Args) { p.c.Limits.RequestsPerConn = a.Int("number", 1, 1<<30) },
 	"node-connections": func(p *parser, _ int, a *Args) { p.c.Limits.ConnsPerNode = a.Int("number", 1, 10000) },
@@ -70,7 +70,7 @@
 	"admit":            (*parser).admission,
 }
 
-// path takes a path; a relative one starts at the configuration's folder.
+// path reads a path. A relative path refers to the folder of the configuration file.
 func (p *parser) path(a *Args) string {
 	path := a.Word("path")
 	if path != "" && !filepath.IsAbs(path) {
@@ -86,10 +86,10 @@
 	}
 	addr, err := netip.ParseAddrPort(word)
 	if err != nil {
-		a.Errorf("%q is not an address and port, as 127.0.0.1:8080", word)
+		a.Errorf("%q is not an address and port, such as 127.0.0.1:8080", word)
 		return
 	}
-	if p.once(line, "listen "+addr.String()) {
+	if p.checkUnique(line, "listen "+addr.String()) {
 		p.c.Listen = append(p.c.Listen, word)
 	}
 }
@@ -127,7 +127,7 @@
 	})
 }
 
-// knownClients takes the prefixes of known clients; an address alone is a prefix of its full length.
+// knownClients reads the prefixes of known clients. A single address is a prefix of its full length.
 func (p *parser) knownClients(line int, a *Args) {
 	for a.More() {
 		word := a.Word("prefix")
@@ -136,10 +136,10 @@
 			prefix, err = netip.PrefixFrom(addr, addr.BitLen()), nil
 		}
 		if err != nil || prefix != prefix.Masked() {
-			a.Errorf("%q is not an address or a prefix, as 10.1.0.0/16", word)
+			a.Errorf("%q is not an address or a prefix, such as 10.1.0.0/16", word)
 			return
 		}
-		p.lines["known"] = line
+		p.lineOf["known"] = line
 		known := &p.c.Admission.KnownClients
 		known.Prefixes = append(known.Prefixes, prefix)
 	}
@@ -147,8 +147,8 @@
 
 func (p *parser) admission(_ int, a *Args) {
 	limits := &p.c.Admission
-	count := func(n *int, most int) func(string) {
-		return func(k string) { *n = a.Int(k, 1, most) }
+	count := func(n *int, high int) func(string) {
+		return func(k string) { *n = a.Int(k, 1, high) }
 	}
 	a.pairs(keywords{
 		"address":       count(&limits.Caps.Address, maxConnections),
--- a/internal/config/error.go
+++ b/internal/config/error.go
@@ -8,10 +8,10 @@
 	"slices"
 )
 
-// Error is a mistake in a file of the line-based form. An operator finds it by file and line.
+// Error reports a mistake in a file of the line-based format.
 type Error struct {
 	File   string
-	Line   int // counted from 1; 0 if it concerns the file as a whole
+	Line   int // line number, from 1; 0 if the mistake concerns the file as a whole
 	Reason string
 }
 
@@ -22,8 +22,8 @@
 	return fmt.Sprintf("%s:%d: %s", e.File, e.Line, e.Reason)
 }
 
-// joinErrors joins mistakes in the order of their lines, those of the file as a whole last.
-// Mistakes of one line stay in the order in which they were found.
+// joinErrors joins mistakes in the order of their lines, followed by those of the file as a whole.
+// Mistakes of the same line stay in the given order. It returns nil if there are none.
 func joinErrors(mistakes []*Error) error {
 	position := func(e *Error) int {
 		if e.Line == 0 {
@@ -39,8 +39,8 @@
 	return errors.Join(errs...)
 }
 
-// unjoin returns the errors that errors.Join put together, or the error itself.
-func unjoin(err error) []error {
+// unwrapJoined returns the errors that errors.Join has joined, or only err if it is not joined.
+func unwrapJoined(err error) []error {
 	if joined, ok := err.(interface{ Unwrap() []error }); ok {
 		return joined.Unwrap()
 	}
--- a/internal/config/parse.go
+++ b/internal/config/parse.go
@@ -5,8 +5,7 @@
 	"os"
 )
 
-// Load reads and checks a file. Its error joins one Error for each mistake, in the order of
-// the file, or is the one of reading it.
+// Load reads and checks a configuration file. The error is that of reading the file or of Parse.
 func Load(file string) (*Config, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
@@ -15,14 +14,14 @@
 	return Parse(file, data)
 }
 
-// Parse checks a file's text. The error joins one Error for each mistake, in the order of the
-// file; mistakes of the file as a whole come last.
+// Parse parses and checks the text of a configuration file. The error joins an Error for each mistake, in
+// the order of the lines; mistakes of the file as a whole are last.
 func Parse(file string, data []byte) (*Config, error) {
 	p := newParser(file)
 	lines, lineErrors := splitLines(file, data)
 	p.errs = append(p.errs, lineErrors...)
 	for _, l := range lines {
-		p.directive(l)
+		p.applyDirective(l)
 	}
 	p.resolveReferences()
 	p.check()
@@ -32,51 +31,52 @@
 	return p.c, nil
 }
 
-// parser collects a configuration and its mistakes while the lines of a file are read.
+// parser builds a configuration from the lines of a file and collects the mistakes.
 type parser struct {
-	c              *Config
-	classes, plans map[string]int // index by name
-	classRefs      []reference
-	planRefs       []reference
-	lines          map[string]int // line of each directive or named item that may stand once
-	errs           []*Error
+	c              *Config        // configuration that is being built
+	classes, plans map[string]int // index in the configuration, by name
+	classRefs      []reference    // uses of classes
+	planRefs       []reference    // uses of plans
+	lineOf         map[string]int // line of each directive or named item that may occur only once
+	errs           []*Error       // mistakes in the order in which they were found
 }
 
-// reference is the use of a name that may be defined in a later line.
+// reference is the use of a class or plan, which may be defined in a later line.
 type reference struct {
 	line  int
 	name  string
-	apply func(index int)
+	apply func(index int) // called with the index of the class or plan
 }
 
 func newParser(file string) *parser {
-	return &parser{c: defaults(file), classes: map[string]int{}, plans: map[string]int{}, lines: map[string]int{}}
+	return &parser{c: defaults(file), classes: map[string]int{}, plans: map[string]int{}, lineOf: map[string]int{}}
 }
 
-// errorf records a mistake; line 0 is the file as a whole.
+// errorf records a mistake in a line, or in the file as a whole if line is 0.
 func (p *parser) errorf(line int, format string, args ...any) {
 	p.errs = append(p.errs, &Error{p.c.File, line, fmt.Sprintf(format, args...)})
 }
 
-// once reports whether an item stands for the first time, and records a mistake if not.
-func (p *parser) once(line int, item string) bool {
-	if first, ok := p.lines[item]; ok {
+// checkUnique records the line of an item that may occur only once. If it has occurred before, it records
+// a mistake and returns false.
+func (p *parser) checkUnique(line int, item string) bool {
+	if first, ok := p.lineOf[item]; ok {
 		p.errorf(line, "%s is already given in line %d", item, first)
 		return false
 	}
-	p.lines[item] = line
+	p.lineOf[item] = line
 	return true
 }
 
-// directive applies one line.
-func (p *parser) directive(l Line) {
+// applyDirective applies the directive of a line to the configuration.
+func (p *parser) applyDirective(l Line) {
 	name := l.Words[0]
 	apply, known := directives[name]
 	if !known {
 		p.errorf(l.Number, "unknown directive %.40q", name)
 		return
 	}
-	if !repeatable[name] && !p.once(l.Number, name) {
+	if !repeatable[name] && !p.checkUnique(l.Number, name) {
 		return
 	}
 	args := NewArgs(l)
@@ -86,7 +86,8 @@
 	}
 }
 
-// resolveReferences applies the uses of classes and plans now that all of them are known.
+// resolveReferences resolves the uses of classes and plans. It is called after the last line, when all
+// classes and plans are defined.
 func (p *parser) resolveReferences() {
 	resolve := func(kind string, defined map[string]int, refs []reference) {
 		for _, ref := range refs {
--- a/internal/config/scheduling.go
+++ b/internal/config/scheduling.go
@@ -8,20 +8,20 @@
 	"maddergap/scheduler"
 )
 
-// maxShard is the highest number of a shard.
+// maxShard is the highest shard number.
 const maxShard = 100_000
 
-// name takes the name of a new item of a kind; ok reports that it can be used.
+// name reads the name of a new class, plan or volume. ok is false if the name is invalid or already used.
 func (p *parser) name(line int, a *Args, kind string) (name string, ok bool) {
 	name = a.Word("name")
 	if name == "" {
 		return "", false
 	}
 	if strings.ContainsAny(name, "/%?\\\"<>&") || name == "." || name == ".." || len(name) > 100 {
-		a.Errorf("the name %.40q holds what does not go into a path", name)
+		a.Errorf("the name %.40q cannot be used as a path segment", name)
 		return "", false
 	}
-	return name, p.once(line, kind+" "+name)
+	return name, p.checkUnique(line, kind+" "+name)
 }
 
 func (p *parser) class(line int, a *Args) {
@@ -46,9 +46,9 @@
 	case deadline < class.LatencyObjective:
 		a.Errorf("the deadline %v is before the aim %v", deadline, class.LatencyObjective)
 	case class.Effect == scheduler.Idempotent && class.DeduplicationWindow == 0:
-		a.Errorf("a keyed class needs a window: how long its nodes deduplicate")
+		a.Errorf("a keyed class needs a window, the time for which its nodes deduplicate")
 	case class.Effect != scheduler.Idempotent && class.DeduplicationWindow > 0:
-		a.Errorf("only a keyed class has a window")
+		a.Errorf("only a keyed class may have a window")
 	}
 	p.classes[name] = len(p.c.Scheduler.Classes)
 	p.c.Scheduler.Classes = append(p.c.Scheduler.Classes, class)
@@ -70,7 +70,7 @@
 	case a.Failed() || !ok:
 		return
 	case (plan.Limit > 0) != (plan.LimitBurst > 0):
-		a.Errorf("limit and burst go together: the rate a bucket fills at, and what it holds")
+		a.Errorf("limit and burst go together: they are the rate and the capacity of a token bucket")
 	case plan.Limit > 0 && plan.Reserve > plan.Limit:
 		a.Errorf("the reserve %v is over the limit %v", plan.Reserve, plan.Limit)
 	case plan.Weight == 0:
@@ -130,7 +130,7 @@
 	p.classRefs = append(p.classRefs, reference{line, class, func(index int) { p.c.Routes[i].Class = index }})
 }
 
-// slowStart takes how a node that has just started warms up.
+// slowStart reads the settings for warming up nodes that have just started.
 func (p *parser) slowStart(_ int, a *Args) {
 	s := &p.c.Scheduler.SlowStart
 	a.pairs(keywords{
@@ -141,11 +141,11 @@
 		"multiple": func(k string) { s.OverloadFactor = a.Float(k) },
 	}, "for", "from", "units", "window", "multiple")
 	if !a.Failed() && s.OverloadFactor < 1 {
-		a.Errorf("multiple is %v: a node bears at least what it can do", s.OverloadFactor)
+		a.Errorf("multiple is %v, want at least 1: load up to its capacity does not overload a node", s.OverloadFactor)
 	}
 }
 
-// retryBudget takes the bound on retries within any window.
+// retryBudget reads the limit on retries within a time window.
 func (p *parser) retryBudget(_ int, a *Args) {
 	budget := &scheduler.RetryBudget{}
 	p.c.Scheduler.RetryBudget = budget
@@ -156,7 +156,7 @@
 	}, "over")
 }
 
-// units takes what a unit of work is, and how many requests cost.
+// units reads the size of a unit of work in bytes, and the mean and maximum cost of a request in units.
 func (p *parser) units(_ int, a *Args) {
 	a.pairs(keywords{
 		"bytes": func(k string) { p.c.UnitBytes = a.Bytes(k, 1) },
--- a/internal/config/worker.go
+++ b/internal/config/worker.go
@@ -7,11 +7,10 @@
 	"maddergap/internal/admission"
 )
 
-// ForWorker returns the configuration of worker i of the Processes that share the
-// listeners: connections, caps, rates and buffers divided evenly and rounded up, a port of
-// its own for metrics, a trace file and a seed of its own. A client address gets between
-// the part of one process and its whole cap, depending on which processes its
-// connections reach.
+// ForWorker returns the configuration of worker i of the Processes that share the listeners. The limits on
+// connections, rates and buffers are divided evenly among the workers; numbers of connections are rounded
+// up. Each worker has its own metrics port, trace file and seed. A client address can open between one
+// worker's part of the cap and the whole cap, depending on which workers its connections reach.
 func (c *Config) ForWorker(i int) *Config {
 	worker := *c
 	worker.Limits.Clients = divideCap(c.Limits.Clients, c.Processes)
@@ -23,7 +22,7 @@
 	return &worker
 }
 
-// divideCap is one process's part of a cap, rounded up so that it is never 0 for a cap above 0.
+// divideCap returns one process's part of a cap. It is rounded up, since a result of 0 would mean no cap.
 func divideCap(limit, processes int) int {
 	if limit <= 0 {
 		return limit
@@ -46,7 +45,8 @@
 	a.Buffers.TotalBytes = max(a.Buffers.TotalBytes/int64(c.Processes), int64(a.MaxConns)*int64(a.Buffers.MinConnBytes))
 }
 
-// forWorker gives worker i a metrics port and a trace file of its own.
+// forWorker returns the telemetry settings of worker i, which have its own metrics port and, with several
+// processes, its own trace file.
 func (t Telemetry) forWorker(i, processes int) Telemetry {
 	addr, err := netip.ParseAddrPort(t.MetricsAddr)
 	if err == nil && addr.Port() > 0 {
--- a/internal/config/worker_test.go
+++ b/internal/config/worker_test.go
@@ -7,9 +7,8 @@
 	"maddergap/internal/admission"
 )
 
-// Four workers share the listeners of a machine. Each must keep to its part of the limits, or
-// the machine would admit four times what its configuration says. Parts are rounded up: a cap
-// that became 0 would be none.
+// Verifies that each of four workers has its part of the limits; otherwise the workers together would
+// admit four times as much as configured. Parts are rounded up, since a cap of 0 would mean no cap.
 func TestForWorkerDividesLimits(t *testing.T) {
 	c := &Config{
 		Processes: 4,
@@ -42,22 +41,22 @@
 		{"buffers, at least the minimum of each connection", int(a.Buffers.TotalBytes), 251 * 4096},
 	} {
 		if got.got != got.want {
-			t.Errorf("%s: %d, want %d", got.name, got.got, got.want)
+			t.Errorf("%s: got %d, want %d", got.name, got.got, got.want)
 		}
 	}
 	if a.Rates.Address.PerSecond != 2.5 || a.Rejections.PerSecond != 12.5 {
-		t.Errorf("rates %v and %v a second, want 2.5 and 12.5", a.Rates.Address.PerSecond, a.Rejections.PerSecond)
+		t.Errorf("got rates of %v and %v per second, want 2.5 and 12.5", a.Rates.Address.PerSecond, a.Rejections.PerSecond)
 	}
 	if w.Telemetry.MetricsAddr != "127.0.0.1:9002" || w.Telemetry.TraceFile != "/tmp/spans.2" || w.Seed != 102 {
-		t.Errorf("metrics at %s, spans in %s, seed %d", w.Telemetry.MetricsAddr, w.Telemetry.TraceFile, w.Seed)
+		t.Errorf("got metrics at %s, spans in %s, seed %d", w.Telemetry.MetricsAddr, w.Telemetry.TraceFile, w.Seed)
 	}
 	if w.Timeouts != c.Timeouts || c.Limits.Clients != 1002 {
-		t.Error("a timeout is divided, or the whole configuration changed")
+		t.Error("a timeout is divided, or ForWorker changed the original configuration")
 	}
 }
 
-// A process by itself keeps its whole configuration, a seed that is drawn and the name of its
-// trace file included.
+// Verifies that a single process keeps its whole configuration, including a seed of 0 and the name of the
+// trace file.
 func TestForWorkerOfOneProcess(t *testing.T) {
 	c := &Config{Processes: 1, Limits: Limits{Clients: 7}, Telemetry: Telemetry{TraceFile: "/tmp/spans"}}
 	if w := c.ForWorker(0); w.Limits.Clients != 7 || w.Telemetry.TraceFile != "/tmp/spans" || w.Seed != 0 {
