--- a/internal/http1/append.go
+++ b/internal/http1/append.go
@@ -33,7 +33,7 @@
 	connection := m.Get("connection")
 	for i := range m.Fields {
 		f := &m.Fields[i]
-		if HopByHop(f.Name, connection) || equalFoldAny(f.Name, excluded) {
+		if IsHopByHop(f.Name, connection) || equalFoldAny(f.Name, excluded) {
 			continue
 		}
 		dst = append(dst, f.Name...)
--- a/internal/http1/fields.go
+++ b/internal/http1/fields.go
@@ -186,11 +186,11 @@
 
 var comma = []byte(",")
 
-// HopByHop reports whether a field is valid for one connection only and must not be forwarded (RFC 9110
+// IsHopByHop reports whether a field is valid for one connection only and must not be forwarded (RFC 9110
 // 7.6.1). connection is the value of the Connection field, which lists further such fields. Host is
 // forwarded even if it is listed; otherwise a client could list it and make the gateway send a request
 // without Host to a node.
-func HopByHop(name, connection []byte) bool {
+func IsHopByHop(name, connection []byte) bool {
 	// The length is compared first, since this is called for each field of each message.
 	switch len(name) {
 	case 2:
--- a/internal/platform/request.go
+++ b/internal/platform/request.go
@@ -64,7 +64,7 @@
 	// A field that Connection lists is not forwarded. Without this check, a request could reach its
 	// node without a field that the gateway used to select the node.
 	for name := range http1.ListElements(r.Get("connection")) {
-		if r.Get(string(name)) != nil && !http1.HopByHop(name, nil) {
+		if r.Get(string(name)) != nil && !http1.IsHopByHop(name, nil) {
 			return "Connection lists a field of the request"
 		}
 	}
--- a/internal/route/location.go
+++ b/internal/route/location.go
@@ -12,18 +12,18 @@
 
 // Kinds of locations.
 const (
-	Root       Kind = iota // "/", the list of volumes
-	VolumeRoot             // "/volume/", whose content is distributed over all shards of the volume
-	Unit                   // a placement unit or a resource below it, on one shard
+	Root          Kind = iota // "/", the list of volumes
+	VolumeRoot                // "/volume/", whose content is distributed over all shards of the volume
+	PlacementUnit             // a placement unit or a resource below it, on one shard
 )
 
 // Location is the place where the resource of a path is stored.
 type Location struct {
-	Kind   Kind
-	Volume int    // index of the volume in the configuration; not set for Root
-	Unit   string // decoded name of the placement unit; set for Unit only
-	Shard  int    // shard of the placement unit; set for Unit only
-	Path   string // decoded path
+	Kind          Kind
+	Volume        int    // index of the volume in the configuration; not set for Root
+	PlacementUnit string // decoded name of the placement unit; set for kind PlacementUnit only
+	Shard         int    // shard of the placement unit; set for kind PlacementUnit only
+	Path          string // decoded path
 }
 
 // Errors of targets and paths.
@@ -156,9 +156,9 @@
 	if rest == "" {
 		return location, nil
 	}
-	location.Kind = Unit
-	location.Unit, _, _ = strings.Cut(rest, "/")
-	location.Shard = selectShard(location.Unit, t.config.Volumes[volume].Shards)
+	location.Kind = PlacementUnit
+	location.PlacementUnit, _, _ = strings.Cut(rest, "/")
+	location.Shard = selectShard(location.PlacementUnit, t.config.Volumes[volume].Shards)
 	return location, nil
 }
 
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -43,7 +43,7 @@
 func TestLocate(t *testing.T) {
 	table := newTable(t)
 	for path, want := range map[string]Kind{"/": Root, "/feed-a": VolumeRoot, "/feed-a/": VolumeRoot,
-		"/feed%2Da/": VolumeRoot, "/feed-a/x": Unit, "/feed-a/x/": Unit, "/feed-a/x/y": Unit} {
+		"/feed%2Da/": VolumeRoot, "/feed-a/x": PlacementUnit, "/feed-a/x/": PlacementUnit, "/feed-a/x/y": PlacementUnit} {
 		if p, err := table.Locate(path); err != nil || p.Kind != want {
 			t.Errorf("%s: got location %+v, error %v", path, p, err)
 		}
@@ -57,7 +57,7 @@
 	}
 	a, _ := table.Locate("/feed-a/st%61tion/one")
 	b, _ := table.Locate("/feed-a/station")
-	if a.Unit != "station" || a.Shard != b.Shard {
+	if a.PlacementUnit != "station" || a.Shard != b.Shard {
 		t.Errorf("an escape changes the location: %+v and %+v", a, b)
 	}
 	for target, want := range map[string]string{"http://h:1/a/b?q": "/a/b", "HTTP://h": "/", "/a?b": "/a"} {
@@ -155,11 +155,11 @@
 			return
 		}
 		p, err := table.Locate(path)
-		if err != nil || p.Kind != Unit {
+		if err != nil || p.Kind != PlacementUnit {
 			return
 		}
 		if decoded, err := DecodePath(p.Path); err == nil && decoded == p.Path { // the path contains no escape
-			if q, err := table.Locate(p.Path); err != nil || q.Shard != p.Shard || q.Unit != p.Unit {
+			if q, err := table.Locate(p.Path); err != nil || q.Shard != p.Shard || q.PlacementUnit != p.PlacementUnit {
 				t.Fatalf("%q: got location %+v, and %+v, error %v, when decoded", target, p, q, err)
 			}
 		}
--- a/internal/webdav/decision.go
+++ b/internal/webdav/decision.go
@@ -43,7 +43,7 @@
 	default:
 		return respond(501, "the method is not known here")
 	}
-	if location.Kind != route.Unit {
+	if location.Kind != route.PlacementUnit {
 		return decideRootOrVolume(method, location, depth)
 	}
 	if method == "COPY" || method == "MOVE" {
@@ -91,9 +91,9 @@
 		return respond(409, "Destination: "+err.Error())
 	case err != nil:
 		return respond(400, "Destination: "+err.Error())
-	case target.Kind != route.Unit:
+	case target.Kind != route.PlacementUnit:
 		return respond(403, "Destination is a volume or the list of volumes")
-	case target.Volume != source.Volume || target.Unit != source.Unit: // RFC 4918 9.8.5, 9.9.4
+	case target.Volume != source.Volume || target.PlacementUnit != source.PlacementUnit: // RFC 4918 9.8.5, 9.9.4
 		return respond(502, "Destination lies in another placement unit (volume and first segment below it); copy the content instead")
 	}
 	return Decision{Handling: Forward}
