--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -16,7 +16,7 @@
 	FieldCount  int // maximum number of header fields
 }
 
-// DefaultLimits is far above what common WebDAV clients send.
+// DefaultLimits are far above what common WebDAV clients send.
 var DefaultLimits = Limits{HeaderBytes: 16 << 10, TargetBytes: 4 << 10, FieldCount: 100}
 
 // MaxInterimResponses is the maximum number of 1xx responses before a final response.
--- a/internal/platform/gateway_config.go
+++ b/internal/platform/gateway_config.go
@@ -47,8 +47,8 @@
 
 // Times of a shutdown, which begins with SIGTERM. Clients may still connect for up to 0.4 s. The
 // platform kills the process killDelay after the longest deadline of a class, where a deadline counts
-// as at most maxCountedDeadline. Requests without a response are lost then, so the last responses must
-// be sent finalResponseLead before the kill.
+// as at most maxCountedDeadline. Requests without a response are lost then, so the last responses are
+// sent finalResponseLead earlier.
 const (
 	drainTime          = 500 * time.Millisecond
 	maxCountedDeadline = 3 * time.Second
--- a/internal/platform/node.go
+++ b/internal/platform/node.go
@@ -51,8 +51,8 @@
 	return load, ok
 }
 
-// AppendRetryAfter appends a Retry-After field unless after is 0. The platform's clients expect decimal
-// seconds, where HTTP has whole seconds.
+// AppendRetryAfter appends a Retry-After field if after is above 0. The platform's clients expect decimal
+// seconds, whereas HTTP specifies whole seconds.
 func (p *Protocol) AppendRetryAfter(b []byte, after time.Duration) []byte {
 	if after <= 0 {
 		return b
