--- a/internal/simwire/events.go
+++ b/internal/simwire/events.go
@@ -9,47 +9,48 @@
 	"maddergap/scheduler"
 )
 
-// Event is a message of the simulator to one instance.
+// Event is a message from the simulator to one instance.
 type Event struct {
 	Instance string
 	Message  Message
 }
 
-// Message is one of Start, Stop, Report, AttemptReport, HealthCheckResult and PeerMessage.
+// Message is the content of an Event: a Start, Stop, Report, AttemptReport, HealthCheckResult or
+// PeerMessage.
 type Message interface{ message() }
 
-// Start starts an instance, in place of any earlier one of its name.
+// Start starts an instance. It replaces an instance of the same name that is already running.
 type Start struct {
-	Seed uint64
+	Seed uint64 // seed of the instance's scheduler
 	Site settings.Site
 }
 
-// Stop ends an instance.
+// Stop stops an instance.
 type Stop struct{}
 
-// Report is an event for the scheduler other than the end of an attempt.
+// Report carries an event for the scheduler. The end of an attempt has its own message, AttemptReport.
 type Report struct{ Event scheduler.Event }
 
-// AttemptReport is the end of an attempt.
+// AttemptReport reports the end of an attempt.
 type AttemptReport struct {
 	Event scheduler.AttemptEnded
-	// UnitsElsewhere is what the volume was served through other instances.
+	// UnitsElsewhere is the number of units of work that other instances have served for the volume.
 	UnitsElsewhere float64
-	// LoadReport is the node's load report, nil for none.
+	// LoadReport holds the values of the node's load report by key. It is nil if there was no report.
 	LoadReport map[string]float64
 }
 
-// HealthCheckResult is the result of a health check that an instance asked for.
+// HealthCheckResult is the result of a health check that an instance requested.
 type HealthCheckResult struct {
 	Node       string
 	Outcome    scheduler.Outcome
 	Duration   scheduler.Time
-	LoadReport map[string]float64
+	LoadReport map[string]float64 // as in AttemptReport
 }
 
 // PeerMessage is a message from another instance.
 type PeerMessage struct {
-	From int
+	From int // number of the sending instance
 	Body []byte
 }
 
@@ -60,7 +61,7 @@
 func (HealthCheckResult) message() {}
 func (PeerMessage) message()       {}
 
-// parseEvent reads an event line, and returns how many endpoint lines follow it.
+// parseEvent parses an event line. endpoints is the number of endpoint lines that follow it.
 func parseEvent(line string) (e Event, endpoints int, err error) {
 	f := newFields(line)
 	kind := f.text()
@@ -81,7 +82,7 @@
 	case wordClientDisconnected:
 		e.Message = Report{scheduler.ClientDisconnected{ID: f.uint()}}
 	case wordTimerFired:
-		f.text() // the timer's name; there is one
+		f.text() // timer name; instances have a single timer
 		e.Message = Report{scheduler.TimerFired{}}
 	case wordHealthCheckResult:
 		e.Message = parseHealthCheckResult(f)
@@ -102,17 +103,17 @@
 func parseStart(f *fields) (Start, error) {
 	start := Start{Seed: f.uint()}
 	if err := json.Unmarshal([]byte(f.rest()), &start.Site); err != nil {
-		return start, fmt.Errorf("facts: %w", err)
+		return start, fmt.Errorf("site settings: %w", err)
 	}
 	return start, nil
 }
 
 func parseEndpointUpdate(f *fields) (report Report, endpoints int, err error) {
 	kind := f.text()
-	f.int() // the list's version
+	f.int() // list version
 	endpoints = int(f.int())
 	if endpoints < 0 {
-		return report, 0, fmt.Errorf("%d entries", endpoints)
+		return report, 0, fmt.Errorf("negative number of endpoints: %d", endpoints)
 	}
 	return Report{scheduler.EndpointUpdate{
 		Full:   kind == updateFull || kind == updateFullAtStart,
@@ -120,17 +121,17 @@
 	}}, endpoints, nil
 }
 
-// parseEndpoint reads a line of an endpoint list.
+// parseEndpoint parses a line of an endpoint list.
 func parseEndpoint(line string) (endpoint scheduler.Endpoint, err error) {
 	f := newFields(line)
 	if f.text() != wordEndpoint {
 		return endpoint, fmt.Errorf("expected an item line, got %.40q", line)
 	}
 	endpoint.Node, endpoint.Zone = f.text(), int(f.int())
-	f.int() // the machine's type
+	f.int() // machine type
 	endpoint.Shard = int(f.int())
 	endpoint.State = nodeStates[f.text()]
-	f.float() // the machine's speed
+	f.float() // machine speed
 	endpoint.Started = f.duration()
 	return endpoint, f.done()
 }
@@ -149,16 +150,16 @@
 	e.Duration, e.Responded = f.duration(), f.int() != 0
 	f.int() // metered
 	report.UnitsElsewhere, report.LoadReport = f.float(), f.pairs()
-	inFlight, hasInFlight := report.LoadReport[reportInFlight]
-	queued, hasQueued := report.LoadReport[reportQueued]
+	inFlight, hasInFlight := report.LoadReport[loadReportInFlight]
+	queued, hasQueued := report.LoadReport[loadReportQueued]
 	e.ReportedLoad, e.HasLoadReport = max(inFlight, queued), hasInFlight || hasQueued
 	return report
 }
 
 func parseResponseStarted(f *fields) (e scheduler.ResponseStarted) {
 	e.ID, e.Attempt = f.uint(), int(f.int())
-	f.text()     // the node
-	f.duration() // since the attempt was sent
+	f.text()     // node
+	f.duration() // time since the attempt was sent
 	return e
 }
 
@@ -171,7 +172,7 @@
 func parsePeerMessage(f *fields) (message PeerMessage, err error) {
 	message.From = int(f.int())
 	if message.Body, err = base64.StdEncoding.DecodeString(f.text()); err != nil {
-		return message, fmt.Errorf("msg: %w", err)
+		return message, fmt.Errorf("message body: %w", err)
 	}
 	return message, nil
 }
--- a/internal/simwire/reader.go
+++ b/internal/simwire/reader.go
@@ -10,42 +10,43 @@
 	"maddergap/scheduler"
 )
 
-// bufferSize is the size of the buffers for reading and writing, in bytes.
+// bufferSize is the size of the read buffer and of the write buffer, in bytes.
 const bufferSize = 1 << 20
 
-// Batch is the events of one moment.
+// Batch holds the events of one point in simulated time.
 type Batch struct {
 	Time   scheduler.Time
-	Number string
+	Number string // sent back at the end of the reply, see Writer.EndBatch
 	Events []Event
 }
 
-// SyntaxError is a line that is not of the protocol.
+// SyntaxError reports input that does not follow the protocol.
 type SyntaxError struct {
-	Line int // from 1
+	Line int // line number, from 1
 	Err  error
 }
 
 func (e *SyntaxError) Error() string { return fmt.Sprintf("line %d: %v", e.Line, e.Err) }
 
-// Unwrap returns what is wrong with the line.
+// Unwrap returns the error without the line number.
 func (e *SyntaxError) Unwrap() error { return e.Err }
 
-// ErrTruncated is the error of input that ends inside a batch.
+// ErrTruncated is wrapped in the SyntaxError for input that ends inside a batch.
 var ErrTruncated = errors.New("input ends inside a batch")
 
-// Reader reads batches.
+// Reader reads the batches that the simulator sends.
 type Reader struct {
 	input *bufio.Reader
-	line  int // number of the last line read
+	line  int // number of the last complete line that was read
 }
 
-// NewReader returns a reader of the simulator's output.
+// NewReader returns a Reader of the simulator's output.
 func NewReader(input io.Reader) *Reader {
 	return &Reader{input: bufio.NewReaderSize(input, bufferSize)}
 }
 
-// Read returns the next batch, io.EOF at the end of the input, or a *SyntaxError.
+// Read returns the next batch. The error is io.EOF if the input ends after a complete batch, otherwise
+// a *SyntaxError, which also wraps an error of reading the input.
 func (r *Reader) Read() (Batch, error) {
 	first, err := r.nextLine()
 	if err == io.EOF {
@@ -64,7 +65,8 @@
 	return batch, nil
 }
 
-// nextLine returns the next line, io.EOF at the end, or io.ErrUnexpectedEOF inside a line.
+// nextLine returns the next line without its line break. The error is io.EOF at the end of the input,
+// or io.ErrUnexpectedEOF if the last line has no line break.
 func (r *Reader) nextLine() (string, error) {
 	line, err := r.input.ReadString('\n')
 	if err == io.EOF && line != "" {
@@ -77,6 +79,7 @@
 	return strings.TrimRight(line, "\r\n"), nil
 }
 
+// readBatch reads the batch that begins with the line first.
 func (r *Reader) readBatch(first string) (batch Batch, err error) {
 	f := newFields(first)
 	if f.text() != wordBatch {
@@ -102,7 +105,7 @@
 	}
 }
 
-// readEvent reads an event and the endpoint lines that follow it.
+// readEvent parses an event line and reads the endpoint lines that follow it.
 func (r *Reader) readEvent(line string) (Event, error) {
 	event, endpoints, err := parseEvent(line)
 	if err != nil || endpoints == 0 {
@@ -112,7 +115,7 @@
 	if err != nil {
 		return event, err
 	}
-	update := event.Message.(Report).Event.(scheduler.EndpointUpdate) // alone has endpoint lines
+	update := event.Message.(Report).Event.(scheduler.EndpointUpdate) // no other event has endpoint lines
 	update.Endpoints = list
 	event.Message = Report{update}
 	return event, nil
--- a/internal/simwire/words.go
+++ b/internal/simwire/words.go
@@ -1,21 +1,22 @@
-// Package simwire reads and writes the text protocol of the simulator. It is the one place where
-// the protocol's words are mapped to the terms of the code; it holds no decision and no default.
+// Package simwire reads and writes the text protocol of the simulator. Only this package translates
+// between the protocol's words and the terms of the code. It makes no scheduling decisions and sets no
+// defaults.
 //
-// The simulator sends batches of events and waits for the actions of each:
+// The simulator sends a batch of events, and waits for the reply before it sends the next batch:
 //
-//	clock 8412250 12                    the time in microseconds, and the number of the batch
-//	bell head_3 w                       events, one a line: kind, instance, values
-//	registry head_3 C 41 1              an endpoint list, followed by its items
+//	clock 8412250 12                    simulated time in microseconds, number of the batch
+//	bell head_3 w                       one line for each event: kind, instance, values
+//	registry head_3 C 41 1              an endpoint update, followed by its items
 //	item shelf_a 0 0 7 SERVING 1.5 -
-//	over_to_you                         the end of the batch
+//	over_to_you                         end of the batch
 //
-// The answer is a line for each action, and "next 12". Values are separated by single spaces, and
-// "-" stands for an empty one.
+// The reply has a line for each action, and ends with the line "next 12", which repeats the number of
+// the batch. Values are separated by single spaces; "-" stands for an empty value.
 package simwire
 
 import "maddergap/scheduler"
 
-// Lines that are not events.
+// First words of the lines that are not events. wordBatchEnd is a whole line.
 const (
 	wordBatch    = "clock"
 	wordBatchEnd = "over_to_you"
@@ -36,7 +37,7 @@
 	wordPeerMessage        = "peer_data"
 )
 
-// Kinds of answers.
+// Kinds of lines in a reply.
 const (
 	wordSend           = "dispatch"
 	wordReject         = "shed"
@@ -47,30 +48,31 @@
 	wordNextBatch      = "next"
 )
 
-// Kinds of endpoint updates; others are lists of changes.
+// Kinds of endpoint updates. Any other kind is a list of changes.
 const (
 	updateFull        = "F"
 	updateFullAtStart = "C"
 	updateFailed      = "X"
 )
 
-// flagClientRetry is the bit of an arrival's flags that marks a client's retry.
+// flagClientRetry is the bit in the flags of an arrival that is set for a retry by the client.
 const flagClientRetry = 2
 
-// Keys of a node's load report.
+// Keys in a node's load report.
 const (
-	reportInFlight = "concurrent"
-	reportQueued   = "depth"
+	loadReportInFlight = "concurrent"
+	loadReportQueued   = "depth"
 )
 
-// nodeStates maps the states of an endpoint; others count as serving.
+// nodeStates maps the protocol's endpoint states. A state that is not listed counts as serving.
 var nodeStates = map[string]scheduler.NodeState{
 	"SERVING":  scheduler.Serving,
 	"DRAINING": scheduler.Draining,
 	"DELETED":  scheduler.Removed,
 }
 
-// outcomes maps the outcomes of an attempt; others count as failed.
+// outcomes maps the protocol's outcomes of attempts and health checks. An outcome that is not listed
+// counts as failed.
 var outcomes = map[string]scheduler.Outcome{
 	"done":         scheduler.OK,
 	"err":          scheduler.Failed,
--- a/internal/simwire/writer.go
+++ b/internal/simwire/writer.go
@@ -9,13 +9,13 @@
 	"maddergap/scheduler"
 )
 
-// Writer writes the answers to batches. An error is returned by the next EndBatch.
+// Writer writes the replies to batches. A write error is kept and returned by EndBatch.
 type Writer struct{ output *bufio.Writer }
 
-// NewWriter returns a writer of the simulator's input.
+// NewWriter returns a Writer whose output the simulator reads.
 func NewWriter(output io.Writer) *Writer { return &Writer{bufio.NewWriterSize(output, bufferSize)} }
 
-// Action writes an action of an instance.
+// Action adds an action of an instance to the reply.
 func (w *Writer) Action(instance string, action scheduler.Action) {
 	switch a := action.(type) {
 	case scheduler.Send:
@@ -31,12 +31,13 @@
 	}
 }
 
-// Fault reports that an instance cannot go on.
+// Fault adds a line that says that an instance has failed and why. A newline in text is written as a
+// space.
 func (w *Writer) Fault(instance, text string) {
 	fmt.Fprintf(w.output, "%s %s %s\n", wordFault, instance, strings.ReplaceAll(text, "\n", " "))
 }
 
-// EndBatch ends the answer to a batch and sends it.
+// EndBatch ends the reply to the batch with this number, and flushes it to the output.
 func (w *Writer) EndBatch(number string) error {
 	fmt.Fprintf(w.output, "%s %s\n", wordNextBatch, number)
 	return w.output.Flush()
