--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,5 +1,6 @@
-// Command simadapter runs the scheduler behind the simulator's text protocol, on standard input and
-// output. It decides nothing; internal/simwire has the protocol.
+// Command simadapter connects schedulers to the simulator: it reads events from standard input and
+// writes the schedulers' actions to standard output. It makes no scheduling decisions itself. Package
+// internal/simwire implements the text protocol.
 package main
 
 import (
@@ -18,7 +19,7 @@
 	}
 }
 
-// run answers batches until the input ends.
+// run replies to batches until the input ends. It returns nil if the input ends after a complete batch.
 func run(input io.Reader, output io.Writer) error {
 	reader := simwire.NewReader(input)
 	a := &adapter{writer: simwire.NewWriter(output), instances: map[string]*scheduler.Scheduler{}}
@@ -37,13 +38,15 @@
 	}
 }
 
-// adapter runs the scheduler of each instance that is started.
+// adapter holds the schedulers of the running instances.
 type adapter struct {
 	writer    *simwire.Writer
-	instances map[string]*scheduler.Scheduler
+	instances map[string]*scheduler.Scheduler // by instance name
 }
 
-// handleBatch gives each instance its messages, in the order in which the instances first appear.
+// handleBatch passes the messages of a batch to their instances, one instance after the other in the
+// order in which they first appear in the batch. An instance that fails is removed and reported to the
+// simulator.
 func (a *adapter) handleBatch(batch simwire.Batch) {
 	var names []string
 	messages := map[string][]simwire.Message{}
@@ -61,13 +64,14 @@
 	}
 }
 
-// handleMessages gives an instance its messages of one moment and writes its actions. Events before
-// a start or stop were for the process that ended, and are dropped. An error ends the instance; a
-// panic of the scheduler is one, so that the others go on.
+// handleMessages passes an instance its messages of one batch, and writes its actions. Events that
+// come before a start or stop in the batch were meant for the process that ended, and are dropped. If
+// handleMessages returns an error, the instance has failed. A panic of the scheduler is returned as an
+// error too, so that it does not end the other instances.
 func (a *adapter) handleMessages(name string, now scheduler.Time, messages []simwire.Message) (err error) {
 	defer func() {
-		if fault := recover(); fault != nil {
-			err = fmt.Errorf("panic: %v", fault)
+		if recovered := recover(); recovered != nil {
+			err = fmt.Errorf("panic: %v", recovered)
 		}
 	}()
 	var events []scheduler.Event
@@ -88,7 +92,7 @@
 		case simwire.AttemptReport:
 			events = append(events, m.Event)
 		case simwire.HealthCheckResult, simwire.PeerMessage:
-			// The scheduler asks for neither.
+			// The scheduler requests no health checks and sends no peer messages.
 		}
 	}
 	instance := a.instances[name]
