--- a/cmd/maddergap/bench.go
+++ b/cmd/maddergap/bench.go
@@ -11,6 +11,7 @@
 	"maddergap/internal/soak"
 )
 
+// benchCmd compares an instance with a reverse proxy. With --proxy it runs that proxy instead.
 type benchCmd struct {
 	Clients int           `default:"64" help:"Clients with kept-alive connections."`
 	Length  time.Duration `name:"turn" default:"3s" help:"Length of one measurement."`
@@ -22,13 +23,13 @@
 	Target  string        `hidden:"" help:"With --proxy, where it forwards to."`
 }
 
-// Run runs the measurements that --only names.
+// Run runs the measurements that --only selects, or the proxy.
 func (c *benchCmd) Run(io *streams) error {
 	if c.Proxy != "" {
 		return bench.Proxy(c.Proxy, c.Target)
 	}
 	if c.Clients < 1 || c.Repeats < 1 || c.Length <= 0 || c.Size < 0 || c.Stream < 1 {
-		return usageError{errors.New("--clients, --turns, --turn and --stream want more than nothing")}
+		return usageError{errors.New("--clients, --turns, --turn and --stream must be greater than 0, and --size must not be negative")}
 	}
 	exe, err := os.Executable()
 	if err != nil {
@@ -51,12 +52,13 @@
 	return nil
 }
 
-// measurement is one kind of measurement, by its name in --only.
+// measurement is one kind of measurement.
 type measurement struct {
-	name string
+	name string // value of --only that selects it
 	run  func() error
 }
 
+// measurements returns all measurements in the order in which they run.
 func (c *benchCmd) measurements(exe, dir string, io *streams) []measurement {
 	o := bench.Options{Exe: exe, Dir: dir, Clients: c.Clients, Duration: c.Length, Repeats: c.Repeats, ResponseSize: c.Size, Out: io.out}
 	return []measurement{
--- a/cmd/maddergap/check.go
+++ b/cmd/maddergap/check.go
@@ -7,12 +7,14 @@
 	"maddergap/internal/daemon"
 )
 
+// checkCmd checks a configuration without serving.
 type checkCmd struct {
 	Config string `required:"" short:"c" type:"path" help:"Configuration file."`
 }
 
-// Run prints a summary of a good configuration. The error lists every mistake of a bad one, in
-// the order of the file.
+// Run prints a summary if the configuration and its node list are valid. Otherwise it returns an error
+// that lists all mistakes in the order of the file; the node list is checked only if the configuration
+// is valid.
 func (s *checkCmd) Run(io *streams) error {
 	c, err := config.Load(s.Config)
 	if err != nil {
--- a/cmd/maddergap/demo.go
+++ b/cmd/maddergap/demo.go
@@ -13,16 +13,17 @@
 	"maddergap/internal/nodelist"
 )
 
-// maxDemoNodes bounds the fake nodes of a demo.
+// maxDemoNodes is the largest number of fake nodes in a demo.
 const maxDemoNodes = 100
 
+// demoCmd runs an instance and its fake nodes in one process.
 type demoCmd struct {
 	Listen string `default:"127.0.0.1:8080" help:"Address to serve on."`
 	Nodes  int    `default:"4" help:"Fake nodes, one for each shard."`
 }
 
-// demoConf is the demo's configuration; operators may begin from it. Its verbs are the address
-// to listen on and, twice, the highest shard.
+// demoConf is the format of the demo's configuration, which operators may use as a starting point. Its
+// arguments are the address to listen on and, twice, the highest shard.
 const demoConf = `listen %s
 clients 512
 nodes nodes.list
@@ -42,7 +43,8 @@
 retry-after 1s
 `
 
-// Run serves with fake nodes of its own until SIGINT or SIGTERM.
+// Run starts the fake nodes and serves over them until SIGINT or SIGTERM. Once the instance listens, it
+// prints the one line that scripts wait for.
 func (c *demoCmd) Run(io *streams) error {
 	if c.Nodes < 1 || c.Nodes > maxDemoNodes {
 		return usageError{fmt.Errorf("--nodes is %d, want 1 to %d", c.Nodes, maxDemoNodes)}
--- a/cmd/maddergap/demo_test.go
+++ b/cmd/maddergap/demo_test.go
@@ -13,13 +13,13 @@
 	"testing"
 )
 
-// Scripts wait for the one line that demo prints once it serves. It prints no other one, and a
-// signal ends it with exit code 0.
+// Verifies that demo prints exactly one line, which scripts wait for, that it serves from then on, and
+// that SIGTERM or SIGINT ends it with exit code 0.
 func TestDemo(t *testing.T) {
 	for _, sig := range []syscall.Signal{syscall.SIGTERM, syscall.SIGINT} {
 		cmd := program(t, "demo", "--listen", "127.0.0.1:0")
-		var errs bytes.Buffer
-		cmd.Stderr = &errs
+		var stderr bytes.Buffer
+		cmd.Stderr = &stderr
 		pipe, err := cmd.StdoutPipe()
 		if err != nil {
 			t.Fatal(err)
@@ -30,29 +30,29 @@
 		out := bufio.NewReader(pipe)
 		line, err := out.ReadString('\n')
 		if err != nil || !regexp.MustCompile(`^ready http://127\.0\.0\.1:\d+/\n$`).MatchString(line) {
-			t.Fatalf("%q %v %s", line, err, errs.String())
+			t.Fatalf("got first line %q, error %v, want the ready line; standard error:\n%s", line, err, stderr.String())
 		}
 		url := strings.TrimSpace(strings.TrimPrefix(line, "ready "))
-		for _, v := range []string{"feed-a", "feed-b"} {
-			req, _ := http.NewRequest("PUT", url+v+"/segment", strings.NewReader("data"))
+		for _, volume := range []string{"feed-a", "feed-b"} {
+			req, _ := http.NewRequest("PUT", url+volume+"/segment", strings.NewReader("data"))
 			resp, err := http.DefaultClient.Do(req)
 			if err != nil || resp.StatusCode != 201 {
-				t.Fatalf("%v %v", resp, err)
+				t.Fatalf("PUT: got response %v, error %v, want status 201", resp, err)
 			}
 			resp.Body.Close()
 		}
 		cmd.Process.Signal(sig)
 		rest, _ := io.ReadAll(out)
 		if err := cmd.Wait(); err != nil || len(rest) > 0 {
-			t.Errorf("%v: %v, more output %q, %s", sig, err, rest, errs.String())
+			t.Errorf("after signal %v: got error %v, further output %q, want neither; standard error:\n%s", sig, err, rest, stderr.String())
 		}
 	}
 }
 
-// A newcomer runs the README's examples as they are printed.
+// Verifies that the README's examples work as they are printed, apart from the port of the demo.
 func TestReadmeExamples(t *testing.T) {
 	if _, err := exec.LookPath("curl"); err != nil {
-		t.Skip("no curl here")
+		t.Skip("curl is not installed")
 	}
 	text, err := os.ReadFile("../../README.md")
 	if err != nil {
@@ -61,7 +61,7 @@
 	_, block, found := strings.Cut(string(text), "```sh\n")
 	block, _, closed := strings.Cut(block, "```")
 	if !found || !closed || strings.Count(block, "curl") < 5 {
-		t.Fatalf("no examples: %q", block)
+		t.Fatalf("got first sh block %q, want at least 5 examples with curl", block)
 	}
 	cmd := program(t, "demo", "--listen", "127.0.0.1:0")
 	pipe, err := cmd.StdoutPipe()
--- a/cmd/maddergap/descriptors_test.go
+++ b/cmd/maddergap/descriptors_test.go
@@ -15,14 +15,15 @@
 	"maddergap/internal/loopback"
 )
 
-// Descriptors run out while requests are pending: the process's limit is lowered to what it has
-// open. Each request that was received gets one response, the instance neither ends nor spins on
-// the failing accept, and it recovers by itself once the limit is raised.
+// Verifies that an instance survives a lack of descriptors while requests are pending. The test lowers
+// the process's limit to the number of descriptors that are open, so that accept and connect fail. Each
+// request that was received still gets one response, the event loop does not spin on the failing
+// accept, and the instance recovers by itself once the limit is raised.
 func TestDescriptorsRunOut(t *testing.T) {
 	node := startNode(t, fakenode.Options{Cores: 8, QueueLimit: 64, UnitTime: 150 * time.Millisecond})
 	addr := loopback.Addr(99, 2, 18099)
 	pid := startInstance(t, addr, writeDemoConf(t, addr, node, nil)).Process.Pid
-	var early []net.Conn // connected before the limit was lowered, without a request yet
+	var early []net.Conn // connected before the limit is lowered
 	for range 6 {
 		early = append(early, dial(t, addr))
 	}
@@ -35,39 +36,40 @@
 		late = append(late, c)
 		sendPut(c, "/feed-a/late")
 	}
-	for i, c := range early[1:] { // so does connecting to the node
+	for i, c := range early[1:] { // connecting to the node fails at the limit
 		sendPut(c, fmt.Sprint("/feed-a/held", i))
 	}
 	before := cpuTicks(t, pid)
 	time.Sleep(time.Second)
 	if used := cpuTicks(t, pid) - before; used > 30 {
-		t.Errorf("%d hundredths of a second of CPU in a second: the loop spins", used)
+		t.Errorf("used %d hundredths of a second of CPU time in 1 s, want at most 30: the event loop spins", used)
 	}
 	if status := statusOf(t, early[0]); status != 201 {
-		t.Errorf("the pending request got %d", status)
+		t.Errorf("request pending when the limit was lowered: got status %d, want 201", status)
 	}
 	statuses := map[int]int{}
 	for _, c := range early[1:] {
 		statuses[statusOf(t, c)]++
 	}
 	if statuses[201]+statuses[503] != len(early)-1 {
-		t.Errorf("responses under the limit: %v, want 201 or 503 alone", statuses)
+		t.Errorf("requests sent under the lowered limit: got counts by status %v, want only 201 and 503", statuses)
 	}
 	raiseLimit()
-	for _, c := range late { // they were in the listen queue
+	for _, c := range late { // these waited in the listen queue
 		if status := statusOf(t, c); status != 201 && status != 204 && status != 503 {
-			t.Errorf("after the limit was raised: %d", status)
+			t.Errorf("connection accepted after the limit was raised: got status %d, want 201, 204 or 503", status)
 		}
 	}
 	c := dial(t, addr)
 	sendPut(c, "/feed-a/well")
 	if status := statusOf(t, c); status != 201 {
-		t.Errorf("a new request after the limit was raised: %d", status)
+		t.Errorf("new connection after the limit was raised: got status %d, want 201", status)
 	}
 	checkExecutedOnce(t, node, "/feed-a/late")
 }
 
-// statusOf reads the one response of a connection; having none is a failure.
+// statusOf reads a response from a connection and returns its status. The test fails if none comes
+// within 15 s.
 func statusOf(t *testing.T, c net.Conn) int {
 	t.Helper()
 	c.SetReadDeadline(time.Now().Add(15 * time.Second))
@@ -78,8 +80,8 @@
 	return status
 }
 
-// lowerDescriptorLimit lowers a process's limit to the descriptors that it has open. raise
-// restores it.
+// lowerDescriptorLimit lowers a process's descriptor limit to the number of descriptors that it has
+// open. raise restores the former limit.
 func lowerDescriptorLimit(t *testing.T, pid int) (raise func()) {
 	t.Helper()
 	open, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid))
@@ -100,15 +102,15 @@
 	return func() { setLimit(old) }
 }
 
-// cpuTicks is the user and system time of a process in hundredths of a second.
+// cpuTicks returns the sum of a process's user and system time, in hundredths of a second.
 func cpuTicks(t *testing.T, pid int) int {
 	t.Helper()
-	b, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
+	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := strings.Fields(string(b[strings.LastIndexByte(string(b), ')')+1:]))
+	fields := strings.Fields(string(stat[strings.LastIndexByte(string(stat), ')')+1:])) // after the name
 	var user, system int
-	fmt.Sscan(f[11]+" "+f[12], &user, &system)
+	fmt.Sscan(fields[11]+" "+fields[12], &user, &system)
 	return user + system
 }
--- a/cmd/maddergap/flood.go
+++ b/cmd/maddergap/flood.go
@@ -11,6 +11,8 @@
 	"maddergap/internal/loopback"
 )
 
+// floodCmd floods a running instance, or starts instances and measures how they serve well-behaved
+// clients during a flood.
 type floodCmd struct {
 	Target  string        `help:"Instance to flood, a loopback address; without it instances of its own are measured: calm, flooded, and flooded with admission off."`
 	Path    string        `default:"/feed-a/segment" help:"Path that is read."`
@@ -27,13 +29,13 @@
 
 const (
 	maxFloodSources = 50_000
-	maxFloodClients = 1000 // of known clients, and of others
-	// Instances of its own listen on this network of the process's loopback addresses.
+	maxFloodClients = 1000 // limit for the known clients, and for the others
+	// floodNetwork is the network argument of loopback.Addr for the instances that floodCmd starts.
 	floodNetwork = 97
 	floodPort    = 18000
 )
 
-// Run floods the target, or measures instances of its own.
+// Run floods the target, or starts and measures instances if there is no target.
 func (c *floodCmd) Run(io *streams) error {
 	if err := c.check(); err != nil {
 		return err
@@ -44,15 +46,16 @@
 	return c.measureAll(io)
 }
 
+// check checks the numbers of sources and clients.
 func (c *floodCmd) check() error {
-	clientsOK := func(n int) bool { return n >= 0 && n <= maxFloodClients }
-	if c.Sources < 1 || c.Sources > maxFloodSources || !clientsOK(c.Known) || !clientsOK(c.Others) {
-		return usageError{errors.New("--sources wants 1 to 50000, --known and --others 0 to 1000")}
+	isClientCount := func(n int) bool { return n >= 0 && n <= maxFloodClients }
+	if c.Sources < 1 || c.Sources > maxFloodSources || !isClientCount(c.Known) || !isClientCount(c.Others) {
+		return usageError{errors.New("--sources must be between 1 and 50000, --known and --others between 0 and 1000")}
 	}
 	return nil
 }
 
-// options are those of a flood of c.Target.
+// options returns the options of a flood of c.Target with well-behaved clients.
 func (c *floodCmd) options() flood.Options {
 	return flood.Options{
 		Target:         c.Target,
@@ -68,7 +71,7 @@
 	}
 }
 
-// floodTarget floods an instance that runs already.
+// floodTarget floods the running instance at c.Target and prints the result.
 func (c *floodCmd) floodTarget(io *streams) error {
 	result, err := flood.Run(c.options())
 	if err != nil {
@@ -83,16 +86,18 @@
 	return nil
 }
 
-// floodRun is one measurement of an instance of its own.
+// floodRun describes one measurement. Each is made on a newly started instance.
 type floodRun struct {
-	name     string
-	admit    string // the admission directives of its configuration
-	attempts int    // connections of the flood; 0 for none
-	// aside floods a second instance, which shows what a flood takes from the machine and not
-	// from the instance that is measured.
-	aside bool
+	name                string
+	admissionDirectives string // admission directives of the instance's configuration
+	attempts            int    // number of connections that the flood tries; 0 for no flood
+	// besideFlood directs the flood at a second instance. The measured instance is then
+	// affected only by the flood's load on the machine.
+	besideFlood bool
 }
 
+// runs returns the measurements in the order in which they are made. printRun compares the floods with
+// the two earlier ones.
 func (c *floodCmd) runs() []floodRun {
 	return []floodRun{
 		{"calm", admissionConf, 0, false},
@@ -102,8 +107,9 @@
 	}
 }
 
-// measureAll measures instances of its own and prints how known clients fare, by the 99th
-// percentile of their latency, against a calm one and against one beside a flooded one.
+// measureAll makes all measurements and prints the results. The 99th percentile of the known clients'
+// latency is compared with that at an instance without a flood, and with that at an instance while
+// another one is flooded.
 func (c *floodCmd) measureAll(io *streams) error {
 	node, err := fakenode.Start(fakenode.Options{Listen: "127.0.0.1:0", Name: "n0", Cores: 16, QueueLimit: 1024, UnitTime: 2 * time.Millisecond, DiscardRecord: true})
 	if err != nil {
@@ -111,7 +117,7 @@
 	}
 	defer node.Close()
 	fmt.Fprintf(io.out, "%s from %d addresses, %d tries, %d at once, %v; %d known clients\n", c.Pattern, c.Sources, c.Tries, c.AtOnce, c.Length, c.Known)
-	var calm, aside int64
+	var calm, besideFlood int64 // 99th percentiles, in microseconds
 	for i, run := range c.runs() {
 		m, err := c.measure(loopback.Addr(floodNetwork, i+1, floodPort), run, node.Addr())
 		if err != nil {
@@ -120,16 +126,17 @@
 		switch {
 		case run.attempts == 0:
 			calm = max(m.knownP99(), 1)
-		case run.aside:
-			aside = max(m.knownP99(), 1)
+		case run.besideFlood:
+			besideFlood = max(m.knownP99(), 1)
 		}
-		c.printRun(io, run, m, calm, aside)
+		c.printRun(io, run, m, calm, besideFlood)
 	}
 	return nil
 }
 
-// printRun prints a measurement beside the latencies of the calm one and of the one aside.
-func (c *floodCmd) printRun(io *streams, run floodRun, m *floodMeasurement, calm, aside int64) {
+// printRun prints a measurement. calm and besideFlood are the latencies, in microseconds, that it
+// is compared with: without a flood, and with the flood directed at another instance.
+func (c *floodCmd) printRun(io *streams, run floodRun, m *floodMeasurement, calm, besideFlood int64) {
 	fmt.Fprintln(io.out, run.name+":")
 	if run.attempts > 0 {
 		m.Flood.Write(io.out, "flood")
@@ -140,9 +147,9 @@
 	}
 	fmt.Fprintf(io.out, "  known served %.1f%%, p99 of connect and answer %.2f times calm; head: %.0f%% of a CPU",
 		100*float64(m.Known.Served)/float64(max(m.Known.Attempts, 1)), float64(m.knownP99())/float64(calm), 100*m.cpuShare)
-	if run.attempts > 0 && !run.aside {
+	if run.attempts > 0 && !run.besideFlood {
 		rejected := m.Flood.Rejected + m.Flood.Closed
-		fmt.Fprintf(io.out, ", %.2f times as beside a flood of another", float64(m.knownP99())/float64(aside))
+		fmt.Fprintf(io.out, ", %.2f times as beside a flood of another", float64(m.knownP99())/float64(besideFlood))
 		fmt.Fprintf(io.out, ", %.0f turned away a CPU second, known clients' answers with it", float64(rejected)/m.cpuSeconds)
 	}
 	fmt.Fprintln(io.out)
--- a/cmd/maddergap/flood_measure.go
+++ b/cmd/maddergap/flood_measure.go
@@ -13,7 +13,7 @@
 	"maddergap/internal/subprocess"
 )
 
-// floodConf is the configuration of an instance that is measured. Its verbs are the address to
+// floodConf is the format of the configuration of a measured instance. Its arguments are the address to
 // listen on and the admission directives.
 const floodConf = `listen %s
 nodes nodes.list
@@ -26,28 +26,30 @@
 clients 600
 %s`
 
+// admissionConf holds the directives that turn admission control on and list the known clients.
 const admissionConf = `admit address 16 wide 256 reserve 200 address-rate 50 address-burst 50 wide-rate 500 wide-burst 500
 known 127.9.0.0/16
 `
 
-// asideHost is the last byte of the address where the second instance of a floodRun listens. It is
-// none of the addresses of the runs.
-const asideHost = 9
+// secondInstanceHost is the last byte of the address of a floodRun's second instance. It must differ
+// from the last byte in each measured instance's address, which is the number of the run, from 1.
+const secondInstanceHost = 9
 
-// floodMeasurement is what a floodRun measured.
+// floodMeasurement is the result of a floodRun.
 type floodMeasurement struct {
 	*flood.Result
-	cpuShare   float64 // of one CPU that the instance used
-	cpuSeconds float64 // that the instance used
+	cpuShare   float64 // CPU time of the instance as a fraction of the elapsed time
+	cpuSeconds float64 // CPU time of the instance, at least 1 ms
 }
 
-// knownP99 is the 99th percentile of the time that a known client took to connect and to get its
-// response, in microseconds.
+// knownP99 returns the 99th percentile of the known clients' connect times plus the 99th percentile of
+// their response times, in microseconds.
 func (m *floodMeasurement) knownP99() int64 {
 	return m.Known.ResponseTime.ValueAtQuantile(99) + m.Known.ConnectTime.ValueAtQuantile(99)
 }
 
-// measure runs an instance at addr, floods it or one beside it, and measures its known clients.
+// measure starts an instance at addr, directs the flood of run at it or at a second instance, and
+// measures the clients and the CPU time of the first. node is the address of its storage node.
 func (c *floodCmd) measure(addr string, run floodRun, node string) (*floodMeasurement, error) {
 	dir, err := os.MkdirTemp("", "maddergap-flood-")
 	if err != nil {
@@ -61,24 +63,24 @@
 	if err != nil {
 		return nil, err
 	}
-	instance, err := startFloodInstance(exe, filepath.Join(dir, "m.conf"), addr, run.admit)
+	instance, err := startFloodInstance(exe, filepath.Join(dir, "m.conf"), addr, run.admissionDirectives)
 	if err != nil {
 		return nil, err
 	}
 	defer instance.Kill()
 	options := c.options()
 	options.Target, options.Attempts = addr, run.attempts
-	flooded := options
-	if run.aside {
-		flooded.Target = loopback.Addr(floodNetwork, asideHost, floodPort)
-		second, err := startFloodInstance(exe, filepath.Join(dir, "other.conf"), flooded.Target, run.admit)
+	floodOptions := options
+	if run.besideFlood {
+		floodOptions.Target = loopback.Addr(floodNetwork, secondInstanceHost, floodPort)
+		second, err := startFloodInstance(exe, filepath.Join(dir, "other.conf"), floodOptions.Target, run.admissionDirectives)
 		if err != nil {
 			return nil, err
 		}
 		defer second.Kill()
 	}
 	startedAt := time.Now()
-	result, err := runFlood(options, flooded, exe)
+	result, err := runFlood(options, floodOptions, exe)
 	if err != nil {
 		return nil, usageError{err}
 	}
@@ -90,27 +92,28 @@
 	return &floodMeasurement{Result: result, cpuShare: cpu / elapsed.Seconds(), cpuSeconds: max(cpu, 1e-3)}, nil
 }
 
-// startFloodInstance writes a configuration and starts an instance with it.
-func startFloodInstance(exe, file, addr, admit string) (*subprocess.Process, error) {
-	text := fmt.Sprintf(floodConf, addr, admit)
+// startFloodInstance writes an instance's configuration to file and starts the instance.
+func startFloodInstance(exe, file, addr, admissionDirectives string) (*subprocess.Process, error) {
+	text := fmt.Sprintf(floodConf, addr, admissionDirectives)
 	if err := os.WriteFile(file, []byte(text), 0o644); err != nil {
 		return nil, err
 	}
 	return subprocess.Start(addr, nil, exe, "serve", "--config", file)
 }
 
-// runFlood runs the clients of options and, beside them, the flood of flooded, if it has attempts.
-// The flood is a process of its own: its goroutines would delay the clients that are measured.
-func runFlood(options, flooded flood.Options, exe string) (*flood.Result, error) {
+// runFlood runs the well-behaved clients of options. If floodOptions has attempts, it runs that flood at
+// the same time. The flood runs in a separate process, because its goroutines would delay the clients
+// and so distort their latency.
+func runFlood(options, floodOptions flood.Options, exe string) (*flood.Result, error) {
 	result := &flood.Result{}
 	floodDone := make(chan error, 1)
 	go func() {
-		if flooded.Attempts == 0 {
+		if floodOptions.Attempts == 0 {
 			floodDone <- nil
 			return
 		}
 		var err error
-		result.Flood, err = flood.RunProcess(flooded, exe)
+		result.Flood, err = flood.RunProcess(floodOptions, exe)
 		floodDone <- err
 	}()
 	clientsOnly := options
--- a/cmd/maddergap/helpers_test.go
+++ b/cmd/maddergap/helpers_test.go
@@ -16,11 +16,11 @@
 	"maddergap/internal/nodelist"
 )
 
-// startNode starts a fake node, whose listen address and name are set here, until the test ends.
-func startNode(t *testing.T, o fakenode.Options) *fakenode.Node {
+// startNode starts a fake node and closes it when the test ends. It sets Listen and Name in the options.
+func startNode(t *testing.T, options fakenode.Options) *fakenode.Node {
 	t.Helper()
-	o.Listen, o.Name = "127.0.0.1:0", "n0"
-	node, err := fakenode.Start(o)
+	options.Listen, options.Name = "127.0.0.1:0", "n0"
+	node, err := fakenode.Start(options)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -28,8 +28,8 @@
 	return node
 }
 
-// writeDemoConf writes the demo's configuration for addr and a single node, as edit changes it,
-// and returns its file. edit may be nil.
+// writeDemoConf writes the demo's configuration for addr and a single node, and returns the file's name.
+// Unless edit is nil, it is applied to the text of the configuration first.
 func writeDemoConf(t *testing.T, addr string, node *fakenode.Node, edit func(string) string) (file string) {
 	t.Helper()
 	dir := t.TempDir()
@@ -47,8 +47,8 @@
 	return file
 }
 
-// startInstance starts an instance and waits until it listens on addr. It is killed when the
-// test ends, if it still runs.
+// startInstance starts an instance with the configuration file conf and waits until it listens on addr.
+// If the instance still runs when the test ends, it is killed.
 func startInstance(t *testing.T, addr, conf string) *exec.Cmd {
 	t.Helper()
 	cmd := program(t, "serve", "--config", conf)
@@ -69,12 +69,12 @@
 			return
 		}
 		if time.Now().After(deadline) {
-			t.Fatal("the instance does not listen")
+			t.Fatal("the instance does not listen after 10 s")
 		}
 	}
 }
 
-// dial connects to an instance until the test ends.
+// dial connects to an instance. The connection is closed when the test ends.
 func dial(t *testing.T, addr string) net.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
@@ -85,12 +85,12 @@
 	return c
 }
 
-// sendPut sends a write of one byte.
+// sendPut sends a PUT with a body of one byte. It does not read the response.
 func sendPut(c net.Conn, path string) {
 	fmt.Fprintf(c, "PUT %s HTTP/1.1\r\nHost: h\r\nContent-Length: 1\r\n\r\nx", path)
 }
 
-// readStatus reads a response and returns its status, or 0 and why there is none.
+// readStatus reads a response and returns its status, or 0 and an error if there is none.
 func readStatus(r *bufio.Reader) (int, error) {
 	resp, err := http.ReadResponse(r, nil)
 	if err != nil {
@@ -100,15 +100,15 @@
 	return resp.StatusCode, nil
 }
 
-// checkExecutedOnce fails for each path that a node has executed more than once, except for
-// those that were sent more than once, and returns how many paths there are.
-func checkExecutedOnce(t *testing.T, node *fakenode.Node, sentAgain ...string) (paths int) {
+// checkExecutedOnce reports an error for each path that the node has recorded more than once, except for
+// the paths in reused, which the test itself sends several times. It returns the number of paths.
+func checkExecutedOnce(t *testing.T, node *fakenode.Node, reused ...string) (paths int) {
 	t.Helper()
 	executed := map[string]int{}
 	for _, entry := range node.Entries() {
 		executed[entry.Path]++
-		if executed[entry.Path] > 1 && !slices.Contains(sentAgain, entry.Path) {
-			t.Errorf("%s was executed twice", entry.Path)
+		if executed[entry.Path] > 1 && !slices.Contains(reused, entry.Path) {
+			t.Errorf("%s was executed more than once", entry.Path)
 		}
 	}
 	return len(executed)
--- a/cmd/maddergap/main.go
+++ b/cmd/maddergap/main.go
@@ -11,14 +11,14 @@
 	"github.com/alecthomas/kong"
 )
 
-// Exit codes.
+// Exit codes of the program.
 const (
 	exitOK    = 0
 	exitError = 1
 	exitUsage = 2
 )
 
-// cli are the subcommands. badday is the former name of scenario.
+// cli declares the subcommands. badday is the former name of scenario and still accepted.
 type cli struct {
 	Serve    serveCmd    `cmd:"" help:"Run a gateway instance (a head)."`
 	Check    checkCmd    `cmd:"" help:"Check a configuration and its node list, and report every mistake."`
@@ -31,18 +31,18 @@
 	Version  versionCmd  `cmd:"" help:"Print the version."`
 }
 
-// usageError is a mistake in the command line or in what it names; the exit code is exitUsage.
+// usageError wraps the error for a mistake in the command line. It makes the exit code exitUsage.
 type usageError struct{ error }
 
-// streams are the standard output and error of a command.
+// streams holds the standard output and standard error of a command.
 type streams struct{ out, err io.Writer }
 
 func main() { os.Exit(run(os.Args[1:], os.Stdout, os.Stderr)) }
 
-// run runs one command line and returns its exit code.
+// run executes a command line and returns the exit code.
 func run(args []string, stdout, stderr io.Writer) int {
 	var commands cli
-	helpExit := -1 // the exit code of a help flag, which is served while parsing
+	helpExit := -1 // exit code after --help, which is handled while parsing; -1 if it is not given
 	parser, err := kong.New(&commands,
 		kong.Name("maddergap"),
 		kong.Description("A storage gateway that keeps seven rules."),
@@ -69,6 +69,7 @@
 	return exitOK
 }
 
+// exitCode returns the exit code for an error of a command.
 func exitCode(err error) int {
 	if errors.As(err, new(usageError)) {
 		return exitUsage
--- a/cmd/maddergap/main_test.go
+++ b/cmd/maddergap/main_test.go
@@ -10,8 +10,8 @@
 	"testing"
 )
 
-// asProgram is the environment variable that makes the test binary run as the program, so that
-// tests can start it as processes.
+// asProgram is the environment variable that makes the test binary behave as the program, so that tests
+// can start the program as a process.
 const asProgram = "MADDERGAP_TEST_AS_PROGRAM"
 
 func TestMain(m *testing.M) {
@@ -21,7 +21,7 @@
 	os.Exit(m.Run())
 }
 
-// program is a command line of the program as a process.
+// program returns a command that runs the program as a process with these arguments.
 func program(t *testing.T, args ...string) *exec.Cmd {
 	t.Helper()
 	cmd := exec.Command(os.Args[0], args...)
@@ -29,8 +29,8 @@
 	return cmd
 }
 
-// Scripts of operators rely on the exit codes: 0 for success, 1 for a failure, 2 for a mistake in
-// the command line. What a command prints goes to the right stream.
+// Verifies the exit codes that operators' scripts rely on: 0 for success, 1 for a failure, 2 for a
+// mistake in the command line. Also verifies that output and errors go to the right stream.
 func TestExitCodes(t *testing.T) {
 	dir := t.TempDir()
 	write := func(name, text string) string {
@@ -44,7 +44,7 @@
 	write("nodes.list", "node n0 127.0.0.1:1 shard 0 state serving\nnode n1 127.0.0.1:2 shard 1 state serving\n")
 	fine := write("fine.conf", good)
 	bad := write("bad.conf", strings.Replace(good, "effect unsafe", "effect wild", 1))
-	thin := write("thin.conf", strings.Replace(good, "shards 0-1", "shards 0-2", 1))
+	missingShard := write("thin.conf", strings.Replace(good, "shards 0-1", "shards 0-2", 1))
 	for _, c := range []struct {
 		args string
 		code int
@@ -55,7 +55,7 @@
 		{"--help", 0, "Usage: maddergap", ""},
 		{"check --config " + fine, 0, "good; 2 volumes, 3 classes", ""},
 		{"check --config " + bad, 1, "", "bad.conf:6: class: effect is \"wild\""},
-		{"check --config " + thin, 1, "", "no node has shard 2 of volume feed-a"},
+		{"check --config " + missingShard, 1, "", "no node has shard 2 of volume feed-a"},
 		{"check --config " + filepath.Join(dir, "none"), 1, "", "no such file"},
 		{"check", 2, "", "missing flags"},
 		{"frobnicate", 2, "", "unexpected argument frobnicate"},
@@ -69,7 +69,7 @@
 	} {
 		var out, errs bytes.Buffer
 		if code := run(strings.Fields(c.args), &out, &errs); code != c.code || !strings.Contains(out.String(), c.out) || !strings.Contains(errs.String(), c.err) {
-			t.Errorf("%s: code %d, out %.200q, err %.300q", c.args, code, out.String(), errs.String())
+			t.Errorf("%s: got code %d, standard output %.200q, standard error %.300q", c.args, code, out.String(), errs.String())
 		}
 	}
 }
--- a/examples/first/main.go
+++ b/examples/first/main.go
@@ -1,4 +1,5 @@
-// Command first gives a scheduler one node and one request, and prints the actions.
+// Command first passes an endpoint list of one node and one request to a scheduler, and prints the
+// actions that the scheduler returns.
 package main
 
 import (
