--- a/cmd/maddergap/misbehaving_peers_test.go
+++ b/cmd/maddergap/misbehaving_peers_test.go
@@ -13,21 +13,22 @@
 	"time"
 )
 
-// misbehavingNode is a storage node that responds as it should about half of the time.
+// misbehavingNode is a storage node that responds correctly to about half of its requests.
 type misbehavingNode struct {
 	listener net.Listener
 
-	mu      sync.Mutex
-	rand    *rand.Rand
-	written map[string]int // how often a write was executed, by path
+	mu             sync.Mutex
+	rand           *rand.Rand
+	executionCount map[string]int // number of executions of a write, by path
 }
 
+// startMisbehavingNode starts a node on a free port. It accepts connections until its listener is closed.
 func startMisbehavingNode(seed uint64) (*misbehavingNode, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	n := &misbehavingNode{listener: listener, rand: rand.New(rand.NewPCG(seed, 1)), written: map[string]int{}}
+	n := &misbehavingNode{listener: listener, rand: rand.New(rand.NewPCG(seed, 1)), executionCount: map[string]int{}}
 	go func() {
 		for {
 			c, err := listener.Accept()
@@ -40,19 +41,21 @@
 	return n, nil
 }
 
-// executions returns how often each write was executed.
+// executions returns the number of executions of each write, by path.
 func (n *misbehavingNode) executions() map[string]int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return maps.Clone(n.written)
+	return maps.Clone(n.executionCount)
 }
 
-func (n *misbehavingNode) draw(count int) int {
+// randomInt returns a random number from 0 to limit-1.
+func (n *misbehavingNode) randomInt(limit int) int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.rand.IntN(count)
+	return n.rand.IntN(limit)
 }
 
+// serve handles the requests of a connection, each with a random behaviour.
 func (n *misbehavingNode) serve(c net.Conn) {
 	defer c.Close()
 	in := bufio.NewReader(c)
@@ -61,8 +64,8 @@
 		if err != nil {
 			return
 		}
-		behaviour := n.draw(26)
-		if behaviour == 0 && r.ContentLength > 0 { // early, without the body
+		behaviour := n.randomInt(26)
+		if behaviour == 0 && r.ContentLength > 0 { // responds and closes before it reads the body
 			io.WriteString(c, "HTTP/1.1 409 Conflict\r\nContent-Length: 0\r\n\r\n")
 			time.Sleep(10 * time.Millisecond)
 			return
@@ -76,12 +79,13 @@
 	}
 }
 
-// respond carries out one behaviour, and reports whether the connection goes on.
+// respond responds to a request that was read in full, as the behaviour says. A behaviour without a case
+// of its own is a correct response. respond reports whether the connection can be used again.
 func (n *misbehavingNode) respond(c net.Conn, r *http.Request, behaviour int) bool {
 	const notRun = 1
 	if r.Method == "PUT" && behaviour != notRun {
 		n.mu.Lock()
-		n.written[r.URL.Path]++
+		n.executionCount[r.URL.Path]++
 		n.mu.Unlock()
 	}
 	status := "200 OK"
@@ -103,11 +107,11 @@
 	case 4:
 		resetConn(c)
 		return false
-	case 5: // the header comes with its reset
+	case 5: // resets the connection right after the header and a part of the body
 		io.WriteString(c, header+"Content-Length: 1000\r\n\r\nab")
 		resetConn(c)
 		return false
-	case 6: // a malformed chunk comes with the header
+	case 6: // sends a malformed chunk together with the header
 		io.WriteString(c, header+"Transfer-Encoding: chunked\r\n\r\nzz\r\n")
 		return false
 	case 7:
@@ -116,16 +120,16 @@
 	case 8:
 		io.WriteString(c, header+"Content-Length: 5\r\n\r\nhello"+header+"Content-Length: 5\r\n\r\nworld")
 		return true
-	case 9: // closes in the middle
+	case 9: // closes between header and body
 		io.WriteString(c, header+"Content-Length: 1000\r\n\r\n")
 		time.Sleep(30 * time.Millisecond)
 		return false
 	case 10:
 		time.Sleep(2500 * time.Millisecond)
 		return false
-	case 11, 12, 13: // dribbles, past the end of a shutdown too
+	case 11, 12, 13: // sends the body so slowly that it can outlast a shutdown
 		io.WriteString(c, header+"Transfer-Encoding: chunked\r\n\r\n")
-		for range 10 + n.draw(100) {
+		for range 10 + n.randomInt(100) {
 			if _, err := io.WriteString(c, "5\r\nhello\r\n"); err != nil {
 				return false
 			}
@@ -146,77 +150,82 @@
 	return true
 }
 
+// resetConn closes a connection with a reset (RST).
 func resetConn(c net.Conn) {
 	c.(*net.TCPConn).SetLinger(0)
 	c.Close()
 }
 
-// peers are the clients of one instance.
-type peers struct {
+// clientLoad runs the well-behaved and the misbehaving clients of one instance.
+type clientLoad struct {
 	addr    string
 	seed    uint64
 	running sync.WaitGroup
 
-	mu         sync.Mutex
-	signalled  time.Time // when the instance was first told to stop; zero: it was not
-	stopped    bool      // no further request is begun
-	violations []string
-	answered   int
-	paths      int
+	mu            sync.Mutex
+	signalledAt   time.Time // time at which the instance was first told to stop; zero before that
+	stopped       bool      // set when clients must start no further request
+	violations    []string  // errors that the clients found
+	responseCount int       // responses to well-behaved clients
+	pathCount     int       // paths that path has returned
 }
 
-func (p *peers) violation(format string, args ...any) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.violations = append(p.violations, fmt.Sprintf(format, args...))
+// violation records an error that a client found.
+func (l *clientLoad) violation(format string, args ...any) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.violations = append(l.violations, fmt.Sprintf(format, args...))
 }
 
-func (p *peers) over() bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.stopped
+// isStopped reports whether the clients must stop.
+func (l *clientLoad) isStopped() bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.stopped
 }
 
-func (p *peers) wasSignalled() bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return !p.signalled.IsZero()
+// wasSignalled reports whether the instance was told to stop.
+func (l *clientLoad) wasSignalled() bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return !l.signalledAt.IsZero()
 }
 
-// path returns a path that no other request has.
-func (p *peers) path(prefix string) string {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.paths++
-	return fmt.Sprintf("/feed-a/%s/%d", prefix, p.paths)
+// path returns a path that is used for one request only.
+func (l *clientLoad) path(prefix string) string {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.pathCount++
+	return fmt.Sprintf("/feed-a/%s/%d", prefix, l.pathCount)
 }
 
-func (p *peers) start(wellBehaved, rude int) {
+// start starts clients of both kinds. They run until stopped is set or the instance refuses connections.
+func (l *clientLoad) start(wellBehaved, misbehaving int) {
 	for i := range wellBehaved {
-		p.running.Go(func() { p.runWellBehaved(rand.New(rand.NewPCG(p.seed, uint64(10+i)))) })
+		l.running.Go(func() { l.runWellBehavedClient(rand.New(rand.NewPCG(l.seed, uint64(10+i)))) })
 	}
-	for i := range rude {
-		p.running.Go(func() { p.runRude(rand.New(rand.NewPCG(p.seed, uint64(100+i)))) })
+	for i := range misbehaving {
+		l.running.Go(func() { l.runMisbehavingClient(rand.New(rand.NewPCG(l.seed, uint64(100+i)))) })
 	}
 }
 
-// runWellBehaved sends whole requests, reads their responses, and sends further ones on a
-// connection that stays open.
-func (p *peers) runWellBehaved(r *rand.Rand) {
+// runWellBehavedClient sends complete requests and reads their responses. It uses a connection for
+// several requests if the connection stays open.
+func (l *clientLoad) runWellBehavedClient(r *rand.Rand) {
 	var c net.Conn
 	var in *bufio.Reader
-	for sent := 0; !p.over(); sent++ {
+	for sent := 0; !l.isStopped(); sent++ {
 		if c == nil || r.IntN(4) == 0 {
 			if c != nil {
 				c.Close()
 			}
 			var err error
-			if c, err = net.DialTimeout("tcp", p.addr, time.Second); err != nil {
-				return // the listener is closed
+			if c, err = net.DialTimeout("tcp", l.addr, time.Second); err != nil {
+				return // the instance no longer listens
 			}
 			in, sent = bufio.NewReader(c), 0
 		}
-		if !p.sendWhole(r, c, in, sent == 0) {
+		if !l.sendComplete(r, c, in, sent == 0) {
 			c.Close()
 			c = nil
 		}
@@ -226,91 +235,93 @@
 	}
 }
 
-// sendWhole sends one request and reads its response. It reports whether the connection can be
-// used again.
-func (p *peers) sendWhole(r *rand.Rand, c net.Conn, in *bufio.Reader, first bool) (reusable bool) {
-	method, text := p.wholeRequest(r)
+// sendComplete sends one complete request and reads its response. It reports whether the connection can
+// be used again. first says that the request is the first on its connection.
+func (l *clientLoad) sendComplete(r *rand.Rand, c net.Conn, in *bufio.Reader, first bool) (reusable bool) {
+	method, text := l.completeRequest(r)
 	halfClose := r.IntN(8) == 0
 	if halfClose {
 		defer func() { reusable = false }()
 	}
 	c.SetDeadline(time.Now().Add(8 * time.Second))
-	began, signalledBefore := time.Now(), p.wasSignalled()
+	startedAt, signalledBefore := time.Now(), l.wasSignalled()
 	io.WriteString(c, text)
 	if halfClose {
 		c.(*net.TCPConn).CloseWrite()
 	}
 	response, err := http.ReadResponse(in, &http.Request{Method: method})
 	if err != nil {
-		// A connection may be closed under its next request while the instance stops.
-		if first || !signalledBefore && !p.wasSignalled() {
-			p.violation("%s (%.60q), first on its connection: %v, half-closed: %v, no response after %v: %v",
-				method, text, first, halfClose, time.Since(began).Round(time.Millisecond), err)
+		// While the instance shuts down, it may close an idle connection just as the next request arrives.
+		if first || !signalledBefore && !l.wasSignalled() {
+			l.violation("%s (%.60q), first on its connection: %v, half-closed: %v: no response after %v: %v",
+				method, text, first, halfClose, time.Since(startedAt).Round(time.Millisecond), err)
 		}
 		return false
 	}
 	_, err = io.Copy(io.Discard, response.Body)
-	p.mu.Lock()
-	p.answered++
-	p.mu.Unlock()
+	l.mu.Lock()
+	l.responseCount++
+	l.mu.Unlock()
 	return err == nil && !response.Close
 }
 
-// wholeRequest draws a request.
-func (p *peers) wholeRequest(r *rand.Rand) (method, text string) {
+// completeRequest returns a random request and its method.
+func (l *clientLoad) completeRequest(r *rand.Rand) (method, text string) {
 	end := []string{"\r\n\r\n", "\r\nConnection: close\r\n\r\n"}[r.IntN(2)]
 	switch r.IntN(6) {
 	case 0:
-		return "PUT", fmt.Sprintf("PUT %s HTTP/1.1\r\nHost: h\r\nContent-Length: 100%s%s", p.path("small"), end, strings.Repeat("x", 100))
+		return "PUT", fmt.Sprintf("PUT %s HTTP/1.1\r\nHost: h\r\nContent-Length: 100%s%s", l.path("small"), end, strings.Repeat("x", 100))
 	case 1:
-		return "PUT", fmt.Sprintf("PUT %s HTTP/1.1\r\nHost: h\r\nContent-Length: 100000%s%s", p.path("long"), end, strings.Repeat("x", 100_000))
+		return "PUT", fmt.Sprintf("PUT %s HTTP/1.1\r\nHost: h\r\nContent-Length: 100000%s%s", l.path("long"), end, strings.Repeat("x", 100_000))
 	case 2:
-		return "PUT", fmt.Sprintf("PUT %s HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked%s3e8\r\n%s\r\n0\r\n\r\n", p.path("chunked"), end, strings.Repeat("x", 1000))
+		return "PUT", fmt.Sprintf("PUT %s HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked%s3e8\r\n%s\r\n0\r\n\r\n", l.path("chunked"), end, strings.Repeat("x", 1000))
 	case 3:
 		return "PROPFIND", "PROPFIND /feed-b/ HTTP/1.1\r\nHost: h\r\nDepth: 1" + end
 	}
-	return "GET", fmt.Sprintf("GET %s HTTP/1.1\r\nHost: h%s", p.path("read"), end)
+	return "GET", fmt.Sprintf("GET %s HTTP/1.1\r\nHost: h%s", l.path("read"), end)
 }
 
-// runRude begins requests and does not carry them through.
-func (p *peers) runRude(r *rand.Rand) {
-	for !p.over() {
-		c, err := net.DialTimeout("tcp", p.addr, time.Second)
+// runMisbehavingClient opens one connection after the other and misbehaves on each.
+func (l *clientLoad) runMisbehavingClient(r *rand.Rand) {
+	for !l.isStopped() {
+		c, err := net.DialTimeout("tcp", l.addr, time.Second)
 		if err != nil {
 			return
 		}
 		c.SetDeadline(time.Now().Add(4 * time.Second))
-		p.beRude(r, c.(*net.TCPConn))
+		l.misbehave(r, c.(*net.TCPConn))
 		c.Close()
 	}
 }
 
-func (p *peers) beRude(r *rand.Rand, c *net.TCPConn) {
-	begun := fmt.Sprintf("PUT %s HTTP/1.1\r\nHost: h\r\nContent-Length: 100000\r\n\r\n%s", p.path("begun"), strings.Repeat("x", 1000+r.IntN(90_000)))
+// misbehave sends one request. Either the request is incomplete or malformed, or the response is not read
+// to its end.
+func (l *clientLoad) misbehave(r *rand.Rand, c *net.TCPConn) {
+	partial := fmt.Sprintf("PUT %s HTTP/1.1\r\nHost: h\r\nContent-Length: 100000\r\n\r\n%s", l.path("begun"), strings.Repeat("x", 1000+r.IntN(90_000)))
 	switch r.IntN(7) {
-	case 0: // ends its sending side within the body, and reads on
-		io.WriteString(c, begun)
+	case 0: // half-closes the connection within the body, and reads on
+		io.WriteString(c, partial)
 		c.CloseWrite()
 		io.Copy(io.Discard, c)
 	case 1:
-		io.WriteString(c, begun)
+		io.WriteString(c, partial)
 		resetConn(c)
 	case 2: // does not read its response
 		c.SetReadBuffer(4096)
-		fmt.Fprintf(c, "GET %s HTTP/1.1\r\nHost: h\r\n\r\n", p.path("big"))
+		fmt.Fprintf(c, "GET %s HTTP/1.1\r\nHost: h\r\n\r\n", l.path("big"))
 		time.Sleep(1500 * time.Millisecond)
 	case 3: // stops within the body
-		io.WriteString(c, begun)
+		io.WriteString(c, partial)
 		time.Sleep(1500 * time.Millisecond)
-	case 4: // leaves within the response
-		fmt.Fprintf(c, "GET %s HTTP/1.1\r\nHost: h\r\n\r\n", p.path("left"))
+	case 4: // disconnects during the response
+		fmt.Fprintf(c, "GET %s HTTP/1.1\r\nHost: h\r\n\r\n", l.path("left"))
 		c.SetReadDeadline(time.Now().Add(time.Duration(r.IntN(100)) * time.Millisecond))
 		io.Copy(io.Discard, c)
 	case 5:
 		io.WriteString(c, "GET /feed-a/x HTTP/1.1\r\nbroken\r\n\r\n")
 		io.Copy(io.Discard, c)
-	case 6: // sends a malformed chunk behind a good one
-		fmt.Fprintf(c, "PUT %s HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n", p.path("malformed"))
+	case 6: // sends a malformed chunk after a valid one
+		fmt.Fprintf(c, "PUT %s HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n", l.path("malformed"))
 		time.Sleep(time.Duration(r.IntN(60)) * time.Millisecond)
 		io.WriteString(c, "zz\r\n")
 		io.Copy(io.Discard, c)
--- a/cmd/maddergap/misbehaving_test.go
+++ b/cmd/maddergap/misbehaving_test.go
@@ -20,19 +20,20 @@
 	"maddergap/internal/nodelist"
 )
 
-// The default is for CI; the full measure is 200 runs by hand.
+// Flags of TestServeBesideMisbehavingPeers. The default is for CI; a full check, run by hand, is 200 seeds.
 var (
-	misbehavingSeed  = flag.Uint64("misbehaving.seed", 1, "the first seed of TestServeBesideMisbehavingPeers")
-	misbehavingSeeds = flag.Int("misbehaving.seeds", 8, "how many seeds it runs")
-	misbehavingLogs  = flag.String("misbehaving.logs", "", "a folder for the logs of runs that fail")
+	misbehavingSeed  = flag.Uint64("misbehaving.seed", 1, "first seed of TestServeBesideMisbehavingPeers")
+	misbehavingSeeds = flag.Int("misbehaving.seeds", 8, "number of seeds that the test runs")
+	misbehavingLogs  = flag.String("misbehaving.logs", "", "directory for the logs of failed runs")
 )
 
-// Clients at a time.
+// Numbers of clients that run at the same time.
 const (
 	wellBehavedClients = 6
-	rudeClients        = 4
+	misbehavingClients = 4
 )
 
+// misbehavingConf is the format of the instance's configuration. Its argument is the address to listen on.
 const misbehavingConf = `listen %s
 nodes nodes.list
 log-requests yes
@@ -49,7 +50,7 @@
 stop-time 1s
 `
 
-// stoppedLine is the last line of an instance's log.
+// stoppedLine holds the fields of the log line "stopped", which an instance writes when it ends.
 type stoppedLine struct {
 	Msg                string `json:"msg"`
 	Received           int    `json:"received"`
@@ -60,76 +61,80 @@
 	InvariantsViolated int    `json:"invariants_violated"`
 }
 
-// Guards against a crash, a wrong violation and a lost response on the WebDAV side, which no soak
-// plays: nodes and clients misbehave in many ways, and SIGTERM comes under load. Nothing panics,
-// no invariant is violated, each whole request of a client that stays is answered, no write is
-// executed twice, and the counts add up.
+// Guards against crashes, false invariant violations and lost responses on the WebDAV side, which no soak
+// covers. Nodes and clients misbehave in many ways, and SIGTERM arrives under load. The instance must not
+// panic or violate an invariant, each complete request of a client that stays connected gets a response,
+// no write is executed twice, and the counts in the log add up.
 func TestServeBesideMisbehavingPeers(t *testing.T) {
 	for i := range *misbehavingSeeds {
 		seed := *misbehavingSeed + uint64(i)
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
-			runMisbehaving(t, seed)
+			runMisbehavingSeed(t, seed)
 		})
 	}
 }
 
-func runMisbehaving(t *testing.T, seed uint64) {
-	draw := rand.New(rand.NewPCG(seed, 0))
+// runMisbehavingSeed starts an instance, its nodes and its clients, stops the instance under load, and
+// checks the outcome.
+func runMisbehavingSeed(t *testing.T, seed uint64) {
+	random := rand.New(rand.NewPCG(seed, 0))
 	nodes := startMisbehavingNodes(t, seed)
 	addr := loopback.Addr(98, int(seed%250)+1, 18099)
-	cmd, log := serveMisbehaving(t, addr, nodes)
-	p := &peers{addr: addr, seed: seed}
-	p.start(wellBehavedClients, rudeClients)
-	time.Sleep(time.Duration(700+draw.IntN(800)) * time.Millisecond)
-	signalInSeries(draw, cmd, p)
+	cmd, log := startInstanceOverNodes(t, addr, nodes)
+	load := &clientLoad{addr: addr, seed: seed}
+	load.start(wellBehavedClients, misbehavingClients)
+	time.Sleep(time.Duration(700+random.IntN(800)) * time.Millisecond)
+	sendSignals(random, cmd, load)
 	err := waitForExit(cmd)
-	p.mu.Lock()
-	p.stopped = true
-	p.mu.Unlock()
-	p.running.Wait()
+	load.mu.Lock()
+	load.stopped = true
+	load.mu.Unlock()
+	load.running.Wait()
 	if code := cmd.ProcessState.ExitCode(); code != 0 && code != 1 {
-		t.Errorf("exit code %d: %v", code, err)
+		t.Errorf("got exit code %d (%v), want 0 or 1", code, err)
 	}
 	checkMisbehavingLog(t, log.Bytes())
-	for _, v := range p.violations {
-		t.Error(v)
+	for _, violation := range load.violations {
+		t.Error(violation)
 	}
-	for _, n := range nodes {
-		for path, count := range n.executions() {
+	for _, node := range nodes {
+		for path, count := range node.executions() {
 			if count > 1 {
 				t.Errorf("%s was executed %d times", path, count)
 			}
 		}
 	}
-	if p.answered < wellBehavedClients {
-		t.Errorf("%d requests were answered: this shows little", p.answered)
+	if load.responseCount < wellBehavedClients {
+		t.Errorf("got %d responses, want at least as many as there are well-behaved clients", load.responseCount)
 	}
 	if t.Failed() && *misbehavingLogs != "" {
 		os.WriteFile(filepath.Join(*misbehavingLogs, fmt.Sprint("seed-", seed, ".log")), log.Bytes(), 0o644)
 	}
 }
 
+// startMisbehavingNodes starts two nodes and closes their listeners when the test ends.
 func startMisbehavingNodes(t *testing.T, seed uint64) (nodes []*misbehavingNode) {
 	t.Helper()
 	for i := range uint64(2) {
-		n, err := startMisbehavingNode(2*seed + i)
+		node, err := startMisbehavingNode(2*seed + i)
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(func() { n.listener.Close() })
-		nodes = append(nodes, n)
+		t.Cleanup(func() { node.listener.Close() })
+		nodes = append(nodes, node)
 	}
 	return nodes
 }
 
-// serveMisbehaving starts an instance over the nodes, whose output is collected.
-func serveMisbehaving(t *testing.T, addr string, nodes []*misbehavingNode) (*exec.Cmd, *bytes.Buffer) {
+// startInstanceOverNodes starts an instance over the nodes and waits until it listens. The buffer collects
+// the instance's output; it may be read when the instance has ended.
+func startInstanceOverNodes(t *testing.T, addr string, nodes []*misbehavingNode) (*exec.Cmd, *bytes.Buffer) {
 	t.Helper()
 	dir := t.TempDir()
 	var list []nodelist.Node
-	for i, n := range nodes {
-		list = append(list, nodelist.Node{Name: fmt.Sprint("n", i), Addr: n.listener.Addr().String(), Shard: i})
+	for i, node := range nodes {
+		list = append(list, nodelist.Node{Name: fmt.Sprint("n", i), Addr: node.listener.Addr().String(), Shard: i})
 	}
 	conf := filepath.Join(dir, "m.conf")
 	err := errors.Join(
@@ -149,34 +154,37 @@
 	return cmd, log
 }
 
-// signalInSeries sends SIGTERM once to three times within a second, with SIGHUP around some.
-func signalInSeries(draw *rand.Rand, cmd *exec.Cmd, p *peers) {
-	send := func(s syscall.Signal) { cmd.Process.Signal(s) }
-	if draw.IntN(2) == 0 {
+// sendSignals sends SIGTERM one to three times within a second. In half of the runs it sends SIGHUP
+// before, and in half of the runs after that.
+func sendSignals(random *rand.Rand, cmd *exec.Cmd, load *clientLoad) {
+	send := func(sig syscall.Signal) { cmd.Process.Signal(sig) }
+	if random.IntN(2) == 0 {
 		send(syscall.SIGHUP)
 	}
-	p.mu.Lock()
-	p.signalled = time.Now()
-	p.mu.Unlock()
-	for i := range 1 + draw.IntN(3) {
+	load.mu.Lock()
+	load.signalledAt = time.Now()
+	load.mu.Unlock()
+	for i := range 1 + random.IntN(3) {
 		if i > 0 {
-			time.Sleep(time.Duration(draw.IntN(400)) * time.Millisecond)
+			time.Sleep(time.Duration(random.IntN(400)) * time.Millisecond)
 		}
 		send(syscall.SIGTERM)
 	}
-	if draw.IntN(2) == 0 {
+	if random.IntN(2) == 0 {
 		send(syscall.SIGHUP)
 	}
 }
 
-// waitForExit waits for an instance that was told to stop, and kills one that does not.
+// waitForExit waits for an instance that was told to stop. After 20 s it sends SIGQUIT, so that the
+// instance writes its goroutine stacks to the log and exits.
 func waitForExit(cmd *exec.Cmd) error {
 	timer := time.AfterFunc(20*time.Second, func() { cmd.Process.Signal(syscall.SIGQUIT) })
 	defer timer.Stop()
 	return cmd.Wait()
 }
 
-// checkMisbehavingLog checks the log of an instance that has ended.
+// checkMisbehavingLog checks that the log of an ended instance shows no panic, data race or violated
+// invariant, and that the counts in its last line add up.
 func checkMisbehavingLog(t *testing.T, log []byte) {
 	t.Helper()
 	var stopped *stoppedLine
@@ -193,10 +201,10 @@
 	}
 	switch {
 	case stopped == nil:
-		t.Errorf("no line `stopped`: %.2000s", log[max(0, len(log)-2000):])
+		t.Errorf("the log has no line with the message \"stopped\"; its end:\n%.2000s", log[max(0, len(log)-2000):])
 	case stopped.Received != stopped.Served+stopped.Rejected+stopped.Failed+stopped.Disconnected:
-		t.Errorf("the counts do not add up: %+v", *stopped)
+		t.Errorf("received is not the sum of served, rejected, failed and disconnected: %+v", *stopped)
 	case stopped.InvariantsViolated != 0:
-		t.Errorf("invariants violated: %+v", *stopped)
+		t.Errorf("got violated invariants, want none: %+v", *stopped)
 	}
 }
--- a/cmd/maddergap/node.go
+++ b/cmd/maddergap/node.go
@@ -10,6 +10,7 @@
 	"maddergap/internal/fakenode"
 )
 
+// nodeCmd runs a fake node as a process.
 type nodeCmd struct {
 	Listen   string        `default:"127.0.0.1:0" help:"Address to listen on."`
 	Name     string        `default:"node" help:"Name in the record."`
@@ -26,7 +27,7 @@
 	Window   time.Duration `default:"1s" help:"Window over which that load is measured."`
 }
 
-// Run runs a fake node until SIGINT or SIGTERM.
+// Run runs a fake node until SIGINT or SIGTERM. It prints one line once the node listens.
 func (c *nodeCmd) Run(io *streams) error {
 	options, err := c.options()
 	if err != nil {
@@ -43,6 +44,7 @@
 	return node.Close()
 }
 
+// options returns the options that the flags select, with the script parsed.
 func (c *nodeCmd) options() (o fakenode.Options, err error) {
 	o = fakenode.Options{
 		Listen:          c.Listen,
--- a/cmd/maddergap/records.go
+++ b/cmd/maddergap/records.go
@@ -2,8 +2,9 @@
 
 import "os"
 
-// recordsDir makes a folder for the records of a run: a new one in keep, or a temporary one
-// that remove deletes if keep is empty.
+// recordsDir creates a directory for the records of a run, with a name as in os.MkdirTemp. If keep is a
+// directory's name, the new directory is in it and remove does nothing. If keep is empty, the new
+// directory is a temporary one and remove deletes it.
 func recordsDir(keep, pattern string) (dir string, remove func(), err error) {
 	if keep != "" {
 		if err := os.MkdirAll(keep, 0o755); err != nil {
--- a/cmd/maddergap/restart_test.go
+++ b/cmd/maddergap/restart_test.go
@@ -15,8 +15,8 @@
 	"maddergap/internal/loopback"
 )
 
-// An instance is killed in the middle of a flood from 500 addresses and is restarted without any
-// state. Listed clients are served from its first second on, and none of their writes is
+// Verifies that known clients are served as soon as an instance listens again after it was killed during
+// a flood from 500 addresses. The instance restarts without any state. None of the clients' writes is
 // executed twice.
 func TestRestartInFlood(t *testing.T) {
 	node := startNode(t, fakenode.Options{Cores: 8, QueueLimit: 64, UnitTime: 5 * time.Millisecond})
@@ -35,26 +35,26 @@
 	}()
 	time.Sleep(time.Second)
 	if status := putFromKnownClient(addr, 0); status != 201 {
-		t.Errorf("status before the kill: %d, want 201", status)
+		t.Errorf("known client before the kill: got status %d, want 201", status)
 	}
 	cmd.Process.Kill()
 	cmd.Wait()
 	startInstance(t, addr, conf)
 	for n := range 20 {
 		if status := putFromKnownClient(addr, n+1); status != 201 {
-			t.Errorf("known client %d after the restart: status %d, want 201", n, status)
+			t.Errorf("known client %d after the restart: got status %d, want 201", n, status)
 		}
 	}
 	result := <-floodDone
 	if result.Flood.Rejected+result.Flood.Closed < 1000 {
-		t.Errorf("too few connections for a flood: %+v", result.Flood)
+		t.Errorf("got fewer than 1000 rejected or closed connections, too few for a flood: %+v", result.Flood)
 	}
 	if paths := checkExecutedOnce(t, node); paths != 21 {
-		t.Errorf("%d writes at the node, want 21", paths)
+		t.Errorf("got %d paths in the node's record, want 21", paths)
 	}
 }
 
-// floodOfManySources holds connections from 500 addresses.
+// floodOfManySources returns the options of a flood that holds connections from 500 addresses open.
 func floodOfManySources(addr string) flood.Options {
 	return flood.Options{
 		Target:      addr,
@@ -67,8 +67,8 @@
 	}
 }
 
-// putFromKnownClient writes from an address of known client n and returns the status, 0 for no
-// response.
+// putFromKnownClient sends a PUT from the address of known client n, and returns the status of the
+// response, or 0 if there is none.
 func putFromKnownClient(addr string, n int) (status int) {
 	dialer := net.Dialer{LocalAddr: &net.TCPAddr{IP: net.IPv4(127, 9, 0, byte(n+1))}, Timeout: 5 * time.Second}
 	c, err := dialer.Dial("tcp", addr)
@@ -82,8 +82,8 @@
 	return status
 }
 
-// An instance is killed with writes pending and is restarted without any state. It serves, it has
-// sent no write twice, and SIGTERM ends it with exit code 0.
+// Verifies that an instance that was killed with writes pending serves again after a restart without any
+// state, that no write is executed twice, and that SIGTERM ends the instance with exit code 0.
 func TestRestartWithPendingRequests(t *testing.T) {
 	node := startNode(t, fakenode.Options{Cores: 2, QueueLimit: 64, UnitTime: 50 * time.Millisecond})
 	addr := loopback.Addr(99, 1, 18099)
@@ -99,12 +99,12 @@
 	req, _ := http.NewRequest("PUT", "http://"+addr+"/feed-a/after", strings.NewReader("y"))
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil || resp.StatusCode != 201 {
-		t.Fatalf("after the restart: %v %v", resp, err)
+		t.Fatalf("PUT after the restart: got response %v, error %v, want status 201", resp, err)
 	}
 	resp.Body.Close()
 	checkExecutedOnce(t, node)
 	cmd.Process.Signal(syscall.SIGTERM)
 	if err := cmd.Wait(); err != nil {
-		t.Errorf("SIGTERM: %v", err)
+		t.Errorf("after SIGTERM: got error %v, want exit code 0", err)
 	}
 }
--- a/cmd/maddergap/scenario.go
+++ b/cmd/maddergap/scenario.go
@@ -10,6 +10,7 @@
 	"maddergap/internal/scenario"
 )
 
+// scenarioCmd runs a scripted fault scenario.
 type scenarioCmd struct {
 	Seed          uint64        `default:"1" help:"Seed of the scenario."`
 	Long          bool          `help:"The long form, for people: three minutes."`
@@ -22,7 +23,7 @@
 	Story         bool          `help:"Print the events of the scenario and stop."`
 }
 
-// The range of scenarios that can be run.
+// Limits of a scenario's length and rate.
 const (
 	minScenarioLength = 2 * time.Second
 	maxScenarioLength = time.Hour
@@ -31,7 +32,9 @@
 
 var errRuleViolated = errors.New("a rule is violated")
 
-// Run runs a scenario on processes of this program and reports whether the rules held.
+// Run prints the events of the scenario. Unless --story is given, it then runs the scenario, with
+// instances and nodes as processes of this program, prints the report, and returns errRuleViolated if a
+// rule was violated.
 func (c *scenarioCmd) Run(io *streams) error {
 	size, err := c.size()
 	if err != nil {
@@ -45,7 +48,7 @@
 	if c.Story {
 		return nil
 	}
-	report, err := c.play(io, plan)
+	report, err := c.runOnce(io, plan)
 	if err != nil {
 		return err
 	}
@@ -60,7 +63,7 @@
 	return nil
 }
 
-// size is the size of the scenario that the flags choose.
+// size returns the size of the scenario that the flags select.
 func (c *scenarioCmd) size() (scenario.Size, error) {
 	size := scenario.Short
 	if c.Long {
@@ -73,13 +76,14 @@
 		size.Rate = c.Rate
 	}
 	if size.Length < minScenarioLength || size.Length > maxScenarioLength || size.Rate > maxScenarioRate {
-		return size, usageError{fmt.Errorf("a day of %v at %g a second is out of range (2s to 1h, up to 100000)", size.Length, size.Rate)}
+		return size, usageError{fmt.Errorf("a scenario of %v at %g requests a second is out of range (2s to 1h, up to 100000 requests a second)", size.Length, size.Rate)}
 	}
 	return size, nil
 }
 
-// play runs the scenario once and prints the report. serveArgs are further arguments of serve.
-func (c *scenarioCmd) play(io *streams, plan *scenario.Plan, serveArgs ...string) (*audit.Report, error) {
+// runOnce runs the scenario once and prints the report. serveArgs are further arguments of the serve
+// command.
+func (c *scenarioCmd) runOnce(io *streams, plan *scenario.Plan, serveArgs ...string) (*audit.Report, error) {
 	dir, remove, err := recordsDir(c.Keep, "badday-")
 	if err != nil {
 		return nil, err
@@ -105,14 +109,15 @@
 	return report, nil
 }
 
-// compare runs the same scenario with a pass-through scheduler and prints what both earned.
+// compare runs the same scenario with a pass-through scheduler. It prints the fraction of the offered
+// weight that each run earned, and the ratio of the two. report is that of the first run.
 func (c *scenarioCmd) compare(io *streams, plan *scenario.Plan, report *audit.Report) error {
 	fmt.Fprintln(io.out, "\nthe same day with a pass-through head:")
-	other, err := c.play(io, plan, "--pass-through")
+	passThrough, err := c.runOnce(io, plan, "--pass-through")
 	if err != nil {
 		return err
 	}
-	earned, otherEarned := report.EarnedWeight/report.OfferedWeight, other.EarnedWeight/other.OfferedWeight
-	fmt.Fprintf(io.out, "\nworth on time %.3f against %.3f: a ratio of %.2f\n", earned, otherEarned, earned/otherEarned)
+	earnedFraction, passThroughFraction := report.EarnedWeight/report.OfferedWeight, passThrough.EarnedWeight/passThrough.OfferedWeight
+	fmt.Fprintf(io.out, "\nworth on time %.3f against %.3f: a ratio of %.2f\n", earnedFraction, passThroughFraction, earnedFraction/passThroughFraction)
 	return nil
 }
--- a/cmd/maddergap/scenario_test.go
+++ b/cmd/maddergap/scenario_test.go
@@ -9,16 +9,16 @@
 	"maddergap/internal/scenario"
 )
 
-// The short scenario on processes, with every instance flooded with connections meanwhile: all
-// rules hold, and at least half of what was due is earned.
+// Verifies that all rules hold and at least half of the offered weight is earned in the short scenario,
+// run on processes while every instance is flooded with connections.
 func TestScenario(t *testing.T) {
 	if testing.Short() {
-		t.Skip("half a minute")
+		t.Skip("takes half a minute")
 	}
 	os.Setenv(asProgram, "1")
 	defer os.Unsetenv(asProgram)
 	size := scenario.Short
-	size.Rate = 150 // what two cores bear beside other tests
+	size.Rate = 150 // two cores can sustain this while other tests run
 	report, err := scenario.Run(&scenario.Options{Plan: scenario.Draw(1, size), Dir: t.TempDir(), Exe: []string{os.Args[0]}, LateTolerance: time.Second, Flood: true})
 	if err != nil {
 		t.Fatal(err)
@@ -29,7 +29,7 @@
 		t.Errorf("%s", text.String())
 	}
 	if share := report.EarnedWeight / report.OfferedWeight; share < 0.5 || report.Served < 1000 {
-		t.Errorf("too little was served:\n%s", text.String())
+		t.Errorf("less than half of the offered weight was earned, or fewer than 1000 requests were served:\n%s", text.String())
 	}
 	t.Log("\n" + text.String())
 }
--- a/cmd/maddergap/serve.go
+++ b/cmd/maddergap/serve.go
@@ -14,6 +14,7 @@
 	"maddergap/internal/scenario"
 )
 
+// serveCmd runs a gateway instance, or the supervisor or a worker process of one.
 type serveCmd struct {
 	Config            string        `short:"c" type:"path" help:"Configuration file."`
 	Platform          bool          `help:"Serve on a platform, by the configuration that its environment variables name."`
@@ -28,7 +29,7 @@
 // Run serves until SIGINT or SIGTERM. SIGHUP reloads the configuration.
 func (s *serveCmd) Run(io *streams) error {
 	if s.Platform == (s.Config != "") {
-		return usageError{errors.New("serve: want one of --config FILE and --platform")}
+		return usageError{errors.New("serve: exactly one of --config FILE and --platform is required")}
 	}
 	if s.Platform {
 		return s.runOnPlatform(io)
@@ -48,7 +49,7 @@
 	}, logServing(c))
 }
 
-// options are what the flags choose besides the configuration.
+// options returns the daemon options that the flags select.
 func (s *serveCmd) options() []daemon.Option {
 	if !s.PassThrough {
 		return nil
@@ -56,20 +57,22 @@
 	return []daemon.Option{daemon.WithScheduler(scenario.NewPassThrough)}
 }
 
-// newDaemon makes a daemon that logs to log.
-type newDaemon func(log *slog.Logger) (*daemon.Daemon, error)
+// newDaemonFunc creates a daemon that logs to log.
+type newDaemonFunc func(log *slog.Logger) (*daemon.Daemon, error)
 
-// readyFunc is called once a daemon listens.
+// readyFunc is called when a daemon listens, before it serves.
 type readyFunc func(d *daemon.Daemon, log *slog.Logger)
 
+// logServing returns a readyFunc that logs the listen addresses and the node list.
 func logServing(c *config.Config) readyFunc {
 	return func(d *daemon.Daemon, log *slog.Logger) {
 		log.Info("serving", "listen", d.Addrs(), "nodes", c.NodeList, "pid", os.Getpid())
 	}
 }
 
-// serveConfig runs a daemon that logs where its configuration says. logAttrs are in every line.
-func serveConfig(c *config.Config, std *streams, open newDaemon, ready readyFunc, logAttrs ...any) error {
+// serveConfig runs a daemon that logs to the file named in its configuration, or else to standard error.
+// logAttrs are added to every log line.
+func serveConfig(c *config.Config, std *streams, open newDaemonFunc, ready readyFunc, logAttrs ...any) error {
 	if c.Telemetry.LogFile == "" {
 		return serve(std.err, open, ready, logAttrs...)
 	}
@@ -81,9 +84,10 @@
 	return serve(file, open, ready, logAttrs...)
 }
 
-// serve runs a daemon that logs to out until SIGINT or SIGTERM, and reloads it at SIGHUP.
-// Signals are taken from before the daemon listens, so that none of them ends the process.
-func serve(out io.Writer, open newDaemon, ready readyFunc, logAttrs ...any) error {
+// serve runs a daemon that logs to out. SIGINT or SIGTERM stops it, SIGHUP makes it reload its
+// configuration. The signals are caught before the daemon is created, so that none of them ends the
+// process while it listens.
+func serve(out io.Writer, open newDaemonFunc, ready readyFunc, logAttrs ...any) error {
 	sink := daemon.NewLogSink(out)
 	defer sink.Close()
 	log := slog.New(slog.NewJSONHandler(sink, nil)).With(logAttrs...)
@@ -101,6 +105,7 @@
 	return d.Run()
 }
 
+// handleSignals passes signals on to the daemon until done is closed.
 func handleSignals(d *daemon.Daemon, signals <-chan os.Signal, done <-chan struct{}) {
 	for {
 		select {
--- a/cmd/maddergap/serve_platform.go
+++ b/cmd/maddergap/serve_platform.go
@@ -11,7 +11,7 @@
 	"maddergap/internal/syscalls"
 )
 
-// runOnPlatform serves as an instance of a platform.
+// runOnPlatform serves as an instance on a platform, with the configuration that the environment names.
 func (s *serveCmd) runOnPlatform(io *streams) error {
 	load := func() (*platform.Config, error) { return platform.Load(os.Getenv) }
 	c, err := load()
@@ -24,7 +24,7 @@
 			return usageError{err}
 		}
 	}
-	runtime.GOMAXPROCS(1) // the platform grants one core, which others may share
+	runtime.GOMAXPROCS(1) // the platform grants one core, which other processes may share
 	debug.SetMemoryLimit(c.Bounds.RuntimeMemoryBytes)
 	open := func(log *slog.Logger) (*daemon.Daemon, error) {
 		return daemon.NewPlatform(c, load, log, daemon.WithNodeStateLog(s.NodeStateInterval))
--- a/cmd/maddergap/serve_workers.go
+++ b/cmd/maddergap/serve_workers.go
@@ -17,9 +17,9 @@
 	"maddergap/internal/supervisor"
 )
 
-// supervise runs the worker processes of a configuration: it opens the listeners that they
-// share, starts them, and restarts one that exits or hangs. It serves nothing itself. SIGHUP is
-// forwarded to all of them; SIGINT and SIGTERM end them.
+// supervise runs the worker processes of a configuration. It opens the listeners that the workers share,
+// starts the workers, and restarts a worker that exits or hangs. It accepts no connections itself. SIGHUP
+// is forwarded to all workers; SIGINT and SIGTERM shut them down.
 func (s *serveCmd) supervise(c *config.Config, io *streams) error {
 	listeners, err := daemon.OpenListeners(c)
 	if err != nil {
@@ -27,7 +27,8 @@
 	}
 	queues := listeners.ListenQueues()
 	files, err := inheritableFiles(queues)
-	// While the parent holds the listeners, the kernel goes on to take connections.
+	// As long as this process keeps the listeners open, the kernel queues new connections for them.
+	// They are therefore closed when a shutdown begins.
 	closeListeners := sync.OnceFunc(func() {
 		listeners.Close()
 		closeFiles(files)
@@ -62,8 +63,8 @@
 	}, signals)
 }
 
-// inheritableFiles duplicates the descriptors of listen queues for workers to inherit. On an error
-// none is left open.
+// inheritableFiles duplicates the descriptors of listen queues for workers to inherit. If it returns an
+// error, all duplicates have been closed.
 func inheritableFiles(queues []eventloop.ListenQueue) ([]*os.File, error) {
 	var files []*os.File
 	for _, queue := range queues {
@@ -73,9 +74,10 @@
 			return nil, err
 		}
 		syscall.CloseOnExec(fd)
-		// A file made of a non-blocking descriptor is set to blocking when a process
-		// inherits it, and with it the listener of every worker, whose loop would hang in
-		// accept. A file made of a blocking one is left as it is.
+		// The blocking mode of a descriptor is shared with its duplicates, and so with the
+		// listeners of all workers. If starting a worker set it to blocking, their event loops would
+		// hang in accept. os.File never changes the mode of a descriptor that is blocking when the
+		// file is created, so the mode is set back to non-blocking only after that.
 		syscall.SetNonblock(fd, false)
 		files = append(files, os.NewFile(uintptr(fd), "listener"))
 		syscall.SetNonblock(fd, true)
@@ -89,8 +91,8 @@
 	}
 }
 
-// formatQueues is the value of --queues: for each inherited listen queue its descriptor in the
-// worker, the key of its address, and whether it is the one of known clients.
+// formatQueues returns the value of --queues. For each inherited listen queue it has the descriptor in
+// the worker, the key of the queue's address, and whether the queue is that of the known clients.
 func formatQueues(queues []eventloop.ListenQueue) string {
 	var parts []string
 	for i, queue := range queues {
@@ -99,7 +101,7 @@
 	return strings.Join(parts, ",")
 }
 
-// parseQueues is the reverse of formatQueues.
+// parseQueues parses a value that formatQueues returned.
 func parseQueues(text string) (queues []eventloop.ListenQueue, err error) {
 	for part := range strings.SplitSeq(text, ",") {
 		var queue eventloop.ListenQueue
@@ -112,7 +114,7 @@
 	return queues, nil
 }
 
-// runWorker serves as one of the processes that supervise starts.
+// runWorker serves as one of the worker processes that supervise starts.
 func (s *serveCmd) runWorker(c *config.Config, io *streams) error {
 	queues, err := parseQueues(s.Queues)
 	if err != nil {
--- a/cmd/maddergap/serve_workers_test.go
+++ b/cmd/maddergap/serve_workers_test.go
@@ -22,40 +22,40 @@
 	"maddergap/internal/supervisor"
 )
 
-// lockedBuffer is the log of processes that write at the same time.
+// lockedBuffer collects the log of a supervisor and its workers. It can be read while they write.
 type lockedBuffer struct {
-	mu sync.Mutex
-	b  bytes.Buffer
+	mu   sync.Mutex
+	data bytes.Buffer
 }
 
 func (l *lockedBuffer) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.b.Write(p)
+	return l.data.Write(p)
 }
 
 func (l *lockedBuffer) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.b.String()
+	return l.data.String()
 }
 
-// pids are the ids of the workers, in the order of their starts.
+// pids returns the process ids of the workers, in the order in which they were started.
 func (l *lockedBuffer) pids() (out []int) {
-	for _, m := range regexp.MustCompile(`"worker started","worker":\d+,"pid":(\d+)`).FindAllStringSubmatch(l.String(), -1) {
-		pid, _ := strconv.Atoi(m[1])
+	for _, match := range regexp.MustCompile(`"worker started","worker":\d+,"pid":(\d+)`).FindAllStringSubmatch(l.String(), -1) {
+		pid, _ := strconv.Atoi(match[1])
 		out = append(out, pid)
 	}
 	return out
 }
 
-// Two workers share a port. One is killed, and later one hangs. Clients of the other worker are
-// served meanwhile, as is every new connection, no write is executed twice, the lost worker is
-// restarted by the supervisor, and SIGTERM ends all processes.
+// Verifies that two workers that share a port survive the loss of one, first when it is killed and then
+// when it hangs. Meanwhile the clients of the other worker and all new connections are served. The
+// supervisor restarts the lost worker, no write is executed twice, and SIGTERM ends all processes.
 func TestWorkersSharePort(t *testing.T) {
 	r := newWorkersRig(t)
 	r.waitForLines("both workers serve", servingLine, 2)
-	var clients []*keptConn
+	var clients []*clientConn
 	for range 100 {
 		c := r.dial()
 		if status := r.put(c); status != 201 {
@@ -63,20 +63,21 @@
 		}
 		clients = append(clients, c)
 	}
-	// A worker that exits before any worker's first heartbeat ends them all, as its configuration
-	// is at fault then. A heartbeat is late by an interval if the loop had not iterated at the first.
+	// If a worker exits before any worker has sent a heartbeat, the supervisor takes the configuration to
+	// be at fault and ends all workers. The first heartbeat is an interval late if the event loop has not
+	// iterated when it is due.
 	time.Sleep(2 * supervisor.HeartbeatInterval)
 	pids := r.log.pids()
 	syscall.Kill(pids[0], syscall.SIGKILL)
 	if lost := r.countLost(clients); lost < 10 || lost > 90 {
-		t.Errorf("%d of 100 connections were the killed worker's: they are not spread", lost)
+		t.Errorf("the killed worker had %d of 100 connections, want 10 to 90", lost)
 	}
 	r.checkNewConns(50, "after the kill")
 	r.waitForExit(pids[0])
 	r.waitForLines("the killed worker is back", servingLine, 3)
 	syscall.Kill(pids[1], syscall.SIGSTOP) // the worker hangs
-	// A signal stops a process some time after it was sent: what it accepts until then ends with it.
-	r.wait("each of its threads is stopped", func() bool { return stopped(pids[1]) })
+	// SIGSTOP takes effect with a delay. Connections that the worker accepts until then are lost with it.
+	r.waitUntil("each thread of the hung worker is stopped", func() bool { return isStopped(pids[1]) })
 	r.checkNewConns(20, "while one hangs")
 	r.waitForLines("the hung worker is killed", killedLine, 1)
 	r.waitForExit(pids[1])
@@ -86,15 +87,15 @@
 	r.waitForLines("both workers reload", reloadedLine, 2)
 	r.cmd.Process.Signal(syscall.SIGTERM)
 	if err := r.cmd.Wait(); err != nil {
-		t.Errorf("SIGTERM: %v\n%s", err, r.log.String())
+		t.Errorf("after SIGTERM: got error %v, want exit code 0; log:\n%s", err, r.log.String())
 	}
 	checkExecutedOnce(t, r.node)
 	if _, err := net.DialTimeout("tcp", r.addr, time.Second); err == nil {
-		t.Error("it still listens")
+		t.Error("the port still accepts connections after the supervisor has exited")
 	}
 }
 
-// Lines that each worker logs.
+// Parts of log lines. Each worker logs servingLine and reloadedLine, the supervisor logs killedLine.
 const (
 	servingLine  = `"msg":"serving"`
 	reloadedLine = `"msg":"reloaded"`
@@ -108,9 +109,10 @@
 	addr string
 	cmd  *exec.Cmd // the supervisor
 	log  *lockedBuffer
-	sent int // writes, each to a path of its own
+	sent int // number of writes sent, each to a different path
 }
 
+// newWorkersRig starts the supervisor and the node. Both end with the test.
 func newWorkersRig(t *testing.T) *workersRig {
 	t.Helper()
 	r := &workersRig{t: t, addr: loopback.Addr(99, 4, 18099), log: &lockedBuffer{}}
@@ -128,45 +130,47 @@
 	return r
 }
 
-// wait waits until a condition holds.
-func (r *workersRig) wait(what string, holds func() bool) {
+// waitUntil waits until a condition holds, for at most 30 s. what says in words what is waited for.
+func (r *workersRig) waitUntil(what string, condition func() bool) {
 	r.t.Helper()
-	for deadline := time.Now().Add(30 * time.Second); !holds(); time.Sleep(10 * time.Millisecond) {
+	for deadline := time.Now().Add(30 * time.Second); !condition(); time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			r.t.Fatalf("waited in vain: %s\n%s", what, r.log.String())
+			r.t.Fatalf("not true after 30 s: %s; log:\n%s", what, r.log.String())
 		}
 	}
 }
 
-// waitForLines waits until the log has n lines with a text.
+// waitForLines waits until the log contains text exactly n times.
 func (r *workersRig) waitForLines(what, text string, n int) {
 	r.t.Helper()
-	r.wait(what, func() bool { return strings.Count(r.log.String(), text) == n })
+	r.waitUntil(what, func() bool { return strings.Count(r.log.String(), text) == n })
 }
 
-// keptConn is a connection that is kept for further requests.
-type keptConn struct {
+// clientConn is a client connection that is kept open for several requests.
+type clientConn struct {
 	net.Conn
-	r *bufio.Reader
+	r *bufio.Reader // reader of the responses
 }
 
-func (r *workersRig) dial() *keptConn {
+// dial opens a connection with a deadline of 20 s for all its requests.
+func (r *workersRig) dial() *clientConn {
 	r.t.Helper()
 	c := dial(r.t, r.addr)
 	c.SetDeadline(time.Now().Add(20 * time.Second))
-	return &keptConn{c, bufio.NewReader(c)}
+	return &clientConn{c, bufio.NewReader(c)}
 }
 
-// put sends a write and returns its status, 0 if the connection was closed.
-func (r *workersRig) put(c *keptConn) (status int) {
+// put sends a write and returns the status of its response, or 0 if there is none.
+func (r *workersRig) put(c *clientConn) (status int) {
 	r.sent++
 	sendPut(c, fmt.Sprint("/feed-a/", r.sent))
 	status, _ = readStatus(c.r)
 	return status
 }
 
-// countLost writes on each connection and returns how many were closed. The others are served.
-func (r *workersRig) countLost(conns []*keptConn) (lost int) {
+// countLost sends a write on each connection and returns the number of connections without a response.
+// It reports an error for a response other than 201.
+func (r *workersRig) countLost(conns []*clientConn) (lost int) {
 	r.t.Helper()
 	for _, c := range conns {
 		switch status := r.put(c); status {
@@ -180,40 +184,42 @@
 	return lost
 }
 
-// checkNewConns writes on n new connections, all of which are served.
+// checkNewConns sends a write on each of n new connections and checks that it is served.
 func (r *workersRig) checkNewConns(n int, when string) {
 	r.t.Helper()
 	for range n {
 		if status := r.put(r.dial()); status != 201 {
-			r.t.Errorf("a new connection %s: %d", when, status)
+			r.t.Errorf("new connection %s: got status %d, want 201", when, status)
 		}
 	}
 }
 
-// waitForExit waits until the kernel has ended a killed process, as the supervisor cannot see its
-// exit before. A busy kernel can take longer for that than a restart may: the last thread waits in
-// the release of its inotify descriptor (fsnotify_destroy_group), and with it the heartbeat pipe.
+// waitForExit waits until the kernel has ended a killed process, because the supervisor cannot see the
+// exit before. On a busy machine this can take longer than waitUntil waits for the restart: the last
+// thread waits for the release of its inotify descriptor (fsnotify_destroy_group), and the heartbeat pipe
+// is not closed until then.
 func (r *workersRig) waitForExit(pid int) {
 	r.t.Helper()
-	const kernelTime = 2 * time.Minute
-	for deadline := time.Now().Add(kernelTime); ; time.Sleep(10 * time.Millisecond) {
+	const exitTimeout = 2 * time.Minute
+	for deadline := time.Now().Add(exitTimeout); ; time.Sleep(10 * time.Millisecond) {
 		if states := threadStates(pid); strings.Trim(states, "ZX") == "" {
 			return
 		}
 		if time.Now().After(deadline) {
-			r.t.Fatalf("the kernel has not ended process %d within %v: its threads are %q\n%s", pid, kernelTime, threadStates(pid), r.log.String())
+			r.t.Fatalf("process %d has not ended after %v: thread states are %q; log:\n%s", pid, exitTimeout, threadStates(pid), r.log.String())
 		}
 	}
 }
 
-// stopped reports whether every thread of a process is stopped by a signal.
-func stopped(pid int) bool {
+// isStopped reports whether every thread of a process is stopped by a signal.
+func isStopped(pid int) bool {
 	states := threadStates(pid)
 	return states != "" && strings.Trim(states, "T") == ""
 }
 
-// threadStates has a letter for the state of each thread of a process, as in proc(5); '?' stands
-// for a thread that ended meanwhile. It is empty if there is no such process.
+// threadStates returns the state of each thread of a process, as one letter in the notation of proc(5).
+// '?' stands for a thread whose state could not be read because it has ended. The result is empty if
+// there is no such process.
 func threadStates(pid int) string {
 	var states []byte
 	threads, _ := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/stat", pid))
@@ -229,8 +235,8 @@
 	return string(states)
 }
 
-// Guards against listeners that stay open where one of them cannot be duplicated for the workers:
-// the kernel would go on to take connections that nobody accepts.
+// Verifies that no duplicate stays open if one of the listeners cannot be duplicated for the workers.
+// Otherwise the kernel would go on queueing connections that no process accepts.
 func TestInheritableFilesAreClosedOnError(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -243,7 +249,7 @@
 	const notOpen = -1
 	queues := []eventloop.ListenQueue{{FD: int(file.Fd())}, {FD: notOpen}}
 	if files, err := inheritableFiles(queues); err == nil || files != nil {
-		t.Fatalf("%v, %v", files, err)
+		t.Fatalf("got files %v, error %v, want an error and no files", files, err)
 	}
 	file.Close()
 	listener.Close()
--- a/cmd/maddergap/soak.go
+++ b/cmd/maddergap/soak.go
@@ -9,6 +9,7 @@
 	"maddergap/internal/soak"
 )
 
+// soakCmd runs a fleet of instances under random faults.
 type soakCmd struct {
 	Seed     uint64        `default:"1" help:"Seed of the faults and the deployment."`
 	Seeds    int           `default:"1" help:"How many seeds to run, one after the other."`
@@ -19,9 +20,10 @@
 	Script   bool          `help:"Print the events of each run and stop."`
 }
 
-var errSoakFailed = errors.New("a soak broke a rule")
+var errSoakFailed = errors.New("rules violated in soak runs")
 
-// Run runs the seeds one after the other, and reports how many of them violated a rule.
+// Run runs the seeds one after the other, or prints their events if --script is given. If a rule was
+// violated, it returns an error with the number of such seeds.
 func (c *soakCmd) Run(io *streams) error {
 	failed := 0
 	for i := range c.Seeds {
@@ -47,7 +49,7 @@
 	return nil
 }
 
-// runSeed runs one seed, prints its report and reports whether every rule held.
+// runSeed runs one seed and prints its report. It reports whether every rule held.
 func (c *soakCmd) runSeed(o *soak.Options, io *streams) (passed bool, err error) {
 	dir, remove, err := recordsDir(c.Keep, fmt.Sprintf("soak-%d-", o.Seed))
 	if err != nil {
--- a/cmd/maddergap/soak_test.go
+++ b/cmd/maddergap/soak_test.go
@@ -9,10 +9,10 @@
 	"maddergap/internal/soak"
 )
 
-// A short soak on real processes: every rule holds under faults that overlap.
+// Verifies that every rule holds under overlapping faults in a short soak on processes.
 func TestSoak(t *testing.T) {
 	if testing.Short() {
-		t.Skip("whole runs are left out")
+		t.Skip("takes more than 10 s")
 	}
 	t.Setenv(asProgram, "1")
 	o := &soak.Options{Seed: 3, Duration: 10 * time.Second, Instances: 5, Nodes: 6}
@@ -26,6 +26,6 @@
 		t.Error(text.String())
 	}
 	if r.Audit.Served < 200 {
-		t.Errorf("only %d requests were served:\n%s", r.Audit.Served, text.String())
+		t.Errorf("got %d requests served, want at least 200:\n%s", r.Audit.Served, text.String())
 	}
 }
--- a/cmd/maddergap/version.go
+++ b/cmd/maddergap/version.go
@@ -5,9 +5,10 @@
 	"runtime/debug"
 )
 
+// versionCmd prints the version of the program.
 type versionCmd struct{}
 
-// Run prints the version and, if known, the revision that the program was built from.
+// Run prints the version and, if known, the VCS revision from which the program was built.
 func (versionCmd) Run(io *streams) error {
 	version, revision := "(devel)", ""
 	if info, ok := debug.ReadBuildInfo(); ok {
