--- a/cmd/maddergap/records.go
+++ b/cmd/maddergap/records.go
@@ -2,9 +2,9 @@
 
 import "os"
 
-// recordsDir creates a directory for the records of a run, with a name as in os.MkdirTemp. If keep is a
-// directory's name, the new directory is in it and remove does nothing. If keep is empty, the new
-// directory is a temporary one and remove deletes it.
+// recordsDir creates a directory for the records of a run, with a name as in os.MkdirTemp. If keep is not
+// empty, the new directory is created in keep and remove does nothing. Otherwise it is a temporary
+// directory, which remove deletes.
 func recordsDir(keep, pattern string) (dir string, remove func(), err error) {
 	if keep != "" {
 		if err := os.MkdirAll(keep, 0o755); err != nil {
--- a/cmd/maddergap/serve_workers_test.go
+++ b/cmd/maddergap/serve_workers_test.go
@@ -78,7 +78,7 @@
 	syscall.Kill(pids[1], syscall.SIGSTOP) // the worker hangs
 	// SIGSTOP takes effect with a delay. Connections that the worker accepts until then are lost with it.
 	r.waitUntil("each thread of the hung worker is stopped", func() bool { return isStopped(pids[1]) })
-	r.checkNewConns(20, "while one hangs")
+	r.checkNewConns(20, "while a worker hangs")
 	r.waitForLines("the hung worker is killed", killedLine, 1)
 	r.waitForExit(pids[1])
 	r.waitForLines("the hung worker is back", servingLine, 4)
@@ -130,7 +130,7 @@
 	return r
 }
 
-// waitUntil waits until a condition holds, for at most 30 s. what says in words what is waited for.
+// waitUntil waits until a condition holds, for at most 30 s. what describes the condition in the failure message.
 func (r *workersRig) waitUntil(what string, condition func() bool) {
 	r.t.Helper()
 	for deadline := time.Now().Add(30 * time.Second); !condition(); time.Sleep(10 * time.Millisecond) {
