--- a/cmd/maddergap/records.go
+++ b/cmd/maddergap/records.go
@@ -2,8 +2,9 @@
 
 import "os"
 
-// recordsDir makes a folder for the records of a run: a new one in keep, or a temporary one
-// that remove deletes if keep is empty.
+// recordsDir creates a directory for the records of a run, with a name as in os.MkdirTemp. If keep is not
+// empty, the new directory is created in keep and remove does nothing. Otherwise it is a temporary
+// directory, which remove deletes.
 func recordsDir(keep, pattern string) (dir string, remove func(), err error) {
 	if keep != "" {
 		if err := os.MkdirAll(keep, 0o755); err != nil {
