--- a/internal/soak/judge.go
+++ b/internal/soak/audit.go
@@ -6,22 +6,23 @@
 	"maddergap/internal/audit"
 )
 
-// What the audit allows.
+// Tolerances of the audit. See the fields of audit.Input with the same names.
 const (
-	// drainGrace is how long after a notice of a drain a node may still be sent requests.
+	// drainGrace is the time after the notice of a drain within which an instance may still send to the node.
 	drainGrace = 500 * time.Millisecond
-	// disconnectGrace is how long after a client disconnected an attempt for it may begin.
+	// disconnectGrace is the time after a client disconnected within which an attempt may still begin.
 	disconnectGrace = 100 * time.Millisecond
-	// timeoutTolerance is how much more than its client's time an attempt may tell its node.
+	// timeoutTolerance is the time by which the timeout sent with an attempt may exceed the client's.
 	timeoutTolerance = 150 * time.Millisecond
-	// lateTolerance is how long after its deadline a response may arrive, on a busy machine.
+	// lateTolerance is the time by which a response may miss its deadline, since the machine may be busy.
 	lateTolerance = 500 * time.Millisecond
-	// clockTolerance is how far apart the times of the same event may be at its two sockets.
+	// clockTolerance is the allowed difference between the times of one event at both ends of a connection.
 	clockTolerance = 50 * time.Millisecond
 )
 
-// judge judges a run that has ended. maxStall is the longest stall of the soak itself.
-func (f *fleet) judge(plan *Plan, dir string, maxStall time.Duration) (*Report, error) {
+// buildReport runs the audit on a run that has ended, reads the instances' logs and returns the report.
+// maxStall is the longest stall of the soak's own process.
+func (f *fleet) buildReport(plan *Plan, dir string, maxStall time.Duration) (*Report, error) {
 	in, err := f.auditInput(dir, maxStall)
 	if err != nil {
 		return nil, err
@@ -38,7 +39,8 @@
 	return r, nil
 }
 
-// auditInput joins the records of clients, nodes and discovery.
+// auditInput collects the records of clients, nodes and discovery. It adds maxStall to the clock
+// tolerance.
 func (f *fleet) auditInput(dir string, maxStall time.Duration) (in audit.Input, err error) {
 	in.Config, err = f.deployment.auditConfig(dir)
 	if err != nil {
--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -18,32 +18,32 @@
 
 const (
 	clientsPerInstance = 4
-	// meanThinkTime is the mean time between the requests of a client; the times are exponentially
-	// distributed.
+	// meanThinkTime is the mean pause of a client between the end of one request and the start of the
+	// next. The pauses are exponentially distributed.
 	meanThinkTime = 40 * time.Millisecond
-	// responseGrace is how much longer than a request's timeout a client waits for its response, so
-	// that a late response is recorded as such.
+	// responseGrace is the time that a client waits for a response beyond the timeout of its request. A
+	// late response is then recorded as late, not as missing.
 	responseGrace     = 500 * time.Millisecond
 	clientDialTimeout = 300 * time.Millisecond
-	// redialDelay is the time after a connection that failed.
+	// redialDelay is the additional pause of a client after a failed attempt to connect.
 	redialDelay = 20 * time.Millisecond
 )
 
-// clientGroup is the clients of one instance. It is safe for concurrent use.
+// clientGroup is the group of clients that send requests to one instance. It is safe for concurrent use.
 type clientGroup struct {
-	instance   int
-	addr       string // of the instance
-	deployment *deployment
-	nextID     *atomic.Uint64 // of requests, for the whole fleet
-	// disconnecting is set while clients disconnect before their response.
+	instance      int    // index of the instance
+	addr          string // address of the instance, as host:port
+	deployment    *deployment
+	lastRequestID *atomic.Uint64 // the last request ID given out in the fleet
+	// disconnecting is set during a fault in which clients disconnect before they get a response.
 	disconnecting atomic.Bool
 	running       sync.WaitGroup
 
 	mu      sync.Mutex
-	records []audit.RequestRecord
+	records []audit.RequestRecord // of requests that have ended, in this order
 }
 
-// start starts the clients. They send requests until stop is closed.
+// start starts the clients, which send requests until stop is closed.
 func (g *clientGroup) start(seed uint64, stop <-chan struct{}) {
 	for n := range clientsPerInstance {
 		c := &client{clientGroup: g, rand: rand.New(rand.NewPCG(seed, uint64(g.instance*clientsPerInstance+n)))}
@@ -51,7 +51,7 @@
 	}
 }
 
-// record keeps the record of a request that has ended.
+// record stores the record of a request that has ended, and numbers it.
 func (g *clientGroup) record(record *audit.RequestRecord) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -59,24 +59,25 @@
 	g.records = append(g.records, *record)
 }
 
-// allRecords returns the records of all requests so far.
+// allRecords returns the records of all requests that have ended so far.
 func (g *clientGroup) allRecords() []audit.RequestRecord {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return slices.Clone(g.records)
 }
 
-// client sends one request at a time, over a connection that it keeps alive.
+// client sends one request at a time, over a connection that it keeps open between requests.
 type client struct {
 	*clientGroup
 	rand *rand.Rand
-	conn net.Conn // nil: none
+	conn net.Conn // nil if there is no connection
 	in   *bufio.Reader
-	// reused is set once a response was received on conn. From then on the instance may close it at
-	// any time, also while a request is on its way.
+	// reused is set once a response was received on conn. From then on the instance may close conn at
+	// any time, even while a request is being sent.
 	reused bool
 }
 
+// run sends requests, with pauses between them, until stop is closed.
 func (c *client) run(stop <-chan struct{}) {
 	defer c.disconnect()
 	for {
@@ -87,12 +88,12 @@
 		case <-time.After(thinkTime):
 		}
 		if c.connect() {
-			c.request()
+			c.sendRequest()
 		}
 	}
 }
 
-// connect opens a connection if there is none, and reports whether there is one.
+// connect opens a connection if the client has none, and reports whether it has one now.
 func (c *client) connect() bool {
 	if c.conn != nil {
 		return true
@@ -114,9 +115,9 @@
 	c.conn, c.reused = nil, false
 }
 
-// request sends a request and records what became of it.
-func (c *client) request() {
-	id := fmt.Sprintf("%016x", c.nextID.Add(1))
+// sendRequest sends a new request over the open connection and stores its record.
+func (c *client) sendRequest() {
+	id := fmt.Sprintf("%016x", c.lastRequestID.Add(1))
 	req := c.deployment.drawRequest(c.rand, id)
 	record := audit.RequestRecord{
 		TraceID:  req.id,
@@ -130,8 +131,9 @@
 	c.record(&record)
 }
 
-// exchange sends a request and receives its response. If a reused connection ends without one, the
-// instance closed it before it read the request, and the request is sent again on a new connection.
+// exchange sends a request, given as text, receives its response and fills in the record. If a reused
+// connection ends without a response, the instance is assumed to have closed it before it read the
+// request. The request is then sent again on a new connection.
 func (c *client) exchange(record *audit.RequestRecord, text string, timeout time.Duration) {
 	for {
 		reused := c.reused
@@ -161,7 +163,8 @@
 	}
 }
 
-// disconnectEarly closes the connection before the response, with or without a TCP reset.
+// disconnectEarly closes the connection, with or without a TCP reset, after a random time of up to half
+// of the timeout. A response that arrives in this time is not read.
 func (c *client) disconnectEarly(record *audit.RequestRecord, timeout time.Duration) {
 	time.Sleep(time.Duration(c.rand.Int64N(int64(timeout / 2))))
 	if c.rand.IntN(2) == 0 {
@@ -171,7 +174,9 @@
 	record.DisconnectedAt = unixMicros()
 }
 
-// receive reads and records the response. It reports whether the connection ended without one.
+// receive reads and records the response. It reports whether the connection ended before the header of
+// a response was read. A response that does not come in time is recorded by receive itself; lost is
+// false then.
 func (c *client) receive(record *audit.RequestRecord, timeout time.Duration) (lost bool) {
 	c.conn.SetReadDeadline(time.Now().Add(timeout + responseGrace))
 	r, err := http.ReadResponse(c.in, nil)
@@ -192,7 +197,7 @@
 	}
 	record.RespondedAt = unixMicros()
 	if r.StatusCode == http.StatusOK && string(body) != responseBody(record.TraceID) {
-		record.Responses = 2 // the response to another request counts as one too many
+		record.Responses = 2 // the response to another request counts as an additional one
 	}
 	c.reused = true
 	if r.Close {
@@ -201,7 +206,7 @@
 	return false
 }
 
-// isTimeout reports whether a read or write failed by its deadline.
+// isTimeout reports whether a read or write failed because its deadline passed.
 func isTimeout(err error) bool {
 	var netErr net.Error
 	return errors.As(err, &netErr) && netErr.Timeout()
--- a/internal/soak/client_faults.go
+++ b/internal/soak/client_faults.go
@@ -8,28 +8,30 @@
 )
 
 const (
-	// stalledRequestTimeout is the time in which an instance has to end a connection whose request
-	// is incomplete.
+	// stalledRequestTimeout is the time within which an instance must respond to an incomplete request
+	// or close its connection.
 	stalledRequestTimeout = 3 * time.Second
-	// idleConns is how many idle connections a fault opens: half as many as the instance may have
+	// idleConns is the number of idle connections that a fault opens: half of the instance's limit of
 	// descriptors.
 	idleConns           = instanceDescriptors / 2
 	idleConnDialTimeout = 100 * time.Millisecond
 )
 
-// disconnectFor makes clients disconnect before their response for a while, at half of the requests.
+// disconnectFor makes clients disconnect before the response in half of their requests, and returns
+// after the duration.
 func (g *clientGroup) disconnectFor(duration time.Duration) {
 	g.disconnecting.Store(true)
 	time.Sleep(duration)
 	g.disconnecting.Store(false)
 }
 
-// stall opens a connection, sends half of a request and waits. It returns an error if the instance
-// neither responds nor closes the connection in time.
+// stall opens a connection, sends the first half of a request and nothing more. It returns an error if
+// the instance neither responds nor closes the connection within stalledRequestTimeout and
+// responseGrace.
 func (g *clientGroup) stall() error {
 	conn, err := net.DialTimeout("tcp", g.addr, clientDialTimeout)
 	if err != nil {
-		return nil // the instance is down, or admits no connection
+		return nil // the instance is down or rejects connections
 	}
 	defer conn.Close()
 	text := g.deployment.formatRequest(request{id: "0", volume: unlimitedVolume, timeout: time.Second})
@@ -43,16 +45,17 @@
 	return nil
 }
 
-// crowdUntil holds many connections without requests until a time, and opens new ones for those
-// that the instance closes.
-func (g *clientGroup) crowdUntil(end time.Time) {
+// holdIdleConnsUntil holds idle connections until end. It replaces all of them every renewInterval, since
+// the instance may have closed some.
+func (g *clientGroup) holdIdleConnsUntil(end time.Time) {
 	const renewInterval = time.Second
 	for time.Now().Before(end) {
 		g.holdIdleConns(min(renewInterval, time.Until(end)))
 	}
 }
 
-// holdIdleConns opens many connections, sends nothing on them and closes them after a while.
+// holdIdleConns opens up to idleConns connections, sends nothing on them and closes them after the
+// duration.
 func (g *clientGroup) holdIdleConns(duration time.Duration) {
 	var conns []net.Conn
 	for range idleConns {
--- a/internal/soak/client_test.go
+++ b/internal/soak/client_test.go
@@ -14,7 +14,8 @@
 	"maddergap/internal/scriptednode"
 )
 
-// newTestClient returns a client of a fake instance.
+// newTestClient returns a client of a scripted server that stands in for an instance. handler responds to
+// its requests.
 func newTestClient(t *testing.T, handler scriptednode.Handler) *client {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -24,7 +25,7 @@
 	server := scriptednode.Serve(listener, handler)
 	d := &deployment{classes: []class{{name: "read", deadline: 400 * time.Millisecond}}, shards: 1, instances: 1}
 	c := &client{
-		clientGroup: &clientGroup{addr: server.Addr(), deployment: d, nextID: &atomic.Uint64{}},
+		clientGroup: &clientGroup{addr: server.Addr(), deployment: d, lastRequestID: &atomic.Uint64{}},
 		rand:        rand.New(rand.NewPCG(1, 1)),
 	}
 	t.Cleanup(func() {
@@ -34,22 +35,24 @@
 	return c
 }
 
-// requestOnce sends a request and returns its record.
+// requestOnce makes the client send a request and returns the record of the request.
 func requestOnce(t *testing.T, c *client) audit.RequestRecord {
 	t.Helper()
 	if !c.connect() {
-		t.Fatal("no connection")
+		t.Fatal("the client could not connect")
 	}
-	c.request()
+	c.sendRequest()
 	records := c.allRecords()
 	return records[len(records)-1]
 }
 
+// respondOK responds as a node does without a fault.
 func respondOK(r *http.Request) scriptednode.Response {
 	return scriptednode.OK(responseBody(r.Header.Get("X-Txn")))
 }
 
-// What an instance does about a request is what the record says, since the audit knows no more.
+// Verifies that the record of a request says what the instance did about it: how it responded, or that it
+// did not. A wrong record would make the audit blame an instance, or miss a fault.
 func TestClientRecordsOutcome(t *testing.T) {
 	for _, c := range []struct {
 		name      string
@@ -77,8 +80,9 @@
 	}
 }
 
-// An instance may close a kept-alive connection while a request is on its way. Nobody has read that
-// request, so it is not lost: the client sends it again on a new connection.
+// Verifies that a request is sent again if the instance closes a reused connection without a response. An
+// instance may close an idle connection just as the client sends a request on it. The instance has not
+// read this request, so the request must not be recorded as lost.
 func TestClientResendsOnReusedConnection(t *testing.T) {
 	var mu sync.Mutex
 	var requests []string
@@ -98,19 +102,19 @@
 	mu.Lock()
 	defer mu.Unlock()
 	if len(requests) != 3 || requests[1] != requests[2] {
-		t.Errorf("requests %v, want the second one twice", requests)
+		t.Errorf("got requests %v, want 3, of which the second and third have the same ID", requests)
 	}
 }
 
-// An instance has to end a connection whose request stays incomplete, in time; one that does not is
-// a failure of the run.
+// Verifies that stall reports an instance that waits for the rest of an incomplete request without
+// limit, and neither responds nor closes the connection.
 func TestStallReportsConnectionThatStaysOpen(t *testing.T) {
 	if testing.Short() {
-		t.Skip("waits for the time that an instance has")
+		t.Skip("waits for stalledRequestTimeout and responseGrace")
 	}
 	t.Parallel()
-	c := newTestClient(t, respondOK) // reads on for the rest of the request
+	c := newTestClient(t, respondOK) // the scripted server waits for the rest of the request
 	if err := c.stall(); err == nil || !strings.Contains(err.Error(), "neither an error nor an end") {
-		t.Errorf("error %v", err)
+		t.Errorf("got error %v, want one that contains \"neither an error nor an end\"", err)
 	}
 }
--- a/internal/soak/deployment.go
+++ b/internal/soak/deployment.go
@@ -15,78 +15,80 @@
 	"maddergap/internal/settings"
 )
 
-// The site's rules, beside the classes.
+// Settings of the deployment, apart from its classes.
 const (
-	keyCooldown      = 200 * time.Millisecond // between ordered requests of a key
+	keyCooldown      = 200 * time.Millisecond // see scheduler.Settings.KeyCooldown
 	maxAttempts      = 4
 	maxRetryAfter    = 500 * time.Millisecond
-	connectionIdle   = 4 * time.Second // after which nodes would close a connection
+	connectionIdle   = 4 * time.Second // idle time after which nodes are said to close a connection
 	connectTimeout   = 250 * time.Millisecond
 	maxUnits         = 4
-	meanUnits        = 1 // of a request
+	meanUnits        = 1 // mean work of a request
 	excessWeight     = 0.3
 	lateWeightFactor = 0.1
 	priorityWeight   = 2
-	reservedRate     = 1000 // units a second, of each plan
+	reservedRate     = 1000 // reserve of each plan, in units per second
 )
 
-// The retry budget.
+// Settings of the retry budget.
 const (
 	retryBudgetWindow = 2 * time.Second
-	retryBudgetMin    = 3   // retries in a window
-	retryBudgetRatio  = 0.1 // retries for each request, beyond these
+	retryBudgetMin    = 3   // retries that are always allowed in a window
+	retryBudgetRatio  = 0.1 // additional retries allowed for each request in a window
 )
 
-// The limit of the plan with one. Each instance has a part of it, which is enough for its largest
-// request and less than what is requested of it.
+// The limit of the limited plan, as the part of each instance. This part admits the largest request
+// (maxUnits) and is below the load that the instance's clients offer, so that the limit takes effect.
 const (
-	limitRatePerInstance  = 2.0 // units a second
+	limitRatePerInstance  = 2.0 // units per second
 	limitBurstPerInstance = 4.0 // units
 )
 
-// What a node bears after a start.
+// Capacity of a node, and the load that it can take while it is warming up.
 const (
 	warmupDuration    = 3 * time.Second
-	initialFraction   = 0.25 // of the capacity
+	initialFraction   = 0.25 // fraction of the capacity at the start
 	overloadFactor    = 2
 	overloadWindow    = time.Second
 	slowStartMinUnits = 16
-	nodeCapacity      = 150 // units a second of a warm node
+	nodeCapacity      = 150 // units per second after the warm-up
 )
 
-// The machine of an instance.
+// Limits of the machine that an instance is configured for.
 const (
 	instanceCores       = 0.5
 	instanceMemoryMB    = 64
 	instanceDescriptors = 256
 )
 
-// deploymentStream is the stream of random numbers, at a seed, that deployments are drawn from.
+// deploymentStream is the stream of the random number generator that deployments are drawn from, used
+// together with the seed.
 const deploymentStream = 0x73657474
 
-// zones are the zones in which nodes are.
+// zones holds the names of the zones of the nodes.
 var zones = []string{"z0", "z1"}
 
-// volume is a volume, and the index of its plan.
+// volume is a volume that clients send requests for.
 type volume struct {
 	name string
-	plan int
+	plan int // index into planNames
 }
 
-// planNames are the names of the plans: one without a limit, and one whose limit binds.
+// planNames holds the names of the plans: one without a limit, and one whose limit is exceeded by the
+// load.
 var planNames = [...]string{"low", "limited"}
 
-// unlimitedVolume and limitedVolume are the volumes of a run, one of each plan.
+// unlimitedVolume and limitedVolume are the volumes of a run, one for each plan.
 var (
 	unlimitedVolume = volume{name: "00000000feed0001", plan: 0}
 	limitedVolume   = volume{name: "00000000feed0002", plan: 1}
 )
 
-// class is a class of requests, see scheduler.Class.
+// class is a class of requests. See scheduler.Class.
 type class struct {
 	name                string
-	effect              string // as in the settings object
-	deduplicationScope  string // as in the settings object
+	effect              string // name in the settings object
+	deduplicationScope  string // name in the settings object
 	write               bool
 	latencyObjective    time.Duration
 	deadline            time.Duration
@@ -94,18 +96,18 @@
 	ordered             bool
 }
 
-// deployment is what the instances of a run are configured for.
+// deployment describes the classes and the fleet for which the instances of a run are configured.
 type deployment struct {
 	classes   []class
-	shards    int
-	instances int
+	shards    int // number of shards
+	instances int // number of instances
 }
 
-// drawDeployment returns the deployment that follows from the options' seed: a class of each effect
-// and one with order, with short or long deadlines.
+// drawDeployment returns the deployment determined by the options. It has a class of each effect and
+// an ordered class. Latency objectives, deadlines and the deduplication of the keyed class are random.
 func drawDeployment(o *Options) *deployment {
 	r := rand.New(rand.NewPCG(o.Seed, deploymentStream))
-	duration := func(from, to time.Duration) time.Duration { // of whole milliseconds, shorter than to
+	duration := func(from, to time.Duration) time.Duration { // from plus whole milliseconds, less than to
 		return from + time.Duration(r.IntN(int((to-from).Milliseconds())))*time.Millisecond
 	}
 	objective := func(longest time.Duration) time.Duration { return duration(longest*2/5, longest) }
@@ -149,7 +151,7 @@
 	return d
 }
 
-// longestDeadline is the longest deadline of a class.
+// longestDeadline returns the longest deadline of any class.
 func (d *deployment) longestDeadline() (longest time.Duration) {
 	for i := range d.classes {
 		longest = max(longest, d.classes[i].deadline)
@@ -157,7 +159,7 @@
 	return longest
 }
 
-// site is the settings object of the deployment.
+// site returns the settings object of the deployment.
 func (d *deployment) site() *settings.Site {
 	site := &settings.Site{
 		Instances: d.instances,
@@ -196,6 +198,7 @@
 	return site
 }
 
+// settings returns the class in the form of the settings object.
 func (c *class) settings() settings.Class {
 	return settings.Class{
 		Name:                c.name,
@@ -210,6 +213,7 @@
 	}
 }
 
+// plans returns the plans named in planNames, in this order.
 func (d *deployment) plans() []settings.Plan {
 	unlimited := settings.Plan{Name: planNames[unlimitedVolume.plan], Weight: 1, Reserve: reservedRate, PriorityFactor: 1}
 	limited := unlimited
@@ -219,7 +223,7 @@
 	return []settings.Plan{unlimited, limited}
 }
 
-// instanceConfig is the configuration file of an instance, as package platform reads it.
+// instanceConfig is the configuration file of an instance, in the format that package platform reads.
 type instanceConfig struct {
 	Name      string                 `json:"name"`
 	Listen    string                 `json:"listen"`    // host:port
@@ -230,14 +234,15 @@
 	Settings  *settings.Site         `json:"settings"`
 }
 
-// machineLimits are the limits of the machine of an instance.
+// machineLimits holds the resources of the machine on which an instance runs.
 type machineLimits struct {
 	Cores       float64 `json:"cores"`
 	MemoryMB    float64 `json:"memory_mb"`
 	Descriptors int     `json:"sockets"`
 }
 
-// configFile returns the configuration file of an instance, with another random seed each time.
+// configFile returns the configuration file of an instance. Each call sets a new random seed for the
+// gateway, which does not follow from the seed of the run.
 func (d *deployment) configFile(instance int, listenAddr, discoveryAddr string, known discovery.EndpointList) ([]byte, error) {
 	return json.Marshal(instanceConfig{
 		Name:      fmt.Sprint("h", instance),
@@ -250,10 +255,10 @@
 	})
 }
 
-// auditConfig returns the configuration by which the audit judges a run. It is that of an instance,
-// with the volumes.
+// auditConfig returns the configuration that the audit checks a run against. It is the configuration of
+// an instance, with the volumes added.
 func (d *deployment) auditConfig(dir string) (*config.Config, error) {
-	const anyAddr = "127.0.0.1:1" // is not used
+	const anyAddr = "127.0.0.1:1" // required, but not used by the audit
 	text, err := d.configFile(0, anyAddr, anyAddr, discovery.EndpointList{})
 	if err != nil {
 		return nil, err
@@ -268,7 +273,7 @@
 	return c.Gateway, nil
 }
 
-// slowStart is what a node bears after a start, for the audit.
+// slowStart returns the load that a node can take while it is warming up, for the audit.
 func (d *deployment) slowStart() audit.SlowStart {
 	return audit.SlowStart{
 		MeanUnits:       meanUnits,
--- a/internal/soak/deployment_test.go
+++ b/internal/soak/deployment_test.go
@@ -8,9 +8,10 @@
 	"time"
 )
 
-// Whatever deployment is drawn, an instance has to accept its configuration, and no request may
-// wait longer than its class allows.
-func TestDeployments(t *testing.T) {
+// Verifies for many seeds that the gateway's parser accepts the configuration of the drawn deployment, and
+// that drawn requests name existing shards and stay below the deadline of their class. Otherwise a run
+// would fail for some seeds without a fault of the gateway.
+func TestDrawnDeploymentsAreValid(t *testing.T) {
 	for seed := range uint64(50) {
 		o := testOptions
 		o.Seed = seed
@@ -20,18 +21,19 @@
 			t.Fatalf("seed %d: %v", seed, err)
 		}
 		if len(c.Volumes) != len(planNames) || len(c.Scheduler.Classes) != len(d.classes) {
-			t.Fatalf("seed %d: volumes %+v, classes %+v", seed, c.Volumes, c.Scheduler.Classes)
+			t.Fatalf("seed %d: got volumes %+v and classes %+v, want as many as in the deployment", seed, c.Volumes, c.Scheduler.Classes)
 		}
 		r := rand.New(rand.NewPCG(seed, 0))
 		for range 20 {
 			req := d.drawRequest(r, "1")
 			if deadline := d.classes[req.class].deadline; req.timeout < deadline/2 || req.timeout >= deadline || req.shard >= d.shards {
-				t.Fatalf("seed %d: %+v with a deadline of %v", seed, req, deadline)
+				t.Fatalf("seed %d: got request %+v, want an existing shard and a timeout between half the deadline and the deadline of %v", seed, req, deadline)
 			}
 		}
 	}
 }
 
+// Verifies the header fields by which an instance reads the properties of a request, and the body of a write.
 func TestFormatRequest(t *testing.T) {
 	d := &deployment{classes: []class{{name: "read"}, {name: "write", write: true}}, shards: 4, instances: 3}
 	for _, c := range []struct {
@@ -48,7 +50,7 @@
 			text := d.formatRequest(c.request)
 			for _, want := range c.want {
 				if !strings.Contains(text, want) {
-					t.Errorf("%q lacks %q", text, want)
+					t.Errorf("got request %q, want it to contain %q", text, want)
 				}
 			}
 		})
--- a/internal/soak/fault.go
+++ b/internal/soak/fault.go
@@ -6,49 +6,51 @@
 	"time"
 )
 
-// FaultKind is a kind of fault.
+// FaultKind is a kind of fault that can be injected.
 type FaultKind int
 
-// Kinds of faults. Their order and number decide what is drawn at a seed.
+// Kinds of faults. Their order and number determine which faults are drawn for a seed.
 const (
-	AgentOutage            FaultKind = iota // discovery agents do not respond
-	AgentHangWatches                        // open connections to an agent hang for good
-	AgentDelayResponses                     // an agent responds late
-	NodeDrain                               // a node drains, and is in service again afterwards
-	NodeRestart                             // a node's process dies and starts again, cold
+	AgentOutage            FaultKind = iota // one agent or all agents of discovery do not respond
+	AgentHangWatches                        // connections open to an agent never get another response
+	AgentDelayResponses                     // an agent delays its responses
+	NodeDrain                               // a node drains and is in service again afterwards
+	NodeRestart                             // a node is killed and started again; it is warming up afterwards
 	NodeHang                                // a node does not respond to requests
 	NodePauseAccept                         // a node accepts no connections
-	NodeResetConns                          // a node resets connections under requests
+	NodeResetConns                          // a node resets connections instead of responding
 	NodeMalformedResponses                  // a node responds with bytes that are not HTTP
-	InstanceTerminate                       // SIGTERM, SIGKILL as early as the platform sends it, a new process
-	InstanceKill                            // SIGKILL, a new process
-	InstanceReload                          // a new address of discovery, SIGHUP
+	InstanceTerminate                       // SIGTERM, SIGKILL if still running after a delay, new process
+	InstanceKill                            // SIGKILL, new process
+	InstanceReload                          // new address of discovery in the configuration, SIGHUP
 	InstanceSuspend                         // SIGSTOP, SIGCONT
-	ClientsDisconnect                       // clients disconnect before their response
-	ClientsStall                            // a client stops in the middle of a request
-	ClientsIdleConns                        // many connections without requests
-	faultKinds
+	ClientsDisconnect                       // clients disconnect before they get a response
+	ClientsStall                            // a client stops sending in the middle of a request
+	ClientsIdleConns                        // clients open many connections and send nothing
+	faultKindCount                          // number of kinds
 )
 
-// component is a part of the fleet that faults befall.
+// component is the part of the fleet that a fault affects.
 type component int
 
 const (
-	agentComponent component = iota
+	agentComponent component = iota // the discovery agent of an instance
 	nodeComponent
 	instanceComponent
-	clientsComponent // the clients of one instance
+	clientsComponent // the clients of an instance
 )
 
-// faultInfo describes a kind of fault.
+// faultInfo holds the properties of a kind of fault.
 type faultInfo struct {
-	text        string // as the plan is printed
-	component   component
-	minDuration time.Duration // durations are drawn from minDuration up to
-	maxDuration time.Duration // maxDuration; both 0: the fault happens at once
+	text      string // name in a printed plan
+	component component
+	// Durations are at least minDuration and below maxDuration. Both are 0 if the kind of fault has no
+	// duration.
+	minDuration time.Duration
+	maxDuration time.Duration
 }
 
-var faultInfos = [faultKinds]faultInfo{
+var faultInfos = [faultKindCount]faultInfo{
 	AgentOutage:            {"discovery down", agentComponent, 100 * time.Millisecond, 5 * time.Second},
 	AgentHangWatches:       {"watches fall silent", agentComponent, 100 * time.Millisecond, 2 * time.Second},
 	AgentDelayResponses:    {"discovery slow", agentComponent, 100 * time.Millisecond, 2 * time.Second},
@@ -68,34 +70,35 @@
 	ClientsIdleConns:  {"clients crowd", clientsComponent, 200 * time.Millisecond, 2 * time.Second},
 }
 
-// String returns the kind's text in a printed plan.
+// String returns the name of the kind in a printed plan.
 func (k FaultKind) String() string { return faultInfos[k].text }
 
+// component returns the part of the fleet that faults of the kind affect.
 func (k FaultKind) component() component { return faultInfos[k].component }
 
-// allAgents is the target of an outage of discovery on all instances.
+// allAgents is the Fault.Target of an outage of the discovery agents of all instances.
 const allAgents = -1
 
-// Fault is a fault of a plan.
+// Fault is one fault in a plan.
 type Fault struct {
 	Start    time.Duration // since the beginning of the run
-	Duration time.Duration // 0 for a fault that happens at once
+	Duration time.Duration // 0 for InstanceReload, which has none
 	Kind     FaultKind
-	// Target is the index of a node, or of the instance with which an agent or clients are; or
-	// allAgents.
+	// Target is the index of a node or of an instance, depending on the component of Kind. An agent or
+	// clients are given by the index of their instance. The target of an outage may be allAgents.
 	Target int
-	// Signals are those of InstanceTerminate.
+	// Signals is used for InstanceTerminate only.
 	Signals SignalSeries
 }
 
-// SignalSeries is what the process of an instance is sent as it is terminated.
+// SignalSeries describes the signals that the process of an instance is sent when it is terminated.
 type SignalSeries struct {
-	ReloadBefore bool // SIGHUP, with a new address of discovery, just before the first SIGTERM
-	ReloadAfter  bool // the same just after it
-	FurtherTerms int  // how often SIGTERM follows within a second
+	ReloadBefore  bool // a reload (SIGHUP) precedes the first SIGTERM
+	ReloadAfter   bool // a reload follows the first SIGTERM
+	ExtraSIGTERMs int  // number of further SIGTERMs, at intervals of extraSIGTERMInterval
 }
 
-// String returns the signals in their order.
+// String returns the names of the signals in the order in which they are sent.
 func (s SignalSeries) String() string {
 	text := "SIGTERM"
 	if s.ReloadBefore {
@@ -104,10 +107,10 @@
 	if s.ReloadAfter {
 		text += " SIGHUP"
 	}
-	return text + strings.Repeat(" SIGTERM", s.FurtherTerms)
+	return text + strings.Repeat(" SIGTERM", s.ExtraSIGTERMs)
 }
 
-// String returns the fault as a line of a printed plan, with its start in seconds.
+// String returns the fault as a line of a printed plan; the start time is in seconds.
 func (f Fault) String() string {
 	text := fmt.Sprintf("%7.3f %v, %d, for %v", f.Start.Seconds(), f.Kind, f.Target, f.Duration.Round(time.Millisecond))
 	if f.Kind == InstanceTerminate {
--- a/internal/soak/fleet.go
+++ b/internal/soak/fleet.go
@@ -13,50 +13,52 @@
 	"maddergap/internal/loopback"
 )
 
-// Ports of instances and nodes, each of which has an address of its own.
+// Ports of the instances and of the nodes. Each of them has an IP address of its own.
 const (
 	instancePort = 18100
 	nodePort     = 18300
 )
 
-// Runs at different seeds use different networks of the loopback addresses of this process.
+// The third byte of the fleet's loopback addresses follows from the seed, so that runs with different
+// seeds in one process use different addresses.
 const (
 	firstNetwork = 3
-	networks     = 200
+	networkCount = 200
 )
 
-// Statuses of endpoints in discovery's list.
+// Values of discovery.Endpoint.Status.
 const (
 	endpointUp       = "up"
 	endpointDraining = "draining"
 )
 
-// fleet is all that takes part in a run.
+// fleet holds the participants of a run: discovery, nodes, instances and their clients.
 type fleet struct {
 	options    *Options
 	deployment *deployment
 	registry   *discoverytest.Registry
 	nodes      []*node
 	instances  []*instance
-	requestIDs atomic.Uint64
-	injecting  sync.WaitGroup // of faults
+	requestIDs atomic.Uint64  // the last request ID given out
+	injecting  sync.WaitGroup // goroutines that inject faults
 
 	mu         sync.Mutex
-	nodeStarts []audit.Interval // of nodes that restarted
-	failures   []string         // that are not of one instance
+	nodeStarts []audit.Interval // starts of nodes after a NodeRestart; only From is set
+	failures   []string         // failures other than those in instance.failures
 }
 
 func newFleet(o *Options) *fleet {
 	return &fleet{options: o, deployment: drawDeployment(o), registry: discoverytest.NewRegistry()}
 }
 
-// addr is the address of an instance or a node, the same after each restart.
+// addr returns the address (host:port) of the instance or node of an index. It stays the same over
+// restarts.
 func (f *fleet) addr(index, port int) string {
-	network := firstNetwork + int(f.options.Seed%networks)
+	network := firstNetwork + int(f.options.Seed%networkCount)
 	return loopback.Addr(network, index+1, port)
 }
 
-// startNodes starts the nodes and lists them in discovery. The nodes of a shard are in different
+// startNodes starts the nodes and registers them in discovery. The nodes of a shard are in different
 // zones.
 func (f *fleet) startNodes() error {
 	for i := range f.options.Nodes {
@@ -71,33 +73,35 @@
 	return nil
 }
 
-// startInstances starts the instances, at the same time, and waits until all are ready.
+// startInstances starts all instances concurrently and waits until they are ready. syscallFaults has a
+// table for each instance; exe and dir are those of Run.
 func (f *fleet) startInstances(syscallFaults, exe []string, dir string) error {
 	for index := range f.options.Instances {
-		i, err := newInstance(index, f.addr(index, instancePort), f.registry.NewAgent(index), f.deployment, exe, dir)
+		inst, err := newInstance(index, f.addr(index, instancePort), f.registry.NewAgent(index), f.deployment, exe, dir)
 		if err != nil {
 			return err
 		}
-		i.syscallFaults = syscallFaults[index]
-		i.clients = &clientGroup{instance: index, addr: i.listenAddr, deployment: f.deployment, nextID: &f.requestIDs}
-		f.instances = append(f.instances, i)
+		inst.syscallFaults = syscallFaults[index]
+		inst.clients = &clientGroup{instance: index, addr: inst.listenAddr, deployment: f.deployment, lastRequestID: &f.requestIDs}
+		f.instances = append(f.instances, inst)
 	}
 	var starting sync.WaitGroup
 	errs := make([]error, len(f.instances))
-	for index, i := range f.instances {
+	for index, inst := range f.instances {
 		starting.Go(func() {
-			i.mu.Lock()
-			defer i.mu.Unlock()
-			errs[index] = i.start()
+			inst.mu.Lock()
+			defer inst.mu.Unlock()
+			errs[index] = inst.start()
 		})
 	}
 	starting.Wait()
 	return errors.Join(errs...)
 }
 
-// serve has clients send requests while the faults of a plan are injected. At the end all instances
-// shut down while the clients still send, and everything that was started has ended.
-func (f *fleet) serve(plan *Plan) {
+// runWorkload runs the clients while it injects the faults of a plan. After the duration of the run, it
+// terminates all instances while the clients still send requests. It returns when the clients and the
+// injected faults have ended.
+func (f *fleet) runWorkload(plan *Plan) {
 	stop := make(chan struct{})
 	for _, i := range f.instances {
 		i.clients.start(f.options.Seed, stop)
@@ -111,7 +115,8 @@
 	f.injecting.Wait()
 }
 
-// terminate terminates all instances.
+// terminate terminates all instances concurrently, as in a planned restart. It skips instances whose
+// process has already ended.
 func (f *fleet) terminate() {
 	var terminating sync.WaitGroup
 	for _, i := range f.instances {
@@ -126,7 +131,8 @@
 	terminating.Wait()
 }
 
-// checkExited looks for instances that exited by themselves, but for those that a fault is at.
+// checkExited records a failure for each instance whose process exited although the soak did not end it.
+// It skips instances that are locked, because a fault is being injected into their process.
 func (f *fleet) checkExited() {
 	for _, i := range f.instances {
 		if i.mu.TryLock() {
@@ -136,8 +142,8 @@
 	}
 }
 
-// fail records an error, unless it is nil.
-func (f *fleet) fail(err error) {
+// recordError records an error as a failure of the run. It does nothing if err is nil.
+func (f *fleet) recordError(err error) {
 	if err == nil {
 		return
 	}
@@ -146,7 +152,7 @@
 	f.failures = append(f.failures, err.Error())
 }
 
-// close ends what still runs.
+// close kills the processes of the instances and the nodes that still run.
 func (f *fleet) close() {
 	for _, i := range f.instances {
 		i.close()
@@ -156,19 +162,19 @@
 	}
 }
 
-// recordNodeStart records that a node started again and is cold.
+// recordNodeStart records that a node has restarted and is warming up.
 func (f *fleet) recordNodeStart(n *node) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.nodeStarts = append(f.nodeStarts, audit.Interval{Name: n.name, From: unixMicros()})
 }
 
-// setStatus changes the status of a node's endpoint in discovery's list.
+// setStatus sets the status of a node's endpoint in discovery.
 func (f *fleet) setStatus(n *node, status string) {
 	f.registry.UpdateEndpoint(func(e *discovery.Endpoint) { e.Status = status }, n.name)
 }
 
-// setStarted sets the start time of a node's endpoint in discovery's list to now.
+// setStarted sets the start time of a node's endpoint in discovery to the current time.
 func (f *fleet) setStarted(n *node) {
 	f.registry.UpdateEndpoint(func(e *discovery.Endpoint) { e.Since = float64(time.Now().UnixMilli()) }, n.name)
 }
--- a/internal/soak/inject.go
+++ b/internal/soak/inject.go
@@ -6,15 +6,16 @@
 	"maddergap/internal/discoverytest"
 )
 
-// delayParts is the ratio of the duration of AgentDelayResponses to the delay of each response.
-const delayParts = 10
+// responseDelayDivisor is the ratio of the duration of an AgentDelayResponses fault to the delay of each
+// response.
+const responseDelayDivisor = 10
 
-// inject injects the faults of a plan, each at its start and in a goroutine of its own, and returns
-// when the options' duration is over. Faults may go on after that.
+// inject injects the faults of a plan, each at its start time and in its own goroutine. It returns
+// when the duration of the run is over. Faults may still be active then; runWorkload waits for them.
 func (f *fleet) inject(plan *Plan) {
 	start := time.Now()
-	if plan.Crowd {
-		f.holdCrowds(start.Add(f.options.Duration))
+	if plan.HoldIdleConns {
+		f.holdIdleConns(start.Add(f.options.Duration))
 	}
 	for _, fault := range plan.Faults {
 		time.Sleep(time.Until(start.Add(fault.Start)))
@@ -24,14 +25,14 @@
 	time.Sleep(time.Until(start.Add(f.options.Duration)))
 }
 
-// holdCrowds holds idle connections at every instance until a time.
-func (f *fleet) holdCrowds(end time.Time) {
+// holdIdleConns makes the clients of every instance hold idle connections until end.
+func (f *fleet) holdIdleConns(end time.Time) {
 	for _, i := range f.instances {
-		f.injecting.Go(func() { i.clients.crowdUntil(end) })
+		f.injecting.Go(func() { i.clients.holdIdleConnsUntil(end) })
 	}
 }
 
-// injectFault injects a fault and returns when it is over.
+// injectFault injects a fault and returns when the fault is over.
 func (f *fleet) injectFault(fault Fault) {
 	switch fault.Kind.component() {
 	case agentComponent:
@@ -51,6 +52,7 @@
 	}
 }
 
+// targetAgents returns the agents that a fault affects.
 func (f *fleet) targetAgents(fault Fault) []*discoverytest.Agent {
 	if fault.Target == allAgents {
 		return f.registry.Agents()
@@ -65,10 +67,12 @@
 	case AgentHangWatches:
 		a.HangWatches()
 	case AgentDelayResponses:
-		a.SetResponseDelay(fault.Duration / delayParts)
+		a.SetResponseDelay(fault.Duration / responseDelayDivisor)
 	}
 }
 
+// endAgentFault ends a fault of an agent. AgentHangWatches needs no end: it affects only connections that
+// were open when it started.
 func endAgentFault(a *discoverytest.Agent, fault Fault) {
 	switch fault.Kind {
 	case AgentOutage:
@@ -91,32 +95,33 @@
 		time.Sleep(fault.Duration)
 		n.resumeAccept()
 	case NodeHang:
-		n.failResponses(respondsNever, fault.Duration)
+		n.failResponses(responseFaultHang, fault.Duration)
 	case NodeResetConns:
-		n.failResponses(respondsByReset, fault.Duration)
+		n.failResponses(responseFaultReset, fault.Duration)
 	case NodeMalformedResponses:
-		n.failResponses(respondsMalformed, fault.Duration)
+		n.failResponses(responseFaultMalformed, fault.Duration)
 	}
 }
 
-// restartNode kills a node and starts it again after a while. It does nothing while the node is down.
+// restartNode kills a node and starts it again after downtime. It does nothing if a restart of the node
+// is already in progress.
 func (f *fleet) restartNode(n *node, downtime time.Duration) {
-	if !n.restart.TryLock() {
+	if !n.restartMu.TryLock() {
 		return
 	}
-	defer n.restart.Unlock()
+	defer n.restartMu.Unlock()
 	n.kill()
 	time.Sleep(downtime)
 	if err := n.start(); err != nil {
-		f.fail(err)
+		f.recordError(err)
 		return
 	}
 	f.recordNodeStart(n)
 	f.setStarted(n)
 }
 
-// injectInstanceFault does nothing while another fault is at the instance's process, or once the
-// process has ended.
+// injectInstanceFault injects a fault into the process of an instance. It does nothing if another fault
+// is being injected there, or if the process has ended.
 func injectInstanceFault(i *instance, fault Fault) {
 	if !i.mu.TryLock() {
 		return
@@ -146,7 +151,7 @@
 	case ClientsDisconnect:
 		clients.disconnectFor(fault.Duration)
 	case ClientsStall:
-		f.fail(clients.stall())
+		f.recordError(clients.stall())
 	case ClientsIdleConns:
 		clients.holdIdleConns(fault.Duration)
 	}
--- a/internal/soak/instance.go
+++ b/internal/soak/instance.go
@@ -19,46 +19,46 @@
 )
 
 const (
-	// killDelay is how long after the longest deadline the platform kills a process that it
-	// terminated. maxKillDeadline is the most that it counts of that deadline.
+	// After SIGTERM, the platform waits for the longest deadline of a class (counted as at most
+	// maxKillDeadline) and for killDelay, and then sends SIGKILL.
 	killDelay       = 700 * time.Millisecond
 	maxKillDeadline = 3 * time.Second
 
-	// furtherTermInterval is the time between two SIGTERM of a series.
-	furtherTermInterval = 300 * time.Millisecond
+	// extraSIGTERMInterval is the time between two SIGTERMs of a SignalSeries.
+	extraSIGTERMInterval = 300 * time.Millisecond
 
-	// startTimeout is the time in which a process has to be ready.
+	// startTimeout is the time that a process has to become ready after it accepts connections.
 	startTimeout      = 10 * time.Second
 	readyPollInterval = 10 * time.Millisecond
 	readyDialTimeout  = 200 * time.Millisecond
-	readyTimeout      = 500 * time.Millisecond // of the response
+	readyTimeout      = 500 * time.Millisecond // time to send the readiness check and read its response
 
-	// minReloadUptime is the age of a process from which it is reloaded.
+	// minReloadUptime is the uptime below which a process is not reloaded.
 	minReloadUptime = time.Second
 )
 
-// instance is a gateway instance: its process, which is replaced by another one at each restart,
-// its discovery agent and its clients.
+// instance is a gateway instance with its discovery agent and its clients. Its process is replaced at
+// each restart.
 type instance struct {
-	index         int
-	listenAddr    string
+	index         int    // index in fleet.instances
+	listenAddr    string // host:port
 	agent         *discoverytest.Agent
 	clients       *clientGroup
 	deployment    *deployment
-	dir           string   // of its configuration
+	dir           string   // directory of its configuration file and log
 	exe           []string // the program's command line, without a subcommand
-	syscallFaults string   // table of failing system calls; empty: none
+	syscallFaults string   // table of failing system calls; empty for none
 	log           *os.File
 
-	mu        sync.Mutex          // locked while the process changes
+	mu        sync.Mutex          // held while the process is started or ended, and during its faults
 	process   *subprocess.Process // nil before the first start
-	startedAt time.Time
-	stopped   bool             // the process was ended by the soak, or was found to have exited
-	outages   []audit.Interval // after SIGKILL, until the next process is ready
+	startedAt time.Time           // time at which the process accepted connections
+	stopped   bool                // set if the soak ended the process or found that it had exited
+	outages   []audit.Interval    // periods from a SIGKILL until the next process is ready
 	failures  []string
 }
 
-// newInstance returns an instance whose process is not started. Its configuration and log are in dir.
+// newInstance returns an instance without a process. Its configuration and log are written to dir.
 func newInstance(index int, listenAddr string, agent *discoverytest.Agent, d *deployment, exe []string, dir string) (*instance, error) {
 	log, err := os.Create(filepath.Join(dir, fmt.Sprintf("head%d.log", index)))
 	if err != nil {
@@ -67,7 +67,7 @@
 	return &instance{index: index, listenAddr: listenAddr, agent: agent, deployment: d, dir: dir, exe: exe, log: log}, nil
 }
 
-// close kills the process and ends the agent.
+// close kills the process and closes the agent and the log.
 func (i *instance) close() {
 	i.mu.Lock()
 	if i.process != nil {
@@ -78,8 +78,9 @@
 	i.log.Close()
 }
 
-// fail records a failure of the instance. i.mu is locked, here and in what follows.
-func (i *instance) fail(format string, args ...any) {
+// recordFailure records a failure of the instance. It and the methods below require that i.mu is held,
+// unless no other goroutine uses the instance.
+func (i *instance) recordFailure(format string, args ...any) {
 	i.failures = append(i.failures, fmt.Sprintf("head %d: ", i.index)+fmt.Sprintf(format, args...))
 }
 
@@ -87,7 +88,7 @@
 	return filepath.Join(i.dir, fmt.Sprintf("head%d.json", i.index))
 }
 
-// configure writes the configuration, with a new address of the agent.
+// configure moves the agent to a new address and writes a configuration file that has this address.
 func (i *instance) configure() error {
 	discoveryAddr, err := i.agent.Listen()
 	if err != nil {
@@ -100,7 +101,7 @@
 	return atomicfile.Replace(i.configPath(), text)
 }
 
-// start starts a process and waits until it is ready.
+// start starts a new process and waits until it is ready.
 func (i *instance) start() error {
 	if err := i.configure(); err != nil {
 		return err
@@ -116,15 +117,15 @@
 	}
 	i.process, i.startedAt, i.stopped = process, time.Now(), false
 	for end := time.Now().Add(startTimeout); time.Now().Before(end); time.Sleep(readyPollInterval) {
-		if i.ready() {
+		if i.isReady() {
 			return nil
 		}
 	}
 	return fmt.Errorf("head %d is not ready within %v", i.index, startTimeout)
 }
 
-// ready reports whether the instance passes its readiness check.
-func (i *instance) ready() bool {
+// isReady reports whether the instance passes its readiness check.
+func (i *instance) isReady() bool {
 	conn, err := net.DialTimeout("tcp", i.listenAddr, readyDialTimeout)
 	if err != nil {
 		return false
@@ -138,8 +139,9 @@
 	return err == nil && string(got) == want
 }
 
-// terminate ends the process as in a planned restart: by SIGTERM, with further signals around it,
-// and by SIGKILL at the earliest time at which the platform sends it.
+// terminate ends the process as in a planned restart. It sends SIGTERM, with the additional signals of
+// the series, and sends SIGKILL if the process still runs at the earliest time at which the platform
+// would do so.
 func (i *instance) terminate(signals SignalSeries) {
 	i.stopped = true
 	if signals.ReloadBefore {
@@ -150,8 +152,8 @@
 	if signals.ReloadAfter {
 		i.reload()
 	}
-	for range signals.FurtherTerms {
-		if i.process.ExitsWithin(furtherTermInterval) {
+	for range signals.ExtraSIGTERMs {
+		if i.process.ExitsWithin(extraSIGTERMInterval) {
 			return
 		}
 		i.process.Signal(syscall.SIGTERM)
@@ -161,48 +163,50 @@
 	}
 }
 
-// kill ends the process by SIGKILL. The audit allows requests to be lost until the next one is ready.
+// kill ends the process by SIGKILL. The audit permits that requests are lost until the next process is
+// ready.
 func (i *instance) kill() {
 	i.stopped = true
 	i.outages = append(i.outages, audit.Interval{Name: fmt.Sprint(i.index), From: unixMicros()})
 	i.process.Kill()
 }
 
-// restart starts another process after terminate or kill.
+// restart starts a new process after terminate or kill, and ends the outage that kill began.
 func (i *instance) restart() {
 	err := i.start()
 	if n := len(i.outages); n > 0 && i.outages[n-1].To == 0 {
 		i.outages[n-1].To = unixMicros()
 	}
 	if err != nil {
-		i.fail("does not come back: %v", err)
+		i.recordFailure("does not come back: %v", err)
 	}
 }
 
-// reload moves the agent to another address and sends SIGHUP.
+// reload moves the agent to a new address and sends SIGHUP. It does nothing if the process has run for
+// less than minReloadUptime.
 func (i *instance) reload() {
 	if time.Since(i.startedAt) < minReloadUptime {
 		return
 	}
 	if err := i.configure(); err != nil {
-		i.fail("reload: %v", err)
+		i.recordFailure("reload: %v", err)
 		return
 	}
 	i.agent.AddressChangeDelivered()
 	i.process.Signal(syscall.SIGHUP)
 }
 
-// suspend stops the process by SIGSTOP for a while.
+// suspend stops the process with SIGSTOP and continues it after the duration.
 func (i *instance) suspend(duration time.Duration) {
 	i.process.Signal(syscall.SIGSTOP)
 	time.Sleep(duration)
 	i.process.Signal(syscall.SIGCONT)
 }
 
-// checkExited records a failure if the process exited by itself.
+// checkExited records a failure if the process exited although the soak did not end it.
 func (i *instance) checkExited() {
 	if !i.stopped && i.process != nil && i.process.Exited() {
-		i.fail("the process ended by itself")
+		i.recordFailure("the process ended by itself")
 		i.stopped = true
 	}
 }
--- a/internal/soak/instance_log.go
+++ b/internal/soak/instance_log.go
@@ -7,11 +7,11 @@
 	"strings"
 )
 
-// maxLogLine is the longest line of a log that is read, in bytes.
+// maxLogLine is the length in bytes of the longest line of a log that can be read.
 const maxLogLine = 1 << 20
 
-// loggedViolations returns the lines of an instance's log that tell of a violated invariant, of a
-// request that shutdown aborted, or of a crash, each after the name of the file.
+// loggedViolations returns the lines of an instance's log that report a violated invariant, a request
+// aborted at shutdown, or a crash. Each line is prefixed with the base name of the file.
 func loggedViolations(path string) (lines []string, err error) {
 	file, err := os.Open(path)
 	if err != nil {
@@ -28,6 +28,7 @@
 	return lines, scanner.Err()
 }
 
+// isViolation reports whether a line of a log is one that loggedViolations returns.
 func isViolation(line string) bool {
 	return strings.Contains(line, `"invariant violated"`) ||
 		strings.Contains(line, "request aborted at shutdown") ||
--- a/internal/soak/instance_log_test.go
+++ b/internal/soak/instance_log_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// Invariants that an instance found violated, and crashes, are read from its log.
+// Verifies that violated invariants and crashes are found in the log of an instance among other lines.
 func TestLoggedViolations(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "head0.log")
 	const log = `{"msg":"serving"}
@@ -19,6 +19,6 @@
 	}
 	lines, err := loggedViolations(path)
 	if err != nil || len(lines) != 2 {
-		t.Errorf("%q, %v", lines, err)
+		t.Errorf("got lines %q and error %v, want the violated invariant and the panic", lines, err)
 	}
 }
--- a/internal/soak/node.go
+++ b/internal/soak/node.go
@@ -14,43 +14,43 @@
 	"maddergap/internal/scriptednode"
 )
 
-// meanServiceTime is the mean time that a node takes for a request; the times are exponentially
+// meanServiceTime is the mean time that a node takes to process a request. The times are exponentially
 // distributed.
 const meanServiceTime = 4 * time.Millisecond
 
-// responseFault is how a node fails to respond.
+// responseFault says what a node does in place of a proper response.
 type responseFault int
 
 const (
-	respondsWell      responseFault = iota
-	respondsNever                   // the connection stays open
-	respondsByReset                 // in place of a response
-	respondsMalformed               // with bytes that are not HTTP
+	responseFaultNone      responseFault = iota
+	responseFaultHang                    // no response; the connection stays open
+	responseFaultReset                   // the connection is reset
+	responseFaultMalformed               // a response that is not HTTP
 )
 
-// node is a fake storage node on the platform's protocol. What it is, its records and its faults
-// outlive a restart.
+// node is a fake storage node that speaks the platform's protocol. Its identity, its records and its
+// faults are kept over a restart.
 type node struct {
 	name  string
-	shard int
+	shard int    // number of the shard that the node holds
 	addr  string // host:port
 
-	restart sync.Mutex  // locked while the node is down
-	paused  atomic.Bool // accepts no connections
+	restartMu sync.Mutex  // held while a NodeRestart is in progress
+	paused    atomic.Bool // set while the node accepts no connections; shared with the listener
 
-	mu       sync.Mutex // of what follows
-	rand     *rand.Rand // of service times
+	mu       sync.Mutex // guards the fields below
+	rand     *rand.Rand // source of the service times
 	listener *pausableListener
-	server   *scriptednode.Node // of the process that runs, or ran last
-	fault    responseFault
-	entries  []fakenode.Entry // of each request that was read in full
+	server   *scriptednode.Node // serves the node; after kill, the server that was killed
+	fault    responseFault      // responseFaultNone unless a fault is active
+	entries  []fakenode.Entry   // records of all requests that were read in full, in the order of arrival
 }
 
 func newNode(name string, shard int, addr string, seed uint64) *node {
 	return &node{name: name, shard: shard, addr: addr, rand: rand.New(rand.NewPCG(seed, uint64(len(name))))}
 }
 
-// start starts serving at the node's address.
+// start starts serving at the node's address, for the first time or after kill.
 func (n *node) start() error {
 	listener, err := listen(n.addr, &n.paused)
 	if err != nil {
@@ -63,19 +63,19 @@
 	return nil
 }
 
-// kill ends the node as the death of its process does.
+// kill ends the node as if its process were killed: the port is closed and all connections are reset.
 func (n *node) kill() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.server.Kill()
 }
 
-// failResponses makes the node fail to respond for a while. Of faults that overlap the latest one
-// counts, until the first of them ends.
+// failResponses makes the node respond with a fault, and returns after the duration. If faults overlap,
+// the latest one is in effect, and the first one that ends resets it to responseFaultNone.
 func (n *node) failResponses(fault responseFault, duration time.Duration) {
 	n.setFault(fault)
 	time.Sleep(duration)
-	n.setFault(respondsWell)
+	n.setFault(responseFaultNone)
 }
 
 func (n *node) setFault(fault responseFault) {
@@ -84,46 +84,47 @@
 	n.fault = fault
 }
 
-// pauseAccept stops accepting connections.
+// pauseAccept makes the node stop accepting connections.
 func (n *node) pauseAccept() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.listener.pause()
 }
 
-// resumeAccept accepts connections again.
+// resumeAccept makes the node accept connections again.
 func (n *node) resumeAccept() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.listener.resume()
 }
 
-// respond records a request and handles it as the node's fault says. A request for another shard
-// is rejected before it has an effect.
+// respond records a request and responds to it according to the active fault. It rejects a request for
+// another shard without executing it. A request is executed even if its response then fails.
 func (n *node) respond(r *http.Request) scriptednode.Response {
-	entry, fault, serviceTime := n.recordArrival(r)
+	index, fault, serviceTime := n.recordArrival(r)
 	if shard, ok := requestedShard(r.Header); ok && shard != n.shard {
-		n.recordRejection(entry)
+		n.recordRejection(index)
 		return scriptednode.Response{Text: "HTTP/1.1 503 Busy\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n"}
 	}
 	time.Sleep(serviceTime)
-	n.recordEffect(entry, fault == respondsWell)
+	n.recordEffect(index, fault == responseFaultNone)
 	switch fault {
-	case respondsNever:
+	case responseFaultHang:
 		return scriptednode.Response{Ending: scriptednode.Hang}
-	case respondsByReset:
+	case responseFaultReset:
 		return scriptednode.Response{Ending: scriptednode.Reset}
-	case respondsMalformed:
+	case responseFaultMalformed:
 		return scriptednode.Response{Text: "\x00\xffnoise\r\n\r\n"}
 	}
 	return scriptednode.OK(responseBody(r.Header.Get("X-Txn")))
 }
 
-// responseBody is the body of the response to the request of an ID. It tells the client that the
-// response is to its request and not to another one.
+// responseBody returns the body of the response to the request with an ID. The client compares the body
+// to detect a response to another request.
 func responseBody(id string) string { return "answer to " + id }
 
-// requestedShard is the shard that a request names, if it names one.
+// requestedShard returns the number of the shard in the IO-Info header of a request. ok is false if there
+// is no valid number.
 func requestedShard(header http.Header) (shard int, ok bool) {
 	for member := range strings.SplitSeq(header.Get("IO-Info"), ",") {
 		if text, found := strings.CutPrefix(member, "shard="); found {
@@ -134,12 +135,13 @@
 	return 0, false
 }
 
-// recordArrival records a request. It returns the record's index, and how the request is handled.
-func (n *node) recordArrival(r *http.Request) (entry int, fault responseFault, serviceTime time.Duration) {
+// recordArrival adds a record of a request to n.entries and returns its index. It also returns the
+// active fault and a random service time for the request.
+func (n *node) recordArrival(r *http.Request) (index int, fault responseFault, serviceTime time.Duration) {
 	timeout, _ := strconv.ParseInt(strings.TrimSuffix(r.Header.Get("X-Remaining"), "u"), 10, 64)
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	entry = len(n.entries)
+	index = len(n.entries)
 	n.entries = append(n.entries, fakenode.Entry{
 		Node:           n.name,
 		Traceparent:    r.Header.Get("X-Txn"),
@@ -149,37 +151,38 @@
 		Units:          1,
 		ReceivedAt:     unixMicros(),
 		Timeout:        timeout,
-		Sequence:       uint64(entry + 1),
+		Sequence:       uint64(index + 1),
 	})
-	return entry, n.fault, time.Duration(n.rand.ExpFloat64() * float64(meanServiceTime))
+	return index, n.fault, time.Duration(n.rand.ExpFloat64() * float64(meanServiceTime))
 }
 
-// recordRejection records that a request was rejected.
-func (n *node) recordRejection(entry int) {
+// recordRejection records that the request of an entry was rejected without an effect.
+func (n *node) recordRejection(index int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.entries[entry].Status = http.StatusServiceUnavailable
-	n.entries[entry].RespondedAt = unixMicros()
+	n.entries[index].Status = http.StatusServiceUnavailable
+	n.entries[index].RespondedAt = unixMicros()
 }
 
-// recordEffect records that a request took effect, and whether a response follows.
-func (n *node) recordEffect(entry int, responds bool) {
+// recordEffect records that the request of an entry was executed, and, if responds is set, that it was
+// responded to.
+func (n *node) recordEffect(index int, responds bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := unixMicros()
-	n.entries[entry].ExecutedAt = now
+	n.entries[index].ExecutedAt = now
 	if responds {
-		n.entries[entry].Status = http.StatusOK
-		n.entries[entry].RespondedAt = now
+		n.entries[index].Status = http.StatusOK
+		n.entries[index].RespondedAt = now
 	}
 }
 
-// records returns the records of all requests so far.
+// records returns the records of all requests received so far.
 func (n *node) records() []fakenode.Entry {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return slices.Clone(n.entries)
 }
 
-// unixMicros is the time as records have it.
+// unixMicros returns the current Unix time in microseconds, the unit of the times in records.
 func unixMicros() int64 { return time.Now().UnixMicro() }
--- a/internal/soak/node_list_cost.go
+++ b/internal/soak/node_list_cost.go
@@ -10,17 +10,19 @@
 	"maddergap/internal/loopback"
 )
 
-// What MeasureNodeLists does for each size of a list.
+// Parameters of MeasureNodeLists. The outages are repeated for each size of a list.
 const (
-	listOutages        = 8 // of discovery, each with one change
+	listOutages        = 8 // number of outages of discovery, each with one change of a node
 	listOutageDuration = 1500 * time.Millisecond
-	listRecoveryTime   = time.Second // after each outage
-	listNetwork        = 250         // of the instance's loopback address
+	listRecoveryTime   = time.Second // pause after each outage
+	listNetwork        = 250         // third byte of the instance's loopback address
 	listNodesPerShard  = 4
 )
 
-// MeasureNodeLists measures what one instance uses for node lists of each size, without clients,
-// while outages of discovery end with a change of one node. It prints a line for each size.
+// MeasureNodeLists measures the CPU time, memory and descriptors that an instance uses, and what it
+// receives from discovery, for node lists of each size. There are no clients, and several outages of
+// discovery occur, each with a change of one node. A line for each size is printed to out. exe and dir
+// are as in Run.
 func MeasureNodeLists(exe []string, dir string, sizes []int, out io.Writer) error {
 	fmt.Fprintf(out, "members: %d outages of %v with one change each\n", listOutages, listOutageDuration)
 	for _, size := range sizes {
@@ -31,38 +33,39 @@
 	return nil
 }
 
+// measureNodeList runs an instance with a node list of one size and prints the line for it.
 func measureNodeList(exe []string, dir string, size int, out io.Writer) error {
 	registry := discoverytest.NewRegistry()
 	endpoints := listedEndpoints(size)
 	registry.ReplaceAll(endpoints...)
 	d := drawDeployment(&Options{Seed: 1, Instances: 1, Nodes: minNodes})
-	i, err := newInstance(0, loopback.Addr(listNetwork, 1, instancePort), registry.NewAgent(0), d, exe, dir)
+	inst, err := newInstance(0, loopback.Addr(listNetwork, 1, instancePort), registry.NewAgent(0), d, exe, dir)
 	if err != nil {
 		return err
 	}
-	defer i.close()
-	if err := i.start(); err != nil {
+	defer inst.close()
+	if err := inst.start(); err != nil {
 		return err
 	}
-	for round := range listOutages {
-		i.agent.StartOutage()
+	for outage := range listOutages {
+		inst.agent.StartOutage()
 		time.Sleep(listOutageDuration)
-		status := []string{endpointDraining, endpointUp}[round%2]
+		status := []string{endpointDraining, endpointUp}[outage%2]
 		registry.UpdateEndpoint(func(e *discovery.Endpoint) { e.Status = status }, endpoints[0].Name)
-		i.agent.EndOutage()
+		inst.agent.EndOutage()
 		time.Sleep(listRecoveryTime)
 	}
-	used, err := readProcessUsage(i.process.Pid())
+	used, err := readProcessUsage(inst.process.Pid())
 	if err != nil {
 		return err
 	}
-	calls := i.agent.Usage()
+	agentUsage := inst.agent.Usage()
 	fmt.Fprintf(out, "  %5d nodes: CPU %.2f s, peak %.1f MB, %d descriptors, %d answers of %d KB in all\n", size, used.cpuTime.Seconds(),
-		float64(used.peakKB)/1024, used.descriptors, calls.Calls, calls.ResponseBytes/1024)
+		float64(used.peakKB)/1024, used.descriptors, agentUsage.Calls, agentUsage.ResponseBytes/1024)
 	return nil
 }
 
-// listedEndpoints returns a list of nodes at which nothing listens.
+// listedEndpoints returns a list of nodes. Nothing listens at their addresses.
 func listedEndpoints(size int) (endpoints []discovery.Endpoint) {
 	const perNetwork = 250
 	for i := range size {
--- a/internal/soak/node_test.go
+++ b/internal/soak/node_test.go
@@ -19,6 +19,8 @@
 	testShard   = 1
 )
 
+// startNode starts a node that holds testShard, at an address with a host number. The node is
+// killed when the test ends.
 func startNode(t *testing.T, host int) *node {
 	t.Helper()
 	n := newNode("s-00", testShard, loopback.Addr(testNetwork, host, nodePort), 1)
@@ -29,7 +31,7 @@
 	return n
 }
 
-// get sends a request for a shard on a connection of its own.
+// get sends a request for a shard on a new connection and returns the response.
 func get(t *testing.T, n *node, shard int) (status int, body string, err error) {
 	t.Helper()
 	conn, err := net.Dial("tcp", n.addr)
@@ -47,40 +49,41 @@
 	return r.StatusCode, string(text), err
 }
 
-// A node records what the audit joins: a request that it served, and one that it rejected because
-// it does not have its shard, which has no effect.
+// Verifies the records that a node makes for the audit: of a request that it served, and of one that it
+// rejected without executing it, because the node does not hold the shard.
 func TestNodeRecordsRequests(t *testing.T) {
 	n := startNode(t, 1)
 	if status, body, err := get(t, n, testShard); status != http.StatusOK || body != responseBody("7") || err != nil {
-		t.Errorf("its shard: %d %q, %v", status, body, err)
+		t.Errorf("request for the shard of the node: got %d %q, error %v", status, body, err)
 	}
 	if status, _, err := get(t, n, testShard+1); status != http.StatusServiceUnavailable || err != nil {
-		t.Errorf("another shard: %d, %v", status, err)
+		t.Errorf("request for another shard: got %d, error %v, want 503", status, err)
 	}
 	records := n.records()
 	if len(records) != 2 {
-		t.Fatalf("records %+v", records)
+		t.Fatalf("got records %+v, want 2", records)
 	}
 	served, rejected := records[0], records[1]
 	if served.Status != http.StatusOK || served.ExecutedAt == 0 || served.Timeout != 1500 || served.Traceparent != "7" {
-		t.Errorf("served: %+v", served)
+		t.Errorf("got record %+v of the served request", served)
 	}
 	if rejected.Status != http.StatusServiceUnavailable || rejected.ExecutedAt != 0 || rejected.Sequence != 2 {
-		t.Errorf("rejected: %+v", rejected)
+		t.Errorf("got record %+v of the rejected request", rejected)
 	}
 }
 
-// A node that fails to respond has executed the request all the same, as its record says.
+// Verifies that each fault makes a request fail for its sender as intended, and that the request is still
+// recorded as executed, without a response.
 func TestNodeResponseFaults(t *testing.T) {
 	n := startNode(t, 2)
 	for fault, isExpected := range map[responseFault]func(error) bool{
-		respondsNever:     isTimeout,
-		respondsByReset:   func(err error) bool { return errors.Is(err, syscall.ECONNRESET) },
-		respondsMalformed: func(err error) bool { return err != nil && !isTimeout(err) },
+		responseFaultHang:      isTimeout,
+		responseFaultReset:     func(err error) bool { return errors.Is(err, syscall.ECONNRESET) },
+		responseFaultMalformed: func(err error) bool { return err != nil && !isTimeout(err) },
 	} {
 		n.setFault(fault)
 		if status, _, err := get(t, n, testShard); status != 0 || !isExpected(err) {
-			t.Errorf("fault %d: %d, %v", fault, status, err)
+			t.Errorf("fault %d: got status %d and unexpected error %v", fault, status, err)
 		}
 	}
 	for _, record := range n.records() {
@@ -90,8 +93,8 @@
 	}
 }
 
-// A process that is stuck accepts nothing: a connection in its queue waits, and is reset in the end
-// without its request having been read. Afterwards the node serves as before.
+// Verifies that a node accepts nothing during a pause. A connection in the accept queue waits until the
+// pause ends and is then reset, without its request being read. Afterwards the node serves again.
 func TestNodePausesAccept(t *testing.T) {
 	n := startNode(t, 3)
 	n.pauseAccept()
@@ -103,37 +106,37 @@
 	io.WriteString(conn, "GET /api HTTP/1.1\r\nHost: b\r\n\r\n")
 	conn.SetDeadline(time.Now().Add(100 * time.Millisecond))
 	if _, err := conn.Read(make([]byte, 1)); !isTimeout(err) {
-		t.Errorf("in the pause: %v, want nothing to happen", err)
+		t.Errorf("read during the pause: got error %v, want a timeout", err)
 	}
 	n.resumeAccept()
 	conn.SetDeadline(time.Now().Add(time.Second))
 	if _, err := conn.Read(make([]byte, 1)); !errors.Is(err, syscall.ECONNRESET) {
-		t.Errorf("after the pause: %v, want a reset", err)
+		t.Errorf("read after the pause: got error %v, want ECONNRESET", err)
 	}
 	if len(n.records()) != 0 {
-		t.Errorf("records %+v", n.records())
+		t.Errorf("got records %+v, want none", n.records())
 	}
 	if status, _, err := get(t, n, testShard); status != http.StatusOK {
-		t.Errorf("afterwards: %d, %v", status, err)
+		t.Errorf("new connection after the pause: got status %d and error %v, want 200", status, err)
 	}
 }
 
-// A node keeps its address and its records over a restart.
+// Verifies that a node keeps its address and its records over restarts, and refuses connections while down.
 func TestNodeRestarts(t *testing.T) {
 	n := startNode(t, 4)
 	for range 2 {
 		if status, _, err := get(t, n, testShard); status != http.StatusOK {
-			t.Fatalf("%d, %v", status, err)
+			t.Fatalf("got status %d and error %v, want 200", status, err)
 		}
 		n.kill()
 		if _, _, err := get(t, n, testShard); !errors.Is(err, syscall.ECONNREFUSED) {
-			t.Errorf("while it is down: %v", err)
+			t.Errorf("while the node is down: got error %v, want ECONNREFUSED", err)
 		}
 		if err := n.start(); err != nil {
 			t.Fatal(err)
 		}
 	}
 	if len(n.records()) != 2 {
-		t.Errorf("records %+v", n.records())
+		t.Errorf("got records %+v, want 2", n.records())
 	}
 }
--- a/internal/soak/options.go
+++ b/internal/soak/options.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// Options say what is run.
+// Options are the parameters of a run.
 type Options struct {
-	// Seed determines the plan of faults, the deployment and what clients request.
+	// Seed determines the plan of faults, the deployment and the requests of the clients.
 	Seed      uint64
-	Duration  time.Duration // of the run, until instances are terminated
-	Instances int           // gateway instances
-	Nodes     int           // storage nodes, two for each shard
+	Duration  time.Duration // time from the start of the faults until the instances are terminated
+	Instances int           // number of gateway instances
+	Nodes     int           // number of storage nodes, nodesPerShard for each shard
 }
 
-// Limits of options.
+// Limits of the fields of Options.
 const (
 	minDuration  = 4 * time.Second
 	maxDuration  = 30 * time.Minute
@@ -23,10 +23,10 @@
 	maxNodes     = 64
 )
 
-// nodesPerShard is how many nodes hold the data of each shard.
+// nodesPerShard is the number of nodes that hold the data of each shard.
 const nodesPerShard = 2
 
-// Validate returns an error that names an option that is out of range, nil if there is none.
+// Validate returns an error that names the first option out of range, or nil if all are valid.
 func (o *Options) Validate() error {
 	switch {
 	case o.Duration < minDuration || o.Duration > maxDuration:
--- a/internal/soak/options_test.go
+++ b/internal/soak/options_test.go
@@ -5,6 +5,7 @@
 	"time"
 )
 
+// Verifies that options out of range are rejected.
 func TestValidateRejectsOptions(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -17,7 +18,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if c.options.Validate() == nil {
-				t.Errorf("%+v is valid", c.options)
+				t.Errorf("got no error for options %+v", c.options)
 			}
 		})
 	}
--- a/internal/soak/pausable_listener.go
+++ b/internal/soak/pausable_listener.go
@@ -7,26 +7,28 @@
 	"time"
 )
 
-// Lengths of a listener's accept queue. While it is paused, the queue is full with one connection:
-// the kernel drops further ones, which connect when their client's kernel tries again.
+// Lengths of a listener's accept queue. During a pause the queue is so short that the kernel drops
+// further connection requests. Their connections are established when the client's kernel retries after
+// the pause.
 const (
 	pausedBacklog  = 1
 	regularBacklog = 512
 )
 
-// pausePollInterval is how often Accept looks whether a pause is over.
+// pausePollInterval is the time between two checks of Accept whether a pause is over.
 const pausePollInterval = 5 * time.Millisecond
 
-// pausableListener is a TCP listener that can stop accepting connections for a while, as a process
-// does that is stuck.
+// pausableListener is a TCP listener that can stop accepting connections for a while, like the listener
+// of a hung process.
 type pausableListener struct {
 	*net.TCPListener
-	// paused outlives the listener: the next one at the address is paused too.
+	// paused is shared by successive listeners at the address: if the node restarts during a pause, the
+	// new listener is paused too.
 	paused *atomic.Bool
 }
 
-// listen listens on an address. If it is paused already, the first connections are not refused,
-// but reset when the pause is over.
+// listen listens on an address. If paused is already set, connections are not refused, but wait until
+// the end of the pause and are then reset.
 func listen(addr string, paused *atomic.Bool) (*pausableListener, error) {
 	listener, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -35,8 +37,8 @@
 	return &pausableListener{TCPListener: listener.(*net.TCPListener), paused: paused}, nil
 }
 
-// Accept returns the next connection that is accepted outside of a pause. One that came in a pause
-// waited to the end of it, beyond the time for its requests, and is reset.
+// Accept returns the next connection that is accepted outside a pause. A connection accepted during a
+// pause is reset when the pause ends, since the time for its requests is then over.
 func (l *pausableListener) Accept() (net.Conn, error) {
 	for {
 		conn, err := l.AcceptTCP()
@@ -60,16 +62,16 @@
 	l.paused.Store(true)
 }
 
-// resume accepts connections again, but none of those that came in the pause.
+// resume accepts connections again. Connections that arrived during the pause are reset.
 func (l *pausableListener) resume() {
 	l.control(func(fd int) {
-		resetQueue(fd)
+		resetQueuedConns(fd)
 		syscall.Listen(fd, regularBacklog)
 	})
 	l.paused.Store(false)
 }
 
-// control calls a function with the listener's descriptor, unless the listener is closed.
+// control calls a function with the listener's descriptor. It does nothing if the listener is closed.
 func (l *pausableListener) control(call func(fd int)) {
 	raw, err := l.SyscallConn()
 	if err != nil {
@@ -78,8 +80,8 @@
 	raw.Control(func(fd uintptr) { call(int(fd)) })
 }
 
-// resetQueue resets all connections that wait to be accepted.
-func resetQueue(listener int) {
+// resetQueuedConns resets all connections in the accept queue of a listening descriptor.
+func resetQueuedConns(listener int) {
 	for {
 		fd, _, err := syscall.Accept4(listener, syscall.SOCK_CLOEXEC)
 		if err != nil {
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -9,35 +9,35 @@
 	"time"
 )
 
-// Plan is the faults of a run.
+// Plan is the schedule of the faults in a run.
 type Plan struct {
-	Faults []Fault // by start
-	// SyscallFaults is the table of failing system calls of each instance's process, in the form
-	// that syscalls.ParseFaultTable reads.
+	Faults []Fault // sorted by start time
+	// SyscallFaults holds the table of failing system calls of each instance, in the format of
+	// syscalls.ParseFaultTable. All processes of the instance run with the same table.
 	SyscallFaults []string
-	// Crowd: idle connections are held at every instance from the start to the end.
-	Crowd bool
+	// HoldIdleConns is set if clients hold idle connections to every instance for the whole run.
+	HoldIdleConns bool
 }
 
-// Times without new faults at the beginning and at the end of a run: the fleet starts without
-// any, and recovers from all of them before it shuts down.
+// Periods at the beginning and at the end of a run in which none of Plan.Faults starts, except for
+// faults that coincide with an earlier one (see DrawPlan). The fleet starts up without these faults,
+// and has time to recover from them before it is shut down.
 const (
-	quietStart = 1500 * time.Millisecond
-	quietEnd   = 2500 * time.Millisecond
+	faultFreeStart = 1500 * time.Millisecond
+	faultFreeEnd   = 2500 * time.Millisecond
 )
 
 const (
 	// meanFaultInterval is the mean time between the starts of two faults; the intervals are
 	// exponentially distributed.
 	meanFaultInterval = 350 * time.Millisecond
-	// extraOutageEvery: one fault in so many is an outage of discovery, beside those that are drawn
-	// as often as other kinds.
-	extraOutageEvery = 6
+	// On average, 1 in extraOutageOneIn faults is made an outage of discovery, whatever kind was drawn.
+	extraOutageOneIn = 6
 )
 
-// Write prints the plan, a line for each event.
+// Write prints the plan, one line for each event.
 func (p *Plan) Write(w io.Writer) {
-	if p.Crowd {
+	if p.HoldIdleConns {
 		fmt.Fprintln(w, "  0.000 clients crowd at every head, to the end")
 	}
 	for _, fault := range p.Faults {
@@ -45,39 +45,40 @@
 	}
 }
 
-// Streams of random numbers, at a seed. Signals and crowds have one of their own, so that drawing
-// them changes nothing else of the plan at a seed.
+// Streams of the random number generator, used together with the seed. Signals and idle connections
+// are drawn from a stream of their own, so that drawing them does not change the rest of the plan.
 const (
 	planStream   = 0x736f616b
 	signalStream = 0x73696773
 )
 
 const (
-	// crowdEvery: one run in so many has a crowd from the start.
-	crowdEvery = 4
-	// maxFurtherTerms bounds how often SIGTERM is repeated.
-	maxFurtherTerms = 2
+	// On average, 1 in idleConnsOneIn runs has Plan.HoldIdleConns set.
+	idleConnsOneIn = 4
+	// maxExtraSIGTERMs is the maximum of SignalSeries.ExtraSIGTERMs.
+	maxExtraSIGTERMs = 2
 )
 
-// planner draws a plan.
+// planner draws the plan of a run from random numbers.
 type planner struct {
 	plan    *Plan
 	options *Options
 	rand    *rand.Rand
-	end     time.Duration // of faults
+	end     time.Duration // time from which on no fault is drawn
 }
 
-// DrawPlan returns the plan that follows from the options' seed. Faults are independent, except for
-// some that are made to coincide: drains with the end of an outage of discovery, reloads in series,
-// a drain with a shutdown.
+// DrawPlan returns the plan determined by the options. The same options give the same plan. Faults are
+// independent, except for those that coincide on purpose: drains with the end of an outage of
+// discovery, several reloads with each other and with a drain, and a reload and a drain with a
+// planned restart.
 func DrawPlan(o *Options) *Plan {
 	p := &planner{
 		plan:    &Plan{},
 		options: o,
 		rand:    rand.New(rand.NewPCG(o.Seed, planStream)),
-		end:     o.Duration - quietEnd,
+		end:     o.Duration - faultFreeEnd,
 	}
-	for start := quietStart; start < p.end; start += p.interval() {
+	for start := faultFreeStart; start < p.end; start += p.drawInterval() {
 		p.drawFault(start)
 	}
 	slices.SortStableFunc(p.plan.Faults, func(a, b Fault) int { return cmp.Compare(a.Start, b.Start) })
@@ -88,34 +89,35 @@
 	return p.plan
 }
 
-// drawSignals draws the signals of each planned restart, and whether the run has a crowd.
+// drawSignals draws Plan.HoldIdleConns and the signals of each planned restart.
 func (p *planner) drawSignals(r *rand.Rand) {
-	p.plan.Crowd = r.IntN(crowdEvery) == 0
+	p.plan.HoldIdleConns = r.IntN(idleConnsOneIn) == 0
 	for i := range p.plan.Faults {
 		if fault := &p.plan.Faults[i]; fault.Kind == InstanceTerminate {
 			fault.Signals = SignalSeries{
-				ReloadBefore: r.IntN(2) == 0,
-				ReloadAfter:  r.IntN(2) == 0,
-				FurtherTerms: r.IntN(maxFurtherTerms + 1),
+				ReloadBefore:  r.IntN(2) == 0,
+				ReloadAfter:   r.IntN(2) == 0,
+				ExtraSIGTERMs: r.IntN(maxExtraSIGTERMs + 1),
 			}
 		}
 	}
 }
 
-func (p *planner) interval() time.Duration {
+// drawInterval draws the time between the starts of two faults.
+func (p *planner) drawInterval() time.Duration {
 	return time.Duration(p.rand.ExpFloat64() * float64(meanFaultInterval))
 }
 
-func (p *planner) add(start, duration time.Duration, kind FaultKind, target int) {
+func (p *planner) addFault(start, duration time.Duration, kind FaultKind, target int) {
 	p.plan.Faults = append(p.plan.Faults, Fault{Start: start, Duration: duration, Kind: kind, Target: target})
 }
 
-// drawFault draws a fault that starts at a time, and those that are to coincide with it.
+// drawFault draws a fault that starts at start, and the faults that coincide with it.
 func (p *planner) drawFault(start time.Duration) {
 	instance := p.rand.IntN(p.options.Instances)
 	node := p.rand.IntN(p.options.Nodes)
-	kind := FaultKind(p.rand.IntN(int(faultKinds)))
-	if p.rand.IntN(extraOutageEvery) == 0 {
+	kind := FaultKind(p.rand.IntN(int(faultKindCount)))
+	if p.rand.IntN(extraOutageOneIn) == 0 {
 		kind = AgentOutage
 	}
 	switch {
@@ -126,69 +128,71 @@
 	case kind == InstanceReload:
 		p.drawReloads(start, instance, node)
 	case kind.component() == nodeComponent:
-		p.add(start, p.duration(kind, start), kind, node)
+		p.addFault(start, p.drawDuration(kind, start), kind, node)
 	default:
-		p.add(start, p.duration(kind, start), kind, instance)
+		p.addFault(start, p.drawDuration(kind, start), kind, instance)
 	}
 }
 
-// duration draws the duration of a fault.
-func (p *planner) duration(kind FaultKind, start time.Duration) time.Duration {
+// drawDuration draws the duration of a fault of a kind that starts at start.
+func (p *planner) drawDuration(kind FaultKind, start time.Duration) time.Duration {
 	info := &faultInfos[kind]
-	return p.durationBetween(info.minDuration, info.maxDuration, start)
+	return p.drawDurationBetween(info.minDuration, info.maxDuration, start)
 }
 
-// durationBetween draws a duration from shortest up to longest. A fault that starts at start lasts
-// beyond the end of faults only where its shortest duration does.
-func (p *planner) durationBetween(shortest, longest, start time.Duration) time.Duration {
+// drawDurationBetween draws the duration of a fault that starts at start: at least shortest and below
+// longest. The duration is shortened so that the fault ends by p.end, but not to less than shortest.
+func (p *planner) drawDurationBetween(shortest, longest, start time.Duration) time.Duration {
 	duration := shortest + time.Duration(p.rand.Int64N(int64(longest-shortest)))
 	return min(duration, max(p.end-start, shortest))
 }
 
-// coincidingDrain draws the duration of a drain that is to coincide with another fault.
-func (p *planner) coincidingDrain(start time.Duration) time.Duration {
-	return p.durationBetween(time.Second, 3*time.Second, start)
+// drawDrainDuration draws the duration of a drain that coincides with another fault, which starts at
+// start.
+func (p *planner) drawDrainDuration(start time.Duration) time.Duration {
+	return p.drawDurationBetween(time.Second, 3*time.Second, start)
 }
 
-// within draws a delay of whole milliseconds, shorter than limit.
-func (p *planner) within(limit time.Duration) time.Duration {
+// drawDelay draws a delay of whole milliseconds that is shorter than limit.
+func (p *planner) drawDelay(limit time.Duration) time.Duration {
 	return time.Duration(p.rand.IntN(int(limit.Milliseconds()))) * time.Millisecond
 }
 
-// drawOutage draws an outage of discovery, for one instance or for all. In it one or two nodes
-// begin to drain, which instances learn when it ends: from then on the drains have to be kept.
+// drawOutage draws an outage of discovery, for one instance or for all. One or two nodes begin to
+// drain during the outage and still drain when it ends. The instances affected learn of the drains
+// only then; from then on they are expected to send these nodes no requests.
 func (p *planner) drawOutage(start time.Duration, instance int) {
 	target := instance
 	if p.rand.IntN(2) == 0 {
 		target = allAgents
 	}
-	outage := p.duration(AgentOutage, start)
-	p.add(start, outage, AgentOutage, target)
+	outage := p.drawDuration(AgentOutage, start)
+	p.addFault(start, outage, AgentOutage, target)
 	for range 1 + p.rand.IntN(2) {
 		delay := time.Duration(p.rand.Int64N(int64(outage)))
-		drain := outage - delay + p.coincidingDrain(start)
-		p.add(start+delay, drain, NodeDrain, p.rand.IntN(p.options.Nodes))
+		drain := outage - delay + p.drawDrainDuration(start)
+		p.addFault(start+delay, drain, NodeDrain, p.rand.IntN(p.options.Nodes))
 	}
 }
 
-// drawShutdown draws a planned restart of an instance. Half of them come with a SIGHUP and with a
-// node that drains while the instance shuts down.
+// drawShutdown draws a planned restart of an instance. Half of the restarts coincide with a reload
+// (SIGHUP) of the instance and with a drain of a node.
 func (p *planner) drawShutdown(start time.Duration, instance, node int) {
 	const drain = 2 * time.Second
-	p.add(start, p.duration(InstanceTerminate, start), InstanceTerminate, instance)
+	p.addFault(start, p.drawDuration(InstanceTerminate, start), InstanceTerminate, instance)
 	if p.rand.IntN(2) == 0 {
-		p.add(start+p.within(400*time.Millisecond), 0, InstanceReload, instance)
-		p.add(start+p.within(900*time.Millisecond), drain, NodeDrain, node)
+		p.addFault(start+p.drawDelay(400*time.Millisecond), 0, InstanceReload, instance)
+		p.addFault(start+p.drawDelay(900*time.Millisecond), drain, NodeDrain, node)
 	}
 }
 
-// drawReloads draws one to three reloads in short succession, and a drain that the instance is told
-// of by either address of discovery.
+// drawReloads draws one to three reloads in short succession, each with a new address of discovery,
+// and a drain at the same time. The instance may learn of the drain at an old or a new address.
 func (p *planner) drawReloads(start time.Duration, instance, node int) {
 	const delayLimit = 500 * time.Millisecond
 	for range 1 + p.rand.IntN(3) {
-		p.add(start+p.within(delayLimit), 0, InstanceReload, instance)
+		p.addFault(start+p.drawDelay(delayLimit), 0, InstanceReload, instance)
 	}
-	delay := p.within(delayLimit)
-	p.add(start+delay, p.coincidingDrain(start), NodeDrain, node)
+	delay := p.drawDelay(delayLimit)
+	p.addFault(start+delay, p.drawDrainDuration(start), NodeDrain, node)
 }
--- a/internal/soak/plan_test.go
+++ b/internal/soak/plan_test.go
@@ -10,44 +10,46 @@
 
 var testOptions = Options{Seed: 5, Duration: 20 * time.Second, Instances: 8, Nodes: 8}
 
-// A run that broke a rule is run again by its seed: the same seed has to give the same plan.
+// Verifies that the same options give the same plan, and that another seed gives another plan. A run that
+// found a violation is repeated by its seed.
 func TestPlanFollowsFromSeed(t *testing.T) {
 	other := testOptions
 	other.Seed++
 	first, again, different := DrawPlan(&testOptions), DrawPlan(&testOptions), DrawPlan(&other)
 	if !reflect.DeepEqual(first, again) {
-		t.Error("the plans of one seed differ")
+		t.Error("got different plans for the same seed")
 	}
 	if reflect.DeepEqual(first, different) {
-		t.Error("the plans of two seeds are the same")
+		t.Error("got the same plan for different seeds")
 	}
 }
 
-// Faults of every kind are drawn, each within the run and for a target that exists, and every table
-// of failing system calls can be parsed.
-func TestPlans(t *testing.T) {
-	drawn := map[FaultKind]int{}
-	signals := map[SignalSeries]bool{}
-	crowds := 0
+// Verifies for many seeds that faults of every kind are drawn, each with a start time within the run and an
+// existing target, and that every table of failing system calls can be parsed. Over the seeds, every
+// series of signals is drawn, and some runs but not all have idle connections throughout.
+func TestDrawnPlansAreValid(t *testing.T) {
+	faultCounts := map[FaultKind]int{}
+	seenSignals := map[SignalSeries]bool{}
+	plansWithIdleConns := 0
 	for seed := range uint64(50) {
 		o := testOptions
 		o.Seed = seed
 		plan := DrawPlan(&o)
 		for _, fault := range plan.Faults {
-			drawn[fault.Kind]++
+			faultCounts[fault.Kind]++
 			targets := o.Nodes
 			if fault.Kind.component() != nodeComponent {
 				targets = o.Instances
 			}
 			if fault.Kind == InstanceTerminate {
-				signals[fault.Signals] = true
+				seenSignals[fault.Signals] = true
 			}
-			if fault.Start < quietStart || fault.Start > o.Duration || fault.Target >= targets || fault.String() == "" {
-				t.Fatalf("seed %d: %+v", seed, fault)
+			if fault.Start < faultFreeStart || fault.Start > o.Duration || fault.Target >= targets || fault.String() == "" {
+				t.Fatalf("seed %d: got fault %+v, out of range", seed, fault)
 			}
 		}
-		if plan.Crowd {
-			crowds++
+		if plan.HoldIdleConns {
+			plansWithIdleConns++
 		}
 		for _, table := range plan.SyscallFaults {
 			if _, err := syscalls.ParseFaultTable(table); err != nil {
@@ -55,15 +57,15 @@
 			}
 		}
 	}
-	for kind := range faultKinds {
-		if drawn[kind] == 0 {
-			t.Errorf("%v is never drawn", kind)
+	for kind := range faultKindCount {
+		if faultCounts[kind] == 0 {
+			t.Errorf("got no fault of kind %v in any plan", kind)
 		}
 	}
-	if want := 2 * 2 * (maxFurtherTerms + 1); len(signals) != want {
-		t.Errorf("%d series of signals, want %d", len(signals), want)
+	if want := 2 * 2 * (maxExtraSIGTERMs + 1); len(seenSignals) != want {
+		t.Errorf("got %d series of signals, want %d", len(seenSignals), want)
 	}
-	if crowds == 0 || crowds == 50 {
-		t.Errorf("%d of 50 runs have a crowd", crowds)
+	if plansWithIdleConns == 0 || plansWithIdleConns == 50 {
+		t.Errorf("got %d of 50 plans with HoldIdleConns, want some but not all", plansWithIdleConns)
 	}
 }
--- a/internal/soak/process_usage.go
+++ b/internal/soak/process_usage.go
@@ -9,24 +9,24 @@
 	"time"
 )
 
-// clockTicks is the unit of times in /proc/PID/stat: so many are a second.
-const clockTicks = 100
+// clockTicksPerSecond is the number of clock ticks, the unit of times in /proc/PID/stat, in a second.
+const clockTicksPerSecond = 100
 
-// Indexes of fields of /proc/PID/stat, counted from the one after the command's name.
+// Indexes of fields of /proc/PID/stat, counted from 0 at the field after the command's name.
 const (
 	statUserTime   = 11
 	statSystemTime = 12
-	statFields     = 13 // that are needed
+	minStatFields  = 13 // number of fields that must be present
 )
 
-// errProcFormat is returned for a file of /proc that lacks a field.
+// errProcFormat is the error for a file in /proc that lacks a field.
 var errProcFormat = errors.New("unexpected format")
 
-// processUsage is what a process used so far.
+// processUsage holds the resources that a process has used so far.
 type processUsage struct {
-	cpuTime     time.Duration // user and system
-	peakKB      int64         // of resident memory
-	descriptors int           // that are open
+	cpuTime     time.Duration // user and system time
+	peakKB      int64         // peak of the resident memory, in KiB
+	descriptors int           // number of open descriptors
 }
 
 // readProcessUsage reads the usage of a running process from /proc.
@@ -42,6 +42,7 @@
 	return u, err
 }
 
+// readCPUTime returns the user and system time in a /proc/PID/stat file.
 func readCPUTime(path string) (total time.Duration, err error) {
 	stat, err := os.ReadFile(path)
 	if err != nil {
@@ -49,7 +50,7 @@
 	}
 	_, rest, _ := strings.Cut(string(stat), ") ")
 	fields := strings.Fields(rest)
-	if len(fields) < statFields {
+	if len(fields) < minStatFields {
 		return 0, fmt.Errorf("%s: %w", path, errProcFormat)
 	}
 	for _, i := range []int{statUserTime, statSystemTime} {
@@ -57,12 +58,12 @@
 		if err != nil {
 			return 0, fmt.Errorf("%s: %w", path, err)
 		}
-		total += time.Duration(ticks) * time.Second / clockTicks
+		total += time.Duration(ticks) * time.Second / clockTicksPerSecond
 	}
 	return total, nil
 }
 
-// readPeakMemory returns the peak of resident memory in KB.
+// readPeakMemory returns the peak resident memory in a /proc/PID/status file, in KiB.
 func readPeakMemory(path string) (int64, error) {
 	status, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/soak/report.go
+++ b/internal/soak/report.go
@@ -8,30 +8,31 @@
 	"maddergap/internal/audit"
 )
 
-// maxReportedLines is how many lines of a kind a printed report has.
+// maxReportedLines is the maximum number of failures, and of violations, that a printed report lists.
 const maxReportedLines = 10
 
-// Report is the verdict on a run.
+// Report is the result of a run.
 type Report struct {
 	Options *Options
 	Plan    *Plan
 	Audit   *audit.Report
-	// Violations are log lines of instances: invariants that they found violated, and crashes.
+	// Violations holds lines from the instances' logs that report violated invariants, requests aborted
+	// at shutdown, and crashes.
 	Violations []string
-	// Failures are processes that exited by themselves or did not start again, nodes that did not,
-	// and stalled requests that an instance did not end.
+	// Failures describes processes that exited by themselves or did not restart, reloads that could not
+	// be done, nodes that did not restart, and instances that did not end a stalled request in time.
 	Failures []string
-	// MaxStall is the longest time for which the soak itself did not run.
+	// MaxStall is the longest time for which the operating system did not run the soak's own process.
 	MaxStall time.Duration
 }
 
-// Passed reports whether every rule held and nothing failed.
+// Passed reports whether there were no rule violations, no logged violations and no failures.
 func (r *Report) Passed() bool {
 	return r.Audit.Passed() && len(r.Violations) == 0 && len(r.Failures) == 0
 }
 
-// Write prints the report. If the run did not pass, the plan is printed too, and command, which
-// runs the same again.
+// Write prints the report. If the run did not pass, it also prints the plan and command, the command
+// line that repeats the run.
 func (r *Report) Write(w io.Writer, command string) {
 	r.Audit.Write(w)
 	fmt.Fprintf(w, "the soak was held up %v at most\n", r.MaxStall.Round(time.Millisecond))
@@ -45,7 +46,7 @@
 	fmt.Fprintf(w, "seed %d: BROKEN; again with: %s\n", r.Options.Seed, command)
 }
 
-// writeLines prints the first lines under a title, and how many more there are.
+// writeLines prints the first maxReportedLines lines, each after title, and the number of further lines.
 func writeLines(w io.Writer, title string, lines []string) {
 	for i, line := range lines {
 		if i == maxReportedLines {
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -1,19 +1,23 @@
-// Package soak runs a fleet of gateway processes in service, on the platform's protocol, under
-// random faults that overlap in time. It judges the run by the audit, from what clients and nodes
-// recorded on their sockets, and by the violated invariants that the instances log. Discovery, nodes
-// and clients are fakes in the process of the soak, on loopback addresses.
+// Package soak is a randomized fault-injection test of a whole fleet. It runs gateway instances as
+// processes that speak the platform's protocol, while faults overlap in time. Discovery, storage
+// nodes and clients are fakes in the process that runs the soak, on loopback addresses. A run passes
+// if the audit finds no violated rule in the records of clients and nodes, if no instance logs a
+// violated invariant, and if nothing else fails (see Report).
 //
-// options.go, fault.go, plan.go and syscall_faults.go are what happens in a run, deployment.go and
-// workload.go what instances are configured for and clients request; all of it follows from a seed.
-// fleet.go, instance.go, node.go and client.go are what takes part, inject.go and client_faults.go
-// how faults befall it. judge.go, instance_log.go and report.go are the verdict.
+// options.go, fault.go, plan.go and syscall_faults.go define the faults of a run. deployment.go and
+// workload.go define the configuration of the instances and the requests of the clients. All of these
+// are determined by Options, apart from the gateways' own random seeds. fleet.go, instance.go, node.go
+// and client.go run the participants; inject.go and client_faults.go inject the faults. audit.go,
+// instance_log.go and report.go produce the report. node_list_cost.go and process_usage.go are a
+// benchmark of node lists that uses the same fakes.
 package soak
 
 import "maddergap/internal/stallwatch"
 
-// Run runs a fleet of the program under the faults that the options' seed determines, and judges the
-// run. exe is the program's command line without a subcommand. Configurations and logs of the
-// instances are written to dir. An error means that the fleet could not be run or judged.
+// Run runs a fleet under the faults that the options' seed determines and returns a report. exe is
+// the gateway program's command line without a subcommand. The instances' configurations and logs are
+// written to dir. Rule violations and failures during the run are in the report; an error means that
+// the fleet could not be started or the report could not be made.
 func Run(o *Options, exe []string, dir string) (*Report, error) {
 	if err := o.Validate(); err != nil {
 		return nil, err
@@ -29,6 +33,6 @@
 	if err := f.startInstances(plan.SyscallFaults, exe, dir); err != nil {
 		return nil, err
 	}
-	f.serve(plan)
-	return f.judge(plan, dir, stalls.Longest())
+	f.runWorkload(plan)
+	return f.buildReport(plan, dir, stalls.Longest())
 }
--- a/internal/soak/syscall_faults.go
+++ b/internal/soak/syscall_faults.go
@@ -6,7 +6,8 @@
 	"strings"
 )
 
-// syscallFaults are the entries that tables of failing system calls are drawn from.
+// syscallFaults holds the entries from which tables of failing system calls are drawn, in the format of
+// syscalls.ParseFaultTable. A "step" entry sets the wall clock of the process ahead or back.
 var syscallFaults = []string{
 	"read SHORT chance 0.02",
 	"write SHORT chance 0.02",
@@ -26,11 +27,11 @@
 }
 
 const (
-	maxSyscallFaults  = 3    // entries of a table
-	syscallFaultSeeds = 1000 // seeds of a table are less than this
+	maxSyscallFaults  = 3    // maximum number of entries drawn for a table
+	syscallFaultSeeds = 1000 // number of possible seeds of a table, from 0
 )
 
-// drawSyscallFaults draws the table of failing system calls of one process.
+// drawSyscallFaults draws the table of failing system calls of one instance.
 func drawSyscallFaults(r *rand.Rand) string {
 	table := []string{fmt.Sprintf("seed %d", r.Uint64()%syscallFaultSeeds)}
 	for range r.IntN(maxSyscallFaults + 1) {
--- a/internal/soak/workload.go
+++ b/internal/soak/workload.go
@@ -7,45 +7,47 @@
 )
 
 const (
-	// unlimitedFraction of the requests are for the volume without a limit.
+	// unlimitedFraction is the fraction of requests for the volume whose plan has no limit.
 	unlimitedFraction = 0.8
-	// clientKeys is how many order keys the requests of a client have.
-	clientKeys = 64
-	// orderedKeys is how many of them ordered requests have: few, so that requests of a key meet.
-	orderedKeys = 3
+	// orderKeyCount is the number of keys from which requests of unordered classes draw theirs.
+	orderKeyCount = 64
+	// orderedClassKeyCount is the same number for ordered classes. It is small, so that several
+	// requests with the same key are often in progress at an instance.
+	orderedClassKeyCount = 3
 )
 
-// request is a request of a client.
+// request holds the properties of a request that a client sends.
 type request struct {
-	id      string // the trace ID
-	class   int    // an index of deployment.classes
+	id      string // request ID, the TraceID of its audit record
+	class   int    // index into deployment.classes
 	volume  volume
 	shard   int
 	key     uint64        // order key
-	timeout time.Duration // how long the client waits
+	timeout time.Duration // time that the request gives the gateway to respond
 }
 
-// drawRequest draws a request.
+// drawRequest draws the request with an ID. Its timeout is from half of the deadline of its class up to
+// all of it.
 func (d *deployment) drawRequest(r *rand.Rand, id string) request {
 	req := request{
 		id:     id,
 		class:  r.IntN(len(d.classes)),
 		volume: unlimitedVolume,
 		shard:  r.IntN(d.shards),
-		key:    r.Uint64N(clientKeys),
+		key:    r.Uint64N(orderKeyCount),
 	}
 	if r.Float64() >= unlimitedFraction {
 		req.volume = limitedVolume
 	}
 	class := &d.classes[req.class]
 	if class.ordered {
-		req.key = r.Uint64N(orderedKeys)
+		req.key = r.Uint64N(orderedClassKeyCount)
 	}
 	req.timeout = class.deadline/2 + time.Duration(r.Int64N(int64(class.deadline/2)))
 	return req
 }
 
-// formatRequest returns a request as it is sent.
+// formatRequest returns a request as it is sent to the gateway, with its header and body.
 func (d *deployment) formatRequest(req request) string {
 	class := &d.classes[req.class]
 	method, body := "GET", ""
