--- a/internal/scenario/audit_test.go
+++ b/internal/scenario/audit_test.go
@@ -12,11 +12,11 @@
 	"maddergap/scheduler"
 )
 
-// testSize is short and light enough for a scenario with every fault to run often.
+// testSize is the size of a scenario that has every fault and is short enough to run several times.
 var testSize = Size{Instances: 3, Nodes: 6, Length: 9 * time.Second, Rate: 340}
 
-// An instance breaks a rule, and the audit of the scenario finds exactly that rule violated. With
-// instances as they are, it finds none.
+// Verifies that the audit of a scenario reports exactly the rules that faulty instances violate, and
+// none for instances without a fault.
 func TestAuditDetectsFaultyInstances(t *testing.T) {
 	if testing.Short() {
 		t.Skip("nine scenarios of nine seconds")
@@ -25,13 +25,14 @@
 		name         string
 		newScheduler daemon.SchedulerFactory
 		editNodeList func([]nodelist.Node) []nodelist.Node
-		want         []audit.Rule // rules that are violated
+		want         []audit.Rule // violated rules
 	}{
 		{name: "no fault"},
 		{name: "gives some requests no response", newScheduler: newFaulty(dropRejections), want: []audit.Rule{audit.RuleSingleResponse}},
 		{name: "retries non-idempotent requests", newScheduler: newFaulty(retryResets(1, segmentWrite)), want: []audit.Rule{audit.RuleSafeRetry}},
-		// The gateway's invariants withhold what such a scheduler sends to a draining node, so
-		// no rule is violated. A gateway whose node list has it as serving does send there.
+		// This scheduler takes a draining node for a serving one. The gateway's invariants withhold
+		// its attempts there, so no rule is violated. In the next case the node list itself says
+		// that the node is serving, and the gateway does send there.
 		{name: "decides on a draining node", newScheduler: newFaulty(ignoreDraining)},
 		{name: "sends to a draining node", editNodeList: withoutDraining, want: []audit.Rule{audit.RuleNodeServing}},
 		{name: "overloads a warming node", newScheduler: newFaulty(bypass(overloadWarmingNodes)), want: []audit.Rule{audit.RuleSlowStart}},
@@ -56,13 +57,13 @@
 				for _, verdict := range report.Verdicts {
 					t.Log(fmt.Sprint(verdict))
 				}
-				t.Errorf("rules %v are violated, want %v", got, c.want)
+				t.Errorf("violated rules: got %v, want %v", got, c.want)
 			}
 		})
 	}
 }
 
-// withoutDraining is a node list in which draining nodes are serving.
+// withoutDraining returns the node list with the state of draining nodes changed to serving.
 func withoutDraining(nodes []nodelist.Node) []nodelist.Node {
 	for i := range nodes {
 		if nodes[i].State == scheduler.Draining {
--- a/internal/scenario/clients.go
+++ b/internal/scenario/clients.go
@@ -17,38 +17,42 @@
 
 const (
 	clientDialTimeout = time.Second
-	// responseGrace is how long after its deadline a response is still waited for, so that the
-	// audit sees how late it was.
+	// responseGrace is how long a client waits for a response after the deadline, so that the audit
+	// can report how late the response is.
 	responseGrace = 2 * time.Second
-	// surplusWait is how long an idle connection is read at the end for a response that belongs
-	// to no request.
-	surplusWait = 2 * time.Millisecond
+	// surplusResponseWait is how long each idle connection is read at the end of the scenario. Data
+	// that arrives then is a response to no request.
+	surplusResponseWait = 2 * time.Millisecond
 )
 
-// clients send the requests of a scenario and record what becomes of them. They use connections
-// and not net/http's client, which hides a second response, a truncated one or a reset.
+// clients sends the requests of a scenario and records their outcomes. It reads responses from the
+// connections itself, because net/http's client hides a second response, a truncated response and a
+// connection reset.
 type clients struct {
 	instanceAddrs []string // by instance
 	config        *config.Config
-	sending       sync.WaitGroup
+	inFlight      sync.WaitGroup // one for each request whose outcome is not recorded yet
 
 	mu      sync.Mutex
-	idle    [][]*clientConn // connections without a request, by instance
+	idle    [][]*clientConn // reusable connections, by instance; the last one became idle last
 	records []audit.RequestRecord
 }
 
-// clientConn is a connection to an instance.
+// clientConn is a client connection to an instance.
 type clientConn struct {
 	net.Conn
-	reader     *bufio.Reader
-	lastRecord int // index in clients.records of its last request; valid while it is idle
+	reader *bufio.Reader
+	// lastRecord is the index in clients.records of the connection's last request. It is valid while
+	// the connection is idle.
+	lastRecord int
 }
 
 func newClients(c *config.Config, instanceAddrs []string) *clients {
 	return &clients{instanceAddrs: instanceAddrs, config: c, idle: make([][]*clientConn, len(instanceAddrs))}
 }
 
-// closeIdle closes the idle connections to an instance, when it was killed or restarted.
+// closeIdle closes the idle connections to an instance. It is called after the instance was killed
+// or restarted.
 func (c *clients) closeIdle(instance int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -70,7 +74,7 @@
 	return &clientConn{Conn: conn, reader: bufio.NewReader(conn)}, nil
 }
 
-// takeIdle takes the connection that became idle last, nil if there is none.
+// takeIdle removes and returns the connection that became idle last, or nil if there is none.
 func (c *clients) takeIdle(instance int) *clientConn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -83,9 +87,9 @@
 	return idle[last]
 }
 
-// start sends a request in the background. Its record is added once it is over.
-func (c *clients) start(req Request) {
-	c.sending.Go(func() {
+// startRequest sends a request in the background. Its record is added when the outcome is known.
+func (c *clients) startRequest(req Request) {
+	c.inFlight.Go(func() {
 		record, conn := c.send(req)
 		c.mu.Lock()
 		defer c.mu.Unlock()
@@ -97,8 +101,8 @@
 	})
 }
 
-// send sends a request and waits for its response. It returns the connection if it can be used
-// again, and closes it otherwise.
+// send sends a request and waits for the response. It returns the connection if that can be reused,
+// and otherwise closes it and returns nil.
 func (c *clients) send(req Request) (audit.RequestRecord, *clientConn) {
 	record := audit.RequestRecord{
 		TraceID:  req.TraceID,
@@ -116,7 +120,7 @@
 		return record, nil
 	}
 	if req.CancelInBody {
-		conn.sendPart(req)
+		conn.sendIncomplete(req)
 		record.Incomplete, record.DisconnectedAt = true, nowMicros()
 		return record, nil
 	}
@@ -136,7 +140,7 @@
 	return record, conn
 }
 
-// encode is the request as it is sent.
+// encode returns the request in HTTP/1.1 format.
 func (r *Request) encode() []byte {
 	var b bytes.Buffer
 	fmt.Fprintf(&b, "%s %s HTTP/1.1\r\nHost: gateway\r\ntraceparent: 00-%s-00000000000000aa-00\r\n", r.Method, r.Path, r.TraceID)
@@ -149,16 +153,17 @@
 	return b.Bytes()
 }
 
-// sendPart sends a request without the end of its body, and disconnects.
-func (c *clientConn) sendPart(req Request) {
+// sendIncomplete sends the request without the last half unit of its body, waits for CancelAfter and
+// closes the connection.
+func (c *clientConn) sendIncomplete(req Request) {
 	encoded := req.encode()
 	c.Write(encoded[:len(encoded)-unitBytes/2])
 	time.Sleep(req.CancelAfter)
 	c.Close()
 }
 
-// receive reads the response to a request, records it, and reports whether the connection can be
-// used again. timeout is the time from the request to its deadline.
+// receive reads the response to a request, records the outcome and reports whether the connection
+// can be reused. timeout is the time from sending the request to its deadline.
 func (c *clientConn) receive(req Request, timeout time.Duration, record *audit.RequestRecord) (reusable bool) {
 	wait := timeout + responseGrace
 	if req.CancelAfter > 0 {
@@ -177,14 +182,14 @@
 		return false
 	}
 	record.RespondedAt = nowMicros()
-	if c.reader.Buffered() > 0 { // bytes after the response
+	if c.reader.Buffered() > 0 { // data after the response
 		record.Responses++
 	}
 	return !resp.Close && record.Responses == 1
 }
 
 // recordFailure records why no complete response was read: the client disconnected as planned, the
-// response was truncated, or the connection ended before any.
+// response was truncated, or the connection ended or timed out before any response.
 func recordFailure(record *audit.RequestRecord, req Request, err error) {
 	var netErr net.Error
 	timedOut := errors.As(err, &netErr) && netErr.Timeout()
@@ -198,13 +203,13 @@
 	}
 }
 
-// finish waits for all requests, looks for responses that belong to none, closes the connections
-// and returns the records.
+// finish waits for all requests, closes the connections and returns the records. A response that
+// arrives without a request counts as another response to the last request of its connection.
 func (c *clients) finish() []audit.RequestRecord {
-	c.sending.Wait()
+	c.inFlight.Wait()
 	for _, idle := range c.idle {
 		for _, conn := range idle {
-			conn.SetReadDeadline(time.Now().Add(surplusWait))
+			conn.SetReadDeadline(time.Now().Add(surplusResponseWait))
 			if n, _ := conn.reader.Read(make([]byte, 1)); n > 0 {
 				c.records[conn.lastRecord].Responses++
 			}
--- a/internal/scenario/faulty_scheduler_test.go
+++ b/internal/scenario/faulty_scheduler_test.go
@@ -12,19 +12,22 @@
 	"maddergap/scheduler"
 )
 
-// faultyScheduler is a scheduler with a fault, to prove that the audit detects it: it changes the
-// events that the real scheduler gets, takes decisions in its place, or changes its actions.
+// faultyScheduler wraps the real scheduler and adds a fault that the audit must detect. A fault can
+// change the events for the real scheduler, handle events in its place, or change its actions.
 type faultyScheduler struct {
-	inner gateway.Scheduler
-	// editEvent replaces an event for the real scheduler; nil for none.
+	inner gateway.Scheduler // the real scheduler
+	// editEvent returns the events that the real scheduler gets in place of an event. If editEvent
+	// is nil, the real scheduler gets the events unchanged.
 	editEvent func(scheduler.Event) []scheduler.Event
-	// decide handles an event in place of the real scheduler, if it reports true; nil for never.
+	// decide may handle an event in place of the real scheduler and then returns handled = true. It
+	// may be nil.
 	decide func(f *faultyScheduler, now scheduler.Time, e scheduler.Event) (actions []scheduler.Action, handled bool)
-	// editActions replaces the actions of the real scheduler; nil for none.
+	// editActions returns the actions to perform in place of the given ones. It may be nil.
 	editActions func([]scheduler.Action) []scheduler.Action
 
-	classes map[uint64]int // by request
-	// extraAttempts are those of each request that the real scheduler does not know of.
+	classes map[uint64]int // class index by request ID
+	// extraAttempts is the number of attempts of each request that the real scheduler does not know
+	// about.
 	extraAttempts map[uint64]int
 }
 
@@ -54,7 +57,7 @@
 	return actions
 }
 
-// newFaulty makes schedulers to which addFault gives a fault.
+// newFaulty returns a factory for schedulers to which addFault adds a fault.
 func newFaulty(addFault func(*faultyScheduler)) daemon.SchedulerFactory {
 	return func(s scheduler.Settings, seed uint64, now scheduler.Time) (gateway.Scheduler, error) {
 		s.Classes, s.Plans = slices.Clone(s.Classes), slices.Clone(s.Plans)
@@ -65,7 +68,7 @@
 	}
 }
 
-// dropRejections never performs one rejection in five, so that those requests get no response.
+// dropRejections drops one in five rejections, so that those requests get no response.
 func dropRejections(f *faultyScheduler) {
 	f.editActions = func(actions []scheduler.Action) []scheduler.Action {
 		return slices.DeleteFunc(actions, func(a scheduler.Action) bool {
@@ -75,7 +78,7 @@
 	}
 }
 
-// ignoreDraining has the scheduler take draining nodes for serving ones.
+// ignoreDraining makes the scheduler treat draining nodes as serving.
 func ignoreDraining(f *faultyScheduler) {
 	f.editEvent = func(e scheduler.Event) []scheduler.Event {
 		update, ok := e.(scheduler.EndpointUpdate)
@@ -92,12 +95,12 @@
 	}
 }
 
-// nodeRule names the node that a request is sent to at once, past the real scheduler; empty for a
-// request that the real scheduler handles.
-type nodeRule func(now scheduler.Time, a scheduler.Arrival, endpointsByShard map[int]scheduler.Endpoint) string
+// nodeSelector returns the node that a request is sent to at once, without the real scheduler. It
+// returns "" for a request that the real scheduler should handle.
+type nodeSelector func(now scheduler.Time, a scheduler.Arrival, endpointsByShard map[int]scheduler.Endpoint) string
 
-// bypass sends requests by a rule.
-func bypass(rule nodeRule) func(*faultyScheduler) {
+// bypass makes selectNode decide on each request before the real scheduler does.
+func bypass(selectNode nodeSelector) func(*faultyScheduler) {
 	return func(f *faultyScheduler) {
 		endpoints, bypassed := map[int]scheduler.Endpoint{}, map[uint64]bool{}
 		f.decide = func(_ *faultyScheduler, now scheduler.Time, e scheduler.Event) ([]scheduler.Action, bool) {
@@ -107,7 +110,7 @@
 					endpoints[endpoint.Shard] = endpoint
 				}
 			case scheduler.Arrival:
-				if node := rule(now, e, endpoints); node != "" {
+				if node := selectNode(now, e, endpoints); node != "" {
 					bypassed[e.ID] = true
 					return []scheduler.Action{scheduler.Send{ID: e.ID, Node: node}}, true
 				}
@@ -127,7 +130,7 @@
 	}
 }
 
-// overloadWarmingNodes sends every read to a node that has just restarted, wherever its data is.
+// overloadWarmingNodes selects a recently restarted node for every read, whichever node has the data.
 func overloadWarmingNodes(now scheduler.Time, a scheduler.Arrival, endpoints map[int]scheduler.Endpoint) string {
 	if a.Class != traceRead {
 		return ""
@@ -142,7 +145,8 @@
 	return ""
 }
 
-// ignorePlanLimit sends every unordered request of the limited plan.
+// ignorePlanLimit selects the node of the shard for every unordered request of the plan with a limit,
+// unless the node has restarted or is not serving.
 func ignorePlanLimit(_ scheduler.Time, a scheduler.Arrival, endpoints map[int]scheduler.Endpoint) string {
 	endpoint := endpoints[a.Shard]
 	if a.Class != journalAppend && a.Plan == 0 && endpoint.Started == 0 && endpoint.State == scheduler.Serving {
@@ -151,8 +155,9 @@
 	return ""
 }
 
-// swapOrder holds every other request of a key back until the next one came, and gives the real
-// scheduler the later one first, both without their key.
+// swapOrder reverses the order of each two requests of an order key: it holds the first until the
+// second arrives, but no longer than maxHold, and passes the second to the real scheduler before the
+// first. Each gets a key of its own, so that the real scheduler does not restore the order.
 func swapOrder(f *faultyScheduler) {
 	const maxHold = 800 * time.Millisecond
 	type heldRequest struct {
@@ -188,8 +193,8 @@
 	}
 }
 
-// retryResets retries requests of some classes after a reset or a failed connect, each maxRetries
-// times at most, before the real scheduler hears of it.
+// retryResets retries requests of the given classes after a connection reset or a failed connect, at
+// most maxRetries times each. The real scheduler learns only of the last attempt's end.
 func retryResets(maxRetries int, classes ...int) func(*faultyScheduler) {
 	return func(f *faultyScheduler) {
 		f.decide = func(f *faultyScheduler, _ scheduler.Time, e scheduler.Event) ([]scheduler.Action, bool) {
@@ -202,7 +207,7 @@
 				f.extraAttempts[end.ID]++
 				return []scheduler.Action{scheduler.Send{ID: end.ID, Node: end.Node}}, true
 			}
-			if f.extraAttempts[end.ID] > 0 { // the real scheduler knows of its own attempt only
+			if f.extraAttempts[end.ID] > 0 { // the real scheduler counts only its own attempt
 				end.Attempt -= f.extraAttempts[end.ID]
 				return f.inner.Handle(0, []scheduler.Event{end}), true
 			}
@@ -211,9 +216,10 @@
 	}
 }
 
-// duplicateSends sends one request in so many of some classes twice at once. The real scheduler
-// knows of its own attempt only. Retries of resets would not do: their number depends on how many
-// attempts are under way when a node fails, and can be within the budget on a busy machine.
+// duplicateSends sends one in oneIn requests of the given classes twice at once. The real scheduler
+// knows only about its own attempt. Retries after resets would not reliably exceed the retry budget:
+// their number depends on how many attempts are in progress when a node fails, and can be small on a
+// busy machine.
 func duplicateSends(oneIn uint64, classes ...int) func(*faultyScheduler) {
 	return func(f *faultyScheduler) {
 		f.editActions = func(actions []scheduler.Action) (edited []scheduler.Action) {
@@ -229,7 +235,7 @@
 		}
 		f.editEvent = func(e scheduler.Event) []scheduler.Event {
 			if end, ok := e.(scheduler.AttemptEnded); ok && f.extraAttempts[end.ID] > 0 && end.Attempt > 0 {
-				if end.Attempt == 1 { // that of the duplicate
+				if end.Attempt == 1 { // the attempt of the duplicate
 					return nil
 				}
 				end.Attempt--
@@ -240,8 +246,8 @@
 	}
 }
 
-// The pass-through scheduler sends a request to the node of its shard, rejects it if the node
-// cannot have run it, and fails it otherwise.
+// Verifies that the pass-through scheduler sends a request to the node of its shard. If the node gives
+// no response, the request is rejected if the node cannot have executed it, and fails otherwise.
 func TestPassThrough(t *testing.T) {
 	p, err := NewPassThrough(scheduler.Settings{}, 1, 0)
 	if err != nil {
@@ -256,6 +262,6 @@
 	})
 	want := []scheduler.Action{scheduler.Send{ID: 1, Node: "n7"}, scheduler.Reject{ID: 2}, scheduler.Fail{ID: 3}}
 	if !slices.Equal(got, want) {
-		t.Errorf("%v, want %v", got, want)
+		t.Errorf("got actions %v, want %v", got, want)
 	}
 }
--- a/internal/scenario/fleet.go
+++ b/internal/scenario/fleet.go
@@ -9,16 +9,17 @@
 	"maddergap/internal/audit"
 )
 
-// fleet is the servers of a scenario. Its methods may be called while instances restart.
+// fleet holds the nodes and instances of a scenario. Instances may restart while its methods are
+// called.
 type fleet struct {
 	launcher launcher
 
 	mu        sync.Mutex
-	started   []server // all servers ever started
+	started   []server // all servers that were started, including those that have ended
 	nodes     []server // by node
-	instances []server // the latest start of each instance
+	instances []server // by instance; the latest start of each
 	outages   []audit.Interval
-	// restarting are the restarts under way; restartErr joins the errors of those that failed.
+	// restarting counts the restarts in progress. restartErr joins the errors of failed restarts.
 	restarting sync.WaitGroup
 	restartErr error
 }
@@ -37,18 +38,19 @@
 	f.started = append(f.started, s)
 }
 
-// killInstance kills an instance and begins its outage. Then it calls killed.
-func (f *fleet) killInstance(instance int, killed func()) {
+// killInstance kills an instance, begins its outage and then calls onKilled.
+func (f *fleet) killInstance(instance int, onKilled func()) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.outages = append(f.outages, audit.Interval{Name: fmt.Sprint(instance), From: nowMicros()})
 	f.instances[instance].kill()
-	killed()
+	onKilled()
 }
 
-// restartInstance starts an instance that was killed, in the background, since the schedule must
-// go on meanwhile. Once it has started, restarted is called and its outage ends.
-func (f *fleet) restartInstance(instance int, configFile, addr string, restarted func()) {
+// restartInstance starts a killed instance in the background and returns at once, so that the
+// schedule is not delayed. When the instance has started, restartInstance calls onRestarted and ends
+// the outage.
+func (f *fleet) restartInstance(instance int, configFile, addr string, onRestarted func()) {
 	f.restarting.Go(func() {
 		s, err := f.launcher.startInstance(instance, configFile, addr)
 		f.mu.Lock()
@@ -59,11 +61,12 @@
 		}
 		f.instances[instance] = s
 		f.started = append(f.started, s)
-		restarted()
+		onRestarted()
 		f.endOutage(instance)
 	})
 }
 
+// endOutage ends the current outage of an instance. The caller holds f.mu.
 func (f *fleet) endOutage(instance int) {
 	for i := range f.outages {
 		if outage := &f.outages[i]; outage.Name == fmt.Sprint(instance) && outage.To == 0 {
@@ -72,7 +75,7 @@
 	}
 }
 
-// waitRestarts waits for restarts under way and returns the errors of all that failed.
+// waitRestarts waits for all restarts in progress and returns the joined errors of failed restarts.
 func (f *fleet) waitRestarts() error {
 	f.restarting.Wait()
 	f.mu.Lock()
@@ -80,14 +83,15 @@
 	return f.restartErr
 }
 
-// allOutages are the times in which instances were killed and not yet restarted.
+// allOutages returns the periods from the kill of an instance to the end of its restart.
 func (f *fleet) allOutages() []audit.Interval {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return slices.Clone(f.outages)
 }
 
-// close kills whatever still runs and waits for it.
+// close waits for restarts in progress, kills all servers that still run and waits until they have
+// ended.
 func (f *fleet) close() {
 	f.restarting.Wait()
 	for _, s := range f.started {
--- a/internal/scenario/flood.go
+++ b/internal/scenario/flood.go
@@ -9,9 +9,9 @@
 	"maddergap/internal/flood"
 )
 
-// floodLimits are the admission directives of an instance in a scenario with a flood. The clients
-// of the scenario, which come from 127.0.0.1, are known.
-const floodLimits = "clients 300\nadmit address 32 known-times 10 reserve 200\nknown 127.0.0.1\n"
+// floodAdmissionConfig holds the admission directives that are added to the configuration of each
+// instance if Options.Flood is set. The scenario's clients connect from 127.0.0.1 and are known.
+const floodAdmissionConfig = "clients 300\nadmit address 32 known-times 10 reserve 200\nknown 127.0.0.1\n"
 
 const (
 	floodSources           = 500
@@ -19,8 +19,8 @@
 	floodAttemptsPerSecond = 300
 )
 
-// floodOptions are those of the flood of one instance: connections that send nothing, from many
-// addresses, for the whole scenario. attempts is Options.FloodAttempts.
+// floodOptions returns the options for the flood of one instance: connections from many addresses
+// that send nothing, during the whole scenario. attempts is Options.FloodAttempts.
 func (p *Plan) floodOptions(target string, attempts int) flood.Options {
 	if attempts == 0 {
 		attempts = floodAttemptsPerSecond * int(p.Length/time.Second)
@@ -36,13 +36,13 @@
 	}
 }
 
-// floods are the floods of a scenario, one of each instance.
+// floods runs the floods of a scenario, one for each instance.
 type floods struct {
 	running sync.WaitGroup
-	results []string // by instance; read after wait
+	results []string // statistics by instance, empty after an error; complete when wait returns
 }
 
-// start floods each instance.
+// start starts one flood for each of the options in the background.
 func (f *floods) start(l launcher, options []flood.Options, progress io.Writer) {
 	f.results = make([]string, len(options))
 	for i, o := range options {
@@ -56,10 +56,10 @@
 	}
 }
 
-// wait waits until the floods are over.
+// wait waits until all floods are over.
 func (f *floods) wait() { f.running.Wait() }
 
-// report prints what became of the floods.
+// report prints the statistics of the floods.
 func (f *floods) report(progress io.Writer) {
 	for i, result := range f.results {
 		if result != "" {
--- a/internal/scenario/draw_requests.go
+++ b/internal/scenario/generate_requests.go
@@ -11,41 +11,43 @@
 	streamsPerVolume  = 4
 	objectsPerStream  = 3
 	journalsPerVolume = 3
-	exportUnits       = 4 // of an archiveExport
-	// A number drawn from 0 to 1 chooses the class by the first of these bounds that it is below;
-	// above all it is journalAppend. So half of the requests are traceRead, a quarter segmentWrite.
+	exportUnits       = 4 // units of an archiveExport request
+	// The class of a request is chosen by a random number from 0 to 1: traceRead below readBound,
+	// segmentWrite below writeBound, archiveExport below exportBound, journalAppend otherwise. Half of
+	// the requests are thus traceRead and a quarter segmentWrite.
 	readBound   = 0.5
 	writeBound  = 0.75
 	exportBound = 0.88
-	// cancelProbability is that of a client disconnecting before its response. It then does so
-	// minCancelDelay to minCancelDelay+cancelDelayRange after it sent the request.
+	// cancelProbability is the probability that a client disconnects before the response. It does so
+	// between minCancelDelay and minCancelDelay+cancelDelayRange after it sent the request.
 	cancelProbability = 0.02
 	minCancelDelay    = 5   // milliseconds
 	cancelDelayRange  = 150 // milliseconds
-	// surgeRatePart is the rate of the surge, one part in so many of that of all clients.
-	surgeRatePart = 2
+	// During the surge, one volume receives additional requests at the rate of all clients divided by
+	// surgeRateDivisor.
+	surgeRateDivisor = 2
 )
 
-// drawRequests draws the open-loop schedule of the clients, with a surge of requests for one
-// volume.
-func (d *drawing) drawRequests() {
-	p := d.plan
-	from, to := d.span(surgeSpan)
+// generateRequests generates the volumes and the open-loop schedule of requests. The schedule
+// includes a surge: for a while, one volume receives additional requests.
+func (g *planGenerator) generateRequests() {
+	p := g.plan
+	from, to := g.drawPeriod(surgePeriod)
 	volumes := p.Nodes + p.Nodes/2
 	p.addVolumes(volumes)
-	surging := 2 * d.random.IntN(volumes/2) // a volume of the plan with a limit
-	d.addStory("feed-%d: surge from %v to %v", surging, from, to)
+	surgingVolume := 2 * g.random.IntN(volumes/2) // even volumes have the plan with a limit
+	g.addDescription("feed-%d: surge from %v to %v", surgingVolume, from, to)
 	sequences := map[string]int{}
-	for at := d.interval(p.Rate); at < p.Length; at += d.interval(p.Rate) {
-		d.drawRequest(at, d.random.IntN(volumes), sequences)
+	for at := g.drawInterarrivalTime(p.Rate); at < p.Length; at += g.drawInterarrivalTime(p.Rate) {
+		g.generateRequest(at, g.random.IntN(volumes), sequences)
 	}
-	for at := from; at < to; at += d.interval(p.Rate / surgeRatePart) {
-		d.drawRequest(at, surging, sequences)
+	for at := from; at < to; at += g.drawInterarrivalTime(p.Rate / surgeRateDivisor) {
+		g.generateRequest(at, surgingVolume, sequences)
 	}
 	slices.SortStableFunc(p.Requests, func(a, b Request) int { return int(a.At - b.At) })
 }
 
-// addVolumes adds the volumes and their objects.
+// addVolumes adds count volumes and the objects stored in them.
 func (p *Plan) addVolumes(count int) {
 	for volume := range count {
 		p.Volumes = append(p.Volumes, fmt.Sprintf("feed-%d", volume))
@@ -61,14 +63,16 @@
 	return fmt.Sprintf("/feed-%d/st%d.%d", volume, stream, object)
 }
 
-// interval draws the time between two requests that come at a rate a second.
-func (d *drawing) interval(rate float64) time.Duration {
-	return time.Duration(d.random.ExpFloat64() / rate * float64(time.Second))
+// drawInterarrivalTime returns the random time between two arrivals of a Poisson process. rate is
+// its rate in requests per second.
+func (g *planGenerator) drawInterarrivalTime(rate float64) time.Duration {
+	return time.Duration(g.random.ExpFloat64() / rate * float64(time.Second))
 }
 
-// drawRequest draws a request for a volume. sequences are the last sequence numbers, by key.
-func (d *drawing) drawRequest(at time.Duration, volume int, sequences map[string]int) {
-	p, random := d.plan, d.random
+// generateRequest adds a request for a volume, with random class, object and instance. sequences
+// holds the last sequence number of each order key and is updated.
+func (g *planGenerator) generateRequest(at time.Duration, volume int, sequences map[string]int) {
+	p, random := g.plan, g.random
 	req := Request{
 		At:       at,
 		Instance: random.IntN(p.Instances),
@@ -87,7 +91,7 @@
 	case x < exportBound:
 		req.Class, req.Units = archiveExport, exportUnits
 	default:
-		// Ordered requests of a key all go to one instance.
+		// An order key's requests all go to one instance; instances keep the order independently.
 		journal := random.IntN(journalsPerVolume)
 		req.Class, req.Method, req.Instance = journalAppend, http.MethodPut, journal%p.Instances
 		req.Path = fmt.Sprintf("/feed-%d/journal-%d", volume, journal)
--- a/internal/scenario/in_process.go
+++ b/internal/scenario/in_process.go
@@ -12,19 +12,19 @@
 	"maddergap/internal/flood"
 )
 
-// inProcessLauncher runs servers in this process.
+// inProcessLauncher starts servers in the calling process.
 type inProcessLauncher struct {
 	plan         *Plan
 	dir          string
 	newScheduler daemon.SchedulerFactory
-	ending       sync.WaitGroup // of instances that were killed
+	shutdowns    sync.WaitGroup // shutdowns of killed instances that are in progress
 }
 
 func (l *inProcessLauncher) startNode(node int, addr string, epoch time.Time) (server, error) {
 	n, err := fakenode.Start(fakenode.Options{
 		Listen:          addr,
 		Name:            nodeName(node),
-		RecordFile:      recordFile(l.dir, node),
+		RecordFile:      nodeRecordFile(l.dir, node),
 		Epoch:           epoch,
 		Script:          l.plan.Scripts[node],
 		Cores:           nodeCores,
@@ -51,7 +51,7 @@
 	if err != nil {
 		return nil, err
 	}
-	instance := &inProcessInstance{daemon: d, result: make(chan error, 1), ending: &l.ending}
+	instance := &inProcessInstance{daemon: d, result: make(chan error, 1), shutdowns: &l.shutdowns}
 	go func() { instance.result <- d.Run() }()
 	return instance, nil
 }
@@ -61,19 +61,19 @@
 	if err != nil {
 		return "", err
 	}
-	return floodLine(result.Flood), nil
+	return formatFloodStats(result.Flood), nil
 }
 
-func (l *inProcessLauncher) wait() { l.ending.Wait() }
+func (l *inProcessLauncher) wait() { l.shutdowns.Wait() }
 
-// floodLine is the line that flood.Stats.Write prints, without a name.
-func floodLine(stats *flood.Stats) string {
+// formatFloodStats returns the line that Stats.Write prints, without the name.
+func formatFloodStats(stats *flood.Stats) string {
 	var b strings.Builder
 	stats.Write(&b, "")
 	return strings.TrimSpace(b.String())
 }
 
-// inProcessNode is a node in this process.
+// inProcessNode is a node that runs in the calling process.
 type inProcessNode struct {
 	node    *fakenode.Node
 	stopped bool
@@ -89,12 +89,12 @@
 
 func (n *inProcessNode) kill() { n.stop() }
 
-// inProcessInstance is an instance in this process.
+// inProcessInstance is an instance that runs in the calling process.
 type inProcessInstance struct {
-	daemon  *daemon.Daemon
-	result  chan error // of Run
-	stopped bool       // result is received, or will be by kill
-	ending  *sync.WaitGroup
+	daemon    *daemon.Daemon
+	result    chan error      // result of daemon.Run
+	stopped   bool            // set when stop or kill receives the result, which only one of them may do
+	shutdowns *sync.WaitGroup // inProcessLauncher.shutdowns
 }
 
 func (i *inProcessInstance) stop() error {
@@ -106,11 +106,11 @@
 	return <-i.result
 }
 
-// kill returns at once, so that the schedule goes on while the instance shuts down.
+// kill starts the shutdown of the instance and returns at once, so that the schedule is not delayed.
 func (i *inProcessInstance) kill() {
 	i.daemon.Stop()
 	if !i.stopped {
 		i.stopped = true
-		i.ending.Go(func() { <-i.result })
+		i.shutdowns.Go(func() { <-i.result })
 	}
 }
--- a/internal/scenario/instance_config.go
+++ b/internal/scenario/instance_config.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Classes of the scenario's configuration, by position.
+// Indexes of the classes in the instances' configuration.
 const (
 	traceRead = iota
 	segmentWrite
@@ -14,27 +14,27 @@
 	journalAppend
 )
 
-// What the nodes can do, and what the instances are told of it.
+// Capacity of the nodes. The instances' configuration contains the same values as far as it needs them.
 const (
 	nodeCores      = 1
 	nodeQueueLimit = 100
 	unitBytes      = 4096
-	unitTime       = 8 * time.Millisecond // that a unit takes a core
-	// A node that restarted bears slowStartFraction of its capacity at first. It fails if it is
-	// sent more than overloadFactor times what it bears, over overloadWindow.
+	unitTime       = 8 * time.Millisecond // core time that a unit takes
+	// A restarted node has slowStartFraction of its capacity at first. It fails if, within
+	// overloadWindow, it receives more than overloadFactor times the work that it can process.
 	slowStartFraction = 0.2
 	overloadFactor    = 2.0
 	overloadWindow    = time.Second
 )
 
-// Limits of the standard plan.
+// Limits of the standard plan (plan "standard" in the configuration).
 const (
-	planLimit = 60.0 // units a second
+	planLimit = 60.0 // units per second
 	planBurst = 90.0 // units
 )
 
-// instanceConfig is the configuration of an instance that listens on an address and reads a node
-// list file.
+// instanceConfig returns the configuration text of an instance. listen is the address that the
+// instance listens on.
 func (p *Plan) instanceConfig(listen, nodeListFile string) string {
 	var b strings.Builder
 	slowStartUnits := slowStartFraction * nodeCores / unitTime.Seconds() * overloadWindow.Seconds()
--- a/internal/scenario/passthrough.go
+++ b/internal/scenario/passthrough.go
@@ -5,14 +5,14 @@
 	"maddergap/scheduler"
 )
 
-// passThrough is a scheduler to compare with: it sends each request at once, in the order of
-// arrival, and never retries.
+// passThrough is a scheduler for comparison. It sends each request at once, in the order of arrival,
+// and never retries.
 type passThrough struct {
 	nodesByShard map[int]string
 }
 
-// NewPassThrough makes a scheduler that forwards every request at once and retries none. It is a
-// daemon.SchedulerFactory.
+// NewPassThrough returns a scheduler that sends every request at once and never retries. It has the
+// signature of daemon.SchedulerFactory.
 func NewPassThrough(scheduler.Settings, uint64, scheduler.Time) (gateway.Scheduler, error) {
 	return &passThrough{nodesByShard: map[int]string{}}, nil
 }
@@ -35,8 +35,8 @@
 	return actions
 }
 
-// endWithoutResponse ends a request whose only attempt brought no response: it is rejected if the
-// node cannot have run it, and fails otherwise.
+// endWithoutResponse ends a request whose only attempt got no response: with a rejection if the node
+// cannot have executed the request, and with a failure otherwise.
 func endWithoutResponse(e scheduler.AttemptEnded) scheduler.Action {
 	switch e.Outcome {
 	case scheduler.QueueFull, scheduler.ConnectFailed, scheduler.NotSent:
--- a/internal/scenario/preload.go
+++ b/internal/scenario/preload.go
@@ -12,13 +12,15 @@
 )
 
 const (
-	// preloadTrace marks requests of storeObjects in the nodes' records.
+	// preloadTrace is the traceparent of the requests of storeObjects. It distinguishes them in the
+	// nodes' records.
 	preloadTrace       = "00-0000000000000000000000000000feed-00000000000000aa-00"
 	preloadConcurrency = 16
-	preloadUnits       = 4 // of each object
+	preloadUnits       = 4 // units of each object
 )
 
-// storeObjects puts objects on the nodes that have their shards, past the instances.
+// storeObjects stores objects directly on the nodes that have their shards, without an instance
+// between. It runs before the instances start.
 func storeObjects(paths []string, c *config.Config, nodeAddrs []string) error {
 	table := route.NewTable(c, nil)
 	transport := &http.Transport{}
@@ -55,7 +57,7 @@
 	}
 	resp.Body.Close()
 	if resp.StatusCode != http.StatusCreated && resp.StatusCode != http.StatusNoContent {
-		return fmt.Errorf("storing %s: %s", url, resp.Status)
+		return fmt.Errorf("storing %s: unexpected response %s", url, resp.Status)
 	}
 	return nil
 }
--- a/internal/scenario/processes.go
+++ b/internal/scenario/processes.go
@@ -12,12 +12,12 @@
 	"maddergap/internal/subprocess"
 )
 
-// processLauncher runs each server as a process, with a log file in dir.
+// processLauncher starts each server as a process with a log file in dir.
 type processLauncher struct {
 	plan      *Plan
 	dir       string
 	exe       []string // the program and its first arguments
-	serveArgs []string // further arguments of serve
+	serveArgs []string // additional arguments of the serve command
 }
 
 func (l *processLauncher) startNode(node int, addr string, epoch time.Time) (server, error) {
@@ -33,7 +33,7 @@
 	return l.start(addr, name, "node",
 		"--listen", addr,
 		"--name", name,
-		"--record", recordFile(l.dir, node),
+		"--record", nodeRecordFile(l.dir, node),
 		"--script", script,
 		"--epoch", fmt.Sprint(epoch.UnixMilli()),
 		"--cores", fmt.Sprint(nodeCores),
@@ -51,20 +51,21 @@
 	return l.start(addr, fmt.Sprint("head", instance), args...)
 }
 
-// flood runs the flood in a process of its own, so that it does not take the clients' time.
+// flood runs the flood in a separate process, so that it does not slow down the scenario's clients
+// in this one.
 func (l *processLauncher) flood(o flood.Options) (string, error) {
 	stats, err := flood.RunProcess(o, l.exe...)
 	if err != nil {
 		return "", err
 	}
-	return floodLine(stats), nil
+	return formatFloodStats(stats), nil
 }
 
-// wait has nothing to do: kill waits for the process.
+// wait does nothing: kill already waits for the process to exit.
 func (l *processLauncher) wait() {}
 
-// start starts a process and waits until it listens at addr. Its output is appended to the log
-// file of its name.
+// start starts a process and waits until it accepts connections on addr. The process's output is
+// appended to the file name.log.
 func (l *processLauncher) start(addr, name string, args ...string) (server, error) {
 	log, err := os.OpenFile(filepath.Join(l.dir, name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
@@ -78,7 +79,7 @@
 	return &process{p, log}, nil
 }
 
-// process is a server that is a process.
+// process is a server that runs as a process.
 type process struct {
 	*subprocess.Process
 	log *os.File
--- a/internal/scenario/records.go
+++ b/internal/scenario/records.go
@@ -12,13 +12,13 @@
 	"maddergap/internal/fakenode"
 )
 
-// maxRecordLine is the longest line of a node's record, in bytes.
+// maxRecordLine is the maximum length of a line in a node's record file, in bytes.
 const maxRecordLine = 1 << 20
 
-// nowMicros is the time of records: microseconds of Unix time.
+// nowMicros returns the current time in the unit of records, microseconds of Unix time.
 func nowMicros() int64 { return time.Now().UnixMicro() }
 
-// readNodeRecord reads a node's record, without the requests of storeObjects.
+// readNodeRecord reads a node's record file and leaves out the requests of storeObjects.
 func readNodeRecord(file string) ([]fakenode.Entry, error) {
 	f, err := os.Open(file)
 	if err != nil {
@@ -40,7 +40,7 @@
 	return entries, lines.Err()
 }
 
-// writeClientRecords writes the clients' records, one a line.
+// writeClientRecords writes the clients' records as JSON, one record per line.
 func writeClientRecords(file string, records []audit.RequestRecord) error {
 	f, err := os.Create(file)
 	if err != nil {
--- a/internal/scenario/runner.go
+++ b/internal/scenario/runner.go
@@ -18,23 +18,24 @@
 	nodePort     = 17000
 	instancePort = 18000
 	nodeListFile = "nodes.list"
-	// startupTime and startupTimePerServer pass before the scenario begins. Processes start and
-	// objects are stored in that time.
+	// The scenario starts startupTime plus startupTimePerServer for each node and instance after its
+	// preparation. Processes start and objects are stored in that time.
 	startupTime          = 2 * time.Second
 	startupTimePerServer = 100 * time.Millisecond
-	// drainGrace is how long after the node list has a node as draining or removed an attempt may
-	// still begin there.
+	// drainGrace is how long after a node is draining or removed in the node list an attempt may still
+	// begin there.
 	drainGrace = 500 * time.Millisecond
-	// clockTolerance is how far the two ends of a socket may differ about when something passed.
+	// clockTolerance is how far the times may differ that the two ends of a connection record for the
+	// same event.
 	clockTolerance = 100 * time.Millisecond
 )
 
-// runner is one run of a scenario. Its methods are called in the order prepare, start, play and
-// collect, each if the one before it returned no error, and close after all.
+// runner runs a scenario. Its methods are called in the order prepare, start, run, collect, each
+// only if the previous one succeeded. close is called last in any case.
 type runner struct {
 	options *Options
 	plan    *Plan
-	epoch   time.Time // when the scenario begins
+	epoch   time.Time // start of the scenario
 
 	nodeAddrs     []string // by node
 	instanceAddrs []string // by instance
@@ -42,19 +43,19 @@
 	config        *config.Config
 
 	fleet   fleet
-	clients *clients          // from start on
-	stalls  *stallwatch.Watch // from start on
+	clients *clients          // set by start
+	stalls  *stallwatch.Watch // set by start
 	floods  floods
 	drains  []audit.Interval
-	input   audit.Input // complete after collect
+	input   audit.Input // complete when collect returns
 }
 
 func newRunner(o *Options) *runner {
 	return &runner{options: o, plan: o.Plan, fleet: fleet{launcher: newLauncher(o)}}
 }
 
-// close ends whatever still runs. It waits for restarts first, whose servers would outlive it; their
-// error is play's to report.
+// close ends everything that still runs. It first waits for restarts in progress, since their
+// servers would otherwise stay running. It ignores the errors of restarts, which run returns.
 func (r *runner) close() {
 	r.fleet.waitRestarts()
 	r.floods.wait()
@@ -64,7 +65,7 @@
 	r.fleet.close()
 }
 
-// prepare chooses addresses and writes the configurations and the node list.
+// prepare assigns the addresses and the start time, and writes the configurations and the node list.
 func (r *runner) prepare() (err error) {
 	for i := range r.plan.Nodes {
 		r.nodeAddrs = append(r.nodeAddrs, loopback.Addr(r.options.Network, i+1, nodePort))
@@ -86,17 +87,17 @@
 	return r.writeNodeList(-1)
 }
 
-// writeConfig writes the configuration of an instance and returns its file.
+// writeConfig writes the configuration of an instance and returns its file name.
 func (r *runner) writeConfig(instance int, addr string) (string, error) {
 	file := filepath.Join(r.options.Dir, fmt.Sprintf("head%d.conf", instance))
 	text := r.plan.instanceConfig(addr, nodeListFile)
 	if r.options.Flood {
-		text += floodLimits
+		text += floodAdmissionConfig
 	}
 	return file, os.WriteFile(file, []byte(text), 0o644)
 }
 
-// writeNodeList writes the node list as it is after the changes up to a time of the scenario.
+// writeNodeList writes the node list with all changes up to a time of the scenario.
 func (r *runner) writeNodeList(until time.Duration) error {
 	nodes := r.plan.nodeList(r.nodeAddrs, r.epoch, until)
 	if r.options.EditNodeList != nil {
@@ -105,7 +106,7 @@
 	return nodelist.Replace(filepath.Join(r.options.Dir, nodeListFile), nodes)
 }
 
-// start starts nodes, instances and floods.
+// start starts the nodes, stores the objects, and starts the instances and floods.
 func (r *runner) start() error {
 	for i, addr := range r.nodeAddrs {
 		node, err := r.fleet.launcher.startNode(i, addr, r.epoch)
@@ -140,19 +141,20 @@
 	r.floods.start(r.fleet.launcher, floods, r.options.Progress)
 }
 
-// collect stops instances and nodes and completes the input of the audit with the nodes' records.
+// collect stops instances and nodes and adds the nodes' records to the input of the audit. It also
+// writes the clients' records to a file.
 func (r *runner) collect() error {
 	for i, instance := range r.fleet.instances {
-		// A test's scheduler may leave requests without a response, which Run reports.
+		// A faulty scheduler can leave requests without a response, for which stop returns an error.
 		if err := instance.stop(); err != nil && r.options.NewScheduler == nil {
-			return fmt.Errorf("head %d: %w", i, err)
+			return fmt.Errorf("stopping instance %d: %w", i, err)
 		}
 	}
 	for i, node := range r.fleet.nodes {
 		if err := node.stop(); err != nil {
-			return fmt.Errorf("node %d: %w", i, err)
+			return fmt.Errorf("stopping node %d: %w", i, err)
 		}
-		entries, err := readNodeRecord(recordFile(r.options.Dir, i))
+		entries, err := readNodeRecord(nodeRecordFile(r.options.Dir, i))
 		if err != nil {
 			return err
 		}
--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -1,6 +1,7 @@
-// Package scenario runs a scripted fault scenario over real processes and sockets: fake nodes with
-// faults, several instances of the gateway, and clients on a seeded open-loop schedule. The audit
-// then judges what passed on the sockets.
+// Package scenario runs a scripted fault scenario with real sockets: fake nodes with faults, several
+// gateway instances, and clients that send requests on an open-loop schedule drawn from a seed.
+// Servers run as processes or within the calling process. Package audit then judges the run by the
+// records of clients and nodes.
 package scenario
 
 import (
@@ -13,39 +14,45 @@
 )
 
 const (
-	// defaultLateTolerance is how late a response may come where Options say nothing else.
+	// defaultLateTolerance is used if Options.LateTolerance is 0.
 	defaultLateTolerance = 50 * time.Millisecond
-	// defaultNetwork is the third byte of the nodes' addresses where Options say nothing else.
+	// defaultNetwork is used if Options.Network is 0.
 	defaultNetwork = 1
 )
 
-// Options are the options of a run.
+// Options configures a run.
 type Options struct {
 	Plan *Plan
-	Dir  string // for configurations and records, which stay there
-	// Exe is the program and its first arguments. If it is empty, instances and nodes run in
-	// this process, and instances are stopped where they would be killed.
-	Exe       []string
-	ServeArgs []string // further arguments of serve, with Exe
-	// NewScheduler makes the instances' scheduler, without Exe; nil for the usual one.
+	// Dir is the directory for configurations, logs and records. Run does not remove them.
+	Dir string
+	// Exe is the program and its first arguments. If it is empty, instances and nodes run in the
+	// calling process, and an instance that the plan kills shuts down gracefully instead.
+	Exe []string
+	// ServeArgs are additional arguments of the serve command. They are used only with Exe.
+	ServeArgs []string
+	// NewScheduler creates the scheduler of each instance. It is used only without Exe; nil stands
+	// for the default scheduler.
 	NewScheduler daemon.SchedulerFactory
-	Progress     io.Writer // nil for none
-	// Flood has connections from many addresses press on every instance. The clients of the
-	// scenario are known to the instances then.
+	// Progress receives progress messages. If it is nil, they are discarded.
+	Progress io.Writer
+	// Flood sends a flood of connections from many addresses to each instance. The instances are
+	// then configured with the scenario's clients as known clients.
 	Flood bool
-	// FloodAttempts are the connections of the flood of each instance; 0 for 300 for each second.
+	// FloodAttempts is the number of connections that the flood of each instance attempts; 0 stands
+	// for 300 per second of the scenario.
 	FloodAttempts int
-	// LateTolerance is how long after its deadline a response may arrive by its client's clock,
-	// for delays of the machine that are not the gateway's; 0 for 50 ms.
+	// LateTolerance is how long after its deadline a response may arrive, by the client's clock. It
+	// covers delays of the machine that the gateway does not cause. 0 stands for 50 ms.
 	LateTolerance time.Duration
-	// Network is the third byte of the nodes' loopback addresses; those of the instances have the
-	// next one. Scenarios that run in one process at once need networks of their own. 0 for 1.
+	// Network is the third byte of the nodes' loopback addresses. The instances' addresses have
+	// Network+1. Scenarios that run in one process at the same time need different networks. 0 stands
+	// for 1.
 	Network int
-	// EditNodeList changes the node list before it is written for the instances; nil for none.
+	// EditNodeList changes each node list before it is written for the instances. It may be nil.
 	EditNodeList func([]nodelist.Node) []nodelist.Node
 }
 
-// Run runs a scenario and judges it.
+// Run runs the scenario and returns the audit's report. Violated rules are not an error.
 func Run(o *Options) (*audit.Report, error) {
 	o.setDefaults()
 	r := newRunner(o)
@@ -56,7 +63,7 @@
 	if err := r.start(); err != nil {
 		return nil, err
 	}
-	if err := r.play(); err != nil {
+	if err := r.run(); err != nil {
 		return nil, err
 	}
 	if err := r.collect(); err != nil {
@@ -65,6 +72,7 @@
 	return audit.Judge(r.input), nil
 }
 
+// setDefaults replaces zero values by defaults.
 func (o *Options) setDefaults() {
 	if o.Progress == nil {
 		o.Progress = io.Discard
--- a/internal/scenario/play.go
+++ b/internal/scenario/schedule.go
@@ -10,29 +10,30 @@
 	"maddergap/scheduler"
 )
 
-// event is something other than a request that happens at a time of the scenario.
+// event is a scheduled action other than a client request.
 type event struct {
 	at  time.Duration
 	run func() error
 }
 
-// events are those of the plan, in the order of time.
+// events returns the events of the plan, sorted by time.
 func (r *runner) events() []event {
 	var events []event
-	for _, change := range r.plan.ListChanges {
+	for _, change := range r.plan.NodeListChanges {
 		events = append(events, event{change.At, func() error { return r.changeNodeList(change) }})
 	}
 	for _, kill := range r.plan.InstanceKills {
 		events = append(events,
 			event{kill.At, func() error { r.killInstance(kill.Instance); return nil }},
-			event{kill.Back, func() error { r.restartInstance(kill.Instance); return nil }})
+			event{kill.RestartAt, func() error { r.restartInstance(kill.Instance); return nil }})
 	}
 	slices.SortStableFunc(events, func(a, b event) int { return cmp.Compare(a.at, b.at) })
 	return events
 }
 
-// changeNodeList writes the node list with a change, and notes which nodes drain from now on.
-func (r *runner) changeNodeList(change ListChange) error {
+// changeNodeList writes the node list with a change applied, and records when nodes start and stop
+// draining.
+func (r *runner) changeNodeList(change NodeListChange) error {
 	for _, node := range r.plan.DrainedNodes {
 		state, changed := change.State[node]
 		last := len(r.drains) - 1
@@ -46,20 +47,22 @@
 	return r.writeNodeList(change.At)
 }
 
-// killInstance kills an instance without a warning.
+// killInstance kills an instance without a graceful shutdown, and closes the idle client connections
+// to it.
 func (r *runner) killInstance(instance int) {
 	r.fleet.killInstance(instance, func() { r.clients.closeIdle(instance) })
 }
 
-// restartInstance starts an instance that was killed. It does not wait for it.
+// restartInstance starts a killed instance without waiting for it. The idle client connections to
+// the instance are closed when it has started.
 func (r *runner) restartInstance(instance int) {
 	r.fleet.restartInstance(instance, r.configFiles[instance], r.instanceAddrs[instance],
 		func() { r.clients.closeIdle(instance) })
 }
 
-// play runs the schedule of events and requests, and makes the input of the audit but for the
-// nodes' records.
-func (r *runner) play() error {
+// run runs the schedule, waits for all requests, restarts and floods, and sets r.input except for
+// the nodes' records, which collect adds.
+func (r *runner) run() error {
 	maxDelay, err := r.runSchedule()
 	if err != nil {
 		return err
@@ -75,15 +78,15 @@
 	return nil
 }
 
-// runSchedule starts each event and request at its time, and returns by how much the latest one
-// was late.
+// runSchedule starts each event and request at its scheduled time. It returns the largest delay of
+// a start.
 func (r *runner) runSchedule() (maxDelay time.Duration, err error) {
 	requests, events := r.plan.Requests, r.events()
 	for len(requests) > 0 || len(events) > 0 {
 		eventIsNext := len(events) > 0 && (len(requests) == 0 || events[0].at <= requests[0].At)
 		if !eventIsNext {
 			maxDelay = max(maxDelay, r.waitUntil(requests[0].At))
-			r.clients.start(requests[0])
+			r.clients.startRequest(requests[0])
 			requests = requests[1:]
 			continue
 		}
@@ -97,7 +100,8 @@
 	return maxDelay, nil
 }
 
-// waitUntil waits until a time of the scenario and returns by how much it is past.
+// waitUntil waits until a time of the scenario. If that time has already passed, waitUntil returns at
+// once with the delay.
 func (r *runner) waitUntil(at time.Duration) (delay time.Duration) {
 	remaining := time.Until(r.epoch.Add(at))
 	if remaining > 0 {
@@ -107,7 +111,7 @@
 	return -remaining
 }
 
-// auditInput is the input of the audit without the nodes' records.
+// auditInput returns the input of the audit without the nodes' records.
 func (r *runner) auditInput(records []audit.RequestRecord) audit.Input {
 	input := audit.Input{
 		Config:     r.config,
@@ -127,14 +131,14 @@
 		ClockTolerance: clockTolerance,
 		LateTolerance:  r.options.LateTolerance,
 	}
-	for node, at := range r.plan.Restarts {
+	for node, at := range r.plan.NodeRestarts {
 		input.NodeStarts = append(input.NodeStarts, audit.Interval{Name: nodeName(node), From: r.epoch.Add(at).UnixMicro()})
 	}
 	return input
 }
 
-// stallIntervals ends the measurement of stalls and returns them. The report says how many late
-// responses fell into one; they are violations all the same.
+// stallIntervals stops the measurement of stalls and returns them. The report counts the late
+// responses that coincide with a stall, but they remain violations.
 func (r *runner) stallIntervals() []audit.Interval {
 	r.stalls.Stop()
 	var intervals []audit.Interval
