--- a/internal/audit/audit.go
+++ b/internal/audit/audit.go
@@ -1,12 +1,12 @@
-// Package audit judges a run by seven rules, from what passed on sockets: the clients' records of
-// requests and the nodes' records of attempts, joined by trace id. It takes no instance's word for
-// anything, so that a fault of the gateway, of its own invariants too, shows here. It does no I/O
-// and reads no clock.
+// Package audit judges a run by seven rules. It uses only records made at the sockets: the clients'
+// records of requests and the nodes' records of attempts, joined by trace ID. It uses no data from the
+// gateway instances, so it also detects faults of the gateway's own invariant checks. The package does
+// no I/O and does not read the clock.
 //
-// rules.go lists the rules, records.go what a run is judged from, report.go what is reported. Each
-// rule has a file: single_response.go, safe_retry.go, node_serving.go, slow_start.go, key_order.go,
-// retry_budget.go and tenant_limit.go. deadline_misses.go and summary.go have what is reported but
-// not judged.
+// rules.go defines the rules, records.go the input and report.go the report. Each rule is implemented
+// in its own file: single_response.go, safe_retry.go, node_serving.go, slow_start.go, key_order.go,
+// retry_budget.go and tenant_limit.go. deadline_misses.go and summary.go compute the statistics of the
+// report that no rule judges.
 package audit
 
 import (
@@ -19,17 +19,18 @@
 	"maddergap/scheduler"
 )
 
-// run is an Input with its records joined.
+// run is an Input with its requests and attempts joined.
 type run struct {
 	input    Input
 	classes  []scheduler.Class
-	requests map[string]*RequestRecord // by trace id
-	// attempts has all attempts, attemptsByTrace those of each trace id; both in order of arrival.
+	requests map[string]*RequestRecord // by trace ID
+	// attempts holds all attempts and attemptsByTrace the attempts of each trace ID, both sorted by
+	// arrival at the node.
 	attempts        []*fakenode.Entry
 	attemptsByTrace map[string][]*fakenode.Entry
 }
 
-// Judge judges a run.
+// Judge judges a run by all rules and returns the report.
 func Judge(in Input) *Report {
 	r := joinRecords(in)
 	report := &Report{
@@ -48,6 +49,7 @@
 	return report
 }
 
+// joinRecords indexes the requests by trace ID, and sorts the attempts and groups them by trace ID.
 func joinRecords(in Input) *run {
 	r := &run{
 		input:           in,
@@ -76,16 +78,16 @@
 	slices.SortStableFunc(attempts, func(a, b *fakenode.Entry) int { return cmp.Compare(a.ReceivedAt, b.ReceivedAt) })
 }
 
-// requestOf returns the request of an attempt, nil if no client sent it.
+// requestOf returns the request that an attempt belongs to, or nil if no client sent it.
 func (r *run) requestOf(attempt *fakenode.Entry) *RequestRecord {
 	return r.requests[traceID(attempt.Traceparent)]
 }
 
-// clockTolerance is Input.ClockTolerance in microseconds.
+// clockTolerance returns Input.ClockTolerance in microseconds.
 func (r *run) clockTolerance() int64 { return r.input.ClockTolerance.Microseconds() }
 
-// instanceDown reports whether an instance was down at some time from one time to another; to 0
-// is the end of the run. Only outages that ended count.
+// instanceDown reports whether an outage of an instance overlaps the interval between two record times.
+// If to is 0, the interval extends to the end of the run. Outages without an end do not count.
 func (r *run) instanceDown(instance int, from, to int64) bool {
 	name := strconv.Itoa(instance)
 	return slices.ContainsFunc(r.input.Outages, func(outage Interval) bool {
@@ -93,5 +95,5 @@
 	})
 }
 
-// between returns the time from one record's time to another's.
-func between(from, to int64) time.Duration { return time.Duration(to-from) * time.Microsecond }
+// durationBetween returns the duration from one record time to another.
+func durationBetween(from, to int64) time.Duration { return time.Duration(to-from) * time.Microsecond }
--- a/internal/audit/audit_test.go
+++ b/internal/audit/audit_test.go
@@ -11,22 +11,22 @@
 	"maddergap/internal/fakenode"
 )
 
-// second is in the unit of records, microseconds.
+// second is one second in microseconds, the unit of record times.
 const second = int64(1e6)
 
-// attemptAt is when the attempts of most tests arrive at their node.
+// attemptAt is the time at which the attempts of most tests arrive at their node.
 const attemptAt = second + 1000
 
 // Indexes of the classes of testConfig.
 const (
 	readClass       = iota // safe
 	writeClass             // non-idempotent
-	idempotentClass        // with a deduplication window of two seconds
+	idempotentClass        // idempotent, with a deduplication window of two seconds
 	orderedClass           // non-idempotent
 )
 
-// testConfig has a volume v with a limit of 10 units a second and a burst of 10, and a volume w
-// without a limit.
+// testConfig returns a configuration with a volume v, which has a limit of 10 units per second and a
+// burst of 10 units, and a volume w without a limit.
 func testConfig(t *testing.T) *config.Config {
 	t.Helper()
 	c, err := config.Parse("t", []byte(`listen 127.0.0.1:0
@@ -52,17 +52,18 @@
 
 func testTraceID(number int) string { return fmt.Sprintf("%032x", number) }
 
-// attempt is an attempt of the request of a number.
-func attempt(number int, node string, receivedAt int64, e fakenode.Entry) fakenode.Entry {
+// newAttempt returns e as an attempt of the request with the given number.
+func newAttempt(number int, node string, receivedAt int64, e fakenode.Entry) fakenode.Entry {
 	e.Traceparent = "00-" + testTraceID(number) + "-0000000000000001-00"
 	e.Node = node
 	e.ReceivedAt = receivedAt
 	return e
 }
 
-// request is a request to volume w with a deadline after one second. Where it has a response, that
-// came after a tenth of a second.
-func request(number, class int, r RequestRecord) RequestRecord {
+// newRequest returns r as a request with the given number and class. By default the request is for volume
+// w, is sent at the time second, has its deadline one second later, and gets its response, if any, after a
+// tenth of a second.
+func newRequest(number, class int, r RequestRecord) RequestRecord {
 	r.TraceID = testTraceID(number)
 	r.Class = class
 	if r.Volume == "" {
@@ -82,18 +83,18 @@
 
 var (
 	// servedRead is a request that violates no rule.
-	servedRead = request(1, readClass, RequestRecord{Responses: 1, Status: 200, Units: 1})
-	// executed and queueFull are attempts that were executed, and that were not.
+	servedRead = newRequest(1, readClass, RequestRecord{Responses: 1, Status: 200, Units: 1})
+	// executed is an attempt that was executed, queueFull an attempt that the node rejected.
 	executed  = fakenode.Entry{ExecutedAt: attemptAt + 10, RespondedAt: attemptAt + 20, Status: 200, Units: 1}
 	queueFull = fakenode.Entry{Status: 503, RespondedAt: attemptAt + 10}
 )
 
-// judgeTest is a run, and the rules that it violates.
+// judgeTest is a run and the rules that the audit should report as violated.
 type judgeTest struct {
 	name     string
 	requests []RequestRecord
 	attempts []fakenode.Entry
-	change   func(*Input)
+	change   func(*Input) // changes the input; may be nil
 	want     []Rule
 }
 
@@ -117,77 +118,78 @@
 	}
 }
 
-// checkJudge checks which rules a run violates, and that the report says the same.
+// checkJudge checks which rules Judge reports as violated, and that the printed report agrees.
 func checkJudge(t *testing.T, in Input, want []Rule) {
 	t.Helper()
 	report := Judge(in)
 	if got := report.ViolatedRules(); !slices.Equal(got, want) {
-		t.Errorf("rules %v are violated, want %v", got, want)
+		t.Errorf("violated rules: got %v, want %v", got, want)
 	}
 	var text strings.Builder
 	report.Write(&text)
 	if strings.Contains(text.String(), "BROKEN") == report.Passed() {
-		t.Errorf("the report says otherwise: %s", text.String())
+		t.Errorf("the printed report does not agree with Passed: %s", text.String())
 	}
 	for _, v := range report.Verdicts {
 		for _, example := range v.Examples {
 			if example.Rule != v.Rule || !strings.Contains(example.Detail, example.Subject) || !strings.Contains(text.String(), example.String()+"\n") {
-				t.Errorf("%+v is not an example of rule %d in the report:\n%s", example, v.Rule, text.String())
+				t.Errorf("example %+v of rule %d is wrong, or missing in the printed report:\n%s", example, v.Rule, text.String())
 			}
 		}
 	}
 }
 
-// A request has no response, two, or a late one, or an attempt after it. No response is due where
-// the client disconnected or the instance was killed.
+// Verifies that a request without a response, with two responses, with a late response or with an
+// attempt after its response violates the rule, and so does an attempt that belongs to no request. No
+// response is required if the client disconnected or the instance was killed.
 func TestSingleResponse(t *testing.T) {
-	unanswered := request(1, readClass, RequestRecord{ConnectionLostAt: 3 * second})
+	unanswered := newRequest(1, readClass, RequestRecord{ConnectionLostAt: 3 * second})
 	runJudgeTests(t, []judgeTest{
-		{"served", []RequestRecord{servedRead}, []fakenode.Entry{attempt(1, "n", attemptAt, executed)}, nil, nil},
+		{"served", []RequestRecord{servedRead}, []fakenode.Entry{newAttempt(1, "n", attemptAt, executed)}, nil, nil},
 		{"no response", []RequestRecord{unanswered}, nil, nil, []Rule{RuleSingleResponse}},
-		{"no response of a killed instance", []RequestRecord{unanswered}, nil,
+		{"no response from a killed instance", []RequestRecord{unanswered}, nil,
 			func(in *Input) { in.Outages = []Interval{{"0", 2 * second, 4 * second}} }, nil},
 		{"no response while another instance was killed", []RequestRecord{unanswered}, nil,
 			func(in *Input) { in.Outages = []Interval{{"1", 2 * second, 4 * second}} }, []Rule{RuleSingleResponse}},
-		{"client disconnected", []RequestRecord{request(1, readClass, RequestRecord{DisconnectedAt: 2 * second})}, nil, nil, nil},
-		{"two responses", []RequestRecord{request(1, readClass, RequestRecord{Responses: 2, Status: 200, RespondedAt: attemptAt})}, nil, nil, []Rule{RuleSingleResponse}},
-		{"late response", []RequestRecord{request(1, readClass, RequestRecord{Responses: 1, Status: 200, RespondedAt: 3 * second})}, nil, nil, []Rule{RuleSingleResponse}},
-		{"attempt after the response", []RequestRecord{servedRead}, []fakenode.Entry{attempt(1, "n", 2*second, executed)}, nil, []Rule{RuleSingleResponse}},
-		{"attempt of no request", []RequestRecord{servedRead}, []fakenode.Entry{attempt(9, "n", attemptAt, executed)}, nil, []Rule{RuleSingleResponse}},
+		{"client disconnected", []RequestRecord{newRequest(1, readClass, RequestRecord{DisconnectedAt: 2 * second})}, nil, nil, nil},
+		{"two responses", []RequestRecord{newRequest(1, readClass, RequestRecord{Responses: 2, Status: 200, RespondedAt: attemptAt})}, nil, nil, []Rule{RuleSingleResponse}},
+		{"late response", []RequestRecord{newRequest(1, readClass, RequestRecord{Responses: 1, Status: 200, RespondedAt: 3 * second})}, nil, nil, []Rule{RuleSingleResponse}},
+		{"attempt after the response", []RequestRecord{servedRead}, []fakenode.Entry{newAttempt(1, "n", 2*second, executed)}, nil, []Rule{RuleSingleResponse}},
+		{"attempt of no request", []RequestRecord{servedRead}, []fakenode.Entry{newAttempt(9, "n", attemptAt, executed)}, nil, []Rule{RuleSingleResponse}},
 	})
 }
 
-// A request is sent to a second node. Whether that is allowed depends on its class, and on what is
-// known of the first attempt.
+// Verifies that a retry is allowed or not depending on the request's class and on what is known about
+// the first attempt.
 func TestSafeRetry(t *testing.T) {
-	servedWrite := request(1, writeClass, RequestRecord{Responses: 1, Status: 200})
+	servedWrite := newRequest(1, writeClass, RequestRecord{Responses: 1, Status: 200})
 	slowIdempotent := func(respondedAt int64) RequestRecord {
-		return request(1, idempotentClass, RequestRecord{Responses: 1, Status: 200, Deadline: 9 * second, RespondedAt: respondedAt})
+		return newRequest(1, idempotentClass, RequestRecord{Responses: 1, Status: 200, Deadline: 9 * second, RespondedAt: respondedAt})
 	}
-	unknown := fakenode.Entry{} // it may have been executed
+	unknown := fakenode.Entry{} // no response: the attempt may have been executed
 	runJudgeTests(t, []judgeTest{
 		{"safe, executed twice", []RequestRecord{servedRead},
-			[]fakenode.Entry{attempt(1, "n", attemptAt, executed), attempt(1, "n", attemptAt+1, executed)}, nil, nil},
+			[]fakenode.Entry{newAttempt(1, "n", attemptAt, executed), newAttempt(1, "n", attemptAt+1, executed)}, nil, nil},
 		{"non-idempotent, executed twice", []RequestRecord{servedWrite},
-			[]fakenode.Entry{attempt(1, "n", attemptAt, executed), attempt(1, "m", attemptAt+1, executed)}, nil, []Rule{RuleSafeRetry}},
+			[]fakenode.Entry{newAttempt(1, "n", attemptAt, executed), newAttempt(1, "m", attemptAt+1, executed)}, nil, []Rule{RuleSafeRetry}},
 		{"non-idempotent, may have been executed", []RequestRecord{servedWrite},
-			[]fakenode.Entry{attempt(1, "n", attemptAt, unknown), attempt(1, "m", attemptAt+1, executed)}, nil, []Rule{RuleSafeRetry}},
+			[]fakenode.Entry{newAttempt(1, "n", attemptAt, unknown), newAttempt(1, "m", attemptAt+1, executed)}, nil, []Rule{RuleSafeRetry}},
 		{"non-idempotent, queue was full", []RequestRecord{servedWrite},
-			[]fakenode.Entry{attempt(1, "n", attemptAt, queueFull), attempt(1, "m", attemptAt+1, executed)}, nil, nil},
-		{"non-idempotent, rejected though executed", []RequestRecord{request(1, writeClass, RequestRecord{Responses: 1, Status: 503})},
-			[]fakenode.Entry{attempt(1, "n", attemptAt, executed)}, nil, []Rule{RuleSafeRetry}},
-		{"non-idempotent, failed and executed", []RequestRecord{request(1, writeClass, RequestRecord{Responses: 1, Status: 504})},
-			[]fakenode.Entry{attempt(1, "n", attemptAt, executed)}, nil, nil},
+			[]fakenode.Entry{newAttempt(1, "n", attemptAt, queueFull), newAttempt(1, "m", attemptAt+1, executed)}, nil, nil},
+		{"non-idempotent, rejected though executed", []RequestRecord{newRequest(1, writeClass, RequestRecord{Responses: 1, Status: 503})},
+			[]fakenode.Entry{newAttempt(1, "n", attemptAt, executed)}, nil, []Rule{RuleSafeRetry}},
+		{"non-idempotent, failed and executed", []RequestRecord{newRequest(1, writeClass, RequestRecord{Responses: 1, Status: 504})},
+			[]fakenode.Entry{newAttempt(1, "n", attemptAt, executed)}, nil, nil},
 		{"idempotent, within its window", []RequestRecord{slowIdempotent(4 * second)},
-			[]fakenode.Entry{attempt(1, "n", attemptAt, unknown), attempt(1, "n", attemptAt+second, executed)}, nil, nil},
+			[]fakenode.Entry{newAttempt(1, "n", attemptAt, unknown), newAttempt(1, "n", attemptAt+second, executed)}, nil, nil},
 		{"idempotent, past its window", []RequestRecord{slowIdempotent(5 * second)},
-			[]fakenode.Entry{attempt(1, "n", attemptAt, unknown), attempt(1, "n", attemptAt+3*second, executed)}, nil, []Rule{RuleSafeRetry}},
+			[]fakenode.Entry{newAttempt(1, "n", attemptAt, unknown), newAttempt(1, "n", attemptAt+3*second, executed)}, nil, []Rule{RuleSafeRetry}},
 	})
 }
 
-// An attempt is sent to a node that drains: within the grace, and after it.
+// Verifies that an attempt on a draining node is allowed within the grace and violates the rule later.
 func TestNodeServing(t *testing.T) {
-	requests, attempts := []RequestRecord{servedRead}, []fakenode.Entry{attempt(1, "n", attemptAt, executed)}
+	requests, attempts := []RequestRecord{servedRead}, []fakenode.Entry{newAttempt(1, "n", attemptAt, executed)}
 	drainedSince := func(node string, from int64) func(*Input) {
 		return func(in *Input) { in.Drains = []Interval{{node, from, 0}} }
 	}
@@ -198,64 +200,64 @@
 	})
 }
 
-// A node that is warming up is sent so much that it fails.
+// Verifies that an attempt that makes a node fail from overload violates the rule.
 func TestOverloadedNode(t *testing.T) {
 	runJudgeTests(t, []judgeTest{
 		{"overloaded", []RequestRecord{servedRead},
-			[]fakenode.Entry{attempt(1, "n", attemptAt, fakenode.Entry{Overloaded: true, Status: 200, RespondedAt: attemptAt})}, nil, []Rule{RuleSlowStart}},
+			[]fakenode.Entry{newAttempt(1, "n", attemptAt, fakenode.Entry{Overloaded: true, Status: 200, RespondedAt: attemptAt})}, nil, []Rule{RuleSlowStart}},
 	})
 }
 
-// Two requests of a key are sent, one while the other is in progress or before it. Those of
-// different keys may be.
+// Verifies that two requests of an order key violate the rule if they overlap or are executed in the
+// wrong order, and that requests of different keys may overlap.
 func TestKeyOrder(t *testing.T) {
 	ordered := func(number int, key string, r RequestRecord) RequestRecord {
 		r.Responses, r.Status, r.OrderKey = 1, 200, key
-		return request(number, orderedClass, r)
+		return newRequest(number, orderedClass, r)
 	}
 	first := ordered(1, "k", RequestRecord{})
 	inProgress := fakenode.Entry{RespondedAt: attemptAt + second/2, Status: 200}
 	runJudgeTests(t, []judgeTest{
 		{"one after the other", []RequestRecord{first, ordered(2, "k", RequestRecord{SentAt: second + 5})},
-			[]fakenode.Entry{attempt(1, "n", attemptAt, executed), attempt(2, "n", attemptAt+30, executed)}, nil, nil},
+			[]fakenode.Entry{newAttempt(1, "n", attemptAt, executed), newAttempt(2, "n", attemptAt+30, executed)}, nil, nil},
 		{"at the same time", []RequestRecord{first, ordered(2, "k", RequestRecord{})},
-			[]fakenode.Entry{attempt(1, "n", attemptAt, inProgress), attempt(2, "n", attemptAt+30, executed)}, nil, []Rule{RuleKeyOrder}},
+			[]fakenode.Entry{newAttempt(1, "n", attemptAt, inProgress), newAttempt(2, "n", attemptAt+30, executed)}, nil, []Rule{RuleKeyOrder}},
 		{"the later one first", []RequestRecord{first, ordered(2, "k", RequestRecord{SentAt: 2 * second, RespondedAt: 2*second + 9})},
-			[]fakenode.Entry{attempt(1, "n", 2*second, fakenode.Entry{RespondedAt: 2*second + 10, Status: 200}),
-				attempt(2, "n", 2*second-5, fakenode.Entry{RespondedAt: 2*second - 1})},
+			[]fakenode.Entry{newAttempt(1, "n", 2*second, fakenode.Entry{RespondedAt: 2*second + 10, Status: 200}),
+				newAttempt(2, "n", 2*second-5, fakenode.Entry{RespondedAt: 2*second - 1})},
 			func(in *Input) { in.Requests[0].RespondedAt, in.Requests[0].Deadline = 2*second+10, 3*second }, []Rule{RuleKeyOrder}},
 		{"different keys", []RequestRecord{first, ordered(2, "j", RequestRecord{})},
-			[]fakenode.Entry{attempt(1, "n", attemptAt, fakenode.Entry{RespondedAt: attemptAt + second/2}), attempt(2, "n", attemptAt+30, executed)}, nil, nil},
+			[]fakenode.Entry{newAttempt(1, "n", attemptAt, fakenode.Entry{RespondedAt: attemptAt + second/2}), newAttempt(2, "n", attemptAt+30, executed)}, nil, nil},
 	})
 }
 
-// A read is retried twice, with a budget of one retry and a tenth of the requests.
+// Verifies that two retries violate a retry budget of one retry plus a tenth of the requests.
 func TestRetryBudget(t *testing.T) {
 	runJudgeTests(t, []judgeTest{
 		{"two retries", []RequestRecord{servedRead},
-			[]fakenode.Entry{attempt(1, "n", attemptAt, executed), attempt(1, "n", attemptAt+1, executed), attempt(1, "n", attemptAt+2, executed)}, nil, []Rule{RuleRetryBudget}},
+			[]fakenode.Entry{newAttempt(1, "n", attemptAt, executed), newAttempt(1, "n", attemptAt+1, executed), newAttempt(1, "n", attemptAt+2, executed)}, nil, []Rule{RuleRetryBudget}},
 	})
 }
 
-// Requests come to a volume at once: as much as the burst of its limit, and twice as much.
+// Verifies that requests of the size of the burst are allowed at once, and twice as much is not.
 func TestTenantLimit(t *testing.T) {
 	burst := func(number int) RequestRecord {
-		return request(number, readClass, RequestRecord{Volume: "v", Units: 10, Responses: 1, Status: 200})
+		return newRequest(number, readClass, RequestRecord{Volume: "v", Units: 10, Responses: 1, Status: 200})
 	}
 	runJudgeTests(t, []judgeTest{
-		{"within the limit", []RequestRecord{burst(1)}, []fakenode.Entry{attempt(1, "n", attemptAt, executed)}, nil, nil},
+		{"within the limit", []RequestRecord{burst(1)}, []fakenode.Entry{newAttempt(1, "n", attemptAt, executed)}, nil, nil},
 		{"beyond the limit", []RequestRecord{burst(1), burst(2)},
-			[]fakenode.Entry{attempt(1, "n", attemptAt, executed), attempt(2, "n", attemptAt+1, executed)}, nil, []Rule{RuleTenantLimit}},
+			[]fakenode.Entry{newAttempt(1, "n", attemptAt, executed), newAttempt(2, "n", attemptAt+1, executed)}, nil, []Rule{RuleTenantLimit}},
 	})
 }
 
-// One response comes in time, one past its latency objective, and a write is rejected. The first
-// earns its priority weight, the second half of it.
+// Verifies the totals of the report for a response in time, one later than its latency objective and a
+// rejection. The first earns its full priority weight, the second half of it, the third nothing.
 func TestSummary(t *testing.T) {
 	r := Judge(Input{Config: testConfig(t), Requests: []RequestRecord{
-		request(1, readClass, RequestRecord{Responses: 1, Status: 200, Units: 2, RespondedAt: second + 50_000}),
-		request(2, readClass, RequestRecord{Responses: 1, Status: 200, Units: 1, RespondedAt: second + 500_000}),
-		request(3, writeClass, RequestRecord{Responses: 1, Status: 503, Units: 1}),
+		newRequest(1, readClass, RequestRecord{Responses: 1, Status: 200, Units: 2, RespondedAt: second + 50_000}),
+		newRequest(2, readClass, RequestRecord{Responses: 1, Status: 200, Units: 1, RespondedAt: second + 500_000}),
+		newRequest(3, writeClass, RequestRecord{Responses: 1, Status: 503, Units: 1}),
 	}, LateTolerance: time.Second})
 	if r.OfferedWeight != 2*2+2+1 || r.EarnedWeight != 4+1 || r.MissedObjective != 1 || r.Rejected != 1 || r.LatencyQuantile(1) != 500*time.Millisecond {
 		t.Errorf("%+v", r)
--- a/internal/audit/key_order.go
+++ b/internal/audit/key_order.go
@@ -13,13 +13,13 @@
 	attempt *fakenode.Entry
 }
 
-// instanceKey is an order key at an instance: order is kept by each instance for itself.
+// instanceKey is an order key at an instance. Each instance keeps the order of its own requests only.
 type instanceKey struct {
 	instance int
 	key      string
 }
 
-// judgeKeyOrder judges RuleKeyOrder.
+// judgeKeyOrder judges RuleKeyOrder. Its figure is the number of violations.
 func (r *run) judgeKeyOrder() Verdict {
 	v := Verdict{Rule: RuleKeyOrder}
 	for key, attempts := range r.attemptsByKey() {
@@ -34,6 +34,7 @@
 	return v
 }
 
+// attemptsByKey returns the attempts of ordered requests by instance and key, unsorted.
 func (r *run) attemptsByKey() map[instanceKey][]orderedAttempt {
 	byKey := map[instanceKey][]orderedAttempt{}
 	for id, attempts := range r.attemptsByTrace {
@@ -49,8 +50,8 @@
 	return byKey
 }
 
-// checkOrder checks two attempts of a key that follow each other: the second may begin when the
-// first has its result, and may not be of a request that was sent before the first's.
+// checkOrder checks two consecutive attempts of an order key. The second may begin only after the
+// result of the first, and its request may not have been sent before the request of the first.
 func (r *run) checkOrder(v *Verdict, key instanceKey, first, second orderedAttempt) {
 	if first.request == second.request {
 		return
@@ -58,18 +59,18 @@
 	sentAt := min(first.request.SentAt, second.request.SentAt)
 	receivedAt := max(first.attempt.ReceivedAt, second.attempt.ReceivedAt)
 	if r.instanceDown(first.request.Instance, sentAt, receivedAt) {
-		return // an instance that restarted knows nothing of what it sent before
+		return // a restarted instance does not know its earlier requests
 	}
 	resultAt := first.attempt.RespondedAt
 	if resultAt == 0 {
 		resultAt = first.request.RespondedAt
 	}
 	if resultAt > 0 && second.attempt.ReceivedAt < resultAt-r.clockTolerance() {
-		v.violated(key.key, "key %d %s: %s went out %v before the one before it had an outcome",
-			key.instance, key.key, second.request.TraceID, between(second.attempt.ReceivedAt, resultAt))
+		v.addViolation(key.key, "key %d %s: %s went out %v before the one before it had an outcome",
+			key.instance, key.key, second.request.TraceID, durationBetween(second.attempt.ReceivedAt, resultAt))
 	}
 	if second.request.SentAt+r.clockTolerance() < first.request.SentAt {
-		v.violated(key.key, "key %d %s: %s went before %s, which came first",
+		v.addViolation(key.key, "key %d %s: %s went before %s, which came first",
 			key.instance, key.key, first.request.TraceID, second.request.TraceID)
 	}
 }
--- a/internal/audit/platform_test.go
+++ b/internal/audit/platform_test.go
@@ -10,16 +10,15 @@
 	"maddergap/scheduler"
 )
 
-// startAt is when the requests of the platform's tests are sent, in microseconds.
+// startAt is the time at which the requests of these tests are sent, in microseconds.
 const startAt = int64(1_000_000_000)
 
-// msAfterStart is a time of a record, by milliseconds after startAt.
+// msAfterStart returns the record time that is ms milliseconds after startAt.
 func msAfterStart(ms int64) int64 { return startAt + ms*1000 }
 
-// platformInput has what is judged on the platform alone: clients disconnect, attempts carry
-// timeouts, instances are notified one by one, and nodes bear a number of requests of a mean work.
-// A node that has just started bears about 5 requests in a window, 0.5 x 10, and 3*sqrt(5)+3 more
-// by chance: 14.
+// platformInput returns an input with the parameters that only the platform's runs set: a disconnect
+// grace, a timeout tolerance, and a mean work of requests. A node that has just started may receive
+// about 5 requests in a window (0.5 x 10) plus 3*sqrt(5)+3 by chance: 14.
 func platformInput(requests []RequestRecord, attempts []fakenode.Entry) Input {
 	return Input{
 		Config: &config.Config{
@@ -44,37 +43,38 @@
 	}
 }
 
+// platformRequest returns a request that is sent at startAt and gets its response in time.
 func platformRequest(traceID string) RequestRecord {
 	return RequestRecord{TraceID: traceID, Volume: "v", SentAt: msAfterStart(0), Deadline: msAfterStart(1000),
 		RespondedAt: msAfterStart(900), Responses: 1, Status: 200, Units: 1}
 }
 
-// platformAttempt is an attempt of a request, which arrives some milliseconds after startAt.
+// platformAttempt returns an attempt of a request that arrives ms milliseconds after startAt.
 func platformAttempt(traceID string, ms int64) fakenode.Entry {
 	return fakenode.Entry{Node: "n", Traceparent: traceID, ReceivedAt: msAfterStart(ms), ExecutedAt: msAfterStart(ms + 1),
 		RespondedAt: msAfterStart(ms + 2), Status: 200, Units: 1}
 }
 
-// The client of a request disconnects after 100 ms. The gateway may not know of that yet, for a
-// grace of 100 ms.
+// Verifies that an attempt may begin up to DisconnectGrace (100 ms) after the client disconnected, in
+// which time the gateway may not have noticed the disconnect yet, and violates the rule later.
 func TestAttemptAfterDisconnect(t *testing.T) {
 	disconnected := RequestRecord{TraceID: "a", Volume: "v", SentAt: msAfterStart(0), Deadline: msAfterStart(1000), DisconnectedAt: msAfterStart(100), Units: 1}
 	for _, test := range []struct {
-		name  string
-		after int64 // of the attempt, in milliseconds
-		want  []Rule
+		name      string
+		attemptMs int64 // arrival of the attempt, in milliseconds after startAt
+		want      []Rule
 	}{
 		{"within the grace", 205, nil},
 		{"past the grace", 215, []Rule{RuleSingleResponse}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			checkJudge(t, platformInput([]RequestRecord{disconnected}, []fakenode.Entry{platformAttempt("a", test.after)}), test.want)
+			checkJudge(t, platformInput([]RequestRecord{disconnected}, []fakenode.Entry{platformAttempt("a", test.attemptMs)}), test.want)
 		})
 	}
 }
 
-// An attempt is sent 500 ms before the deadline, with a timeout that is longer than that: by what is
-// tolerated, and by more.
+// Verifies that the timeout of an attempt may extend beyond the deadline by TimeoutTolerance (150 ms)
+// and the clock tolerance, and violates the rule if it is longer.
 func TestTimeoutBeyondDeadline(t *testing.T) {
 	for _, test := range []struct {
 		name    string
@@ -92,14 +92,14 @@
 	}
 }
 
-// An instance is notified that a node drains, and sends to it. Notices of other instances, and
-// those that another has ended, do not count.
+// Verifies that an instance may send to a node up to DrainGrace after it was notified that the node
+// drains. Notices to other instances, and notices that a later one has ended, do not count.
 func TestDrainNotices(t *testing.T) {
 	for _, test := range []struct {
-		name   string
-		after  int64 // of the attempt, in milliseconds
-		notice Notice
-		want   []Rule
+		name      string
+		attemptMs int64 // arrival of the attempt, in milliseconds after startAt
+		notice    Notice
+		want      []Rule
 	}{
 		{"within the grace", 505, Notice{Instance: 0, Node: "n", From: msAfterStart(0)}, nil},
 		{"past the grace", 515, Notice{Instance: 0, Node: "n", From: msAfterStart(0)}, []Rule{RuleNodeServing}},
@@ -107,19 +107,19 @@
 		{"the node serves again", 700, Notice{Instance: 0, Node: "n", From: msAfterStart(0), To: msAfterStart(600)}, nil},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			in := platformInput([]RequestRecord{platformRequest("a")}, []fakenode.Entry{platformAttempt("a", test.after)})
+			in := platformInput([]RequestRecord{platformRequest("a")}, []fakenode.Entry{platformAttempt("a", test.attemptMs)})
 			in.DrainNotices = []Notice{test.notice}
 			checkJudge(t, in, test.want)
 		})
 	}
 }
 
-// A node starts, and gets a number of requests at once 100 ms later: what it bears, and more. An
-// instance that was not notified of the start is not blamed.
+// Verifies the limit on the number of requests that a node receives at once 100 ms after its start. Load
+// from an instance that was not notified of the start is no violation.
 func TestLoadWhileWarmingUp(t *testing.T) {
 	for _, test := range []struct {
 		name    string
-		count   int
+		count   int // number of requests
 		notices []Notice
 		want    []Rule
 	}{
--- a/internal/audit/records.go
+++ b/internal/audit/records.go
@@ -7,91 +7,104 @@
 	"maddergap/internal/fakenode"
 )
 
-// RequestRecord is one request as its client saw it. Times are microseconds of Unix time; 0: it did
-// not come to that.
+// RequestRecord describes a request as its client saw it. Times are in microseconds of Unix time; 0
+// means that the event did not happen.
 type RequestRecord struct {
-	TraceID  string  `json:"trace"` // 32 hexadecimal digits, of the client's traceparent
-	Instance int     `json:"head"`  // of the gateway, that it was sent to
+	TraceID  string  `json:"trace"` // 32 hexadecimal digits of the client's traceparent
+	Instance int     `json:"head"`  // number of the instance that the request was sent to
 	Volume   string  `json:"volume"`
 	Class    int     `json:"class"`         // index in the settings' classes
-	OrderKey string  `json:"key,omitempty"` // of an ordered class
-	Sequence int     `json:"sequence"`      // among its client's requests
-	Units    float64 `json:"units"`         // of work
-	SentAt   int64   `json:"sent"`          // its last byte was written
-	Deadline int64   `json:"deadline"`      // the client waits until then
-	// RespondedAt is when the end of the response was read.
+	OrderKey string  `json:"key,omitempty"` // set for an ordered class only
+	Sequence int     `json:"sequence"`      // number of the request among those of its client or order key
+	Units    float64 `json:"units"`         // units of work
+	SentAt   int64   `json:"sent"`          // time at which the last byte was written
+	Deadline int64   `json:"deadline"`      // time until which the client waits
+	// RespondedAt is the time at which the last byte of the response was read.
 	RespondedAt int64 `json:"answered,omitempty"`
 	Status      int   `json:"status,omitempty"`
-	// Truncated: the header of a response was read, but not its end.
+	// Truncated is set if the header of a response was read, but not the complete body.
 	Truncated bool `json:"cut,omitempty"`
-	// Responses counts the final responses that were read, truncated ones too.
+	// Responses is the number of final responses that were read, including truncated ones.
 	Responses int `json:"answers"`
-	// DisconnectedAt is when the client closed the connection without waiting for the response.
+	// DisconnectedAt is the time at which the client closed the connection without waiting for the
+	// response.
 	DisconnectedAt int64 `json:"gave_up,omitempty"`
-	// ConnectionLostAt is when the connection ended before any response, or the client's patience
-	// did.
+	// ConnectionLostAt is the time at which the connection ended, or the client stopped waiting, before
+	// any response.
 	ConnectionLostAt int64 `json:"lost,omitempty"`
-	// Incomplete: not all of the request was sent.
+	// Incomplete is set if the request was not sent in full.
 	Incomplete bool `json:"unsent,omitempty"`
 }
 
-// Interval is an interval of time, in microseconds of Unix time. To is 0 where it lasts to the end
+// Interval is a period of time, in microseconds of Unix time. To is 0 if the period lasts to the end
 // of the run.
 type Interval struct {
-	Name     string // of the node or instance; "" for a stall
+	Name     string // name of the node or number of the instance; "" for a stall
 	From, To int64
 }
 
-// Notice is the time from which an instance is notified that a node drains or is gone, until it
-// is notified of another state; in microseconds of Unix time. To is 0 where that did not come.
+// Notice is the period from the time at which an instance is notified that a node drains, was removed
+// or has started, to its notification of another state of that node. Times are in microseconds of Unix
+// time. To is 0 if no other notification came.
 type Notice struct {
 	Instance int
 	Node     string
 	From, To int64
 }
 
-// Input is what a run is judged from.
+// Input holds the records of a run and the parameters by which it is judged.
 type Input struct {
 	Config   *config.Config
 	Requests []RequestRecord
 	Attempts []fakenode.Entry
 
-	Outages    []Interval // of instances ("0", "1", ...) that were killed, until they served again; To is set
-	Drains     []Interval // of nodes, from when all instances were notified
-	NodeStarts []Interval // of nodes that started and warm up; From counts
-	Stalls     []Interval // in which the process that ran the clients was held up itself
-	// DrainNotices are of drains where instances are notified one by one.
+	// Outages are the periods from the kill of an instance until it served again. Name is the number of
+	// the instance ("0", "1", ...). To is set.
+	Outages []Interval
+	// Drains are the periods in which nodes drain. They begin when all instances were notified.
+	Drains []Interval
+	// NodeStarts are the starts of nodes that warm up afterwards. Only Name and From are used.
+	NodeStarts []Interval
+	// Stalls are the periods in which the process that runs the clients was not running.
+	Stalls []Interval
+	// DrainNotices holds the notices of drains if instances are notified one by one. If all are
+	// notified at once, Drains holds the drains instead.
 	DrainNotices []Notice
-	// StartNotices are of NodeStarts where instances are notified one by one. Where there are any,
-	// a node is overloaded by the instances only if enough of its work came from notified ones.
+	// StartNotices holds the notices of NodeStarts if instances are notified one by one. If it is not
+	// empty, a node counts as overloaded only if more than two thirds of the work in a window came from
+	// instances that were notified of the start.
 	StartNotices []Notice
-	StartedAt    int64 // of the run, in microseconds of Unix time; 0: the startup is not reported
+	// StartedAt is the start of the run in microseconds of Unix time. 0 disables the statistics of the
+	// startup.
+	StartedAt int64
 
-	// DrainGrace is how long after a notice a draining node may be sent attempts.
+	// DrainGrace is how long after a notice attempts may still be sent to a draining node.
 	DrainGrace time.Duration
-	// DisconnectGrace is how long after the client disconnected an attempt may begin; 0: not
-	// judged.
+	// DisconnectGrace is how long after the client disconnected an attempt may begin. 0 disables the
+	// check.
 	DisconnectGrace time.Duration
-	// TimeoutTolerance is how far beyond the client's deadline the timeout in an attempt may
-	// reach; 0: not judged.
+	// TimeoutTolerance is how far the timeout that an attempt carries may extend beyond the client's
+	// deadline. 0 disables the check.
 	TimeoutTolerance time.Duration
-	// LateTolerance is how long after its deadline a response may come.
+	// LateTolerance is how long after its deadline a response may arrive.
 	LateTolerance time.Duration
-	// ClockTolerance is how far the times of one event in two records may differ.
+	// ClockTolerance is how far the times of the same event in two records may differ.
 	ClockTolerance time.Duration
 	SlowStart      SlowStart
 }
 
-// SlowStart says what a node bears while it warms up, as scheduler.SlowStart does. It starts with
-// InitialFraction of its Capacity and has all of it after WarmupDuration. Within an OverloadWindow
-// it bears OverloadFactor times its present capacity.
+// SlowStart describes the load that a node can process while it warms up, in the same terms as
+// scheduler.SlowStart. Its capacity grows linearly from InitialFraction of Capacity to the full
+// Capacity after WarmupDuration. Within an OverloadWindow it can be sent OverloadFactor times its
+// present capacity.
 type SlowStart struct {
-	// MeanUnits is the mean work of a request. If it is set, what a node bears is a number of
-	// requests of that work, with an allowance for chance. If it is 0, only failed nodes are
-	// violations.
+	// MeanUnits is the mean work of a request in units. If it is set, the limit is a number of requests
+	// of that work plus an allowance for random variation. If it is 0, only the failure of a node is a
+	// violation.
 	MeanUnits float64
-	MinUnits  float64 // that a node bears in any window, with MeanUnits
-	Capacity  float64 // of a warm node, in units a second
+	// MinUnits is the work that a node can process in any window. It is used only with MeanUnits.
+	MinUnits float64
+	Capacity float64 // of a warmed-up node, in units per second
 
 	InitialFraction float64
 	WarmupDuration  time.Duration
@@ -99,8 +112,8 @@
 	OverloadWindow  time.Duration
 }
 
-// traceID returns the trace id of a traceparent. Where attempts carry another id of the request in
-// its place, which is shorter, it returns that.
+// traceID returns the trace ID of a traceparent. If attempts carry a different, shorter ID of the
+// request instead, traceID returns that ID.
 func traceID(traceparent string) string {
 	const from, to = len("00-"), len("00-") + 32
 	if len(traceparent) < to {
--- a/internal/audit/report_test.go
+++ b/internal/audit/report_test.go
@@ -9,42 +9,42 @@
 	"maddergap/internal/fakenode"
 )
 
-// Two responses are late: one to a request of the startup, and one while the run itself was held
-// up. The rule on responses allows both, and they are still reported.
+// Verifies that late responses are reported even if LateTolerance allows them. One of the two is for a
+// request of the startup, the other arrives during a stall.
 func TestDeadlineMisses(t *testing.T) {
 	const late = int64(30_000) // microseconds
 	lateRead := func(number int, sentAt int64) RequestRecord {
-		return request(number, readClass, RequestRecord{Responses: 1, Status: 200, SentAt: sentAt, RespondedAt: sentAt + second + late*int64(number)})
+		return newRequest(number, readClass, RequestRecord{Responses: 1, Status: 200, SentAt: sentAt, RespondedAt: sentAt + second + late*int64(number)})
 	}
 	report := Judge(Input{
 		Config:        testConfig(t),
-		Requests:      []RequestRecord{lateRead(2, 20*second), lateRead(1, 2*second), request(3, readClass, RequestRecord{Responses: 1, Status: 200})},
+		Requests:      []RequestRecord{lateRead(2, 20*second), lateRead(1, 2*second), newRequest(3, readClass, RequestRecord{Responses: 1, Status: 200})},
 		StartedAt:     second,
 		Stalls:        []Interval{{From: 21 * second, To: 21*second + late}, {From: 40 * second, To: 40*second + 2*late}},
 		LateTolerance: time.Second,
 	})
 	misses := report.DeadlineMisses
 	if want := []time.Duration{30 * time.Millisecond, 60 * time.Millisecond}; !slices.Equal(misses.Delays, want) {
-		t.Errorf("delays of %v, want %v", misses.Delays, want)
+		t.Errorf("got delays %v, want %v", misses.Delays, want)
 	}
 	if misses.DuringStartup != 1 || misses.DuringStalls != 1 || misses.LongestStall != 60*time.Millisecond {
 		t.Errorf("%+v", misses)
 	}
 	if !report.Passed() {
-		t.Errorf("rules %v are violated", report.ViolatedRules())
+		t.Errorf("violated rules: got %v, want none", report.ViolatedRules())
 	}
 }
 
-// The report is read by people and their scripts, so that its text stays.
+// Verifies the exact text of the report, because people and scripts read it.
 func TestReportText(t *testing.T) {
 	report := Judge(Input{
 		Config: testConfig(t),
 		Requests: []RequestRecord{
-			request(1, readClass, RequestRecord{Responses: 1, Status: 200, Units: 2, SentAt: second, RespondedAt: second + 50_000}),
-			request(2, readClass, RequestRecord{ConnectionLostAt: 3 * second, Units: 1}),
-			request(3, writeClass, RequestRecord{Responses: 1, Status: 503, Units: 1, SentAt: 9 * second}),
+			newRequest(1, readClass, RequestRecord{Responses: 1, Status: 200, Units: 2, SentAt: second, RespondedAt: second + 50_000}),
+			newRequest(2, readClass, RequestRecord{ConnectionLostAt: 3 * second, Units: 1}),
+			newRequest(3, writeClass, RequestRecord{Responses: 1, Status: 503, Units: 1, SentAt: 9 * second}),
 		},
-		Attempts:  []fakenode.Entry{attempt(1, "n", attemptAt, executed)},
+		Attempts:  []fakenode.Entry{newAttempt(1, "n", attemptAt, executed)},
 		StartedAt: second,
 	})
 	var text strings.Builder
@@ -65,6 +65,6 @@
 worth served on time 4 of 7 due: 0.571
 `
 	if text.String() != want {
-		t.Errorf("%s\nwant\n%s", text.String(), want)
+		t.Errorf("got report\n%s\nwant\n%s", text.String(), want)
 	}
 }
--- a/internal/audit/retry_budget.go
+++ b/internal/audit/retry_budget.go
@@ -5,12 +5,11 @@
 	"strconv"
 )
 
-// minBudget keeps a retry from being divided by a budget of 0, and a rounding error from being a
-// violation.
-const minBudget = 1e-9
+// budgetEpsilon avoids a division by a budget of 0, and tolerates rounding errors.
+const budgetEpsilon = 1e-9
 
-// judgeRetryBudget judges RuleRetryBudget. Its figure is the most retries in any window, as a
-// fraction of what the budget allows in it.
+// judgeRetryBudget judges RuleRetryBudget. Its figure is the highest number of retries in any window,
+// as a fraction of the number that the budget allows in that window.
 func (r *run) judgeRetryBudget() Verdict {
 	v := Verdict{Rule: RuleRetryBudget, Bound: 1}
 	if r.input.Config.Scheduler.RetryBudget == nil {
@@ -23,7 +22,7 @@
 	return v
 }
 
-// arrivalsByInstance returns when the requests of each instance were sent, in order of time.
+// arrivalsByInstance returns the times at which the requests of each instance were sent, sorted.
 func (r *run) arrivalsByInstance() map[int][]int64 {
 	arrivals := map[int][]int64{}
 	for _, request := range r.requests {
@@ -37,8 +36,7 @@
 	return arrivals
 }
 
-// retriesByInstance returns when the attempts past the first of each instance arrived at nodes, in
-// order of time.
+// retriesByInstance returns the times at which the retries of each instance arrived at nodes, sorted.
 func (r *run) retriesByInstance() map[int][]int64 {
 	retries := map[int][]int64{}
 	for id, attempts := range r.attemptsByTrace {
@@ -56,11 +54,11 @@
 	return retries
 }
 
-// checkRetryBudget checks the window that ends with each retry of an instance.
+// checkRetryBudget checks, for each retry of an instance, the window that ends with it.
 func (r *run) checkRetryBudget(v *Verdict, instance int, retries, arrivals []int64) {
 	budget := r.input.Config.Scheduler.RetryBudget
 	window := budget.Window.Microseconds()
-	first := 0 // retry of the window
+	first := 0 // index of the first retry in the window
 	for i, end := range retries {
 		for retries[first] < end-window {
 			first++
@@ -69,9 +67,9 @@
 		to, _ := slices.BinarySearch(arrivals, end+r.clockTolerance())
 		allowed := budget.MinRetries + budget.Ratio*float64(to-from)
 		made := float64(i - first + 1)
-		v.Figure = max(v.Figure, made/max(allowed, minBudget))
-		if made > allowed+minBudget {
-			v.violated(strconv.Itoa(instance), "head %d made %.0f further attempts in %v, with %d requests %.1f are allowed",
+		v.Figure = max(v.Figure, made/max(allowed, budgetEpsilon))
+		if made > allowed+budgetEpsilon {
+			v.addViolation(strconv.Itoa(instance), "head %d made %.0f further attempts in %v, with %d requests %.1f are allowed",
 				instance, made, budget.Window, to-from, allowed)
 		}
 	}
--- a/internal/audit/safe_retry.go
+++ b/internal/audit/safe_retry.go
@@ -7,7 +7,7 @@
 	"maddergap/scheduler"
 )
 
-// judgeSafeRetry judges RuleSafeRetry.
+// judgeSafeRetry judges RuleSafeRetry. Its figure is the number of violations.
 func (r *run) judgeSafeRetry() Verdict {
 	v := Verdict{Rule: RuleSafeRetry}
 	for id, attempts := range r.attemptsByTrace {
@@ -26,28 +26,28 @@
 	return v
 }
 
-// checkDeduplicated checks that an idempotent request was retried while its nodes remember the
-// first attempt.
+// checkDeduplicated checks that an idempotent request was retried only within the deduplication window,
+// which begins with the first attempt. A retry after an attempt that was not executed is always allowed.
 func (r *run) checkDeduplicated(v *Verdict, request *RequestRecord, class *scheduler.Class, attempts []*fakenode.Entry) {
 	id := request.TraceID
 	for i := 1; i < len(attempts); i++ {
 		if notExecuted(attempts[i-1]) {
 			continue
 		}
-		age := between(attempts[0].ReceivedAt, attempts[i].ReceivedAt)
+		age := durationBetween(attempts[0].ReceivedAt, attempts[i].ReceivedAt)
 		if age > class.DeduplicationWindow+r.input.ClockTolerance {
-			v.violated(id, "%s (%s) was sent again after %v, its nodes remember %v", id, class.Name, age, class.DeduplicationWindow)
+			v.addViolation(id, "%s (%s) was sent again after %v, its nodes remember %v", id, class.Name, age, class.DeduplicationWindow)
 		}
 	}
 }
 
-// checkExecutedOnce checks that a non-idempotent request was retried only after an attempt that
-// was not executed, was executed once, and was not rejected after that.
+// checkExecutedOnce checks that a non-idempotent request was retried only after attempts that were not
+// executed, that it was executed at most once, and that it was not rejected although it was executed.
 func checkExecutedOnce(v *Verdict, request *RequestRecord, class *scheduler.Class, attempts []*fakenode.Entry) {
 	id := request.TraceID
 	for i := 1; i < len(attempts); i++ {
 		if !notExecuted(attempts[i-1]) {
-			v.violated(id, "%s (%s) was sent again to %s though the attempt before may have run", id, class.Name, attempts[i].Node)
+			v.addViolation(id, "%s (%s) was sent again to %s though the attempt before may have run", id, class.Name, attempts[i].Node)
 		}
 	}
 	executed := 0
@@ -57,14 +57,14 @@
 		}
 	}
 	if executed > 1 {
-		v.violated(id, "%s (%s) ran %d times", id, class.Name, executed)
+		v.addViolation(id, "%s (%s) ran %d times", id, class.Name, executed)
 	}
 	if request.Status == http.StatusServiceUnavailable && executed > 0 {
-		v.violated(id, "%s (%s) was refused, but ran", id, class.Name)
+		v.addViolation(id, "%s (%s) was refused, but ran", id, class.Name)
 	}
 }
 
-// notExecuted reports whether the node's response said that it did not execute the attempt.
+// notExecuted reports whether the node responded that it did not execute the attempt.
 func notExecuted(attempt *fakenode.Entry) bool {
 	return attempt.Status == http.StatusServiceUnavailable && attempt.ExecutedAt == 0
 }
--- a/internal/audit/slow_start.go
+++ b/internal/audit/slow_start.go
@@ -8,11 +8,11 @@
 	"maddergap/internal/fakenode"
 )
 
-// fewRequests is a number of requests under which chance is allowed more for.
-const fewRequests = 30
+// smallRequestCount is the mean below which chanceAllowance allows three standard deviations.
+const smallRequestCount = 30
 
-// judgeSlowStart judges RuleSlowStart. Its figure is the highest load in any window, as a fraction
-// of what the node bears.
+// judgeSlowStart judges RuleSlowStart. Its figure is the highest load of a node in any window, as
+// returned by SlowStart.load.
 func (r *run) judgeSlowStart() Verdict {
 	limits := &r.input.SlowStart
 	v := Verdict{Rule: RuleSlowStart, Bound: limits.OverloadFactor}
@@ -24,19 +24,20 @@
 	}
 	for _, attempt := range r.attempts {
 		if attempt.Overloaded {
-			v.violated(attempt.Node, "%s fell over with %s", attempt.Node, attempt.Path)
+			v.addViolation(attempt.Node, "%s fell over with %s", attempt.Node, attempt.Path)
 		}
 	}
 	return v
 }
 
-// checkNodeStart checks what a node was sent in each window of its warm-up.
+// checkNodeStart checks the load of a node in each window of its warm-up. A window ends with each
+// attempt.
 func (r *run) checkNodeStart(v *Verdict, start Interval) {
 	limits := &r.input.SlowStart
 	var window []*fakenode.Entry
-	units := 0.0 // of the window
+	units := 0.0 // in the window
 	for _, attempt := range r.attempts {
-		age := between(start.From, attempt.ReceivedAt)
+		age := durationBetween(start.From, attempt.ReceivedAt)
 		if attempt.Node != start.Name || age < 0 || age > limits.WarmupDuration {
 			continue
 		}
@@ -49,15 +50,15 @@
 		load := limits.load(units, age)
 		v.Figure = max(v.Figure, load)
 		if limits.MeanUnits > 0 && load > 1 && r.causedByNotified(start, window) {
-			v.violated(attempt.Node, "%s got %.0f requests of mean work within %v, %v after its start",
+			v.addViolation(attempt.Node, "%s got %.0f requests of mean work within %v, %v after its start",
 				attempt.Node, units/limits.MeanUnits, limits.OverloadWindow, age)
 		}
 	}
 }
 
-// causedByNotified reports whether more than two thirds of what a node was sent in a window is of
-// instances that were notified of its start: the others know of no start to be careful with.
-// Without StartNotices all of them were notified.
+// causedByNotified reports whether more than two thirds of the work in a window came from instances that
+// were notified of the node's start. Instances that were not notified cannot limit their load on the
+// node. If there are no StartNotices, all instances count as notified.
 func (r *run) causedByNotified(start Interval, window []*fakenode.Entry) bool {
 	if len(r.input.StartNotices) == 0 {
 		return true
@@ -65,23 +66,25 @@
 	notified, total := 0.0, 0.0
 	for _, attempt := range window {
 		total += attempt.Units
-		if r.startNotified(start, attempt) {
+		if r.wasNotifiedOfStart(start, attempt) {
 			notified += attempt.Units
 		}
 	}
 	return notified > total*2/3
 }
 
-// startNotified reports whether the instance of an attempt had been notified of a node's start.
-func (r *run) startNotified(start Interval, attempt *fakenode.Entry) bool {
+// wasNotifiedOfStart reports whether the instance that sent an attempt had been notified of the node's
+// start when the attempt arrived.
+func (r *run) wasNotifiedOfStart(start Interval, attempt *fakenode.Entry) bool {
 	request := r.requestOf(attempt)
 	return request != nil && slices.ContainsFunc(r.input.StartNotices, func(n Notice) bool {
 		return n.Instance == request.Instance && n.Node == start.Name && n.From >= start.From && n.From <= attempt.ReceivedAt
 	})
 }
 
-// load returns the units that a node was sent in a window, as a fraction of what it bears at an age
-// or, without MeanUnits, of its capacity.
+// load returns the load of a node that received some units in a window, at an age (time since its
+// start). With MeanUnits, the load is a fraction of the limit, otherwise a multiple of the node's
+// present capacity.
 func (s *SlowStart) load(units float64, age time.Duration) float64 {
 	fraction := s.InitialFraction + (1-s.InitialFraction)*float64(age)/float64(s.WarmupDuration)
 	if s.MeanUnits <= 0 {
@@ -92,10 +95,10 @@
 	return units / (requests + chanceAllowance(requests))
 }
 
-// chanceAllowance is how far beyond a mean a number of requests may go by chance: about two
-// standard deviations, and three of few requests.
+// chanceAllowance returns how far a random number of requests may exceed its mean: about two standard
+// deviations, or three for means below smallRequestCount.
 func chanceAllowance(requests float64) float64 {
-	if requests < fewRequests {
+	if requests < smallRequestCount {
 		return 3*math.Sqrt(requests) + 3
 	}
 	return 2*math.Sqrt(requests) + 2
--- a/internal/audit/summary.go
+++ b/internal/audit/summary.go
@@ -7,15 +7,15 @@
 	"maddergap/scheduler"
 )
 
-// outcome is what became of a request, from its client's view.
+// outcome is the result of a request from the client's view.
 type outcome int
 
 const (
-	outcomeServed       outcome = iota
-	outcomeDisconnected         // the client did not wait for the response
+	outcomeServed       outcome = iota // any other complete response
+	outcomeDisconnected                // the client did not wait for the response
 	outcomeUnanswered
-	outcomeFailed   // a truncated response, 502 or 504: it may have been executed
-	outcomeRejected // 503: it was not executed
+	outcomeFailed   // 502, 504 or a truncated response; the request may have been executed
+	outcomeRejected // 503; the request was not executed
 )
 
 func outcomeOf(request *RequestRecord) outcome {
@@ -32,20 +32,21 @@
 	return outcomeServed
 }
 
-// summarize counts requests by outcome, and sums the priority weight that was offered and earned.
+// summarize counts the requests by outcome and sums the offered and earned priority weight.
 func (r *run) summarize(report *Report) {
 	for _, request := range r.requests {
-		r.count(report, request)
-		r.weigh(report, request)
+		r.countOutcome(report, request)
+		r.addPriorityWeight(report, request)
 		if r.duringStartup(request) {
-			report.Startup.count(request)
+			report.Startup.countOutcome(request)
 		}
 	}
 	slices.Sort(report.Latencies)
 	report.Attempts = len(r.attempts)
 }
 
-func (r *run) count(report *Report, request *RequestRecord) {
+// countOutcome counts a request by its outcome and, if it was served, records its latency.
+func (r *run) countOutcome(report *Report, request *RequestRecord) {
 	report.Requests++
 	switch outcomeOf(request) {
 	case outcomeDisconnected:
@@ -58,7 +59,7 @@
 		report.Rejected++
 	case outcomeServed:
 		report.Served++
-		latency := between(request.SentAt, request.RespondedAt)
+		latency := durationBetween(request.SentAt, request.RespondedAt)
 		report.Latencies = append(report.Latencies, latency)
 		if latency > r.classes[request.Class].LatencyObjective {
 			report.MissedObjective++
@@ -66,9 +67,9 @@
 	}
 }
 
-// weigh adds the priority weight of a request, unless its client disconnected, and what its
-// response earned of it.
-func (r *run) weigh(report *Report, request *RequestRecord) {
+// addPriorityWeight adds the priority weight of a request to the offered weight, unless its client
+// disconnected, and adds the part that its response earned to the earned weight.
+func (r *run) addPriorityWeight(report *Report, request *RequestRecord) {
 	class := &r.classes[request.Class]
 	weight := class.PriorityWeight * r.priorityFactor(request.Volume) * request.Units
 	offered, earned := weight, weight*earnedFraction(request, class)
@@ -83,18 +84,18 @@
 	}
 }
 
-// earnedFraction is the part of its priority weight that a request's response earned.
+// earnedFraction returns the fraction of its priority weight that a request's response earned.
 func earnedFraction(request *RequestRecord, class *scheduler.Class) float64 {
 	switch {
 	case outcomeOf(request) != outcomeServed:
 		return 0
-	case between(request.SentAt, request.RespondedAt) > class.LatencyObjective:
+	case durationBetween(request.SentAt, request.RespondedAt) > class.LatencyObjective:
 		return class.LateWeightFactor
 	}
 	return 1
 }
 
-// priorityFactor is that of a volume's plan, 1 for a volume that is not configured.
+// priorityFactor returns the priority factor of a volume's plan, or 1 if the volume is not configured.
 func (r *run) priorityFactor(volume string) float64 {
 	factor := 1.0
 	for _, v := range r.input.Config.Volumes {
@@ -105,8 +106,8 @@
 	return factor
 }
 
-// count counts a request that was sent during the startup.
-func (s *StartupStats) count(request *RequestRecord) {
+// countOutcome counts a request sent during the startup if it was rejected or got no response.
+func (s *StartupStats) countOutcome(request *RequestRecord) {
 	if request.Status == http.StatusServiceUnavailable {
 		s.Rejected++
 	}
--- a/internal/audit/tenant_limit.go
+++ b/internal/audit/tenant_limit.go
@@ -6,15 +6,15 @@
 )
 
 const (
-	// limitSlack is how much of a limit's rate the rule allows, as a factor.
+	// limitSlack is the factor by which the rule multiplies a limit's rate.
 	limitSlack = 1.1
-	// limitBurstSlack is what it allows beyond the burst, as a fraction of that; at least the
-	// largest request.
+	// limitBurstSlack is the fraction of the burst that the rule allows in addition, or the units of
+	// the largest request if that is more.
 	limitBurstSlack = 0.1
 )
 
-// judgeTenantLimit judges RuleTenantLimit. Its figure is the highest level of a limit's bucket, as
-// a fraction of its capacity with slack.
+// judgeTenantLimit judges RuleTenantLimit. Its figure is the highest level of any limit's bucket, as a
+// fraction of its capacity including slack.
 func (r *run) judgeTenantLimit() Verdict {
 	v := Verdict{Rule: RuleTenantLimit, Bound: 1}
 	for _, volume := range r.input.Config.Volumes {
@@ -25,12 +25,12 @@
 	return v
 }
 
-// checkTenantLimit fills a bucket with the first attempts of a volume, which drains by the rate of
-// its limit.
+// checkTenantLimit fills a leaky bucket with the first attempts of a volume. The bucket drains at the
+// rate of the plan's limit including slack.
 func (r *run) checkTenantLimit(v *Verdict, volume config.Volume) {
 	settings := &r.input.Config.Scheduler
 	plan := settings.Plans[volume.Plan]
-	rate := limitSlack * plan.Limit                                                       // units a second
+	rate := limitSlack * plan.Limit                                                       // units per second
 	capacity := plan.LimitBurst + max(limitBurstSlack*plan.LimitBurst, settings.MaxUnits) // units
 	level := 0.0
 	lastAt := int64(0)
@@ -46,7 +46,7 @@
 		level += request.Units
 		v.Figure = max(v.Figure, level/capacity)
 		if level > capacity+rate*r.input.ClockTolerance.Seconds() {
-			v.violated(volume.Name, "volume %s is %.1f units over its limit at %s", volume.Name, level-capacity, request.TraceID)
+			v.addViolation(volume.Name, "volume %s is %.1f units over its limit at %s", volume.Name, level-capacity, request.TraceID)
 		}
 	}
 }
