--- a/internal/flood/addresses_test.go
+++ b/internal/flood/addresses_test.go
@@ -5,13 +5,13 @@
 	"testing"
 )
 
-// Each kind of client has a network of its own. Known clients are in one prefix, which a
-// configuration can list, and the others in many.
+// Verifies that each kind of client has a network of its own. Known clients share a prefix, so that a
+// configuration can list it; other clients have different prefixes.
 func TestAddresses(t *testing.T) {
 	for _, c := range []struct {
 		name                string
 		addrs               func(int) []netip.Addr
-		first, second, next string // next is the address after 250 others
+		first, second, next string // addresses 0, 1 and 250
 	}{
 		{"sources", SourceAddrs, "127.20.0.1", "127.20.0.2", "127.20.1.1"},
 		{"known clients", KnownClientAddrs, "127.9.0.1", "127.9.0.2", "127.9.1.1"},
@@ -20,7 +20,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			addrs := c.addrs(1000)
 			if len(addrs) != 1000 {
-				t.Fatalf("%d addresses", len(addrs))
+				t.Fatalf("got %d addresses, want 1000", len(addrs))
 			}
 			for i, want := range map[int]string{0: c.first, 1: c.second, 250: c.next} {
 				if addrs[i].String() != want {
@@ -32,7 +32,7 @@
 				unique[addr] = true
 			}
 			if len(unique) != len(addrs) {
-				t.Errorf("%d of %d addresses are unique", len(unique), len(addrs))
+				t.Errorf("only %d of %d addresses are unique", len(unique), len(addrs))
 			}
 		})
 	}
--- a/internal/flood/attack.go
+++ b/internal/flood/attack.go
@@ -11,36 +11,38 @@
 	"time"
 )
 
-// Pattern is the way in which a connection of the flood presses on the gateway.
+// Pattern is the behavior of a connection of the flood.
 type Pattern string
 
-// The patterns, by their names on the command line.
+// The patterns. Their values are the names on the command line.
 const (
-	Hold       Pattern = "hold"        // sends nothing and stays open
-	Close      Pattern = "close"       // closes at once
-	SlowHeader Pattern = "slow-header" // sends a request byte by byte
-	SlowBody   Pattern = "slow-body"   // sends a request body byte by byte
-	SlowReader Pattern = "slow-reader" // sends requests and reads no response
-	Greed      Pattern = "greed"       // sends many pipelined requests and reads the responses
-	Hoard      Pattern = "hoard"       // sends one request and then stays open, idle
+	Hold          Pattern = "hold"        // sends nothing and keeps the connection open
+	Close         Pattern = "close"       // closes the connection at once
+	SlowHeader    Pattern = "slow-header" // sends a request header byte by byte
+	SlowBody      Pattern = "slow-body"   // sends a request body byte by byte
+	SlowReader    Pattern = "slow-reader" // sends requests and does not read the responses
+	Pipelining    Pattern = "greed"       // sends many pipelined requests and reads the responses
+	IdleKeepAlive Pattern = "hoard"       // sends one request and then keeps the connection open without another
 )
 
-// Patterns are all patterns.
-var Patterns = []Pattern{Hold, Close, SlowHeader, SlowBody, SlowReader, Greed, Hoard}
+// Patterns lists all patterns.
+var Patterns = []Pattern{Hold, Close, SlowHeader, SlowBody, SlowReader, Pipelining, IdleKeepAlive}
 
 const (
-	// slowByteInterval is the pause after each byte of a slow request.
+	// slowByteInterval is the pause after each byte of SlowHeader and SlowBody.
 	slowByteInterval = 200 * time.Millisecond
-	// slowBodyBytes of the announced body are sent at most, so it never becomes complete.
+	// slowBodyBytes is the number of body bytes that SlowBody sends at most. It is less than the
+	// Content-Length, so the body never becomes complete.
 	slowBodyBytes = 1000
-	// slowReaderBuffer is the receive buffer in bytes; it is small, so that responses stay with
-	// the gateway.
+	// slowReaderBuffer is the size of the receive buffer of a SlowReader connection in bytes. It is
+	// small, so that most of the responses stay in the gateway's buffers.
 	slowReaderBuffer   = 4096
 	slowReaderRequests = 50
-	greedRequests      = 100
+	pipelinedRequests  = 100
 )
 
-// attack makes one connection of the flood and keeps it until either side ends it.
+// attack makes one connection of the flood, follows the pattern until either side closes the connection,
+// and counts the outcome.
 func (o *Options) attack(ctx context.Context, source netip.Addr, stats *Stats) {
 	stats.count(&stats.Attempts)
 	conn, err := o.dial(ctx, source)
@@ -52,7 +54,7 @@
 	stop := context.AfterFunc(ctx, func() { conn.Close() })
 	defer stop()
 	stats.count(&stats.Connected)
-	o.send(ctx, conn)
+	o.sendPattern(ctx, conn)
 	switch o.Pattern {
 	case Close:
 	case SlowReader:
@@ -62,9 +64,9 @@
 	}
 }
 
-// send sends what the pattern has a connection send. Slow patterns go on in the background until
-// the connection is closed.
-func (o *Options) send(ctx context.Context, conn net.Conn) {
+// sendPattern sends the requests of the pattern. Slow patterns continue to send in the background until
+// the connection is closed or ctx is done.
+func (o *Options) sendPattern(ctx context.Context, conn net.Conn) {
 	get := "GET " + o.Path + " HTTP/1.1\r\nHost: flood\r\n\r\n"
 	switch o.Pattern {
 	case SlowHeader:
@@ -74,21 +76,23 @@
 		go sendSlowly(ctx, conn, strings.Repeat("\x00", slowBodyBytes))
 	case SlowReader:
 		conn.(*net.TCPConn).SetReadBuffer(slowReaderBuffer)
-		sendTimes(conn, get, slowReaderRequests)
-	case Greed:
-		sendTimes(conn, get, greedRequests)
-	case Hoard:
+		sendRepeatedly(conn, get, slowReaderRequests)
+	case Pipelining:
+		sendRepeatedly(conn, get, pipelinedRequests)
+	case IdleKeepAlive:
 		io.WriteString(conn, get)
 	}
 }
 
-// sendTimes writes a request n times. Errors are left to whoever reads the connection.
-func sendTimes(conn net.Conn, request string, n int) {
+// sendRepeatedly writes a request n times. It ignores write errors, since a failed connection also ends
+// the reads.
+func sendRepeatedly(conn net.Conn, request string, n int) {
 	for range n {
 		io.WriteString(conn, request)
 	}
 }
 
+// sendSlowly writes a text byte by byte until an error or until ctx is done.
 func sendSlowly(ctx context.Context, conn net.Conn, text string) {
 	for i := range len(text) {
 		if _, err := io.WriteString(conn, text[i:i+1]); err != nil || !sleep(ctx, slowByteInterval) {
@@ -97,7 +101,8 @@
 	}
 }
 
-// readResponses counts responses until the gateway rejects a request or the connection ends.
+// readResponses counts responses until the gateway rejects a request (status 503 or 408) or the
+// connection ends.
 func readResponses(conn net.Conn, stats *Stats) {
 	reader := bufio.NewReader(conn)
 	for {
--- a/internal/flood/client.go
+++ b/internal/flood/client.go
@@ -10,16 +10,16 @@
 	"time"
 )
 
-// clientTimeout is how long a well-behaved client waits for a response.
+// clientTimeout is how long a well-behaved client waits for a complete response.
 const clientTimeout = 10 * time.Second
 
-// runClient is a well-behaved client. It makes a connection for each request, as many clients do
-// that come back at once after an outage, and pauses in between.
+// runClient runs a well-behaved client until ctx is done. It makes a new connection for each request,
+// like the many clients that reconnect at the same time after an outage, and pauses after each.
 func (o *Options) runClient(ctx context.Context, source netip.Addr, stats *Stats) {
 	for ctx.Err() == nil {
 		startedAt := time.Now()
 		conn, err := o.dial(ctx, source)
-		if pastDeadline(ctx) {
+		if isPastDeadline(ctx) {
 			if err == nil {
 				conn.Close()
 			}
@@ -39,14 +39,15 @@
 	}
 }
 
-// pastDeadline reports whether the deadline of ctx is over. A dial that the deadline ends returns
-// before ctx.Err says so, and would be counted as a fault of the gateway.
-func pastDeadline(ctx context.Context) bool {
+// isPastDeadline reports whether the deadline of ctx has passed. It is needed in addition to ctx.Err: a
+// dial that the deadline interrupts can return before ctx.Err is set, and would then be counted as
+// unreachable.
+func isPastDeadline(ctx context.Context) bool {
 	deadline, _ := ctx.Deadline()
 	return !time.Now().Before(deadline)
 }
 
-// get requests the path and reads the complete response.
+// get sends a GET request and reads the complete response.
 func (o *Options) get(conn net.Conn) (status int, err error) {
 	conn.SetDeadline(time.Now().Add(clientTimeout))
 	io.WriteString(conn, "GET "+o.Path+" HTTP/1.1\r\nHost: known\r\nConnection: close\r\n\r\n")
--- a/internal/flood/flood.go
+++ b/internal/flood/flood.go
@@ -1,6 +1,6 @@
-// Package flood is a load generator for admission control. Connections from many loopback source
-// addresses press on a gateway in one of several patterns, bounded in count and time, while
-// well-behaved clients go on with their requests. It counts what becomes of each kind of client.
+// Package flood is a load generator that tests admission control. Connections from many loopback source
+// addresses load a gateway in one of several patterns, with limits on their number and duration. At the
+// same time well-behaved clients send requests. The package counts the outcomes for each kind of client.
 package flood
 
 import (
@@ -19,18 +19,18 @@
 	"maddergap/internal/subprocess"
 )
 
-// dialTimeout is how long a client of any kind waits for its connection.
+// dialTimeout is how long each client waits for its connection to be established.
 const dialTimeout = 5 * time.Second
 
-// Result is what became of each kind of client.
+// Result holds the statistics of each kind of client.
 type Result struct {
 	Flood  *Stats
-	Known  *Stats // of Options.KnownClients
-	Others *Stats // of Options.OtherClients
+	Known  *Stats // clients of Options.KnownClients
+	Others *Stats // clients of Options.OtherClients
 }
 
-// Run floods the target until all attempts are made or the duration is over. With well-behaved
-// clients it takes the whole duration. The error is that of Options.Check.
+// Run floods the target until all attempts are made or the duration has passed. If there are well-behaved
+// clients, it always takes the whole duration. It returns an error only if Options.Check does.
 func Run(o Options) (*Result, error) {
 	if err := o.Check(); err != nil {
 		return nil, err
@@ -52,8 +52,8 @@
 	return result, nil
 }
 
-// startAttackers starts the goroutines that share the attempts of the flood. The sources take
-// turns.
+// startAttackers starts the goroutines that make the flood's connections. Each takes the next attempt
+// from a shared counter; the sources are used in turn.
 func (o *Options) startAttackers(ctx context.Context, attackers *sync.WaitGroup, stats *Stats) {
 	var mu sync.Mutex
 	nextAttempt := 0
@@ -77,15 +77,16 @@
 	}
 }
 
+// startClients starts a well-behaved client for each address.
 func (o *Options) startClients(ctx context.Context, clients *sync.WaitGroup, addrs []netip.Addr, stats *Stats) {
 	for _, addr := range addrs {
 		clients.Go(func() { o.runClient(ctx, addr, stats) })
 	}
 }
 
-// RunProcess runs the flood of o, without well-behaved clients, in a process of its own, so that
-// it does not take the time of clients in this one. argv is the program and its first arguments.
-// Of the sources only their number is passed on.
+// RunProcess runs the flood of o, without well-behaved clients, in a separate process, so that it does not
+// slow down clients in this process. argv is the program and its first arguments. Of o.Sources only the
+// number is passed on.
 func RunProcess(o Options, argv ...string) (*Stats, error) {
 	out, err := subprocess.Output(append(slices.Clone(argv), "flood", "--json",
 		"--target", o.Target,
@@ -104,7 +105,7 @@
 	return stats, json.Unmarshal(out, stats)
 }
 
-// dial connects to the target from a source address.
+// dial connects to the target from the given source address.
 func (o *Options) dial(ctx context.Context, source netip.Addr) (net.Conn, error) {
 	dialer := net.Dialer{
 		LocalAddr: &net.TCPAddr{IP: source.AsSlice()},
@@ -114,15 +115,16 @@
 	return dialer.DialContext(ctx, "tcp", o.Target)
 }
 
-// bindAddressNoPort has the kernel choose the source port at connect, by the whole four-tuple.
-// Chosen at bind, ports would run out with a few thousand connections from one address.
+// bindAddressNoPort makes the kernel choose the source port in connect instead of bind. In connect only the
+// combination of both addresses and ports must be unique. Ports chosen in bind would run out after a few
+// thousand connections from one address.
 func bindAddressNoPort(_, _ string, c syscall.RawConn) error {
 	return c.Control(func(fd uintptr) {
 		unix.SetsockoptInt(int(fd), unix.IPPROTO_IP, unix.IP_BIND_ADDRESS_NO_PORT, 1)
 	})
 }
 
-// sleep waits for d and reports whether ctx was not done before.
+// sleep waits for d and returns true. It returns false at once when ctx is done.
 func sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-ctx.Done():
--- a/internal/flood/options.go
+++ b/internal/flood/options.go
@@ -8,32 +8,32 @@
 	"time"
 )
 
-// The largest flood that can be run.
+// Limits of a flood.
 const (
 	maxAttempts    = 1_000_000
 	maxConcurrency = 10_000
 	maxDuration    = 10 * time.Minute
 )
 
-// Options are the options of a flood.
+// Options configures a flood.
 type Options struct {
 	Target      string // address and port of the gateway, on loopback
-	Path        string // that the requests read
+	Path        string // path that the requests read
 	Pattern     Pattern
-	Sources     []netip.Addr // source addresses of the flood, which take turns
-	Attempts    int          // connections that the flood tries in all; 0 for no flood
-	Concurrency int          // connections at once
+	Sources     []netip.Addr // source addresses of the flood, used in turn
+	Attempts    int          // total number of connections that the flood attempts; 0 for no flood
+	Concurrency int          // maximum number of flood connections at a time
 	Duration    time.Duration
-	// KnownClients are the source addresses of well-behaved clients that the gateway's
-	// configuration lists as known; OtherClients behave alike and are not listed. Each address
-	// is one client.
+	// KnownClients are the source addresses of well-behaved clients that the gateway's configuration
+	// lists as known. OtherClients behave in the same way but are not listed. Each address is one
+	// client.
 	KnownClients []netip.Addr
 	OtherClients []netip.Addr
 	// ClientInterval is the pause of a well-behaved client after each connection.
 	ClientInterval time.Duration
 }
 
-// Check holds a flood to loopback addresses and to its bounds.
+// Check returns an error unless all addresses are loopback addresses and the flood is within its limits.
 func (o *Options) Check() error {
 	target, err := netip.ParseAddrPort(o.Target)
 	switch {
@@ -41,7 +41,7 @@
 		return fmt.Errorf("the target %q is not a loopback address and port", o.Target)
 	case !slices.Contains(Patterns, o.Pattern):
 		return fmt.Errorf("the pattern %q is none of %v", o.Pattern, Patterns)
-	case !o.withinBounds():
+	case !o.isWithinBounds():
 		return errors.New("want up to 1,000,000 tries, 1 to 10,000 at once, up to ten minutes")
 	case o.Attempts > 0 && len(o.Sources) == 0:
 		return errors.New("no source address")
@@ -54,7 +54,7 @@
 	return nil
 }
 
-func (o *Options) withinBounds() bool {
+func (o *Options) isWithinBounds() bool {
 	return o.Attempts >= 0 && o.Attempts <= maxAttempts &&
 		o.Concurrency >= 1 && o.Concurrency <= maxConcurrency &&
 		o.Duration > 0 && o.Duration <= maxDuration
--- a/internal/flood/options_test.go
+++ b/internal/flood/options_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// A flood that leaves the machine, or that is larger than the machine bears, is not run.
+// Verifies that Check rejects a flood that uses addresses outside loopback or exceeds the limits.
 func TestCheck(t *testing.T) {
 	valid := Options{
 		Target:      "127.0.0.1:1",
@@ -35,7 +35,7 @@
 			o := valid
 			c.change(&o)
 			if err := o.Check(); err == nil || !strings.Contains(err.Error(), c.wantErr) {
-				t.Errorf("%v, want %q", err, c.wantErr)
+				t.Errorf("got error %v, want one that contains %q", err, c.wantErr)
 			}
 		})
 	}
--- a/internal/flood/stats.go
+++ b/internal/flood/stats.go
@@ -10,22 +10,22 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// maxLatency is the longest time that the histograms hold, in microseconds.
+// maxLatency is the highest value that the histograms record, in microseconds.
 const maxLatency = 60_000_000
 
-// Stats counts what became of the connections and requests of one kind of client. It is safe for
-// concurrent use until the flood is over.
+// Stats holds the counts of connections and requests of one kind of client. During the flood it is updated
+// concurrently; its fields may be read when the flood is over.
 type Stats struct {
 	mu sync.Mutex
 
-	Attempts    int `json:"Tries"` // connections tried
+	Attempts    int `json:"Tries"` // connections attempted
 	Connected   int
-	Served      int // responses other than a rejection
-	Rejected    int `json:"Refused"` // responses with a rejection
-	Closed      int // connections that ended without a response that was waited for
-	Unreachable int `json:"Unreached"` // connections that were not made
-	// ConnectTime and ResponseTime are those of well-behaved clients, in microseconds; the
-	// latter is of served requests.
+	Served      int // responses other than rejections
+	Rejected    int `json:"Refused"` // rejections: status 503, and in the flood also 408
+	Closed      int // connections that ended while a response was awaited
+	Unreachable int `json:"Unreached"` // connections that could not be established
+	// ConnectTime and ResponseTime are the times of well-behaved clients in microseconds.
+	// ResponseTime includes only served requests.
 	ConnectTime  *hdrhistogram.Histogram `json:"-"`
 	ResponseTime *hdrhistogram.Histogram `json:"-"`
 }
@@ -37,13 +37,14 @@
 	}
 }
 
-// count adds one to a field of s.
+// count increments a counter field of s.
 func (s *Stats) count(field *int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	*field++
 }
 
+// addUnreachable counts an attempt that could not connect.
 func (s *Stats) addUnreachable() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -51,6 +52,7 @@
 	s.Unreachable++
 }
 
+// addConnected counts an attempt that connected.
 func (s *Stats) addConnected(connectTime time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -59,7 +61,7 @@
 	s.ConnectTime.RecordValue(connectTime.Microseconds())
 }
 
-// addResponse counts a response, or an error in place of one.
+// addResponse counts a response or, if err is not nil, a connection that ended without a complete one.
 func (s *Stats) addResponse(status int, err error, responseTime time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -74,7 +76,7 @@
 	}
 }
 
-// Write prints the statistics on a line that begins with name.
+// Write prints the statistics as one line that starts with name.
 func (s *Stats) Write(w io.Writer, name string) {
 	fmt.Fprintf(w, "%-6s tries %d, connected %d, served %d, refused %d, closed %d, not reached %d",
 		name, s.Attempts, s.Connected, s.Served, s.Rejected, s.Closed, s.Unreachable)
