--- a/internal/bench/idle.go
+++ b/internal/bench/idle.go
@@ -9,13 +9,14 @@
 
 const (
 	idleConnections = 8000
-	// idleSettleTime passes between the last response and the measurement.
+	// idleSettleTime is the time between the last response and the measurement.
 	idleSettleTime = 200 * time.Millisecond
 )
 
-// idleMemory measures the resident memory of idle client connections, each after one request.
+// idleMemory measures and prints the resident memory that the gateway uses for each idle client
+// connection. Each connection has sent one request before.
 func (o *Options) idleMemory(gateway *process) error {
-	before := gateway.memory(residentMemory)
+	before := gateway.memoryBytes(residentMemory)
 	var conns []net.Conn
 	defer func() {
 		for _, conn := range conns {
@@ -33,7 +34,7 @@
 		}
 	}
 	time.Sleep(idleSettleTime)
-	perConnection := (gateway.memory(residentMemory) - before) / idleConnections
+	perConnection := (gateway.memoryBytes(residentMemory) - before) / idleConnections
 	fmt.Fprintf(o.Out, "an idle client connection costs %d bytes (%d of them, resident memory of the process)\n",
 		perConnection, idleConnections)
 	return nil
--- a/internal/bench/load.go
+++ b/internal/bench/load.go
@@ -13,55 +13,57 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// readBufferSize is that of a client's connection, in bytes.
+// readBufferSize is the size of a client's read buffer in bytes.
 const readBufferSize = 16 << 10
 
-// sample is the result of one measurement.
-type sample struct {
+// loadResult is the result of one measurement, or one client's part of it.
+type loadResult struct {
 	served   int64
-	rejected int64                   // responses of status 503, expected in overload only
-	latency  *hdrhistogram.Histogram // of served requests, in microseconds
-	cpu      time.Duration           // that the measured process used
+	rejected int64                   // responses with status 503; expected only in Overload
+	latency  *hdrhistogram.Histogram // latencies of served requests, in microseconds
+	cpu      time.Duration           // CPU time used by the measured process
 	elapsed  time.Duration
 }
 
-func newSample() *sample { return &sample{latency: newHistogram()} }
+func newLoadResult() *loadResult { return &loadResult{latency: newHistogram()} }
 
-// add adds the requests of one client.
-func (s *sample) add(client *sample) {
-	s.served += client.served
-	s.rejected += client.rejected
-	s.latency.Merge(client.latency)
+// add adds the requests of one client to the result.
+func (r *loadResult) add(client *loadResult) {
+	r.served += client.served
+	r.rejected += client.rejected
+	r.latency.Merge(client.latency)
 }
 
-// servedPerCPUSecond is requests served in a second of CPU time.
-func (s *sample) servedPerCPUSecond() float64 { return float64(s.served) / s.cpu.Seconds() }
+// servedPerCPUSecond returns the number of served requests per second of CPU time.
+func (r *loadResult) servedPerCPUSecond() float64 { return float64(r.served) / r.cpu.Seconds() }
 
-// servedPerSecond is requests served in a second.
-func (s *sample) servedPerSecond() float64 { return float64(s.served) / s.elapsed.Seconds() }
+// servedPerSecond returns the number of served requests per second.
+func (r *loadResult) servedPerSecond() float64 { return float64(r.served) / r.elapsed.Seconds() }
 
-// rejectedPerSecond is requests rejected in a second.
-func (s *sample) rejectedPerSecond() float64 { return float64(s.rejected) / s.elapsed.Seconds() }
+// rejectedPerSecond returns the number of rejected requests per second.
+func (r *loadResult) rejectedPerSecond() float64 { return float64(r.rejected) / r.elapsed.Seconds() }
 
-// cpuMicrosPerRequest is the CPU time of a served request, in microseconds.
-func (s *sample) cpuMicrosPerRequest() float64 { return 1e6 / s.servedPerCPUSecond() }
+// cpuMicrosPerRequest returns the CPU time per served request in microseconds.
+func (r *loadResult) cpuMicrosPerRequest() float64 { return 1e6 / r.servedPerCPUSecond() }
 
-// pathFunc is the path of a client's request; both are numbered from 0.
+// pathFunc returns the path of a client's request. Clients and the requests of each client are numbered
+// from 0.
 type pathFunc func(client, request int) string
 
-// smallObject is the path of the object that most measurements read.
+// smallObject is the path of the object that most benchmarks read.
 const smallObject = "/feed/x"
 
 func smallObjectPath(int, int) string { return smallObject }
 
-// load has clients read from a process for a duration, each over a kept-alive connection with one
-// request after the other. The error is that of the first client that failed, if any.
-func (p *process) load(clients int, duration time.Duration, path pathFunc) (*sample, error) {
+// runLoad measures a process under load. Each client has one kept-alive connection and sends the next
+// request when it has the response, until the duration has passed. The returned error joins that of the
+// first failed client and that of the CPU measurement.
+func (p *process) runLoad(clients int, duration time.Duration, path pathFunc) (*loadResult, error) {
 	cpuBefore, err := p.cpuTime()
 	if err != nil {
 		return nil, err
 	}
-	total := newSample()
+	total := newLoadResult()
 	var (
 		running   sync.WaitGroup
 		mu        sync.Mutex // guards total and clientErr
@@ -86,9 +88,9 @@
 	return total, errors.Join(err, clientErr)
 }
 
-// runClient is one client of load. It returns what it measured also with an error.
-func runClient(addr string, until time.Time, path func(request int) string) (*sample, error) {
-	result := newSample()
+// runClient runs one client of runLoad. The result is valid even if there is an error.
+func runClient(addr string, until time.Time, path func(request int) string) (*loadResult, error) {
+	result := newLoadResult()
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
 		return result, err
@@ -108,13 +110,13 @@
 		case http.StatusServiceUnavailable:
 			result.rejected++
 		default:
-			return result, fmt.Errorf("response %s", resp.Status)
+			return result, fmt.Errorf("unexpected response %s", resp.Status)
 		}
 	}
 	return result, nil
 }
 
-// get requests a path and reads the complete response, whose body is discarded.
+// get sends a GET request, reads the complete response and discards its body.
 func get(conn net.Conn, reader *bufio.Reader, path string) (*http.Response, error) {
 	if _, err := io.WriteString(conn, "GET "+path+" HTTP/1.1\r\nHost: h\r\n\r\n"); err != nil {
 		return nil, err
--- a/internal/bench/load_test.go
+++ b/internal/bench/load_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// A server responds with 503 once, and with 500 after twenty more responses. The client counts the
-// served requests and the rejected one, and ends at the 500.
+// Verifies that a client counts served and rejected requests and returns an error for any other response.
+// The server responds with 503 to one request, with 500 to the 22nd and with 200 to all others.
 func TestClientCountsResponses(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -40,7 +40,7 @@
 	}()
 	result, err := runClient(listener.Addr().String(), time.Now().Add(10*time.Second), func(int) string { return "/x" })
 	if result.served != 20 || result.rejected != 1 || result.latency.TotalCount() != 20 || err == nil {
-		t.Errorf("%d served, %d rejected, %d latencies, %v; want 20, 1, 20 and an error at the 500",
+		t.Errorf("got %d served, %d rejected, %d latencies, error %v; want 20, 1, 20 and an error for the 500",
 			result.served, result.rejected, result.latency.TotalCount(), err)
 	}
 }
--- a/internal/bench/nodes.go
+++ b/internal/bench/nodes.go
@@ -3,13 +3,13 @@
 import "fmt"
 
 const (
-	// objectsPerNode is how many objects there are for each of the larger number of nodes.
+	// objectsPerNode is the number of objects divided by the larger number of nodes.
 	objectsPerNode = 4
-	// clientStride is how far apart in the objects two clients begin.
+	// clientStride is the distance between the first objects of two consecutive clients.
 	clientStride = 31
 )
 
-// Nodes compares the CPU time of a request with few and with many nodes.
+// Nodes compares the CPU time per request between gateways with few and with many nodes.
 func (o *Options) Nodes(few, many int) error {
 	var paths []string
 	for i := range objectsPerNode * many {
@@ -17,7 +17,7 @@
 	}
 	var perCPUSecond []float64
 	for _, count := range []int{few, many} {
-		best, err := o.bestWithNodes(count, paths)
+		best, err := o.bestRateWithNodes(count, paths)
 		if err != nil {
 			return err
 		}
@@ -28,9 +28,9 @@
 	return nil
 }
 
-// bestWithNodes is the most requests that a gateway serves in a second of CPU time, over all
-// measurements after a warm-up.
-func (o *Options) bestWithNodes(count int, paths []string) (best float64, err error) {
+// bestRateWithNodes measures a gateway with count nodes after a warm-up. It returns the highest number of
+// requests per second of CPU time over all measurements.
+func (o *Options) bestRateWithNodes(count int, paths []string) (best float64, err error) {
 	nodes, err := o.startNodes(count)
 	if err != nil {
 		return 0, err
@@ -45,15 +45,15 @@
 		return 0, err
 	}
 	path := func(client, request int) string { return paths[(client*clientStride+request)%len(paths)] }
-	if _, err := gateway.load(o.Clients, o.Duration, path); err != nil { // a warm-up
+	if _, err := gateway.runLoad(o.Clients, o.Duration, path); err != nil { // warm-up
 		return 0, err
 	}
 	for range o.Repeats {
-		s, err := gateway.load(o.Clients, o.Duration, path)
+		result, err := gateway.runLoad(o.Clients, o.Duration, path)
 		if err != nil {
 			return 0, err
 		}
-		best = max(best, s.servedPerCPUSecond())
+		best = max(best, result.servedPerCPUSecond())
 	}
 	return best, nil
 }
--- a/internal/bench/overload.go
+++ b/internal/bench/overload.go
@@ -8,17 +8,19 @@
 	"maddergap/internal/nodelist"
 )
 
-// The node of Overload.
+// Capacity of the node in Overload.
 const (
 	overloadCores      = 4
 	overloadQueueLimit = 256
-	overloadUnitTime   = 2 * time.Millisecond // that a unit takes a core
-	// clientsPerCore keep the node busy without an overload.
+	overloadUnitTime   = 2 * time.Millisecond // core time that a unit takes
+	// clientsPerCore is the number of clients for each core that keeps the node busy without
+	// overloading it.
 	clientsPerCore = 4
 )
 
-// Overload measures how many requests a gateway serves from a node that is sent more than it can
-// process, against the node alone with as many clients as keep it busy.
+// Overload measures how many requests a gateway serves from a node that cannot process all of the
+// clients' requests. It compares that with the node's rate without a gateway, with as many clients as
+// keep the node busy.
 func (o *Options) Overload(clientCounts ...int) error {
 	node, err := o.startOverloadedNode()
 	if err != nil {
@@ -30,27 +32,28 @@
 		return err
 	}
 	defer gateway.Kill()
-	// The CPU time of this sample is the gateway's, which is not asked, and not used.
+	// The clients connect to the node directly. The result's CPU time is that of the idle gateway process
+	// and is not used.
 	nodeAlone := &process{gateway.Process, node.Addr()}
-	alone, err := nodeAlone.load(clientsPerCore*overloadCores, o.Duration, smallObjectPath)
+	alone, err := nodeAlone.runLoad(clientsPerCore*overloadCores, o.Duration, smallObjectPath)
 	if err != nil {
 		return err
 	}
 	fmt.Fprintf(o.Out, "overload: the node alone does %.0f a second (%d cores, 2 ms a unit, queue %d)\n",
 		alone.servedPerSecond(), overloadCores, overloadQueueLimit)
 	for _, clients := range clientCounts {
-		s, err := gateway.load(clients, o.Duration, smallObjectPath)
+		result, err := gateway.runLoad(clients, o.Duration, smallObjectPath)
 		if err != nil {
 			return err
 		}
 		fmt.Fprintf(o.Out, "  %5d clients: %6.0f served a second, %.1f%% of it, p99 %v; %.0f refused a second\n",
-			clients, s.servedPerSecond(), 100*s.servedPerSecond()/alone.servedPerSecond(),
-			percentile(s.latency, 99), s.rejectedPerSecond())
+			clients, result.servedPerSecond(), 100*result.servedPerSecond()/alone.servedPerSecond(),
+			percentile(result.latency, 99), result.rejectedPerSecond())
 	}
 	return nil
 }
 
-// startOverloadedNode starts the node with smallObject and writes the node list.
+// startOverloadedNode starts the node, stores smallObject on it and writes the node list.
 func (o *Options) startOverloadedNode() (*fakenode.Node, error) {
 	const name = "n0"
 	node, err := fakenode.Start(fakenode.Options{
--- a/internal/bench/proxy.go
+++ b/internal/bench/proxy.go
@@ -6,12 +6,11 @@
 	"net/url"
 )
 
-// proxyIdleConns is the number of idle connections to the node that the proxy keeps. The default
-// of two would measure the making of connections.
+// proxyIdleConns is the number of idle connections to the node that the proxy keeps. With the default of
+// 2, the benchmark would mainly measure the cost of new connections.
 const proxyIdleConns = 256
 
-// Proxy runs the reverse proxy that the gateway is compared with. It serves until the process
-// ends, or returns why it cannot.
+// Proxy runs the reverse proxy that the gateway is compared with. It returns only if it cannot serve.
 func Proxy(listen, target string) error {
 	u, err := url.Parse("http://" + target)
 	if err != nil {
--- a/internal/bench/rush.go
+++ b/internal/bench/rush.go
@@ -2,8 +2,8 @@
 
 import "fmt"
 
-// Rush compares gateway and proxy with few clients and with many. The CPU time of a request should
-// not grow with the number of requests that wait.
+// Rush compares gateway and proxy for each of the given numbers of clients. The gateway's CPU time per
+// request should not grow with the number of waiting requests.
 func (o *Options) Rush(clientCounts ...int) error {
 	c, err := o.startComparison()
 	if err != nil {
@@ -13,11 +13,11 @@
 	fmt.Fprintf(o.Out, "rush: small GETs of %d bytes, turns of %v\n", o.ResponseSize, o.Duration)
 	firstCost := 0.0
 	for _, clients := range clientCounts {
-		gateway, err := c.gateway.load(clients, o.Duration, smallObjectPath)
+		gateway, err := c.gateway.runLoad(clients, o.Duration, smallObjectPath)
 		if err != nil {
 			return err
 		}
-		proxy, err := c.proxy.load(clients, o.Duration, smallObjectPath)
+		proxy, err := c.proxy.runLoad(clients, o.Duration, smallObjectPath)
 		if err != nil {
 			return err
 		}
--- a/internal/bench/small.go
+++ b/internal/bench/small.go
@@ -6,23 +6,23 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// contestant is a process of a comparison with its latencies over all measurements.
-type contestant struct {
+// testedServer is a process in a comparison.
+type testedServer struct {
 	name    string
 	process *process
-	latency *hdrhistogram.Histogram
+	latency *hdrhistogram.Histogram // over all measurements
 }
 
-// Small compares gateway and proxy by the CPU time and the latency of small reads. Then it
-// measures the memory of idle connections.
+// Small compares gateway and proxy by CPU time and latency of small reads. It then measures the memory of
+// idle connections.
 func (o *Options) Small() error {
 	c, err := o.startComparison()
 	if err != nil {
 		return err
 	}
 	defer c.close()
-	gateway := &contestant{"head", c.gateway, newHistogram()}
-	proxy := &contestant{"proxy", c.proxy, newHistogram()}
+	gateway := &testedServer{"head", c.gateway, newHistogram()}
+	proxy := &testedServer{"proxy", c.proxy, newHistogram()}
 	fmt.Fprintf(o.Out, "small GETs of %d bytes, %d kept-alive clients, turns of %v\n", o.ResponseSize, o.Clients, o.Duration)
 	ratios, err := o.compareSmall(gateway, proxy)
 	if err != nil {
@@ -32,7 +32,8 @@
 	fmt.Fprintf(o.Out, "over all turns: head p50 %v p99 %v, proxy p50 %v p99 %v\n",
 		percentile(gateway.latency, 50), percentile(gateway.latency, 99),
 		percentile(proxy.latency, 50), percentile(proxy.latency, 99))
-	// Memory that the gateway holds by now would hide the cost of idle connections.
+	// The memory measurement uses a new gateway process, because the memory that the first one already
+	// holds would hide the cost of idle connections.
 	c.gateway.Kill()
 	fresh, err := o.startGateway(1)
 	if err != nil {
@@ -42,36 +43,36 @@
 	return o.idleMemory(fresh)
 }
 
-// compareSmall measures gateway and proxy in alternation, after a warm-up, and returns the ratios
-// of the requests that they serve in a second of CPU time.
-func (o *Options) compareSmall(gateway, proxy *contestant) (ratios []float64, err error) {
-	for _, c := range []*contestant{gateway, proxy} { // a warm-up
-		if _, err := o.loadSmall(c); err != nil {
+// compareSmall measures gateway and proxy in alternation after a warm-up. It returns, for each pair of
+// measurements, the ratio (gateway to proxy) of the requests served per second of CPU time.
+func (o *Options) compareSmall(gateway, proxy *testedServer) (ratios []float64, err error) {
+	for _, c := range []*testedServer{gateway, proxy} { // warm-up
+		if _, err := o.measureSmall(c); err != nil {
 			return nil, err
 		}
 	}
 	for range o.Repeats {
 		var perCPUSecond [2]float64
-		for i, c := range []*contestant{gateway, proxy} {
-			s, err := o.loadSmall(c)
+		for i, c := range []*testedServer{gateway, proxy} {
+			result, err := o.measureSmall(c)
 			if err != nil {
 				return nil, err
 			}
-			perCPUSecond[i] = s.servedPerCPUSecond()
-			c.latency.Merge(s.latency)
+			perCPUSecond[i] = result.servedPerCPUSecond()
+			c.latency.Merge(result.latency)
 			fmt.Fprintf(o.Out, "  %-5s %6.0f a CPU second, %6.0f a second, p50 %v p99 %v\n", c.name,
-				s.servedPerCPUSecond(), s.servedPerSecond(), percentile(s.latency, 50), percentile(s.latency, 99))
+				result.servedPerCPUSecond(), result.servedPerSecond(), percentile(result.latency, 50), percentile(result.latency, 99))
 		}
 		ratios = append(ratios, perCPUSecond[0]/perCPUSecond[1])
 	}
 	return ratios, nil
 }
 
-// loadSmall is one measurement. A rejected request is an error.
-func (o *Options) loadSmall(c *contestant) (*sample, error) {
-	s, err := c.process.load(o.Clients, o.Duration, smallObjectPath)
-	if err == nil && s.rejected > 0 {
-		err = fmt.Errorf("%d requests were rejected", s.rejected)
+// measureSmall makes one measurement. It returns an error if a request was rejected.
+func (o *Options) measureSmall(c *testedServer) (*loadResult, error) {
+	result, err := c.process.runLoad(o.Clients, o.Duration, smallObjectPath)
+	if err == nil && result.rejected > 0 {
+		err = fmt.Errorf("%d requests were rejected", result.rejected)
 	}
-	return s, err
+	return result, err
 }
--- a/internal/bench/stream.go
+++ b/internal/bench/stream.go
@@ -12,7 +12,8 @@
 	"maddergap/internal/nodelist"
 )
 
-// Stream writes and reads one large object, of size bytes, and prints the gateway's peak memory.
+// Stream writes and then reads one large object of size bytes through the gateway. For each transfer it
+// prints the duration and the gateway's peak memory.
 func (o *Options) Stream(size int64) error {
 	sink, err := startSink()
 	if err != nil {
@@ -27,7 +28,7 @@
 		return err
 	}
 	defer gateway.Kill()
-	before := gateway.memory(peakResidentMemory)
+	before := gateway.memoryBytes(peakResidentMemory)
 	for _, method := range []string{http.MethodPut, http.MethodGet} {
 		startedAt := time.Now()
 		if err := transfer(gateway.addr, method, size); err != nil {
@@ -35,18 +36,18 @@
 		}
 		elapsed := time.Since(startedAt).Round(time.Millisecond)
 		fmt.Fprintf(o.Out, "%s of %d MiB: %v, peak of the head %.1f MiB (%.1f before)\n",
-			method, size>>20, elapsed, mebibytes(gateway.memory(peakResidentMemory)), mebibytes(before))
+			method, size>>20, elapsed, mebibytes(gateway.memoryBytes(peakResidentMemory)), mebibytes(before))
 	}
 	return nil
 }
 
 func mebibytes(bytes int64) float64 { return float64(bytes) / (1 << 20) }
 
-// transfer writes or reads an object whose name is its size.
+// transfer writes or reads an object whose name is its size in bytes.
 func transfer(addr, method string, size int64) error {
 	var body io.Reader
 	if method == http.MethodPut {
-		body = io.LimitReader(zeros{}, size)
+		body = io.LimitReader(zeroReader{}, size)
 	}
 	req, err := http.NewRequest(method, "http://"+addr+"/feed/"+strconv.FormatInt(size, 10), body)
 	if err != nil {
@@ -70,15 +71,15 @@
 	return nil
 }
 
-// zeros is an endless reader of zero bytes.
-type zeros struct{}
+// zeroReader is an io.Reader that returns zero bytes without end.
+type zeroReader struct{}
 
-func (zeros) Read(p []byte) (int, error) {
+func (zeroReader) Read(p []byte) (int, error) {
 	clear(p)
 	return len(p), nil
 }
 
-// startSink starts a node that discards what is written to it, and responds to a read with as many
+// startSink starts a node that discards what is written to it. To a read it responds with as many zero
 // bytes as the object's name says. It serves until its listener is closed.
 func startSink() (net.Listener, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -101,5 +102,5 @@
 		return
 	}
 	w.Header().Set("Content-Length", strconv.FormatInt(size, 10))
-	io.Copy(w, io.LimitReader(zeros{}, size))
+	io.Copy(w, io.LimitReader(zeroReader{}, size))
 }
--- a/internal/bench/stream_test.go
+++ b/internal/bench/stream_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// The sink responds with as many bytes as the object's name says.
+// Verifies that the sink responds with as many bytes as the object's name says.
 func TestSinkResponseSize(t *testing.T) {
 	listener, err := startSink()
 	if err != nil {
@@ -19,6 +19,6 @@
 	}
 	defer resp.Body.Close()
 	if n, _ := io.Copy(io.Discard, resp.Body); n != 100000 {
-		t.Errorf("%d bytes", n)
+		t.Errorf("got %d bytes, want 100000", n)
 	}
 }
--- a/internal/bench/testbed.go
+++ b/internal/bench/testbed.go
@@ -13,22 +13,23 @@
 )
 
 const (
-	// network is the third byte of the loopback addresses of gateway and proxy.
-	network      = 98
-	gatewayHost  = 1
-	proxyHost    = 2
-	port         = 18000
-	nodeListFile = "nodes.list"
-	// A node can process and queue more than any measurement but overload sends it.
+	// loopbackNetwork is the third byte of the loopback addresses of gateway and proxy.
+	loopbackNetwork = 98
+	gatewayHost     = 1
+	proxyHost       = 2
+	port            = 18000
+	nodeListFile    = "nodes.list"
+	// nodeCores and nodeQueueLimit are more than any benchmark needs, except for Overload, which has
+	// its own node.
 	nodeCores      = 64
 	nodeQueueLimit = 4096
 )
 
-func gatewayAddr() string { return loopback.Addr(network, gatewayHost, port) }
-func proxyAddr() string   { return loopback.Addr(network, proxyHost, port) }
+func gatewayAddr() string { return loopback.Addr(loopbackNetwork, gatewayHost, port) }
+func proxyAddr() string   { return loopback.Addr(loopbackNetwork, proxyHost, port) }
 
-// gatewayConf is the configuration of the gateway, without limits that would be measured in its
-// place. Its verbs are the address to listen on and the last shard.
+// gatewayConf is the gateway's configuration. It has no limits that would affect the measurements. Its
+// verbs are the address to listen on and the number of the last shard.
 const gatewayConf = `listen %s
 nodes nodes.list
 log-requests no
@@ -42,7 +43,7 @@
 stall-time 30s
 `
 
-// startGateway starts a gateway with the node list that was written last.
+// startGateway starts a gateway with the node list that was last written.
 func (o *Options) startGateway(shards int) (*process, error) {
 	addr := gatewayAddr()
 	file := filepath.Join(o.Dir, "head.conf")
@@ -58,12 +59,12 @@
 	return startProcess(addr, o.Exe, "bench", "--proxy", addr, "--target", target)
 }
 
-// writeNodeList writes the node list for the next gateway.
+// writeNodeList writes the node list for the gateway that is started next.
 func (o *Options) writeNodeList(nodes ...nodelist.Node) error {
 	return nodelist.Replace(filepath.Join(o.Dir, nodeListFile), nodes)
 }
 
-// startNodes starts nodes, one for each shard, and writes the node list.
+// startNodes starts count nodes, one for each shard, and writes the node list.
 func (o *Options) startNodes(count int) ([]*fakenode.Node, error) {
 	var nodes []*fakenode.Node
 	var list []nodelist.Node
@@ -96,7 +97,7 @@
 	}
 }
 
-// storeObjects stores objects of the response size by way of a gateway or node.
+// storeObjects stores objects of ResponseSize bytes through the gateway or node at addr.
 func (o *Options) storeObjects(addr string, paths ...string) error {
 	for _, path := range paths {
 		body := strings.NewReader(strings.Repeat("x", o.ResponseSize))
@@ -110,16 +111,16 @@
 		}
 		resp.Body.Close()
 		if resp.StatusCode >= http.StatusMultipleChoices {
-			return fmt.Errorf("PUT %s: %s", path, resp.Status)
+			return fmt.Errorf("PUT %s: unexpected response %s", path, resp.Status)
 		}
 	}
 	return nil
 }
 
-// comparison is a gateway and a proxy before the same node, which has smallObject.
+// comparison holds a gateway and a proxy that use the same node, on which smallObject is stored.
 type comparison struct {
 	nodes          []*fakenode.Node
-	gateway, proxy *process // nil if not started
+	gateway, proxy *process // nil until started
 }
 
 func (o *Options) startComparison() (*comparison, error) {
@@ -145,7 +146,7 @@
 	return o.storeObjects(nodeAddr, smallObject)
 }
 
-// close ends what was started.
+// close ends the processes and nodes that were started.
 func (c *comparison) close() {
 	closeNodes(c.nodes)
 	for _, p := range []*process{c.gateway, c.proxy} {
