--- a/internal/fakenode/buffered_response.go
+++ b/internal/fakenode/buffered_response.go
@@ -5,11 +5,11 @@
 	"net/http"
 )
 
-// bufferedResponse is an http.ResponseWriter that keeps the response, so that it can be changed,
-// delayed or dropped.
+// bufferedResponse is an http.ResponseWriter that keeps the response in memory, so that it can be
+// changed, delayed or dropped.
 type bufferedResponse struct {
 	header http.Header
-	status int // 0: none was written yet
+	status int // 0 until WriteHeader or Write is called
 	body   bytes.Buffer
 }
 
--- a/internal/fakenode/handler.go
+++ b/internal/fakenode/handler.go
@@ -12,14 +12,15 @@
 	"time"
 )
 
-// The fields of requests and responses that the node has in common with the gateway.
+// Header fields that the node and the gateway exchange.
 const (
 	attemptHeader    = "Maddergap-Attempt"     // number of the attempt
 	ranHeader        = "Maddergap-Ran"         // "no" in the response to a request that was not executed
-	loadReportHeader = "endpoint-load-metrics" // requests in flight, in each response
+	loadReportHeader = "endpoint-load-metrics" // number of requests in flight, in each response
 )
 
-// serve takes a request through queue, processing, store and faults.
+// serve handles a request: it admits it to the queue, reads its body, executes it after the
+// simulated processing time, and responds unless a fault prevents that.
 func (n *Node) serve(w http.ResponseWriter, r *http.Request) {
 	e := n.newEntry(r)
 	admitted := n.admit(e)
@@ -31,8 +32,8 @@
 	body, err := io.ReadAll(io.LimitReader(r.Body, n.options.MaxBodyBytes+1))
 	if err != nil {
 		n.update(func() { e.BodyIncomplete = true })
-		// net/http's way to end the connection without a response. A request without all of its
-		// body is never executed.
+		// A request whose body is incomplete is never executed. This panic makes net/http close
+		// the connection without a response.
 		panic(http.ErrAbortHandler)
 	}
 	if int64(len(body)) > n.options.MaxBodyBytes {
@@ -44,8 +45,9 @@
 	n.deliver(w, r, e, response)
 }
 
+// newEntry returns the record entry of a request that was received just now.
 func (n *Node) newEntry(r *http.Request) *Entry {
-	attempt, _ := strconv.Atoi(r.Header.Get(attemptHeader)) // 0 where there is none
+	attempt, _ := strconv.Atoi(r.Header.Get(attemptHeader)) // 0 if missing
 	return &Entry{
 		Node:           n.options.Name,
 		RequestID:      r.Header.Get("X-Request-Id"),
@@ -58,7 +60,8 @@
 	}
 }
 
-// admit records a request and reports whether the queue has a place for it.
+// admit starts the record entry of a request and reports whether the request is admitted to the
+// queue.
 func (n *Node) admit(e *Entry) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -70,7 +73,8 @@
 	return true
 }
 
-// finish ends a request, however that came about.
+// finish removes an admitted request from the queue and completes its record entry. It is called
+// for every request, also after a panic.
 func (n *Node) finish(e *Entry, admitted bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -80,14 +84,16 @@
 	n.record.finish(e)
 }
 
-// update changes an entry in progress, which the record may be read for meanwhile.
+// update changes the entry of a request in progress under the node's mutex, since Entries may read
+// it at the same time.
 func (n *Node) update(change func()) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	change()
 }
 
-// units is the work of a request: its size, or that of what it reads, and at least one unit.
+// units returns the work of a request in units, rounded up and at least 1. It is the size of the
+// body, or for a GET the size of the resource or of the requested range.
 func (n *Node) units(r *http.Request, bodySize int) float64 {
 	size := int64(bodySize)
 	if r.Method == http.MethodGet {
@@ -100,16 +106,18 @@
 	return max(1, math.Ceil(float64(size)/float64(n.options.UnitBytes)))
 }
 
-// countLoad counts the work of a request against what a node that is warming up bears.
+// countLoad records the units of a request. While the node is warming up it also checks whether
+// the load received recently overloads the node, which then fails.
 func (n *Node) countLoad(e *Entry, units float64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	e.Units = units
-	e.WarmingUp, e.Overloaded = n.warmup.receive(&n.options, n.elapsed(), units)
+	e.WarmingUp, e.Overloaded = n.warmup.addLoad(&n.options, n.elapsed(), units)
 	n.failed = n.failed || e.Overloaded
 }
 
-// execute waits for a core, takes the time of the request's work and executes it in the store.
+// execute waits for a free core, occupies it for the request's processing time and then executes
+// the request in the store.
 func (n *Node) execute(e *Entry, r *http.Request, body []byte) *bufferedResponse {
 	n.cores <- struct{}{}
 	defer func() { <-n.cores }()
@@ -122,24 +130,25 @@
 	return response
 }
 
-// deliver responds, unless a fault keeps the node from it.
+// deliver sends the response of an executed request, unless the script has the node stay silent or
+// reset the connection.
 func (n *Node) deliver(w http.ResponseWriter, r *http.Request, e *Entry, response *bufferedResponse) {
 	at := n.elapsed()
 	switch {
-	case n.options.Script.active(Silent, at) != nil:
+	case n.options.Script.activeStep(Silent, at) != nil:
 		select {
 		case <-r.Context().Done():
 		case <-n.closing:
 		}
-		panic(http.ErrAbortHandler) // net/http's way to end the connection without a response
-	case n.options.Script.active(Reset, at) != nil:
+		panic(http.ErrAbortHandler) // makes net/http close the connection without a response
+	case n.options.Script.activeStep(Reset, at) != nil:
 		resetConn(w)
 	default:
 		n.respond(w, e, response.status, response.header, response.body.Bytes())
 	}
 }
 
-// resetConn closes the connection with a reset in place of an orderly end.
+// resetConn closes the connection with a TCP reset.
 func resetConn(w http.ResponseWriter) {
 	conn, _, err := http.NewResponseController(w).Hijack()
 	if err != nil {
@@ -149,7 +158,8 @@
 	_ = conn.Close()
 }
 
-// respond writes a response with the load report, and records it.
+// respond writes a response with the load report and records its status and the time at which it
+// was written.
 func (n *Node) respond(w http.ResponseWriter, e *Entry, status int, header http.Header, body []byte) {
 	for name, values := range header {
 		w.Header()[name] = values
--- a/internal/fakenode/if_header.go
+++ b/internal/fakenode/if_header.go
@@ -5,25 +5,25 @@
 	"strings"
 )
 
-// condition is one condition of an If header: on a state token, that of a lock, or on an entity
-// tag. One of them is "".
+// condition is one condition of an If header, on a lock token or on an entity tag. The other field
+// is empty.
 type condition struct {
-	negated bool
+	negated bool // preceded by "Not"
 	token   string
 	etag    string
 }
 
-// conditionList is a list of conditions that all have to hold for it to hold. An If header holds
-// if one of its lists does.
+// conditionList is one parenthesized list of an If header. A list holds if all of its conditions
+// hold; the header holds if at least one of its lists does.
 type conditionList struct {
-	resource   string // clean path; "" for the request's own
+	resource   string // clean path of the resource tag; "" means the resource of the request
 	conditions []condition
 }
 
 // parseIf parses an If header (RFC 4918 section 10.4.2). ok is false if it is malformed.
 func parseIf(header string) (lists []conditionList, ok bool) {
 	resource := ""
-	tagged := false // the lists name their resources
+	tagged := false // set if the header has resource tags
 	rest := strings.TrimSpace(header)
 	for rest != "" {
 		switch rest[0] {
@@ -54,7 +54,8 @@
 	return lists, len(lists) > 0
 }
 
-// parseConditions parses a list after its opening parenthesis, and returns what follows it.
+// parseConditions parses the conditions of a list. text begins after the opening parenthesis; rest
+// is the text after the closing one.
 func parseConditions(text string) (conditions []condition, rest string, ok bool) {
 	rest = strings.TrimSpace(text)
 	for {
@@ -70,7 +71,8 @@
 	}
 }
 
-// parseCondition parses [Not] <state token> or [Not] [entity tag].
+// parseCondition parses a state token in angle brackets or an entity tag in square brackets, with
+// or without "Not" before it. rest is the text after the condition.
 func parseCondition(text string) (c condition, rest string, ok bool) {
 	if after, negated := strings.CutPrefix(text, "Not"); negated {
 		c.negated = true
--- a/internal/fakenode/lock_method.go
+++ b/internal/fakenode/lock_method.go
@@ -16,8 +16,8 @@
 )
 
 const (
-	maxLockTimeout = time.Hour // also for a request that names none
-	maxLocks       = 4096
+	maxLockTimeout = time.Hour // also used for a request without a timeout
+	maxLocks       = 4096      // most locks at the same time, over all resources
 )
 
 // lockInfo is the body of a LOCK request (RFC 4918 section 14.11).
@@ -31,9 +31,10 @@
 	} `xml:"owner"`
 }
 
-// lock serves LOCK (RFC 4918 section 9.10). info is nil where the resource does not exist.
+// lock serves LOCK (RFC 4918 section 9.10). lists is the parsed If header; info is nil if the
+// resource does not exist.
 func (s *store) lock(w http.ResponseWriter, r *http.Request, lists []conditionList, info os.FileInfo) {
-	body, _ := io.ReadAll(r.Body) // of a request that was read before
+	body, _ := io.ReadAll(r.Body) // the body is already in memory, so reading it cannot fail
 	if len(bytes.TrimSpace(body)) == 0 {
 		s.refreshLock(w, r, lists)
 		return
@@ -48,7 +49,7 @@
 	}
 	status := http.StatusOK
 	if info == nil {
-		if err := s.createEmpty(r.URL.Path); err != nil {
+		if err := s.createEmptyFile(r.URL.Path); err != nil {
 			http.Error(w, err.Error(), http.StatusConflict)
 			return
 		}
@@ -58,18 +59,18 @@
 	requested.refresh(requested.timeout)
 	s.locks[requested.token] = requested
 	w.Header().Set("Lock-Token", "<"+requested.token+">")
-	requested.write(w, status)
+	requested.writeResponse(w, status)
 }
 
-// refreshLock serves a LOCK without a body: it refreshes the lock that the If header names (RFC
-// 4918 section 9.10.2).
+// refreshLock serves a LOCK without a body: it refreshes the first lock on the resource whose token
+// is in the If header (RFC 4918 section 9.10.2).
 func (s *store) refreshLock(w http.ResponseWriter, r *http.Request, lists []conditionList) {
 	name := cleanPath(r.URL.Path)
 	for _, list := range lists {
 		for _, c := range list.conditions {
 			if l := s.locks[c.token]; l != nil && l.covers(name) {
 				l.refresh(parseTimeout(r.Header.Get("Timeout")))
-				l.write(w, http.StatusOK)
+				l.writeResponse(w, http.StatusOK)
 				return
 			}
 		}
@@ -77,7 +78,8 @@
 	http.Error(w, "no lock of this resource is named", http.StatusPreconditionFailed)
 }
 
-// parseLock returns the lock that a request asks for, without a token.
+// parseLock returns the lock that a LOCK request with a body asks for. The token and the expiry
+// time are not set yet.
 func parseLock(r *http.Request, body []byte) (*lock, *rejection) {
 	var info lockInfo
 	if err := xml.Unmarshal(body, &info); err != nil || info.Write == nil || (info.Exclusive == nil) == (info.Shared == nil) {
@@ -96,10 +98,10 @@
 	}, nil
 }
 
-// checkLockable checks a new lock against the present ones. Only shared locks may be beside each
-// other (RFC 4918 section 6.2).
+// checkLockable checks a new lock against the existing ones: only shared locks may overlap (RFC
+// 4918 section 6.2).
 func (s *store) checkLockable(requested *lock) *rejection {
-	for _, other := range s.locks.affected(requested.root, change{descendants: requested.infiniteDepth}) {
+	for _, other := range s.locks.affected(requested.root, changeScope{descendants: requested.infiniteDepth}) {
 		if !requested.shared || !other.shared {
 			return &rejection{http.StatusLocked, "locked"}
 		}
@@ -110,9 +112,9 @@
 	return nil
 }
 
-// createEmpty creates an empty resource: a lock of one that does not exist creates it (RFC 4918
-// section 9.10.4).
-func (s *store) createEmpty(name string) error {
+// createEmptyFile creates an empty resource, as LOCK must do if the resource does not exist (RFC
+// 4918 section 9.10.4).
+func (s *store) createEmptyFile(name string) error {
 	file, err := s.files.OpenFile(context.Background(), name, os.O_CREATE|os.O_RDWR, 0o644)
 	if err != nil {
 		return err
@@ -120,8 +122,8 @@
 	return file.Close()
 }
 
-// parseTimeout returns the first number of seconds that a Timeout header has, at most
-// maxLockTimeout.
+// parseTimeout returns the first valid "Second-N" value of a Timeout header, at most
+// maxLockTimeout. It returns maxLockTimeout if there is none.
 func parseTimeout(header string) time.Duration {
 	for part := range strings.SplitSeq(header, ",") {
 		text, ok := strings.CutPrefix(strings.TrimSpace(part), "Second-")
@@ -144,8 +146,8 @@
 	return fmt.Sprintf("urn:uuid:%x-%x-%x-%x-%x", id[:4], id[4:6], id[6:8], id[8:10], id[10:])
 }
 
-// write responds with the lock.
-func (l *lock) write(w http.ResponseWriter, status int) {
+// writeResponse writes the response to a LOCK, with a body that describes the lock.
+func (l *lock) writeResponse(w http.ResponseWriter, status int) {
 	w.Header().Set("Content-Type", "application/xml; charset=utf-8")
 	w.WriteHeader(status)
 	fmt.Fprintf(w, `<?xml version="1.0" encoding="utf-8"?>`+"\n"+`<D:prop xmlns:D="DAV:"><D:lockdiscovery>%s</D:lockdiscovery></D:prop>`, l.activeLock())
@@ -161,7 +163,7 @@
 		depth = "infinity"
 	}
 	var root bytes.Buffer
-	_ = xml.EscapeText(&root, []byte((&url.URL{Path: l.root}).EscapedPath())) // into a Buffer
+	_ = xml.EscapeText(&root, []byte((&url.URL{Path: l.root}).EscapedPath())) // writes to a Buffer never fail
 	return fmt.Sprintf("<D:activelock><D:locktype><D:write/></D:locktype><D:lockscope><D:%s/></D:lockscope><D:depth>%s</D:depth>"+
 		"<D:owner>%s</D:owner><D:timeout>Second-%d</D:timeout><D:locktoken><D:href>%s</D:href></D:locktoken>"+
 		"<D:lockroot><D:href>%s</D:href></D:lockroot></D:activelock>", scope, depth, l.owner, int(l.timeout.Seconds()), l.token, root.String())
--- a/internal/fakenode/locks.go
+++ b/internal/fakenode/locks.go
@@ -13,20 +13,20 @@
 type lock struct {
 	token         string
 	root          string // clean path of the locked resource
-	infiniteDepth bool   // it covers the descendants of root as well
-	shared        bool
-	owner         string // XML, as the client sent it
+	infiniteDepth bool   // set if the lock also covers the descendants of root
+	shared        bool   // set for a shared lock, not set for an exclusive one
+	owner         string // content of the owner element, as the client sent it
 	timeout       time.Duration
 	expiresAt     time.Time
 }
 
-// covers reports whether the lock is on a resource, or on a collection above it with infinite
-// depth.
+// covers reports whether the lock is on a resource itself, or with infinite depth on a collection
+// above it.
 func (l *lock) covers(name string) bool {
 	return l.root == name || l.infiniteDepth && isBelow(name, l.root)
 }
 
-// refresh starts the timeout again.
+// refresh makes the lock expire after a timeout from now.
 func (l *lock) refresh(timeout time.Duration) {
 	l.timeout = timeout
 	l.expiresAt = time.Now().Add(timeout)
@@ -34,18 +34,19 @@
 
 func (l *lock) expired() bool { return time.Now().After(l.expiresAt) }
 
-// lockTable is the write locks of RFC 4918 sections 6 and 7, by token. The library has exclusive
-// locks alone.
+// lockTable holds the write locks of a store by token (RFC 4918 sections 6 and 7). The library's
+// own lock system is not used since it supports exclusive locks only.
 type lockTable map[string]*lock
 
-// change is what a request changes beside a resource itself.
-type change struct {
-	membership  bool // the resource is added to its parent collection, or removed from it
-	descendants bool // all of its descendants change as well
+// changeScope tells what a request changes in addition to a resource itself.
+type changeScope struct {
+	membership  bool // set if the resource is added to its parent collection or removed from it
+	descendants bool // set if all descendants of the resource change as well
 }
 
-// affected returns the locks on what a change of a resource changes. It drops expired ones.
-func (t lockTable) affected(name string, c change) []*lock {
+// affected returns the locks that a change of a resource is subject to. It deletes expired locks
+// from the table.
+func (t lockTable) affected(name string, c changeScope) []*lock {
 	var locks []*lock
 	for token, l := range t {
 		switch {
@@ -60,27 +61,27 @@
 	return locks
 }
 
-// covers reports whether a token is that of a lock on a resource.
+// covers reports whether the token belongs to a lock that has not expired and covers a resource.
 func (t lockTable) covers(token, name string) bool {
 	l := t[token]
 	return l != nil && !l.expired() && l.covers(name)
 }
 
-// allSubmitted reports whether a request may change what the locks are on, with the tokens of its
-// If header. One token for each resource is enough, since each holder of a shared lock has one of
-// its own.
-func allSubmitted(locks []*lock, lists []conditionList) bool {
+// hasRequiredTokens reports whether the If header of a request has a token for each resource that
+// the locks are on. If a resource has several shared locks, the token of one of them is enough,
+// since each holder of a shared lock knows only its own token.
+func hasRequiredTokens(locks []*lock, lists []conditionList) bool {
 	submitted := map[string]bool{}
 	for _, list := range lists {
 		for _, c := range list.conditions {
 			submitted[c.token] = true
 		}
 	}
-	unlocked := map[string]bool{} // by root
+	hasToken := map[string]bool{} // by the root of the lock
 	for _, l := range locks {
-		unlocked[l.root] = unlocked[l.root] || submitted[l.token]
+		hasToken[l.root] = hasToken[l.root] || submitted[l.token]
 	}
-	for _, ok := range unlocked {
+	for _, ok := range hasToken {
 		if !ok {
 			return false
 		}
@@ -88,8 +89,8 @@
 	return true
 }
 
-// unlock removes the lock of a Lock-Token header, and returns the status for it (RFC 4918 section
-// 9.11).
+// unlock serves UNLOCK (RFC 4918 section 9.11): it removes the lock whose token is in a Lock-Token
+// header and returns the status of the response. name is the clean path of the request.
 func (t lockTable) unlock(name, header string) (status int) {
 	token := strings.TrimSuffix(strings.TrimPrefix(strings.TrimSpace(header), "<"), ">")
 	switch {
@@ -102,8 +103,8 @@
 	return http.StatusNoContent
 }
 
-// remove drops the locks of a resource that was deleted or moved, and of its descendants. They do
-// not move along (RFC 4918 sections 7.5 and 9.6).
+// remove deletes the locks on a resource that was deleted or moved and on its descendants. Locks do
+// not move with their resource (RFC 4918 sections 7.5 and 9.6).
 func (t lockTable) remove(name string) {
 	for token, l := range t {
 		if l.root == name || isBelow(l.root, name) {
@@ -112,22 +113,22 @@
 	}
 }
 
-// unlocked is a lock system that lets the library change everything: the locks were checked
-// before.
-type unlocked struct{}
+// noopLockSystem is a webdav.LockSystem that grants everything. The store has checked the locks
+// before it calls the library.
+type noopLockSystem struct{}
 
 // Confirm implements webdav.LockSystem.
-func (unlocked) Confirm(time.Time, string, string, ...webdav.Condition) (release func(), err error) {
+func (noopLockSystem) Confirm(time.Time, string, string, ...webdav.Condition) (release func(), err error) {
 	return func() {}, nil
 }
 
 // Create implements webdav.LockSystem.
-func (unlocked) Create(time.Time, webdav.LockDetails) (token string, err error) { return "", nil }
+func (noopLockSystem) Create(time.Time, webdav.LockDetails) (token string, err error) { return "", nil }
 
 // Refresh implements webdav.LockSystem.
-func (unlocked) Refresh(time.Time, string, time.Duration) (webdav.LockDetails, error) {
+func (noopLockSystem) Refresh(time.Time, string, time.Duration) (webdav.LockDetails, error) {
 	return webdav.LockDetails{}, nil
 }
 
 // Unlock implements webdav.LockSystem.
-func (unlocked) Unlock(time.Time, string) error { return nil }
+func (noopLockSystem) Unlock(time.Time, string) error { return nil }
--- a/internal/fakenode/node.go
+++ b/internal/fakenode/node.go
@@ -1,12 +1,13 @@
-// Package fakenode is a fake storage node for tests, rehearsals and measurements, never for data.
-// It is an object store in memory that speaks WebDAV (golang.org/x/net/webdav), behind a bounded
-// queue, with a processing time by size, faults that follow a script, and a record of each request
-// as it passed on the socket.
+// Package fakenode implements a fake storage node for tests, rehearsals and measurements, never
+// for real data. A node is an in-memory WebDAV object store (golang.org/x/net/webdav) behind a
+// bounded queue. Processing time grows with the size of a request, faults follow a script, and
+// each received request is recorded.
 //
-// node.go is the life of a node and its listener, handler.go the way of a request, processing.go
-// how long it takes, warmup.go what a restarted node bears, script.go its faults, record.go its
-// record. store.go is the object store, with preconditions.go, locks.go, lock_method.go and
-// if_header.go for what RFC 4918 and RFC 9110 ask beyond the library's.
+// node.go starts and stops a node and its listener, handler.go serves requests, processing.go
+// simulates the processing time, warmup.go the reduced capacity after a restart. script.go parses
+// scripts of faults, record.go writes the record of requests. store.go is the object store;
+// preconditions.go, locks.go, lock_method.go and if_header.go add the requirements of RFC 4918 and
+// RFC 9110 that the library does not meet.
 package fakenode
 
 import (
@@ -16,30 +17,31 @@
 	"time"
 )
 
-// scriptInterval is how often the script is looked at for whether the node has to listen.
-const scriptInterval = 5 * time.Millisecond
+// scriptPollInterval is the time between two checks of whether the script lets the node listen.
+const scriptPollInterval = 5 * time.Millisecond
 
 // Node is a running fake node. It is safe for concurrent use.
 type Node struct {
 	options Options
 	addr    string
 	store   *store
-	cores   chan struct{} // has a value for each request that is processed
+	cores   chan struct{} // semaphore: holds one value for each request being processed
 
 	closing    chan struct{}  // closed by Close
-	scriptDone chan struct{}  // closed when followScript has returned
-	serving    sync.WaitGroup // of the servers' goroutines
+	scriptDone chan struct{}  // closed when followScript returns
+	serving    sync.WaitGroup // goroutines that run server.Serve
 
 	mu        sync.Mutex
 	inFlight  int // requests admitted to the queue and not yet responded to
 	record    *recorder
 	warmup    warmup
-	failed    bool // it was overloaded, and accepts no connection any more
+	failed    bool // set when the node was overloaded; it accepts no more connections
 	server    *http.Server
 	listening bool
 }
 
-// Start starts a node. Errors are of its record's file and of its listener.
+// Start starts a node. It returns an error if the record file cannot be created or the address
+// cannot be listened on.
 func Start(options Options) (*Node, error) {
 	options = options.withDefaults()
 	record, err := newRecorder(&options)
@@ -63,10 +65,11 @@
 	return n, nil
 }
 
-// Addr returns the address that the node listens on. It stays the same over restarts.
+// Addr returns the address that the node listens on. It stays the same across restarts.
 func (n *Node) Addr() string { return n.addr }
 
-// Entries returns the record of a node without a RecordFile, with the requests in progress.
+// Entries returns the record of a node that keeps it in memory (no RecordFile), including the
+// requests in progress.
 func (n *Node) Entries() []Entry {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -76,7 +79,7 @@
 // Close stops the node and closes its record.
 func (n *Node) Close() error {
 	close(n.closing)
-	<-n.scriptDone // else it might listen again
+	<-n.scriptDone // otherwise applyScript might open the listener again
 	n.stopListening()
 	n.serving.Wait()
 	n.mu.Lock()
@@ -84,10 +87,10 @@
 	return n.record.close()
 }
 
-// elapsed is the time by the script.
+// elapsed returns the time since the epoch, from which the times of the script count.
 func (n *Node) elapsed() time.Duration { return time.Since(n.options.Epoch) }
 
-// listen serves on an address, and returns it with its port.
+// listen starts serving on an address and returns that address with the actual port.
 func (n *Node) listen(addr string) (string, error) {
 	listener, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -102,7 +105,7 @@
 	return listener.Addr().String(), nil
 }
 
-// stopListening closes the listener and all connections.
+// stopListening closes the listener and all connections, also those with requests in progress.
 func (n *Node) stopListening() {
 	n.mu.Lock()
 	server := n.server
@@ -111,10 +114,10 @@
 	_ = server.Close()
 }
 
-// followScript opens and closes the listener as the script and overload ask.
+// followScript calls applyScript at each tick of scriptPollInterval until the node closes.
 func (n *Node) followScript() {
 	defer close(n.scriptDone)
-	ticker := time.NewTicker(scriptInterval)
+	ticker := time.NewTicker(scriptPollInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -126,12 +129,14 @@
 	}
 }
 
+// applyScript opens or closes the listener as the script and an overload require at a time, and
+// starts the warm-up after a restart.
 func (n *Node) applyScript(at time.Duration) {
 	n.mu.Lock()
 	failed, listening := n.failed, n.listening
 	n.mu.Unlock()
-	restart := n.options.Script.active(Restart, at)
-	available := !failed && restart == nil && n.options.Script.active(Refuse, at) == nil
+	restart := n.options.Script.activeStep(Restart, at)
+	available := !failed && restart == nil && n.options.Script.activeStep(Refuse, at) == nil
 	if !available && listening {
 		n.stopListening()
 	}
@@ -141,6 +146,6 @@
 		n.mu.Unlock()
 	}
 	if available && !listening {
-		_, _ = n.listen(n.addr) // a port that is not free yet is tried again at the next tick
+		_, _ = n.listen(n.addr) // if the port is not free yet, the next tick tries again
 	}
 }
--- a/internal/fakenode/node_test.go
+++ b/internal/fakenode/node_test.go
@@ -14,8 +14,8 @@
 	"time"
 )
 
-// startUnclosed starts a node that the test closes.
-func startUnclosed(t *testing.T, o Options) *Node {
+// startNodeWithoutCleanup starts a node on a free port. The test itself has to close it.
+func startNodeWithoutCleanup(t *testing.T, o Options) *Node {
 	t.Helper()
 	o.Listen = "127.0.0.1:0"
 	o.Name = "n"
@@ -29,12 +29,13 @@
 // startTestNode starts a node that is closed at the end of the test.
 func startTestNode(t *testing.T, o Options) *Node {
 	t.Helper()
-	node := startUnclosed(t, o)
+	node := startNodeWithoutCleanup(t, o)
 	t.Cleanup(func() { node.Close() })
 	return node
 }
 
-// send sends a request on a connection of its own. headers are names and values in turn.
+// send sends a request on a new connection and returns the response and its body. headers lists
+// header names and values alternately.
 func send(node *Node, method, path, body string, headers ...string) (*http.Response, string, error) {
 	request, err := http.NewRequest(method, "http://"+node.Addr()+path, strings.NewReader(body))
 	if err != nil {
@@ -53,31 +54,33 @@
 	return response, string(text), err
 }
 
-// waitFor waits until a condition holds.
-func waitFor(t *testing.T, what string, holds func() bool) {
+// waitFor waits until a condition holds and fails the test after 5 seconds. description says what
+// is waited for.
+func waitFor(t *testing.T, description string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(5 * time.Second); !holds(); time.Sleep(time.Millisecond) {
-		if time.Now().After(end) {
-			t.Fatalf("waited in vain: %s", what)
+	for deadline := time.Now().Add(5 * time.Second); !condition(); time.Sleep(time.Millisecond) {
+		if time.Now().After(deadline) {
+			t.Fatalf("timed out waiting: %s", description)
 		}
 	}
 }
 
-// A write and a ranged read pass, and the file has a line for each, with what identifies the
-// request and the steps in order of time.
+// Verifies that the record file has a line for each request, with the fields that identify the
+// request, its units, and times in the order of processing. The requests are a write and a ranged
+// read.
 func TestRecordFile(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "record.jsonl")
-	node := startUnclosed(t, Options{UnitBytes: 10, RecordFile: file})
+	node := startNodeWithoutCleanup(t, Options{UnitBytes: 10, RecordFile: file})
 	if response, _, err := send(node, "PUT", "/v/o", strings.Repeat("x", 35), "X-Request-Id", "r1", "Maddergap-Attempt", "2",
 		"Traceparent", "trace", "Idempotency-Key", "k"); err != nil || response.StatusCode != http.StatusCreated {
 		t.Fatal(response, err)
 	}
 	response, text, err := send(node, "GET", "/v/o", "", "Range", "bytes=0-19")
 	if err != nil || response.StatusCode != http.StatusPartialContent || len(text) != 20 {
-		t.Errorf("%v, %q, %v", response, text, err)
+		t.Errorf("ranged GET: response %v, body %q, error %v; want status 206 and 20 bytes", response, text, err)
 	}
 	if got := response.Header.Get("endpoint-load-metrics"); got != "TEXT named_metrics.inflight=1" {
-		t.Errorf("the load report is %q", got)
+		t.Errorf("load report %q, want 1 request in flight", got)
 	}
 	if err := node.Close(); err != nil {
 		t.Error(err)
@@ -96,11 +99,12 @@
 	}
 	for _, e := range entries {
 		if e.ReceivedAt == 0 || e.StartedAt < e.ReceivedAt || e.ExecutedAt < e.StartedAt || e.RespondedAt < e.ExecutedAt {
-			t.Errorf("its times are out of order: %+v", e)
+			t.Errorf("times missing or out of order: %+v", e)
 		}
 	}
 }
 
+// readRecord returns the entries of a record file.
 func readRecord(t *testing.T, name string) (entries []Entry) {
 	t.Helper()
 	file, err := os.Open(name)
@@ -118,8 +122,8 @@
 	return entries
 }
 
-// A request comes while the queue is full. It is rejected as not executed, so that a gateway may
-// send it elsewhere whatever its class.
+// Verifies that a request that arrives while the queue is full gets a 503 marked as not executed. A
+// gateway may then send even a non-idempotent request to another node.
 func TestQueueFull(t *testing.T) {
 	node := startTestNode(t, Options{QueueLimit: 1, UnitTime: time.Second})
 	go send(node, "PUT", "/v/first", "")
@@ -129,7 +133,7 @@
 	})
 	response, _, err := send(node, "PUT", "/v/second", "")
 	if err != nil || response.StatusCode != http.StatusServiceUnavailable || response.Header.Get("Maddergap-Ran") != "no" {
-		t.Errorf("%v, %v", response, err)
+		t.Errorf("response %v, error %v; want status 503 with Maddergap-Ran: no", response, err)
 	}
 	for _, e := range node.Entries() {
 		if e.Path == "/v/second" && (e.Status != 503 || e.ExecutedAt != 0) {
@@ -138,12 +142,13 @@
 	}
 }
 
-// A body is larger than allowed, and another ends within it. Neither is executed.
+// Verifies that a request is not executed if its body is larger than MaxBodyBytes or if the
+// connection is closed before the end of the body.
 func TestBodyNotExecuted(t *testing.T) {
 	node := startTestNode(t, Options{MaxBodyBytes: 10})
 	response, _, err := send(node, "PUT", "/v/large", strings.Repeat("x", 11))
 	if err != nil || response.StatusCode != http.StatusRequestEntityTooLarge {
-		t.Errorf("%v, %v", response, err)
+		t.Errorf("response %v, error %v; want status 413", response, err)
 	}
 	conn, err := net.Dial("tcp", node.Addr())
 	if err != nil {
@@ -151,7 +156,7 @@
 	}
 	fmt.Fprint(conn, "PUT /v/half HTTP/1.1\r\nHost: n\r\nContent-Length: 10\r\n\r\nhalf")
 	conn.Close()
-	waitFor(t, "the end of the connection was seen", func() bool {
+	waitFor(t, "the node has recorded the incomplete body", func() bool {
 		entries := node.Entries()
 		return len(entries) == 2 && (entries[0].BodyIncomplete || entries[1].BodyIncomplete)
 	})
@@ -162,23 +167,23 @@
 	}
 }
 
-// A silent node and one that resets connections execute what they are sent, and the client gets
-// no response: it cannot know whether a retry is safe.
+// Verifies that a node with the fault Silent or Reset executes a request and sends no response, so
+// that the client does not know whether the request took effect.
 func TestExecutedWithoutResponse(t *testing.T) {
 	for _, fault := range []Fault{Silent, Reset} {
-		node := startUnclosed(t, Options{Script: []Step{{Fault: fault, From: 0, To: time.Hour}}})
+		node := startNodeWithoutCleanup(t, Options{Script: []Step{{Fault: fault, From: 0, To: time.Hour}}})
 		result := make(chan error, 1)
 		go func() {
 			_, _, err := send(node, "PUT", "/v/o", "")
 			result <- err
 		}()
-		waitFor(t, "it is executed", func() bool {
+		waitFor(t, "the request is executed", func() bool {
 			entries := node.Entries()
 			return len(entries) == 1 && entries[0].ExecutedAt > 0
 		})
-		node.Close() // which ends what is silent
+		node.Close() // ends the request that a silent node leaves without a response
 		if err := <-result; err == nil {
-			t.Errorf("fault %v: a response came", fault)
+			t.Errorf("fault %v: the client got a response", fault)
 		}
 		if e := node.Entries()[0]; e.RespondedAt != 0 || e.Status != 0 {
 			t.Errorf("fault %v: %+v", fault, e)
@@ -186,8 +191,8 @@
 	}
 }
 
-// A node refuses connections for a while, and then serves again at the same address, with the
-// objects that it had.
+// Verifies that a node refuses connections during a Refuse step and afterwards serves again at the
+// same address with its objects kept.
 func TestRefuse(t *testing.T) {
 	const from, to = 500 * time.Millisecond, 700 * time.Millisecond
 	started := time.Now()
@@ -200,24 +205,24 @@
 		return err != nil
 	})
 	if refused := time.Since(started); refused < from {
-		t.Errorf("refused at %v, before the script says so", refused)
+		t.Errorf("connection refused %v after the epoch, before the step begins", refused)
 	}
-	waitFor(t, "it serves again", func() bool {
+	waitFor(t, "the node serves again", func() bool {
 		_, text, err := send(node, "GET", "/v/o", "")
 		return err == nil && text == "object"
 	})
 	if served := time.Since(started); served < to {
-		t.Errorf("served at %v, before the script says so", served)
+		t.Errorf("request served %v after the epoch, before the step ends", served)
 	}
 }
 
-// A node pauses, and another is three times slower. Each takes its time for a request of
-// 100 ms.
+// Verifies the shortest time that a request of 100 ms may take: without a fault, during a pause
+// and on a node that is three times slower.
 func TestProcessingTime(t *testing.T) {
 	for _, test := range []struct {
 		name string
 		step Step
-		want time.Duration // at least
+		want time.Duration // minimum
 	}{
 		{"no fault", Step{Fault: Slow, From: time.Hour, To: 2 * time.Hour, Factor: 3}, 100 * time.Millisecond},
 		{"pause", Step{Fault: Pause, From: 0, To: 300 * time.Millisecond}, 390 * time.Millisecond},
@@ -230,14 +235,15 @@
 				t.Fatal(err)
 			}
 			if took := time.Since(started); took < test.want {
-				t.Errorf("took %v, want %v", took, test.want)
+				t.Errorf("request took %v, want at least %v", took, test.want)
 			}
 		})
 	}
 }
 
-// A node restarts with a tenth of its capacity, and is sent what only a warm node bears. It fails
-// for good: the next connection is refused.
+// Verifies that a node that is overloaded while it warms up fails permanently. It restarts with a
+// tenth of its capacity and receives a request that would not overload it when warm; from then on
+// it refuses connections.
 func TestOverloadedWhileWarmingUp(t *testing.T) {
 	node := startTestNode(t, Options{
 		Script:          []Step{{Fault: Restart, From: 0, To: 50 * time.Millisecond}},
@@ -245,10 +251,10 @@
 		WarmupDuration:  time.Hour,
 		InitialFraction: 0.1,
 		OverloadFactor:  2,
-		OverloadWindow:  10 * time.Millisecond, // bears 0.1 x 1000 units a second x 2 x 0.01 s = 2 units
+		OverloadWindow:  10 * time.Millisecond, // at most 0.1 x 1000 units per second x 2 x 0.01 s = 2 units
 		UnitBytes:       10,
 	})
-	waitFor(t, "it serves after the restart", func() bool {
+	waitFor(t, "the node serves after the restart", func() bool {
 		_, _, err := send(node, "PUT", "/v/small", "")
 		entries := node.Entries()
 		return err == nil && entries[len(entries)-1].WarmingUp
@@ -265,14 +271,14 @@
 		}
 	}
 	if overloaded != 1 {
-		t.Errorf("%d requests overloaded it", overloaded)
+		t.Errorf("%d requests overloaded the node, want 1", overloaded)
 	}
-	waitFor(t, "it refuses connections", func() bool {
+	waitFor(t, "the node refuses connections", func() bool {
 		_, _, err := send(node, "GET", "/v/small", "")
 		return err != nil
 	})
 	time.Sleep(50 * time.Millisecond)
 	if _, _, err := send(node, "GET", "/v/small", ""); err == nil {
-		t.Error("it serves again")
+		t.Error("the node serves again after it has failed")
 	}
 }
--- a/internal/fakenode/options.go
+++ b/internal/fakenode/options.go
@@ -2,34 +2,34 @@
 
 import "time"
 
-// Options configures a node. The zero value serves on any free port, keeps its record in memory
-// and takes no time for its work.
+// Options configures a node. The zero value listens on any free port, keeps the record in memory
+// and processes requests without delay, one at a time.
 type Options struct {
-	Listen string // address to listen on; "" for a free port
-	Name   string // in the record
-	// RecordFile is where the record of requests is written, as JSON lines. "" keeps it in
-	// memory, for Node.Entries.
+	Listen string // address to listen on; "" selects a free port
+	Name   string // name of the node in its record
+	// RecordFile is the file to which the record of requests is written, as JSON lines. If it is
+	// empty, the record is kept in memory for Node.Entries.
 	RecordFile string
-	// DiscardRecord keeps no record at all, for measurements.
+	// DiscardRecord disables the record of finished requests, for measurements.
 	DiscardRecord bool
-	// Script is the faults of the node. Its times count from Epoch, which is the start where it
-	// is zero.
+	// Script lists the faults of the node. Its times count from Epoch; a zero Epoch means the time
+	// at which the node is started.
 	Script Script
 	Epoch  time.Time
-	// Cores is how many requests are processed at the same time; 0 for one.
+	// Cores is the number of requests that are processed at the same time; 0 means 1.
 	Cores int
-	// QueueLimit is how many requests the node has at the same time, processed or waiting. More
-	// are rejected with 503. 0 for one.
+	// QueueLimit is the maximum number of requests in the node, waiting or processed. Further
+	// requests are rejected with 503. 0 means 1.
 	QueueLimit int
-	UnitBytes  int64         // size of one unit of work; 0 for defaultUnitBytes
-	UnitTime   time.Duration // time that a unit takes one core
-	// MaxBodyBytes is the largest body of a request; 0 for defaultMaxBodyBytes. Larger ones are
-	// rejected with 413.
+	UnitBytes  int64         // size of a unit of work; 0 means defaultUnitBytes
+	UnitTime   time.Duration // processing time of a unit on one core
+	// MaxBodyBytes is the maximum size of a request body; 0 means defaultMaxBodyBytes. Requests
+	// with a larger body are rejected with 413.
 	MaxBodyBytes int64
-	// A node that the script restarted warms up: it starts with InitialFraction of its capacity
-	// and has all of it after WarmupDuration. When it is sent more than OverloadFactor times its
-	// present capacity over an OverloadWindow, it fails for good. A WarmupDuration of 0 is no
-	// warm-up, an OverloadFactor of 0 a node that never fails.
+	// After a restart by the script, the node warms up: its capacity starts at InitialFraction of
+	// the full capacity and reaches all of it after WarmupDuration. If the load received within an
+	// OverloadWindow exceeds OverloadFactor times the current capacity, the node fails permanently.
+	// A WarmupDuration of 0 means no warm-up, an OverloadFactor of 0 a node that never fails.
 	WarmupDuration  time.Duration
 	InitialFraction float64
 	OverloadFactor  float64
@@ -41,7 +41,7 @@
 	defaultMaxBodyBytes = 2 << 30
 )
 
-// withDefaults returns the options with defaults in place of zero values.
+// withDefaults returns the options with zero values replaced by defaults.
 func (o Options) withDefaults() Options {
 	o.Cores = max(o.Cores, 1)
 	o.QueueLimit = max(o.QueueLimit, 1)
--- a/internal/fakenode/preconditions.go
+++ b/internal/fakenode/preconditions.go
@@ -15,11 +15,12 @@
 // rejection is the response to a request that must not be executed.
 type rejection struct {
 	status int
-	reason string // for the body
+	reason string // body of the response
 }
 
-// checkLocks checks a request against the locks on what it changes and against its If header,
-// which it returns. A missing lock token is reported first: 423 says more than 412.
+// checkLocks checks a request against the locks on the resources that it changes and against its If
+// header, whose lists it returns. A missing lock token is reported (423) before an If header that
+// does not hold (412), since 423 tells the client more.
 func (s *store) checkLocks(r *http.Request, info os.FileInfo) ([]conditionList, *rejection) {
 	var lists []conditionList
 	if header := r.Header.Get("If"); header != "" {
@@ -28,50 +29,51 @@
 			return nil, &rejection{http.StatusBadRequest, "the If header is malformed"}
 		}
 	}
-	if !allSubmitted(s.affectedLocks(r, info), lists) {
+	if !hasRequiredTokens(s.affectedLocks(r, info), lists) {
 		return nil, &rejection{http.StatusLocked, "locked"}
 	}
-	if len(lists) > 0 && !s.anyHolds(lists, cleanPath(r.URL.Path)) {
+	if len(lists) > 0 && !s.anyListHolds(lists, cleanPath(r.URL.Path)) {
 		return nil, &rejection{http.StatusPreconditionFailed, "no condition of the If header holds"}
 	}
 	return lists, nil
 }
 
-// affectedLocks returns the locks on what a request changes. info is nil where the resource does
-// not exist.
+// affectedLocks returns the locks on the resources that a request changes. info is nil if the
+// resource of the request does not exist.
 func (s *store) affectedLocks(r *http.Request, info os.FileInfo) []*lock {
 	name := cleanPath(r.URL.Path)
 	var locks []*lock
 	switch r.Method {
 	case http.MethodPut, methodMkcol:
-		locks = s.locks.affected(name, change{membership: info == nil})
+		locks = s.locks.affected(name, changeScope{membership: info == nil})
 	case methodProppatch:
-		locks = s.locks.affected(name, change{})
+		locks = s.locks.affected(name, changeScope{})
 	case http.MethodDelete, methodMove:
-		locks = s.locks.affected(name, change{membership: true, descendants: true})
+		locks = s.locks.affected(name, changeScope{membership: true, descendants: true})
 	}
 	if target, ok := destination(r); ok {
 		missing := s.stat(target) == nil
-		locks = append(locks, s.locks.affected(cleanPath(target), change{membership: missing, descendants: true})...)
+		locks = append(locks, s.locks.affected(cleanPath(target), changeScope{membership: missing, descendants: true})...)
 	}
 	return locks
 }
 
-// anyHolds reports whether one of the lists of an If header holds. name is the request's path.
-func (s *store) anyHolds(lists []conditionList, name string) bool {
+// anyListHolds reports whether at least one list of an If header holds. name is the clean path of
+// the request, to which lists without a resource tag apply.
+func (s *store) anyListHolds(lists []conditionList, name string) bool {
 	for _, list := range lists {
 		resource := name
 		if list.resource != "" {
 			resource = list.resource
 		}
-		if s.allHold(list.conditions, resource) {
+		if s.allConditionsHold(list.conditions, resource) {
 			return true
 		}
 	}
 	return false
 }
 
-func (s *store) allHold(conditions []condition, resource string) bool {
+func (s *store) allConditionsHold(conditions []condition, resource string) bool {
 	for _, c := range conditions {
 		holds := c.etag != "" && c.etag == etag(s.stat(resource))
 		if c.token != "" {
@@ -84,7 +86,7 @@
 	return true
 }
 
-// etag is the entity tag that the library gives a resource; "" for nil.
+// etag returns the entity tag that the library computes for a resource, or "" if info is nil.
 func etag(info os.FileInfo) string {
 	if info == nil {
 		return ""
@@ -92,10 +94,10 @@
 	return fmt.Sprintf(`"%x%x"`, info.ModTime().UnixNano(), info.Size())
 }
 
-// checkRequest checks what the library does not, or with another status. info is nil where the
-// resource does not exist.
+// checkRequest rejects requests that the library would execute although it must not, or would
+// reject with the wrong status. info is nil if the resource does not exist.
 func (s *store) checkRequest(r *http.Request, info os.FileInfo) *rejection {
-	if !entityTagsMatch(r, info) {
+	if !entityTagConditionsHold(r, info) {
 		return &rejection{http.StatusPreconditionFailed, "a condition does not hold"}
 	}
 	switch r.Method {
@@ -108,13 +110,13 @@
 			return &rejection{http.StatusConflict, "the parent collection is missing"}
 		}
 	case methodCopy, methodMove:
-		return s.checkCopy(r, info)
+		return s.checkCopyOrMove(r, info)
 	}
 	return nil
 }
 
-// checkXML rejects a body that binds a prefix to the empty namespace, which XML forbids and the
-// library accepts.
+// checkXML rejects a body that binds a prefix to the empty namespace. XML forbids that, but the
+// library accepts it.
 func checkXML(r *http.Request) *rejection {
 	body, err := io.ReadAll(r.Body)
 	r.Body = io.NopCloser(bytes.NewReader(body))
@@ -136,8 +138,9 @@
 	return nil
 }
 
-// checkCopy checks a COPY or MOVE, and gives it the default of its Overwrite header.
-func (s *store) checkCopy(r *http.Request, info os.FileInfo) *rejection {
+// checkCopyOrMove checks a COPY or MOVE. It sets the Overwrite header to its default if it is
+// missing.
+func (s *store) checkCopyOrMove(r *http.Request, info os.FileInfo) *rejection {
 	if info == nil {
 		return &rejection{http.StatusNotFound, "there is nothing here"}
 	}
@@ -155,23 +158,24 @@
 	return parent == nil || !parent.IsDir()
 }
 
-// entityTagsMatch checks If-Match and If-None-Match (RFC 9110 section 13.1) for all methods but
-// GET and HEAD, which the library does itself.
-func entityTagsMatch(r *http.Request, info os.FileInfo) bool {
+// entityTagConditionsHold reports whether If-Match and If-None-Match hold (RFC 9110 section 13.1).
+// It returns true for GET and HEAD, for which the library evaluates them.
+func entityTagConditionsHold(r *http.Request, info os.FileInfo) bool {
 	if r.Method == http.MethodGet || r.Method == http.MethodHead {
 		return true
 	}
-	if list := r.Header.Get("If-Match"); list != "" && !inEntityTags(list, info) {
+	if list := r.Header.Get("If-Match"); list != "" && !matchesEntityTags(list, info) {
 		return false
 	}
-	if list := r.Header.Get("If-None-Match"); list != "" && inEntityTags(list, info) {
+	if list := r.Header.Get("If-None-Match"); list != "" && matchesEntityTags(list, info) {
 		return false
 	}
 	return true
 }
 
-// inEntityTags reports whether a resource exists and a list of entity tags, or "*", has its own.
-func inEntityTags(list string, info os.FileInfo) bool {
+// matchesEntityTags reports whether a resource exists and its entity tag is in a list. A list of
+// "*" matches any existing resource.
+func matchesEntityTags(list string, info os.FileInfo) bool {
 	if info == nil {
 		return false
 	}
--- a/internal/fakenode/processing.go
+++ b/internal/fakenode/processing.go
@@ -6,19 +6,21 @@
 )
 
 const (
-	// maxProcessingStep bounds one sleep, so that a change of the node's speed is seen within it.
+	// maxProcessingStep limits a single sleep, so that a change of the node's speed takes effect
+	// within this time.
 	maxProcessingStep = 20 * time.Millisecond
-	// minProcessingStep keeps short work from busy waiting.
+	// minProcessingStep is the shortest sleep. It prevents a busy loop when little work remains.
 	minProcessingStep = 50 * time.Microsecond
 )
 
-// process takes as long as the units of a request take one core. It stands still within a pause,
-// and takes longer while the node is slow or warming up. It returns early when the node closes.
+// process sleeps for the processing time of a number of units on one core. It makes no progress
+// during a pause and takes longer while the node is slow or warming up. It returns early when the
+// node closes.
 func (n *Node) process(units float64) {
-	remaining := units * float64(n.options.UnitTime) // at full speed, in nanoseconds
+	remaining := units * float64(n.options.UnitTime) // remaining time at full speed, in nanoseconds
 	for {
 		at := n.elapsed()
-		if pause := n.options.Script.active(Pause, at); pause != nil {
+		if pause := n.options.Script.activeStep(Pause, at); pause != nil {
 			if !n.sleep(min(pause.To-at, maxProcessingStep)) {
 				return
 			}
@@ -36,18 +38,19 @@
 	}
 }
 
-// speed is how fast a core works, as a fraction of that of a warm node without a fault.
+// speed returns the speed of a core at a time, as a fraction of its speed in a warm node without a
+// fault.
 func (n *Node) speed(at time.Duration) float64 {
 	n.mu.Lock()
 	speed, _ := n.warmup.capacity(&n.options, at)
 	n.mu.Unlock()
-	if slow := n.options.Script.active(Slow, at); slow != nil {
+	if slow := n.options.Script.activeStep(Slow, at); slow != nil {
 		speed /= slow.Factor
 	}
 	return speed
 }
 
-// sleep reports whether the time has passed; otherwise the node closes.
+// sleep waits for d, at least minProcessingStep. It returns false if the node closes meanwhile.
 func (n *Node) sleep(d time.Duration) bool {
 	select {
 	case <-n.closing:
--- a/internal/fakenode/record.go
+++ b/internal/fakenode/record.go
@@ -7,40 +7,41 @@
 	"os"
 )
 
-// Entry is one request as the node saw it, a line of its record. Times are microseconds of Unix
-// time; 0: it did not come to that.
+// Entry is the record of one request as the node received it, a line of the record file. Times are
+// microseconds of Unix time; 0 means that the event did not occur.
 type Entry struct {
 	Node           string  `json:"node"`
 	RequestID      string  `json:"request"`         // X-Request-Id
-	Attempt        int     `json:"attempt"`         // Maddergap-Attempt; 0: there was none
-	Traceparent    string  `json:"trace,omitempty"` // or another id that the request carries
+	Attempt        int     `json:"attempt"`         // Maddergap-Attempt; 0 if missing
+	Traceparent    string  `json:"trace,omitempty"` // Traceparent, or another ID that the request carries
 	Method         string  `json:"method"`
 	Path           string  `json:"path"`
 	IdempotencyKey string  `json:"key,omitempty"` // Idempotency-Key
 	Units          float64 `json:"units"`
-	ReceivedAt     int64   `json:"in"`              // its header was read
-	ExecutedAt     int64   `json:"ran,omitempty"`   // it took effect
-	StartedAt      int64   `json:"start,omitempty"` // a core began to process it
-	RespondedAt    int64   `json:"out,omitempty"`   // its response was written
+	ReceivedAt     int64   `json:"in"`              // when the header had been read
+	ExecutedAt     int64   `json:"ran,omitempty"`   // when the request had taken effect
+	StartedAt      int64   `json:"start,omitempty"` // when a core began to process the request
+	RespondedAt    int64   `json:"out,omitempty"`   // when the response had been written
 	Status         int     `json:"status,omitempty"`
-	BodyIncomplete bool    `json:"half,omitempty"` // the connection ended within its body
-	WarmingUp      bool    `json:"cold,omitempty"` // the node was, when it came
-	Overloaded     bool    `json:"fell,omitempty"` // the node failed with it
-	// Timeout is how long the gateway waits for the response, as it says in the request, in
-	// microseconds; 0: it does not say.
+	BodyIncomplete bool    `json:"half,omitempty"` // set if the body could not be read to its end
+	WarmingUp      bool    `json:"cold,omitempty"` // set if the node was warming up when it had read the request
+	Overloaded     bool    `json:"fell,omitempty"` // set if the request overloaded the node, which then failed
+	// Timeout is the time for which the gateway waits for the response, as announced in the
+	// request, in microseconds; 0 if it is not announced.
 	Timeout  int64  `json:"told,omitempty"`
-	Sequence uint64 `json:"sequence"` // in the order of arrival, from 1
+	Sequence uint64 `json:"sequence"` // number in the order of arrival, from 1
 }
 
-// recorder keeps the record of a node: of requests in progress in memory, of finished ones in a
-// file or in memory. The caller locks it.
+// recorder keeps the record of a node. Entries of requests in progress are in memory, those of
+// finished requests in a file or in memory. It is not safe for concurrent use: the node calls it
+// with its mutex locked.
 type recorder struct {
-	discard    bool
-	file       *os.File // nil: the record is kept in memory
-	writer     *bufio.Writer
-	finished   []Entry         // where there is no file
-	inProgress map[*Entry]bool // nil: the recorder is closed
-	sequence   uint64          // of the last request
+	discard      bool
+	file         *os.File // nil if the record is kept in memory
+	writer       *bufio.Writer
+	finished     []Entry         // finished requests, if there is no file
+	inProgress   map[*Entry]bool // nil once the recorder is closed
+	lastSequence uint64          // sequence number of the last request
 }
 
 func newRecorder(o *Options) (*recorder, error) {
@@ -57,16 +58,17 @@
 	return r, nil
 }
 
-// begin numbers a request and adds it. Its entry may change until it is finished.
+// begin adds a request to the requests in progress and sets its sequence number. Its entry may
+// change until finish is called.
 func (r *recorder) begin(e *Entry) {
-	r.sequence++
-	e.Sequence = r.sequence
+	r.lastSequence++
+	e.Sequence = r.lastSequence
 	if r.inProgress != nil {
 		r.inProgress[e] = true
 	}
 }
 
-// finish writes the entry of a request, unless close has done so.
+// finish writes the entry of a request, unless close has already written it.
 func (r *recorder) finish(e *Entry) {
 	if !r.inProgress[e] {
 		return
@@ -83,11 +85,12 @@
 		r.finished = append(r.finished, e)
 		return
 	}
-	line, _ := json.Marshal(e)                // an Entry has no value that JSON lacks
-	_, _ = r.writer.Write(append(line, '\n')) // an error is kept for Flush
+	line, _ := json.Marshal(e)                // every value of an Entry can be encoded
+	_, _ = r.writer.Write(append(line, '\n')) // Flush returns the error of an earlier Write
 }
 
-// entries returns the record, where there is no file, with the requests in progress.
+// entries returns the entries kept in memory: of the finished requests if there is no file, then of
+// the requests in progress.
 func (r *recorder) entries() []Entry {
 	entries := append([]Entry(nil), r.finished...)
 	for e := range r.inProgress {
@@ -96,7 +99,7 @@
 	return entries
 }
 
-// close writes the requests in progress as they are, and closes the file.
+// close writes the entries of the requests in progress as they are and closes the file.
 func (r *recorder) close() error {
 	for e := range r.inProgress {
 		r.write(*e)
--- a/internal/fakenode/script.go
+++ b/internal/fakenode/script.go
@@ -8,26 +8,27 @@
 	"maddergap/internal/config"
 )
 
-// Fault is what a node does wrong.
+// Fault is a kind of misbehavior of a node.
 type Fault int
 
 // The faults of a node.
 const (
-	// Silent executes requests and responds to none.
+	// Silent makes the node execute requests without responding.
 	Silent Fault = iota
-	// Pause executes nothing meanwhile.
+	// Pause stops the processing of requests until the step ends.
 	Pause
-	// Slow processes requests slower by Step.Factor.
+	// Slow makes processing take Step.Factor times as long.
 	Slow
-	// Refuse closes the listener and all connections.
+	// Refuse closes the listener and all connections until the step ends.
 	Refuse
-	// Reset resets each connection when its request was executed.
+	// Reset makes the node reset a connection instead of responding to an executed request.
 	Reset
-	// Restart closes the listener and all connections; the node warms up afterwards.
+	// Restart closes the listener and all connections until the step ends. The node warms up
+	// afterwards.
 	Restart
 )
 
-// faultNames are the faults' names in a script.
+// faultNames lists the names of the faults in a script.
 var faultNames = []string{
 	Silent:  "silent",
 	Pause:   "pause",
@@ -37,7 +38,7 @@
 	Restart: "restart",
 }
 
-// String returns the fault's name in a script.
+// String returns the name of the fault in a script.
 func (f Fault) String() string {
 	if f < 0 || int(f) >= len(faultNames) {
 		return "unknown"
@@ -45,14 +46,15 @@
 	return faultNames[f]
 }
 
-// Step is a fault from one time to another. Times count from the node's epoch.
+// Step is a fault that lasts from one time (inclusive) to another (exclusive). Times count from
+// Options.Epoch of the node.
 type Step struct {
 	Fault    Fault
 	From, To time.Duration
-	Factor   float64 // of Slow, at least 1
+	Factor   float64 // at least 1; valid for Slow only
 }
 
-// String returns the step as ParseScript reads it.
+// String returns the step as a line of a script, which ParseScript can read.
 func (s Step) String() string {
 	text := fmt.Sprintf("from %v to %v %v", s.From, s.To, s.Fault)
 	if s.Fault == Slow {
@@ -61,11 +63,11 @@
 	return text
 }
 
-// Script is the faults of a node. Steps of different faults may overlap.
+// Script lists the faults of a node over time. Steps of different faults may overlap.
 type Script []Step
 
-// active returns the first step with a fault at a time, or nil.
-func (s Script) active(f Fault, at time.Duration) *Step {
+// activeStep returns the first step of a fault that is active at a time, or nil.
+func (s Script) activeStep(f Fault, at time.Duration) *Step {
 	for i := range s {
 		if step := &s[i]; step.Fault == f && step.From <= at && at < step.To {
 			return step
@@ -74,11 +76,12 @@
 	return nil
 }
 
-// ParseScript reads a script: lines of
+// ParseScript parses a script, whose lines have the form
 //
 //	from TIME to TIME silent|pause|slow FACTOR|refuse|reset|restart
 //
-// file is its name in errors, which are *config.Error, joined.
+// file is the name of the script in errors. If the script has mistakes, the error joins a
+// *config.Error for each line with a mistake.
 func ParseScript(file string, data []byte) (Script, error) {
 	lines, err := config.Lines(file, data)
 	errs := []error{err}
@@ -110,10 +113,10 @@
 		s.Factor = args.Float("factor")
 	}
 	if s.To <= s.From {
-		args.Errorf("it ends at %v, not after its start %v", s.To, s.From)
+		args.Errorf("the step ends at %v, not after its start at %v", s.To, s.From)
 	}
 	if s.Fault == Slow && s.Factor < 1 {
-		args.Errorf("slow wants a factor of 1 or more")
+		args.Errorf("slow needs a factor of 1 or more")
 	}
 	return s, args.Err()
 }
--- a/internal/fakenode/script_test.go
+++ b/internal/fakenode/script_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// A script that was written is read again as it was: scenarios hand their faults to node processes
-// this way.
+// Verifies that ParseScript parses the text of Step.String back to the same steps. Scenarios pass
+// the faults to node processes in this form.
 func TestScriptRoundTrip(t *testing.T) {
 	steps := []Step{
 		{Fault: Silent, From: 0, To: time.Second},
@@ -24,25 +24,25 @@
 	}
 	got, err := ParseScript("script", []byte(text.String()))
 	if err != nil || !slices.Equal(got, steps) {
-		t.Errorf("%v, %v, want %v", got, err, steps)
+		t.Errorf("got %v, error %v; want %v", got, err, steps)
 	}
 }
 
-// Each mistake in a script is reported with its line.
-func TestScriptMistakes(t *testing.T) {
+// Verifies that ParseScript reports each kind of mistake in a script.
+func TestParseScriptErrors(t *testing.T) {
 	for _, test := range []struct{ name, line, want string }{
-		{"another directive", "at 1s to 2s silent", "unknown directive"},
+		{"unknown directive", "at 1s to 2s silent", "unknown directive"},
 		{"no end", "from 1s", "script:1"},
-		{"another fault", "from 1s to 2s tired", `fault is "tired"`},
+		{"unknown fault", "from 1s to 2s tired", `fault is "tired"`},
 		{"ends before it starts", "from 2s to 1s silent", "not after its start"},
 		{"slow without a factor", "from 1s to 2s slow", "a factor of 1 or more"},
-		{"slow that is faster", "from 1s to 2s slow 0.5", "a factor of 1 or more"},
-		{"a word too many", "from 1s to 2s silent 3", "script:1"},
+		{"slow with a factor below 1", "from 1s to 2s slow 0.5", "a factor of 1 or more"},
+		{"extra word", "from 1s to 2s silent 3", "script:1"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			script, err := ParseScript("script", []byte(test.line+"\n"))
 			if err == nil || !strings.Contains(err.Error(), test.want) {
-				t.Errorf("%v, %v, want %q", script, err, test.want)
+				t.Errorf("got script %v, error %v; want an error that contains %q", script, err, test.want)
 			}
 		})
 	}
--- a/internal/fakenode/store.go
+++ b/internal/fakenode/store.go
@@ -12,7 +12,7 @@
 	"golang.org/x/net/webdav"
 )
 
-// WebDAV's methods, which net/http has no constants for.
+// WebDAV methods, for which net/http has no constants.
 const (
 	methodCopy      = "COPY"
 	methodLock      = "LOCK"
@@ -23,11 +23,12 @@
 	methodUnlock    = "UNLOCK"
 )
 
-// store is the library's memory store with what RFC 4918 and RFC 9110 ask beyond it: conditions
-// by entity tag on writes, the If header, shared locks, and the status of a missing parent. It is
-// safe for concurrent use.
+// store is the in-memory WebDAV server of golang.org/x/net/webdav ("the library"). It adds what RFC
+// 4918 and RFC 9110 require and the library does not implement: If-Match and If-None-Match on
+// writes, entity tags in the If header, shared locks, and the right status if a parent is missing.
+// It is safe for concurrent use.
 type store struct {
-	mu      sync.Mutex // locked for a whole request, so that its preconditions hold while it is executed
+	mu      sync.Mutex // locked during a whole request, so that checked preconditions still hold at execution
 	files   webdav.FileSystem
 	handler *webdav.Handler
 	locks   lockTable
@@ -37,12 +38,12 @@
 	files := webdav.NewMemFS()
 	return &store{
 		files:   files,
-		handler: &webdav.Handler{FileSystem: files, LockSystem: unlocked{}},
+		handler: &webdav.Handler{FileSystem: files, LockSystem: noopLockSystem{}},
 		locks:   lockTable{},
 	}
 }
 
-// size is that of a resource in bytes, 0 if there is none.
+// size returns the size of a resource in bytes, or 0 if it does not exist.
 func (s *store) size(name string) int64 {
 	if info := s.stat(name); info != nil {
 		return info.Size()
@@ -50,7 +51,7 @@
 	return 0
 }
 
-// stat returns nil if there is no such resource.
+// stat returns the file information of a resource, or nil if it does not exist.
 func (s *store) stat(name string) os.FileInfo {
 	info, err := s.files.Stat(context.Background(), name)
 	if err != nil {
@@ -59,7 +60,7 @@
 	return info
 }
 
-// ServeHTTP executes a request, or responds with what keeps it from being executed.
+// ServeHTTP executes a request, or rejects it if a lock or a precondition does not permit it.
 func (s *store) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -79,12 +80,12 @@
 	case methodUnlock:
 		w.WriteHeader(s.locks.unlock(cleanPath(r.URL.Path), r.Header.Get("Lock-Token")))
 	default:
-		s.serveLibrary(w, r, info)
+		s.serveWithLibrary(w, r, info)
 	}
 }
 
-// createVolume creates the collection of the first segment of a path: a volume is there before
-// anything is put into it.
+// createVolume creates the top-level collection of a path if it does not exist: volumes exist
+// before the first write to them.
 func (s *store) createVolume(name string) {
 	volume, _, _ := strings.Cut(strings.TrimPrefix(name, "/"), "/")
 	if volume == "" {
@@ -92,18 +93,21 @@
 	}
 	ctx := context.Background()
 	if _, err := s.files.Stat(ctx, "/"+volume); os.IsNotExist(err) {
-		_ = s.files.Mkdir(ctx, "/"+volume, 0o755) // a failure shows as a missing parent
+		_ = s.files.Mkdir(ctx, "/"+volume, 0o755) // after a failure, requests find the parent missing
 	}
 }
 
-// serveLibrary has the library execute a request whose preconditions were checked.
-func (s *store) serveLibrary(w http.ResponseWriter, r *http.Request, info os.FileInfo) {
-	r.Header.Del("If") // the library takes an entity tag in it for true
+// serveWithLibrary lets the library execute a request whose locks and preconditions were checked.
+// It corrects the response to a PUT and deletes the locks on a deleted or moved resource. info is
+// nil if the resource did not exist.
+func (s *store) serveWithLibrary(w http.ResponseWriter, r *http.Request, info os.FileInfo) {
+	r.Header.Del("If") // already checked; the library does not compare entity tags in it
 	response := newBufferedResponse(w.Header())
 	s.handler.ServeHTTP(response, r)
 	switch {
 	case r.Method == http.MethodPut && info != nil && response.status == http.StatusCreated:
-		// RFC 9110 section 9.3.4: what was replaced was not created.
+		// The library responds 201 also when a resource is replaced; RFC 9110 section 9.3.4 allows
+		// 201 only for a new resource.
 		response.status = http.StatusNoContent
 		response.body.Reset()
 		response.header.Del("Content-Length")
@@ -111,10 +115,11 @@
 		s.locks.remove(cleanPath(r.URL.Path))
 	}
 	w.WriteHeader(response.status)
-	_, _ = w.Write(response.body.Bytes()) // into a bufferedResponse
+	_, _ = w.Write(response.body.Bytes()) // w is a bufferedResponse, so writing cannot fail
 }
 
-// destination returns the path that a COPY or MOVE goes to, as the request has it.
+// destination returns the path in the Destination header of a COPY or MOVE, as the client sent it.
+// ok is false for other methods and for a malformed header.
 func destination(r *http.Request) (name string, ok bool) {
 	if r.Method != methodCopy && r.Method != methodMove {
 		return "", false
@@ -126,7 +131,8 @@
 	return u.Path, true
 }
 
+// cleanPath returns the path in the form in which locks and conditions compare paths.
 func cleanPath(name string) string { return path.Clean("/" + name) }
 
-// isBelow reports whether a clean path is that of a descendant of root.
+// isBelow reports whether name is the path of a descendant of root. Both paths are clean.
 func isBelow(name, root string) bool { return root == "/" || strings.HasPrefix(name, root+"/") }
