--- a/internal/scriptednode/scriptednode.go
+++ b/internal/scriptednode/scriptednode.go
@@ -1,7 +1,7 @@
-// Package scriptednode is a fake storage node for tests and the soak. It reads HTTP/1.1 requests
-// from real connections and does with each of them what its handler says: it writes bytes that need
-// not be a response, closes or resets the connection, or hangs. A server of package net/http cannot
-// be made to fail in these ways.
+// Package scriptednode implements a fake storage node for tests and the soak. It reads HTTP/1.1
+// requests from network connections. For each request a handler decides what the node does: write
+// arbitrary bytes, also a malformed response, and then keep, close or reset the connection or let
+// it hang. A net/http server cannot be made to fail in these ways.
 package scriptednode
 
 import (
@@ -15,19 +15,19 @@
 	"time"
 )
 
-// flushTime is how long the bytes before a reset are given to arrive. A reset discards what the
-// peer's kernel has not handed over yet.
-const flushTime = 10 * time.Millisecond
+// flushDelay is the time between a write and a reset, so that the peer can read the bytes. A reset
+// makes the peer's kernel discard received bytes that the peer has not read yet.
+const flushDelay = 10 * time.Millisecond
 
-// Ending is what becomes of a connection after a response.
+// Ending tells what the node does with a connection after a request.
 type Ending int
 
-// Endings.
+// The ways to treat a connection after a request.
 const (
-	KeepAlive Ending = iota // the next request is read
+	KeepAlive Ending = iota // read the next request
 	Close
-	Reset // closed with a TCP reset
-	Hang  // left open, without a response, until the peer closes it or the node ends
+	Reset // close the connection with a TCP reset
+	Hang  // write nothing; keep the connection open until the peer or the node closes it
 )
 
 // String returns the name of the ending.
@@ -35,33 +35,33 @@
 	return [...]string{"keep alive", "close", "reset", "hang"}[e]
 }
 
-// Response is what a node does about a request.
+// Response tells what a node does in response to a request.
 type Response struct {
-	Text   string // written as it is; empty for nothing
+	Text   string // bytes to write unchanged, may be empty; not written if Ending is Hang
 	Ending Ending
 }
 
-// OK returns a response of status 200 with a body, after which the connection is kept alive.
+// OK returns a response with status 200 and a body that keeps the connection alive.
 func OK(body string) Response {
 	return Response{Text: fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)}
 }
 
-// Handler returns the response to a request, whose body was read in full and is in r.Body. It is
-// called at once from the goroutines of all connections, and may sleep.
+// Handler returns the response to a request. The body has been read in full and is available in
+// r.Body. The goroutines of the connections call the handler concurrently; it may sleep.
 type Handler func(r *http.Request) Response
 
 // Node is a running node. It is safe for concurrent use.
 type Node struct {
 	listener net.Listener
 	handler  Handler
-	serving  sync.WaitGroup // of the goroutines
+	serving  sync.WaitGroup // goroutines of the listener and of the connections
 
 	mu     sync.Mutex
-	conns  map[net.Conn]bool // the open ones; empty once closed is set
+	conns  map[net.Conn]bool // open connections; empty once closed is set
 	closed bool
 }
 
-// Serve returns a node that serves the connections of a listener, until Close or Kill.
+// Serve starts a node that serves the connections of a listener until Close or Kill.
 func Serve(listener net.Listener, handler Handler) *Node {
 	n := &Node{listener: listener, handler: handler, conns: map[net.Conn]bool{}}
 	n.serving.Go(n.accept)
@@ -71,18 +71,18 @@
 // Addr returns the address of the listener, as host:port.
 func (n *Node) Addr() string { return n.listener.Addr().String() }
 
-// Close closes the listener and all connections, and waits until no handler runs.
+// Close closes the listener and all connections and waits until all handlers have returned.
 func (n *Node) Close() {
-	n.end(func(c net.Conn) { c.Close() })
+	n.shutDown(func(c net.Conn) { c.Close() })
 	n.serving.Wait()
 }
 
-// Kill ends the node as the death of its process would: it closes the listener and resets all
-// connections. Handlers that run are not waited for; nothing of what they return is sent.
-func (n *Node) Kill() { n.end(reset) }
+// Kill imitates the death of the node's process: it closes the listener and resets all connections.
+// It does not wait for running handlers; the responses that they return are not sent.
+func (n *Node) Kill() { n.shutDown(reset) }
 
-// end closes the listener, and each open connection by a function.
-func (n *Node) end(closeConn func(net.Conn)) {
+// shutDown closes the listener and calls closeConn for each open connection.
+func (n *Node) shutDown(closeConn func(net.Conn)) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.closed = true
@@ -101,13 +101,14 @@
 	c.Close()
 }
 
+// accept serves each accepted connection in a goroutine of its own until the listener is closed.
 func (n *Node) accept() {
 	for {
 		c, err := n.listener.Accept()
 		if err != nil {
 			return
 		}
-		if !n.add(c) {
+		if !n.addConn(c) {
 			c.Close()
 			return
 		}
@@ -115,9 +116,9 @@
 	}
 }
 
-// add reports whether the node takes a connection. Guards against one that was accepted at the same
-// time as the node ended: it would stay open for good.
-func (n *Node) add(c net.Conn) bool {
+// addConn registers an accepted connection. It returns false if the node has been shut down
+// meanwhile: nothing would close the connection.
+func (n *Node) addConn(c net.Conn) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.closed {
@@ -127,16 +128,17 @@
 	return true
 }
 
-func (n *Node) remove(c net.Conn) {
+// removeConn unregisters a connection that has ended.
+func (n *Node) removeConn(c net.Conn) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	delete(n.conns, c)
 }
 
-// serve reads requests from a connection until it ends.
+// serve reads requests from a connection and responds to them until the connection ends.
 func (n *Node) serve(c net.Conn) {
 	defer c.Close()
-	defer n.remove(c)
+	defer n.removeConn(c)
 	in := bufio.NewReader(c)
 	for {
 		r, err := readRequest(in)
@@ -163,10 +165,10 @@
 	return r, nil
 }
 
-// respond carries a response out and reports whether the connection is still in use.
+// respond carries out a response and reports whether to read another request from the connection.
 func respond(c net.Conn, response Response) bool {
 	if response.Ending == Hang {
-		io.Copy(io.Discard, c) // until either side closes it
+		io.Copy(io.Discard, c) // returns when either side closes the connection
 		return false
 	}
 	if _, err := io.WriteString(c, response.Text); err != nil {
@@ -174,7 +176,7 @@
 	}
 	if response.Ending == Reset {
 		if response.Text != "" {
-			time.Sleep(flushTime)
+			time.Sleep(flushDelay)
 		}
 		reset(c)
 	}
--- a/internal/scriptednode/scriptednode_test.go
+++ b/internal/scriptednode/scriptednode_test.go
@@ -14,6 +14,7 @@
 
 const request = "PUT /a HTTP/1.1\r\nHost: h\r\nContent-Length: 4\r\n\r\nbody"
 
+// start starts a node on a free port. The node is closed at the end of the test.
 func start(t *testing.T, handler Handler) *Node {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -25,7 +26,7 @@
 	return n
 }
 
-// dial connects to a node and sends a request. Reads fail after a second.
+// dial connects to a node and sends a request. Reads and writes fail after a second.
 func dial(t *testing.T, n *Node) net.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp", n.Addr())
@@ -40,6 +41,8 @@
 	return c
 }
 
+// Verifies that the handler gets each request with its body, and that a connection with the ending
+// KeepAlive serves further requests.
 func TestKeepAlive(t *testing.T) {
 	n := start(t, func(r *http.Request) Response {
 		body, err := io.ReadAll(r.Body)
@@ -53,7 +56,7 @@
 			t.Fatal(err)
 		}
 		if body, err := io.ReadAll(r.Body); err != nil || string(body) != "PUT/abody<nil>" {
-			t.Errorf("body %q, %v", body, err)
+			t.Errorf("got body %q, error %v; want the method, path and body of the request", body, err)
 		}
 		if _, err := io.WriteString(c, request); err != nil {
 			t.Fatal(err)
@@ -61,6 +64,7 @@
 	}
 }
 
+// Verifies which bytes and which error or end the peer reads for each ending.
 func TestEndings(t *testing.T) {
 	const text = "malformed"
 	for _, c := range []struct {
@@ -78,11 +82,11 @@
 			conn := dial(t, n)
 			conn.SetDeadline(time.Now().Add(300 * time.Millisecond))
 			got, err := io.ReadAll(conn)
-			// On a busy machine a reset may overtake the bytes before it: the kernel discards what the
-			// test has not read by then.
-			overtaken := c.ending == Reset && len(got) == 0
-			if string(got) != c.want && !overtaken || !c.wantErr(err) {
-				t.Errorf("read %q, %v, want %q", got, err, c.want)
+			// On a busy machine the reset may arrive before the test has read the bytes written before
+			// it. The kernel then discards the bytes.
+			discarded := c.ending == Reset && len(got) == 0
+			if string(got) != c.want && !discarded || !c.wantErr(err) {
+				t.Errorf("read %q, error %v; want %q and the error or end for this ending", got, err, c.want)
 			}
 		})
 	}
@@ -93,35 +97,36 @@
 	return errors.As(err, &netErr) && netErr.Timeout()
 }
 
-// A node that is killed resets the connections of requests that it has read, and refuses new ones.
+// Verifies that Kill resets the connection of a request in progress and that new connections are
+// refused.
 func TestKill(t *testing.T) {
-	read := make(chan struct{})
+	requestRead := make(chan struct{})
 	n := start(t, func(*http.Request) Response {
-		close(read)
+		close(requestRead)
 		return Response{Ending: Hang}
 	})
 	c := dial(t, n)
-	<-read
+	<-requestRead
 	n.Kill()
 	if _, err := c.Read(make([]byte, 1)); !errors.Is(err, syscall.ECONNRESET) {
-		t.Errorf("read: %v, want a reset", err)
+		t.Errorf("read: got error %v, want ECONNRESET", err)
 	}
 	if _, err := net.Dial("tcp", n.Addr()); !errors.Is(err, syscall.ECONNREFUSED) {
-		t.Errorf("dial: %v, want it refused", err)
+		t.Errorf("dial: got error %v, want ECONNREFUSED", err)
 	}
 }
 
-// Close ends connections that hang, and returns after their handlers.
+// Verifies that Close closes connections that hang and returns, instead of waiting for their peers.
 func TestCloseEndsHungConnections(t *testing.T) {
-	read := make(chan struct{})
+	requestRead := make(chan struct{})
 	n := start(t, func(*http.Request) Response {
-		close(read)
+		close(requestRead)
 		return Response{Ending: Hang}
 	})
 	c := dial(t, n)
-	<-read
+	<-requestRead
 	n.Close()
 	if _, err := io.ReadAll(c); err != nil {
-		t.Errorf("read: %v, want the end", err)
+		t.Errorf("read: got error %v, want the end of the stream", err)
 	}
 }
