--- a/internal/discoverytest/agent.go
+++ b/internal/discoverytest/agent.go
@@ -9,10 +9,10 @@
 	"maddergap/internal/discovery"
 )
 
-// Agent is the discovery agent on one gateway's machine. It is safe for concurrent use.
+// Agent is the discovery agent on the machine of a gateway instance. It is safe for concurrent use.
 type Agent struct {
 	registry *Registry
-	serving  sync.WaitGroup // of the listeners' and connections' goroutines
+	serving  sync.WaitGroup // goroutines of the listeners and of the connections
 
 	mu       sync.Mutex
 	listener net.Listener
@@ -23,56 +23,58 @@
 	usage    Usage
 }
 
-// Usage is what an agent was asked for.
+// Usage counts the responses of an agent.
 type Usage struct {
-	Calls         int   // that were responded to
-	ResponseBytes int64 // sent, headers included
+	Calls         int   // number of calls for which a response was written
+	ResponseBytes int64 // size of the responses, including headers
 }
 
-// receivedList is the list that an agent was sent last.
+// receivedList is the list that an agent received last.
 type receivedList struct {
-	index     int64
+	index     int64 // version of the list
 	endpoints endpointsByName
-	// changedAt is the version with which each endpoint changed last.
-	changedAt map[string]int64
-	// removedAt is the version with which an endpoint was taken off last. Changes since an older
-	// version cannot be told, since they do not list what is gone.
-	removedAt int64
+	// lastChangeIndex holds, for each endpoint by name, the version in which it changed last.
+	lastChangeIndex map[string]int64
+	// lastRemovalIndex is the last version in which an endpoint was removed. A response with
+	// changes cannot contain removals, so there are no changes since an older version.
+	lastRemovalIndex int64
 }
 
+// newAgent returns an agent without a list that does not listen yet.
 func newAgent(r *Registry, instance int) *Agent {
 	return &Agent{
 		registry: r,
 		conns:    map[net.Conn]bool{},
-		list:     receivedList{changedAt: map[string]int64{}},
+		list:     receivedList{lastChangeIndex: map[string]int64{}},
 		notices:  noticeLog{instance: instance},
 	}
 }
 
-// send gives the agent a list. One that is down does not get it.
-func (a *Agent) send(index int64, endpoints endpointsByName) {
+// receive passes a list from the registry to the agent. An agent that is down ignores it.
+func (a *Agent) receive(index int64, endpoints endpointsByName) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if !a.faults.down {
-		a.receive(index, endpoints)
+		a.receiveLocked(index, endpoints)
 	}
 }
 
-// receive takes a list and records from when its changes count. a.mu is locked.
-func (a *Agent) receive(index int64, endpoints endpointsByName) {
+// receiveLocked stores a list and records from when its changes count as delivered. a.mu is locked.
+func (a *Agent) receiveLocked(index int64, endpoints endpointsByName) {
 	a.list.update(index, endpoints)
 	a.notices.record(time.Now(), a.list.endpoints)
 }
 
+// update replaces the list and records the version of each change and removal.
 func (l *receivedList) update(index int64, endpoints endpointsByName) {
 	for name := range l.endpoints {
 		if _, listed := endpoints[name]; !listed {
-			l.removedAt = index
+			l.lastRemovalIndex = index
 		}
 	}
 	for name, endpoint := range endpoints {
 		if endpoint != l.endpoints[name] {
-			l.changedAt[name] = index
+			l.lastChangeIndex[name] = index
 		}
 	}
 	l.index = index
@@ -89,29 +91,31 @@
 	return list
 }
 
-// changesSince returns the changes since a version, or the full list where they cannot be told.
+// changesSince returns the endpoints changed since a version, or the full list if an endpoint was
+// removed since that version.
 func (l *receivedList) changesSince(version int64) discovery.EndpointList {
-	if version < l.removedAt {
+	if version < l.lastRemovalIndex {
 		return l.full()
 	}
 	index := l.index
 	list := discovery.EndpointList{Index: &index, Endpoints: []discovery.Endpoint{}}
-	for name, changedAt := range l.changedAt {
-		if changedAt > version {
+	for name, lastChangeIndex := range l.lastChangeIndex {
+		if lastChangeIndex > version {
 			list.Endpoints = append(list.Endpoints, l.endpoints[name])
 		}
 	}
 	return list
 }
 
-// FullList returns the list that the agent was sent last, as for a configuration.
+// FullList returns the list that the agent received last, for instance for the configuration of a
+// gateway.
 func (a *Agent) FullList() discovery.EndpointList {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.list.full()
 }
 
-// Usage returns what the agent was asked for so far.
+// Usage returns the counts of the responses so far.
 func (a *Agent) Usage() Usage {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/discoverytest/agent_test.go
+++ b/internal/discoverytest/agent_test.go
@@ -11,25 +11,26 @@
 
 const nodeName = "n"
 
-// setStatus makes the registry's list one node of a status.
+// setStatus replaces the endpoint of the node in the registry with an endpoint that has only a name
+// and a status.
 func setStatus(r *Registry, status string) {
 	r.UpdateEndpoint(func(e *discovery.Endpoint) { *e = discovery.Endpoint{Name: nodeName, Status: status} }, nodeName)
 }
 
-// A node drains, while one agent is well, one is down, and the gateway of one reloads its
-// configuration. The drain counts at once, at the end of the outage, and after the protocol's
-// grace for a reload.
+// Verifies from when a drain counts as delivered: at once if the agent is healthy, from the end of
+// the outage if it is down, and after reloadGrace if its gateway has just reloaded its configuration
+// with a new address.
 func TestNotices(t *testing.T) {
 	r := NewRegistry()
 	setStatus(r, "up")
-	const well, down, reloaded = 0, 1, 2
-	wellAgent, downAgent, reloadedAgent := r.NewAgent(well), r.NewAgent(down), r.NewAgent(reloaded)
+	const healthy, down, reloaded = 0, 1, 2
+	healthyAgent, downAgent, reloadedAgent := r.NewAgent(healthy), r.NewAgent(down), r.NewAgent(reloaded)
 	downAgent.StartOutage()
 	reloadedAgent.AddressChangeDelivered()
 	before := nowMicros()
 	r.UpdateEndpoint(func(e *discovery.Endpoint) { e.Status = "draining" }, nodeName)
 	if len(downAgent.notices.drains) != 0 {
-		t.Error("an agent that is down was sent a list")
+		t.Error("an agent that is down has received a list")
 	}
 	time.Sleep(20 * time.Millisecond)
 	downAgent.EndOutage()
@@ -40,28 +41,29 @@
 	for _, notice := range drains {
 		after := time.Duration(notice.From-before) * time.Microsecond
 		switch notice.Instance {
-		case well:
+		case healthy:
 			if after > 15*time.Millisecond {
-				t.Errorf("counts %v after it was sent", after)
+				t.Errorf("healthy agent: the drain counts %v after it was sent, want at most 15 ms", after)
 			}
 		case down:
 			if after < 20*time.Millisecond {
-				t.Errorf("counts %v after it was sent, before the end of the outage", after)
+				t.Errorf("agent that was down: the drain counts %v after it was sent, before the end of the outage", after)
 			}
 		case reloaded:
 			if after < 3*time.Second {
-				t.Errorf("counts %v after a reload", after)
+				t.Errorf("reloaded gateway: the drain counts %v after it was sent, want at least 3 s", after)
 			}
 		}
 	}
 	r.UpdateEndpoint(func(e *discovery.Endpoint) { e.Status = "up" }, nodeName)
-	if notice := wellAgent.notices.drains[0]; notice.To == 0 {
-		t.Error("the notice of a node that is up again has no end")
+	if notice := healthyAgent.notices.drains[0]; notice.To == 0 {
+		t.Error("the drain notice of a node that is up again has no end")
 	}
 }
 
-// Two outages overlap: the agent is down until both are over. It is then up too shortly for
-// anybody to call it, so that what it had counts with the next recovery.
+// Verifies that an agent with two overlapping outages is down until both are over. Afterwards it is
+// up for less than minReachableTime before the next outage, so that its list does not count as
+// delivered until the next recovery.
 func TestOverlappingOutages(t *testing.T) {
 	r := NewRegistry()
 	setStatus(r, "up")
@@ -71,25 +73,25 @@
 	r.UpdateEndpoint(func(e *discovery.Endpoint) { e.Status = "draining" }, nodeName)
 	a.EndOutage()
 	if !a.faults.down || len(a.notices.drains) != 0 {
-		t.Error("it is up within an outage")
+		t.Error("the agent is up or has received a list before the second outage is over")
 	}
 	a.EndOutage()
 	if a.faults.down || len(a.notices.drains) != 1 {
-		t.Errorf("down %v, %+v after both", a.faults.down, a.notices.drains)
+		t.Errorf("after both outages: down %v, drains %+v; want false and one drain", a.faults.down, a.notices.drains)
 	}
 	a.StartOutage()
 	if len(a.notices.drains) != 0 {
-		t.Error("what nobody could ask for counts")
+		t.Error("a drain counts although the agent was up too briefly to be called")
 	}
 	a.EndOutage()
 	if len(a.notices.drains) != 1 {
-		t.Errorf("%+v after the next recovery", a.notices.drains)
+		t.Errorf("drains %+v after the next recovery, want one", a.notices.drains)
 	}
 }
 
-// A gateway calls the agent in a short recovery, and again in the next one. It is told what
-// changed in between. An agent that had retracted its list with the notices would tell it half
-// of that.
+// Verifies that a gateway that calls the agent during a short recovery and again after the next
+// outage gets the changes in between. If the agent reverted its list together with the notices, the
+// response would lack the change.
 func TestChangesAfterShortRecovery(t *testing.T) {
 	r := NewRegistry()
 	setStatus(r, "draining")
@@ -102,14 +104,15 @@
 	setStatus(r, "draining")
 	a.EndOutage()
 	if changes := a.list.changesSince(*known.Index); len(changes.Endpoints) != 1 || changes.Endpoints[0].Status != "draining" {
-		t.Errorf("the changes since %+v are %+v", known, changes)
+		t.Errorf("changes since %+v are %+v, want one draining node", known, changes)
 	}
 }
 
-// An agent receives a list just before an outage. A drain that begins with it counts from the
-// recovery, as no gateway can be sure to have called the agent in between. A drain that ends with
-// it has ended, as a gateway with an open watch heard of it at once and sends to the node; if the
-// node drains when the agent recovers, that counts from then on.
+// Verifies the notices of a list that the agent receives just before an outage. A drain that begins
+// with this list counts from the recovery, since the gateway may not have called the agent in
+// between. A drain that ends with it stays ended, since a gateway with an open watch learned of it
+// at once and sends to the node. If the node drains again when the agent recovers, that is a new
+// drain from then on.
 func TestNoticeJustBeforeOutage(t *testing.T) {
 	r := NewRegistry()
 	setStatus(r, "up")
@@ -118,31 +121,31 @@
 	setStatus(r, "draining")
 	a.StartOutage()
 	if len(a.notices.drains) != 0 {
-		t.Errorf("%+v counts within the outage", a.notices.drains)
+		t.Errorf("drains %+v during the outage, want none", a.notices.drains)
 	}
 	time.Sleep(20 * time.Millisecond)
 	recovered := nowMicros()
 	a.EndOutage()
 	if len(a.notices.drains) != 1 || a.notices.drains[0].From < recovered {
-		t.Errorf("%+v after the recovery", a.notices.drains)
+		t.Errorf("drains %+v, want one from the recovery on", a.notices.drains)
 	}
 	time.Sleep(minReachableTime + 10*time.Millisecond)
 	setStatus(r, "up")
 	a.StartOutage()
 	if len(a.notices.drains) != 1 || a.notices.drains[0].To == 0 {
-		t.Errorf("%+v goes on, though a gateway heard that the node is up", a.notices.drains)
+		t.Errorf("drains %+v, want one that has ended: the gateway learned that the node is up", a.notices.drains)
 	}
 	setStatus(r, "draining")
 	time.Sleep(20 * time.Millisecond)
 	recovered = nowMicros()
 	a.EndOutage()
 	if len(a.notices.drains) != 2 || a.notices.drains[1].From < recovered || a.notices.drains[1].To != 0 {
-		t.Errorf("%+v: want a second drain from the recovery on", a.notices.drains)
+		t.Errorf("drains %+v, want a second one from the recovery on", a.notices.drains)
 	}
 }
 
-// Guards against a watch that counts as a call long after its caller has closed the connection: a
-// gateway that has moved to another agent would seem to go on calling this one.
+// Verifies that a watch is not counted as a call after its caller has closed the connection.
+// Otherwise a gateway that has moved to another agent would seem to keep calling this one.
 func TestWatchOfClosedConnectionDoesNotCount(t *testing.T) {
 	r := NewRegistry()
 	setStatus(r, "up")
@@ -161,6 +164,6 @@
 	conn.Close()
 	time.Sleep(100 * time.Millisecond)
 	if calls := a.Usage().Calls; calls != 0 {
-		t.Errorf("%d calls were responded to, though the caller had closed its connection", calls)
+		t.Errorf("%d calls were counted, want none after the caller has closed its connection", calls)
 	}
 }
--- a/internal/discoverytest/faults.go
+++ b/internal/discoverytest/faults.go
@@ -2,30 +2,33 @@
 
 import "time"
 
-// faultState is what is wrong with an agent.
+// faultState holds the present faults of an agent.
 type faultState struct {
-	outages int  // that overlap; the agent is down while there is one
-	down    bool // no connection is served, and no list received
-	// epoch numbers the spans between faults that silence connections. A connection is served in
-	// the epoch in which it was accepted, and hangs from then on.
+	outages int  // number of outages in progress, which may overlap
+	down    bool // set during outages: the agent serves no connection and receives no list
+	// epoch is incremented by each fault that makes the open connections hang. A connection is
+	// served only during the epoch in which it was accepted.
 	epoch         int
 	responseDelay time.Duration
-	recoveredAt   time.Time // when the last outage ended; zero: there was none
-	// firstResponseAt is when the first response after that was written; zero: none was.
+	recoveredAt   time.Time // time at which the last outage ended; zero if there was none
+	// firstResponseAt is the time at which the first response since recoveredAt, or since the start
+	// if there was no outage, was written; zero if there was none.
 	firstResponseAt time.Time
 }
 
-// hangConns has all connections that are open hang for good.
+// hangConns makes all open connections hang: the agent never responds on them again.
 func (f *faultState) hangConns() { f.epoch++ }
 
-// responded is called when a response was written.
-func (f *faultState) responded(now time.Time) {
+// recordResponse records the time of the first response since the last outage. It is called after
+// each response.
+func (f *faultState) recordResponse(now time.Time) {
 	if f.firstResponseAt.IsZero() {
 		f.firstResponseAt = now
 	}
 }
 
-// StartOutage makes the agent unresponsive, for good on its connections. Outages may overlap.
+// StartOutage takes the agent down. Its connections never get a response again, not even after the
+// outage. Outages may overlap.
 func (a *Agent) StartOutage() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -38,7 +41,8 @@
 	a.notices.retractSince(time.Now().Add(-minReachableTime))
 }
 
-// EndOutage ends one outage. If it was the last one, the agent receives the list and serves it.
+// EndOutage ends one outage. If no other one is in progress, the agent receives the current list
+// and serves it on new connections.
 func (a *Agent) EndOutage() {
 	a.registry.mu.Lock()
 	defer a.registry.mu.Unlock()
@@ -52,40 +56,43 @@
 	a.faults.down = false
 	a.faults.recoveredAt = time.Now()
 	a.faults.firstResponseAt = time.Time{}
-	a.receive(a.registry.index, a.registry.endpoints)
+	a.receiveLocked(a.registry.index, a.registry.endpoints)
 }
 
-// RecoveryTimes returns when the last outage ended, and when the first response after that was
-// written; both are zero where there was none.
+// RecoveryTimes returns the times at which the last outage ended and at which the first response
+// after that was written. recovered is zero if no outage has ended; firstResponse is then the time
+// of the first response of all. firstResponse is zero if there was no such response.
 func (a *Agent) RecoveryTimes() (recovered, firstResponse time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.faults.recoveredAt, a.faults.firstResponseAt
 }
 
-// HangWatches has the connections that are open hang for good. What their watches miss counts
-// later.
+// HangWatches makes the open connections hang permanently. A drain recorded within hungWatchGrace
+// counts as delivered only at the end of that time, since the open watches do not report it.
 func (a *Agent) HangWatches() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.faults.hangConns()
-	a.notices.deferBy(hungWatchGrace)
+	a.notices.deferDrains(hungWatchGrace)
 }
 
-// SetResponseDelay delays each response; 0 ends that. What delayed responses bring counts later.
+// SetResponseDelay sets a delay of each response; 0 removes it. If a delay is set, a drain recorded
+// within hungWatchGrace counts as delivered only at the end of that time.
 func (a *Agent) SetResponseDelay(delay time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.faults.responseDelay = delay
 	if delay > 0 {
-		a.notices.deferBy(hungWatchGrace)
+		a.notices.deferDrains(hungWatchGrace)
 	}
 }
 
-// AddressChangeDelivered is called when the gateway's configuration was reloaded with a new
-// address of the agent.
+// AddressChangeDelivered has to be called when the gateway has reloaded its configuration with a
+// new address of the agent. A drain recorded within reloadGrace counts as delivered only at the end
+// of that time.
 func (a *Agent) AddressChangeDelivered() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.notices.deferBy(reloadGrace)
+	a.notices.deferDrains(reloadGrace)
 }
--- a/internal/discoverytest/notices.go
+++ b/internal/discoverytest/notices.go
@@ -9,47 +9,50 @@
 )
 
 const (
-	// hungWatchGrace and reloadGrace are how long after a watch hung, and after a reload with
-	// a new address, a change counts as delivered at the latest, by the protocol.
+	// hungWatchGrace and reloadGrace are the longest delays that the protocol allows before a
+	// change counts as delivered, after a watch hung and after a reload with a new address of the
+	// agent.
 	hungWatchGrace = 6 * time.Second
 	reloadGrace    = 4 * time.Second
-	// minReachableTime is how long an agent has to be up with a list for that to count: a gateway
-	// cannot be sure to have called it in a shorter time.
+	// minReachableTime is the time for which an agent must be up after it received a list, or the
+	// list does not count as delivered. In a shorter time, a gateway may not have called the agent.
 	minReachableTime = 350 * time.Millisecond
 )
 
-// noticeLog records from when the changes of an agent's list count as delivered to its gateway.
+// noticeLog records from when the changes of an agent's list count as delivered to its gateway
+// instance.
 type noticeLog struct {
 	instance int
-	drains   []audit.Notice  // of nodes that are not up; To is set when they are again
-	starts   []audit.Notice  // of nodes that started
-	noted    endpointsByName // the list that the notices are of; nil: there was none
-	// history has the recent changes of noted, the oldest first.
-	history []noticeRevision
-	// notBefore defers the notices of drains.
-	notBefore time.Time
+	drains   []audit.Notice  // notices of nodes that are not up; To is set when the node is up again
+	starts   []audit.Notice  // notices of nodes that have started
+	baseline endpointsByName // list that the next one is compared with; nil before the first list
+	// history lists the recent changes of baseline, the oldest first.
+	history []baselineChange
+	// drainsNotBefore is the earliest time from which drains that are recorded now count.
+	drainsNotBefore time.Time
 }
 
-// noticeRevision is a change of the list that the notices are of.
-type noticeRevision struct {
+// baselineChange is a change of noticeLog.baseline.
+type baselineChange struct {
 	at       time.Time
-	previous endpointsByName
+	previous endpointsByName // baseline before the change
 }
 
-// deferBy has what is recorded from now on count no sooner than after a grace.
-func (l *noticeLog) deferBy(grace time.Duration) { l.notBefore = time.Now().Add(grace) }
+// deferDrains makes the drains recorded from now on count no earlier than a grace period from now.
+func (l *noticeLog) deferDrains(grace time.Duration) { l.drainsNotBefore = time.Now().Add(grace) }
 
-// record takes the notices of a list that the agent received.
+// record compares a list that the agent received with the baseline and records notices of the
+// changes. The list becomes the baseline.
 func (l *noticeLog) record(now time.Time, endpoints endpointsByName) {
-	previous := l.noted
-	l.noted = endpoints
-	l.history = slices.DeleteFunc(l.history, func(r noticeRevision) bool { return r.at.Before(now.Add(-2 * minReachableTime)) })
-	if previous != nil { // the first list is known from the start
-		l.history = append(l.history, noticeRevision{at: now, previous: previous})
+	previous := l.baseline
+	l.baseline = endpoints
+	l.history = slices.DeleteFunc(l.history, func(r baselineChange) bool { return r.at.Before(now.Add(-2 * minReachableTime)) })
+	if previous != nil { // not the first list, which the gateway knows from its start
+		l.history = append(l.history, baselineChange{at: now, previous: previous})
 	}
-	countsAt := now
-	if l.notBefore.After(countsAt) {
-		countsAt = l.notBefore
+	drainFrom := now
+	if l.drainsNotBefore.After(drainFrom) {
+		drainFrom = l.drainsNotBefore
 	}
 	for name, endpoint := range endpoints {
 		isUp, wasUp := endpoint.Status == "up", previous[name].Status == "up"
@@ -58,14 +61,14 @@
 		}
 		switch {
 		case wasUp && !isUp:
-			l.drains = append(l.drains, audit.Notice{Instance: l.instance, Node: name, From: countsAt.UnixMicro()})
+			l.drains = append(l.drains, audit.Notice{Instance: l.instance, Node: name, From: drainFrom.UnixMicro()})
 		case !wasUp && isUp:
 			l.endDrain(name)
 		}
 	}
 }
 
-// endDrain ends the notices of a node that is up again.
+// endDrain ends the drain notices of a node that is up again.
 func (l *noticeLog) endDrain(name string) {
 	for i := range l.drains {
 		if notice := &l.drains[i]; notice.Node == name && notice.To == 0 {
@@ -74,28 +77,29 @@
 	}
 }
 
-// retractSince takes back the notices recorded since a time. They are recorded again with the next
-// list. The failure guarded against is an audit that blames a gateway for a change which it could
-// not be sure to hear of: the agent had it only just before an outage. The end of a drain stands,
-// as a gateway with an open watch did hear that the node is up; if the node is not up in the next
-// list, that counts as a new drain.
+// retractSince removes the drain notices of lists that the agent received after a time, and restores
+// the baseline from before these lists. The next list then leads to new notices. Without this, the
+// audit would blame a gateway for a change that the agent received just before an outage, although
+// the gateway may not have learned of it. The end of a drain is kept, since a gateway with an open
+// watch did learn that the node is up. If the node is not up in the next list, that counts as a new
+// drain.
 func (l *noticeLog) retractSince(since time.Time) {
-	first := slices.IndexFunc(l.history, func(r noticeRevision) bool { return r.at.After(since) })
+	first := slices.IndexFunc(l.history, func(r baselineChange) bool { return r.at.After(since) })
 	if first < 0 {
 		return
 	}
-	l.noted = maps.Clone(l.history[first].previous)
+	l.baseline = maps.Clone(l.history[first].previous)
 	from := l.history[first].at.UnixMicro()
 	l.history = l.history[:first]
 	l.drains = slices.DeleteFunc(l.drains, func(n audit.Notice) bool { return n.From >= from })
 	for _, notice := range l.drains {
-		if notice.To >= from { // ended by what is taken back
-			endpoint := l.noted[notice.Node]
+		if notice.To >= from { // ended by one of the retracted lists
+			endpoint := l.baseline[notice.Node]
 			endpoint.Status = "up"
-			l.noted[notice.Node] = endpoint
+			l.baseline[notice.Node] = endpoint
 		}
 	}
 }
 
-// nowMicros is the time in the unit of notices.
+// nowMicros returns the time in the unit of notices: microseconds of Unix time.
 func nowMicros() int64 { return time.Now().UnixMicro() }
--- a/internal/discoverytest/registry.go
+++ b/internal/discoverytest/registry.go
@@ -1,10 +1,11 @@
-// Package discoverytest is a fake of the discovery service, for tests and the soak: a Registry
-// has the true list of nodes and sends it to agents, one on each gateway's machine, which serve it
-// over HTTP as package discovery reads it. Agents can be down, slow, or unresponsive on open watches.
-// They record from when each change counts as delivered to their gateway, for the audit.
+// Package discoverytest implements a fake discovery service for tests and the soak. A Registry
+// holds the true list of nodes and sends it to its agents. There is one Agent for each gateway
+// instance, which serves the list over HTTP to the client of package discovery. An agent can be
+// down, slow, or unresponsive on its open connections. For the audit, it records from when each
+// change of a node counts as delivered to its instance.
 //
-// registry.go is the list, agent.go an agent's copy of it, server.go its HTTP server, faults.go
-// what can be wrong with it, notices.go when changes count.
+// registry.go holds the list, agent.go an agent's copy of it, server.go the HTTP server of an agent,
+// faults.go its faults, and notices.go the times from which changes count as delivered.
 package discoverytest
 
 import (
@@ -15,13 +16,15 @@
 	"maddergap/internal/discovery"
 )
 
-// endpointsByName is a list of endpoints. An agent has a copy of its own, which it does not change.
+// endpointsByName is a list of endpoints. An agent keeps a copy of its own, which it does not
+// change.
 type endpointsByName map[string]discovery.Endpoint
 
-// Registry is the true list of nodes and its agents. It is safe for concurrent use.
+// Registry holds the true list of nodes and the agents that serve it. It is safe for concurrent
+// use.
 type Registry struct {
-	mu        sync.Mutex // locked before an agent's
-	index     int64      // the list's version
+	mu        sync.Mutex // locked before the mutex of an agent, never after it
+	index     int64      // version of the list
 	endpoints endpointsByName
 	agents    []*Agent
 }
@@ -29,8 +32,8 @@
 // NewRegistry returns a registry with an empty list.
 func NewRegistry() *Registry { return &Registry{index: 1, endpoints: endpointsByName{}} }
 
-// UpdateEndpoint changes the endpoint of a name, which is a zero value if there is none, and sends
-// the list to all agents.
+// UpdateEndpoint changes the endpoint of a node and sends the list to all agents. If the list does
+// not have the node yet, change gets a zero Endpoint.
 func (r *Registry) UpdateEndpoint(change func(e *discovery.Endpoint), name string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -40,7 +43,7 @@
 	r.publish()
 }
 
-// ReplaceAll replaces the list, and sends it to all agents.
+// ReplaceAll replaces the list and sends it to all agents.
 func (r *Registry) ReplaceAll(endpoints ...discovery.Endpoint) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -51,21 +54,22 @@
 	r.publish()
 }
 
-// publish makes the list a new version and sends it to all agents.
+// publish increments the version of the list and sends the list to all agents. r.mu is locked.
 func (r *Registry) publish() {
 	r.index++
 	for _, agent := range r.agents {
-		agent.send(r.index, r.endpoints)
+		agent.receive(r.index, r.endpoints)
 	}
 }
 
-// NewAgent adds an agent for a gateway instance and returns it. It serves once it listens.
+// NewAgent adds an agent for a gateway instance and returns it. The agent has the list from the
+// start, but serves it only after its Listen was called.
 func (r *Registry) NewAgent(instance int) *Agent {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	agent := newAgent(r, instance)
 	r.agents = append(r.agents, agent)
-	agent.send(r.index, r.endpoints)
+	agent.receive(r.index, r.endpoints)
 	return agent
 }
 
@@ -76,7 +80,8 @@
 	return slices.Clone(r.agents)
 }
 
-// Notices returns the notices of all agents so far: of nodes that drain, and of nodes that started.
+// Notices returns the notices recorded by all agents so far: of nodes that are no longer up
+// (drains) and of nodes that have started.
 func (r *Registry) Notices() (drains, starts []audit.Notice) {
 	for _, agent := range r.Agents() {
 		agent.mu.Lock()
--- a/internal/discoverytest/server.go
+++ b/internal/discoverytest/server.go
@@ -15,14 +15,14 @@
 )
 
 const (
-	// idleConnTimeout is how long a connection without a request stays open.
+	// idleConnTimeout is the time after which a connection without a request is closed.
 	idleConnTimeout = 10 * time.Second
-	// watchPollInterval is how often a watch looks for a change.
+	// watchPollInterval is the time between two checks of a watch for a change.
 	watchPollInterval = 3 * time.Millisecond
 )
 
-// Listen opens the agent at a new address (host:port) and returns that. An old address is closed;
-// connections to it stay open.
+// Listen makes the agent listen on a free port and returns the address (host:port). If the agent
+// already listens on another address, that listener is closed; its connections stay open.
 func (a *Agent) Listen() (string, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -39,10 +39,10 @@
 	return listener.Addr().String(), nil
 }
 
-// Close closes the agent's listener and connections, and waits for their goroutines.
+// Close closes the agent's listener and connections and waits for their goroutines.
 func (a *Agent) Close() {
 	a.mu.Lock()
-	a.faults.hangConns() // ends the watches
+	a.faults.hangConns() // makes the calls in handle return
 	if a.listener != nil {
 		a.listener.Close()
 	}
@@ -53,6 +53,8 @@
 	a.serving.Wait()
 }
 
+// accept serves each connection of a listener in a goroutine of its own until the listener is
+// closed.
 func (a *Agent) accept(listener net.Listener) {
 	for {
 		conn, err := listener.Accept()
@@ -63,8 +65,8 @@
 	}
 }
 
-// serve responds to the calls on a connection. Once one got no response, none does: an agent that
-// was down never responds on the connections it had.
+// serve responds to the calls on a connection. Once a call got no response because of a fault, the
+// connection hangs: further requests are read and discarded.
 func (a *Agent) serve(conn net.Conn) {
 	defer conn.Close()
 	epoch, hung := a.addConn(conn)
@@ -88,6 +90,8 @@
 	}
 }
 
+// addConn registers a connection and returns the epoch in which it is served. hung is set if the
+// agent is down, so that the connection hangs from the start.
 func (a *Agent) addConn(conn net.Conn) (epoch int, hung bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -95,19 +99,22 @@
 	return a.faults.epoch, a.faults.down
 }
 
+// removeConn unregisters a connection that has ended.
 func (a *Agent) removeConn(conn net.Conn) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	delete(a.conns, conn)
 }
 
-// call is what a request asks for.
+// call holds the parameters of a request for the list.
 type call struct {
-	isWatch bool          // for changes, not for the full list
-	from    int64         // the version that changes are asked for since
-	hold    time.Duration // for which a watch may be held
+	isWatch bool          // set for a request for changes, not set for the full list
+	from    int64         // version since which changes are requested; valid for a watch
+	hold    time.Duration // longest time to hold a watch without changes
 }
 
+// parseCall returns the parameters of a request. A request without a valid version is for the full
+// list.
 func parseCall(r *http.Request) call {
 	query := r.URL.Query()
 	from, err := strconv.ParseInt(query.Get("from"), 10, 64)
@@ -115,21 +122,21 @@
 	return call{isWatch: err == nil, from: from, hold: hold}
 }
 
-// callResult is what became of a call.
+// callResult is the result of a call.
 type callResult uint8
 
 const (
 	callResponded callResult = iota
-	callHung                 // its connection is of a past epoch
-	callerGone               // the caller closed its connection within the hold
+	callHung                 // no response: the agent is down or the epoch of the connection is over
+	callerGone               // the caller closed its connection before the response was written
 )
 
-// handle responds to a request, a watch once there is a change or its hold is over.
+// handle responds to a request. It holds a watch until there are changes or the hold time is over.
 func (a *Agent) handle(conn net.Conn, in *bufio.Reader, r *http.Request, epoch int) callResult {
 	call := parseCall(r)
 	for deadline := time.Now().Add(call.hold); ; {
-		serves, index := a.state(epoch)
-		if !serves {
+		served, index := a.connState(epoch)
+		if !served {
 			return callHung
 		}
 		if !call.isWatch || index != call.from || time.Now().After(deadline) {
@@ -141,26 +148,28 @@
 	}
 }
 
-// waitForCaller waits for a time, or until the caller has closed its connection, and reports
-// that it has not. A watch that outlives its caller would count as one that was made later.
+// waitForCaller waits for a time, or until the caller closes its connection. It reports whether the
+// connection is still open. Without this check, a watch whose caller has left would be answered and
+// counted in Usage at the end of its hold, as if the caller still used the agent.
 func waitForCaller(conn net.Conn, in *bufio.Reader, wait time.Duration) (connected bool) {
 	conn.SetReadDeadline(time.Now().Add(wait))
 	_, err := in.Peek(1)
-	if err == nil { // its next request
+	if err == nil { // the caller has sent its next request
 		time.Sleep(wait)
 		return true
 	}
 	return errors.Is(err, os.ErrDeadlineExceeded)
 }
 
-// state reports whether connections of an epoch are served, and the version of the list.
-func (a *Agent) state(epoch int) (serves bool, index int64) {
+// connState reports whether connections accepted in an epoch are served, and returns the version of
+// the list.
+func (a *Agent) connState(epoch int) (served bool, index int64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.faults.epoch == epoch && !a.faults.down, a.list.index
 }
 
-// respond writes the list that a call asks for, after the delay that is set.
+// respond writes the list that a call requests, after the response delay, and counts the response.
 func (a *Agent) respond(conn net.Conn, call call) callResult {
 	list, delay := a.response(call)
 	time.Sleep(delay)
@@ -173,13 +182,14 @@
 	defer a.mu.Unlock()
 	a.usage.Calls++
 	a.usage.ResponseBytes += int64(n)
-	a.faults.responded(time.Now())
+	a.faults.recordResponse(time.Now())
 	if err != nil {
 		return callerGone
 	}
 	return callResponded
 }
 
+// response returns the list that a call requests and the delay of the response.
 func (a *Agent) response(call call) (list discovery.EndpointList, delay time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
