--- a/internal/e2e/admission_test.go
+++ b/internal/e2e/admission_test.go
@@ -20,9 +20,9 @@
 	// their limit. Nothing tells such clients from good ones, so that only the bounds are
 	// checked: it is for the list of known prefixes to exclude them.
 	indistinguishable bool
-	// othersServed is set if clients that are not known still connect, also one from the
+	// unknownServed is set if clients that are not known still connect, also one from the
 	// address of the flood.
-	othersServed bool
+	unknownServed bool
 	wantLogged   bool
 }
 
@@ -31,7 +31,7 @@
 // with a bounded number of log lines.
 func TestConnectionFlood(t *testing.T) {
 	for _, flood := range []connectionFlood{
-		{name: "from one address", othersServed: true,
+		{name: "from one address", unknownServed: true,
 			addr: func(int) string { return "127.0.5.1" }},
 		{name: "from 2,000 addresses", wantLogged: true,
 			addr: func(n int) string { return fmt.Sprintf("127.20.%d.%d", n%2000/200, n%200+1) }},
@@ -63,7 +63,7 @@
 			t.Errorf("a client from before the flood: %d", status)
 		}
 	}
-	if flood.othersServed {
+	if flood.unknownServed {
 		// The limit per address leaves places for clients that are not known. At the
 		// address of the flood, one of its idle connections is preempted.
 		for _, other := range []string{"127.0.7.8", flood.addr(0)} {
@@ -134,7 +134,7 @@
 
 // An instance starts, with no history of its clients, while others connect without a pause
 // and hold their connections. Known clients are served at once.
-func TestStartDuringFlood(t *testing.T) {
+func TestFloodRightAfterStart(t *testing.T) {
 	_, addrs := startNodes(t, 1, fakenode.Options{})
 	quit := make(chan struct{})
 	var flood sync.WaitGroup
@@ -165,7 +165,7 @@
 		instance.receive(r, "PUT")
 		admitted = append(admitted, c)
 	}
-	rejected, closed := instance.reconnectAtOnce(client)
+	rejected, closed := instance.reconnectWithoutPause(client)
 	if rejected < 20 || closed == 0 {
 		t.Errorf("%d got 503, %d were closed: want 503 for the burst and not for the rest", rejected, closed)
 	}
@@ -179,10 +179,10 @@
 	})
 }
 
-// reconnectAtOnce connects 3,000 times from an address that is at its limit, and returns how
+// reconnectWithoutPause connects 3,000 times from an address that is at its limit, and returns how
 // often it got 503 and how often it was closed without a response. Meanwhile known clients
 // have to be served.
-func (i *webdavInstance) reconnectAtOnce(addr string) (rejected, closed int) {
+func (i *webdavInstance) reconnectWithoutPause(addr string) (rejected, closed int) {
 	i.t.Helper()
 	for n := range 3000 {
 		c, r := i.connectFrom(addr)
--- a/internal/e2e/client_test.go
+++ b/internal/e2e/client_test.go
@@ -80,8 +80,8 @@
 	return resp.StatusCode, body
 }
 
-// statusOn reads a response from a connection and returns its status, 0 if there is none.
-func statusOn(c net.Conn) int {
+// readStatus reads a response from a connection and returns its status, 0 if there is none.
+func readStatus(c net.Conn) int {
 	c.SetReadDeadline(time.Now().Add(4 * time.Second))
 	resp, _, _ := readResponse(bufio.NewReader(c), http.MethodGet)
 	if resp == nil {
--- a/internal/e2e/node_failure_test.go
+++ b/internal/e2e/node_failure_test.go
@@ -132,7 +132,7 @@
 // A node closes a reused connection as the next request goes out on it. Idempotent requests
 // are served all the same. A non-idempotent one is sent once at most, and must not get 503,
 // which promises that it was not executed, if it was sent.
-func TestNodeClosesReusedConnection(t *testing.T) {
+func TestNodeResetsReusedConnection(t *testing.T) {
 	puts := putCounter{byPath: map[string]int{}}
 	addr := startRawNode(t, puts.serveOneThenReset)
 	instance := startWebDAV(t, "", addr, addr)
--- a/internal/e2e/platform_discovery_outage_test.go
+++ b/internal/e2e/platform_discovery_outage_test.go
@@ -72,8 +72,8 @@
 	*fakeDiscovery
 	stalls *stallwatch.Watch
 	delays *listDelays
-	up     []discovery.Endpoint // the first node is up
-	drain  []discovery.Endpoint // the first node is draining
+	firstUp     []discovery.Endpoint // the first node is up
+	firstDraining  []discovery.Endpoint // the first node is draining
 
 	mu       sync.Mutex
 	lastSent time.Time // when the first node was last sent a request
@@ -81,12 +81,12 @@
 
 func startOutageTest(t *testing.T, stalls *stallwatch.Watch, delays *listDelays) *outageTest {
 	o := &outageTest{t: t, stalls: stalls, delays: delays}
-	first := startPlatformNode(t, o.respondDraining)
+	first := startPlatformNode(t, o.respondFirst)
 	second := startNodeResponding(t, "up")
-	o.up = []discovery.Endpoint{endpointOf("a", first, 0, "up"), endpointOf("b", second, 0, "draining")}
-	o.drain = []discovery.Endpoint{endpointOf("a", first, 0, "draining"), endpointOf("b", second, 0, "up")}
+	o.firstUp = []discovery.Endpoint{endpointOf("a", first, 0, "up"), endpointOf("b", second, 0, "draining")}
+	o.firstDraining = []discovery.Endpoint{endpointOf("a", first, 0, "draining"), endpointOf("b", second, 0, "up")}
 	o.fakeDiscovery = startDiscovery(t)
-	o.setEndpoints(o.up...)
+	o.setEndpoints(o.firstUp...)
 	o.instance = startPlatform(t, o.addr, platformOptions{})
 	within(t, 2*time.Second, o.instance.ready)
 	quit := make(chan struct{})
@@ -99,8 +99,8 @@
 	return o
 }
 
-// respondDraining is the script of the first node.
-func (o *outageTest) respondDraining(*http.Request) scriptednode.Response {
+// respondFirst is the script of the first node.
+func (o *outageTest) respondFirst(*http.Request) scriptednode.Response {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.lastSent = time.Now()
@@ -125,7 +125,7 @@
 	time.Sleep(time.Duration(random.IntN(400)) * time.Millisecond)
 	o.StartOutage()
 	time.Sleep(time.Duration(100+random.IntN(3400)) * time.Millisecond)
-	o.setEndpoints(o.drain...)
+	o.setEndpoints(o.firstDraining...)
 	o.EndOutage()
 	time.Sleep(drainGrace + 500*time.Millisecond)
 }
@@ -154,7 +154,7 @@
 // undrainDuringOutage has the first node up again, and waits until it is used.
 func (o *outageTest) undrainDuringOutage() {
 	o.StartOutage()
-	o.setEndpoints(o.up...)
+	o.setEndpoints(o.firstUp...)
 	o.EndOutage()
 	within(o.t, 2*time.Second, func() bool {
 		_, body := o.instance.roundTrip(o.instance.newRead(0, "400m").text)
--- a/internal/e2e/platform_discovery_test.go
+++ b/internal/e2e/platform_discovery_test.go
@@ -61,7 +61,7 @@
 
 // Guards against a change that a reload accepts and that has no effect, without a word: it is
 // named in the log.
-func TestPlatformReloadNamesWhatNeedsRestart(t *testing.T) {
+func TestPlatformReloadLogsSettingsThatNeedRestart(t *testing.T) {
 	before, after := startDiscovery(t, startNodeResponding(t, "one")), startDiscovery(t, startNodeResponding(t, "two"))
 	instance := startPlatformReady(t, before, platformOptions{})
 	instance.configChange = strings.NewReplacer(`"connectTimeout":250000`, `"connectTimeout":300000`, `"zones":["z0"]`, `"zones":["z0","z1"]`)
@@ -92,13 +92,13 @@
 	}
 	load.stop()
 	for n, node := range nodes {
-		if len(node.received()) == 0 {
+		if len(node.receivedIDs()) == 0 {
 			t.Errorf("node %d was never sent a request", n)
 		}
 	}
 	wantSentOnce(t, nodes...)
-	if load.served.Load() < 200 || load.other.Load() > 0 {
-		t.Errorf("%d served, %d not", load.served.Load(), load.other.Load())
+	if load.served.Load() < 200 || load.notServed.Load() > 0 {
+		t.Errorf("%d served, %d not", load.served.Load(), load.notServed.Load())
 	}
 }
 
@@ -109,10 +109,10 @@
 	time.Sleep(200 * time.Millisecond)
 	d.setEndpoints(endpointOf(fmt.Sprint("s", n-1), old, 0, "draining"), up)
 	time.Sleep(500 * time.Millisecond)
-	before := len(old.received())
+	before := len(old.receivedIDs())
 	d.setEndpoints(up)
 	time.Sleep(300 * time.Millisecond)
-	if sent := len(old.received()); sent != before {
+	if sent := len(old.receivedIDs()); sent != before {
 		t.Errorf("%d requests were sent to a node 500 ms and more after it was draining", sent-before)
 	}
 }
@@ -123,7 +123,7 @@
 	quit     chan struct{}
 	clients  sync.WaitGroup
 	served   atomic.Int64
-	other    atomic.Int64 // not served
+	notServed    atomic.Int64 // not served
 }
 
 func (i *platformInstance) startLoad() *platformLoad {
@@ -148,7 +148,7 @@
 		if status, body := l.instance.roundTrip(request(0, "1200m").text); status == 200 && body == "fine" {
 			l.served.Add(1)
 		} else {
-			l.other.Add(1)
+			l.notServed.Add(1)
 		}
 	}
 }
@@ -168,8 +168,8 @@
 	d := startDiscovery(t)
 	d.setEndpoints(endpointOf("old", old, 0, "draining"), endpointOf("now", current, 0, "up"))
 	instance := startPlatform(t, d.addr, platformOptions{configChange: oldList})
-	if status, body := instance.roundTrip(instance.newRead(0, "1200m").text); status != 200 || body != "now" || len(old.received()) != 0 {
-		t.Errorf("%d %q, %d requests sent by the old list", status, body, len(old.received()))
+	if status, body := instance.roundTrip(instance.newRead(0, "1200m").text); status != 200 || body != "now" || len(old.receivedIDs()) != 0 {
+		t.Errorf("%d %q, %d requests sent by the old list", status, body, len(old.receivedIDs()))
 	}
 
 	instance = startPlatform(t, startUnresponsiveDiscovery(t), platformOptions{configChange: oldList})
--- a/internal/e2e/platform_node_test.go
+++ b/internal/e2e/platform_node_test.go
@@ -76,8 +76,8 @@
 	return n.handler(r)
 }
 
-// received returns the ids of the requests that came whole, in order.
-func (n *platformNode) received() []string {
+// receivedIDs returns the ids of the requests that came whole, in order.
+func (n *platformNode) receivedIDs() []string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return slices.Clone(n.requestIDs)
@@ -86,7 +86,7 @@
 // countReceived returns how often a request came.
 func (n *platformNode) countReceived(id string) int {
 	count := 0
-	for _, received := range n.received() {
+	for _, received := range n.receivedIDs() {
 		if received == id {
 			count++
 		}
@@ -99,7 +99,7 @@
 	t.Helper()
 	count := map[string]int{}
 	for _, node := range nodes {
-		for _, id := range node.received() {
+		for _, id := range node.receivedIDs() {
 			if count[id]++; count[id] > 1 {
 				t.Errorf("request %s was sent %d times", id, count[id])
 			}
--- a/internal/e2e/platform_races_test.go
+++ b/internal/e2e/platform_races_test.go
@@ -20,7 +20,7 @@
 // A client pipelines requests and disconnects while the first of them waits for a node, with
 // a FIN behind bytes that the gateway has not read, or with a reset. When a node is there,
 // none of the requests may be sent to it.
-func TestPlatformClientDisconnectsBehindPipelinedRequests(t *testing.T) {
+func TestPlatformClientDisconnectsAfterPipelinedRequests(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		requests int
@@ -31,11 +31,11 @@
 		{name: "FIN with the last byte", requests: 1},
 		{name: "many requests", requests: 1000},
 	} {
-		t.Run(c.name, func(t *testing.T) { testDisconnectBehindRequests(t, c.requests, c.reset) })
+		t.Run(c.name, func(t *testing.T) { testDisconnectAfterRequests(t, c.requests, c.reset) })
 	}
 }
 
-func testDisconnectBehindRequests(t *testing.T, requests int, reset bool) {
+func testDisconnectAfterRequests(t *testing.T, requests int, reset bool) {
 	one, two := startNodeResponding(t, "one"), startNodeResponding(t, "two")
 	d := startDiscovery(t, one)
 	instance := startPlatformReady(t, d, platformOptions{})
@@ -56,7 +56,7 @@
 		status, _ := instance.roundTrip(instance.newRead(1, "1200m").text)
 		return status == 200
 	})
-	if ids := two.received(); len(ids) != 1 {
+	if ids := two.receivedIDs(); len(ids) != 1 {
 		t.Errorf("%d requests were sent to the node, want the one of a connected client", len(ids))
 	}
 }
--- a/internal/e2e/platform_requests_test.go
+++ b/internal/e2e/platform_requests_test.go
@@ -18,7 +18,7 @@
 	defer close(hold)
 	pending := instance.newRead(0, "5000m")
 	go instance.roundTrip(pending.text)
-	within(t, time.Second, func() bool { return len(node.received()) == 1 })
+	within(t, time.Second, func() bool { return len(node.receivedIDs()) == 1 })
 	valid := instance.newWrite(0, "1200m").text
 	duplicateID := strings.Replace(valid, "X-Txn: ", "X-Txn: "+pending.id+"\r\nX-Old: ", 1)
 	if status := instance.wantNotServed("id of a pending request", duplicateID); status == 503 {
@@ -27,7 +27,7 @@
 	for name, text := range invalidRequests(valid, pending.text) {
 		instance.wantNotServed(name, text)
 	}
-	if ids := node.received(); len(ids) != 1 {
+	if ids := node.receivedIDs(); len(ids) != 1 {
 		t.Errorf("the node was sent %v, want the one valid request", ids)
 	}
 }
--- a/internal/e2e/platform_syscall_faults_test.go
+++ b/internal/e2e/platform_syscall_faults_test.go
@@ -123,7 +123,7 @@
 	for n := range open {
 		open[n] = instance.connect()
 		fmt.Fprint(open[n], instance.newRead(0, "2500m").text)
-		if status := statusOn(open[n]); status != 200 {
+		if status := readStatus(open[n]); status != 200 {
 			t.Fatalf("%d before anything failed", status)
 		}
 	}
@@ -132,7 +132,7 @@
 	send := func(name string, c net.Conn) {
 		fmt.Fprint(c, instance.newRead(0, "2500m").text)
 		responses.Go(func() {
-			if status := statusOn(c); status != 200 {
+			if status := readStatus(c); status != 200 {
 				t.Errorf("%s: %d", name, status)
 			}
 		})
@@ -150,7 +150,7 @@
 
 // Guards against a faultless node that is ejected by a shortage on this machine: descriptors are
 // short, so that some dials come through and others wait until they time out.
-func TestPartialShortageOpensNoBreaker(t *testing.T) {
+func TestDescriptorShortageOpensNoBreaker(t *testing.T) {
 	node := startNodeClosing(t)
 	instance := startPlatform(t, startDiscovery(t, node).addr, platformOptions{syscallFaults: "socket EMFILE chance 0.9 from 300ms"})
 	within(t, 2*time.Second, instance.ready)
--- a/internal/e2e/reload_test.go
+++ b/internal/e2e/reload_test.go
@@ -10,7 +10,7 @@
 
 // The node list file is replaced by a malformed one. The last good list stays in force and
 // the log names the error. The next good list is followed.
-func TestNodeListIsFollowed(t *testing.T) {
+func TestNodeListFileIsReloaded(t *testing.T) {
 	_, addrs := startNodes(t, 2, fakenode.Options{})
 	instance := startWebDAV(t, "", addrs[0], addrs[0])
 	_, r := instance.send(putRequest("/feed-a/s", "first"))
@@ -78,7 +78,7 @@
 
 // Guards against an operator who believes in a setting that is not in force: a directive that a
 // reload accepts and that takes effect at a restart only is named in the log.
-func TestReloadNamesWhatNeedsRestart(t *testing.T) {
+func TestReloadLogsDirectivesThatNeedRestart(t *testing.T) {
 	_, addrs := startNodes(t, 1, fakenode.Options{})
 	instance := startWebDAV(t, "", addrs[0], addrs[0])
 	instance.writeConfig(strings.Replace(webdavConfig, "log-requests no", "log-requests yes", 1) + "seed 5\nadmit learn 5 forget 1h\n")
