--- a/internal/e2e/admission_test.go
+++ b/internal/e2e/admission_test.go
@@ -15,20 +15,20 @@
 // connectionFlood is a case of TestConnectionFlood.
 type connectionFlood struct {
 	name string
-	addr func(n int) string // of the n-th connection
-	// indistinguishable is set if the flood is of known addresses that each stay below
-	// their limit. Nothing tells such clients from good ones, so that only the bounds are
-	// checked: it is for the list of known prefixes to exclude them.
+	addr func(n int) string // returns the source address of the n-th connection
+	// indistinguishable is set if the flood comes from known addresses that each stay below the
+	// limit per address. The gateway cannot tell these clients from legitimate ones, so only the
+	// number of log lines is checked. Excluding them is up to the list of known prefixes.
 	indistinguishable bool
-	// unknownServed is set if clients that are not known still connect, also one from the
-	// address of the flood.
+	// unknownServed is set if unknown clients must still be served, including a client at the
+	// source address of the flood.
 	unknownServed bool
-	wantLogged   bool
+	wantLogged    bool
 }
 
-// Ten thousand connections are opened and held. Known clients connect and are served all
-// the same, a client from before the flood keeps its connection, and the rest is rejected
-// with a bounded number of log lines.
+// Verifies that a flood of 10,000 connections, of which up to 3,000 are held open, does not lock out
+// known clients. They connect and are served, a client from before the flood keeps its connection,
+// and the rejections are logged in a bounded number of lines.
 func TestConnectionFlood(t *testing.T) {
 	for _, flood := range []connectionFlood{
 		{name: "from one address", unknownServed: true,
@@ -51,36 +51,36 @@
 	io.WriteString(before, putRequest("/feed-a/x", "segment"))
 	instance.receive(beforeReader, "PUT")
 	if status := instance.get(before, beforeReader); status != 200 {
-		t.Fatalf("before the flood: %d", status)
+		t.Fatalf("before the flood: status %d, want 200", status)
 	}
 	instance.flood(floodConnections, flood.addr)
 	served := instance.countKnownServed()
 	if !flood.indistinguishable {
 		if served != 10 {
-			t.Errorf("%d of 10 known clients were served", served)
+			t.Errorf("%d of 10 known clients were served, want all", served)
 		}
 		if status := instance.get(before, beforeReader); status != 200 {
-			t.Errorf("a client from before the flood: %d", status)
+			t.Errorf("client connected before the flood: status %d, want 200", status)
 		}
 	}
 	if flood.unknownServed {
-		// The limit per address leaves places for clients that are not known. At the
-		// address of the flood, one of its idle connections is preempted.
+		// The limit per address leaves room for other unknown clients. For a new connection from
+		// the address of the flood, one of its idle connections is preempted.
 		for _, other := range []string{"127.0.7.8", flood.addr(0)} {
 			if line := instance.getStatusLine(other); !strings.Contains(line, " 200 ") {
-				t.Errorf("a client from %s, which is not known: %q", other, line)
+				t.Errorf("unknown client from %s: status line %q, want 200", other, line)
 			}
 		}
 	}
 	if flood.wantLogged && !strings.Contains(instance.log.String(), "connection rejected") {
-		t.Error("the flood is not logged")
+		t.Error("no rejected connection was logged")
 	}
 	if n := strings.Count(instance.log.String(), "connection rejected"); n > 60 {
-		t.Errorf("%d log lines", n)
+		t.Errorf("%d log lines about rejected connections, want at most 60", n)
 	}
 }
 
-// countKnownServed has ten known clients connect, and returns how many were served.
+// countKnownServed connects from ten known addresses and returns how many clients were served.
 func (i *webdavInstance) countKnownServed() int {
 	i.t.Helper()
 	served := 0
@@ -95,8 +95,8 @@
 	return served
 }
 
-// getStatusLine connects from an address, reads /feed-a/x, and returns the status line of
-// the response, "" if there is none.
+// getStatusLine sends a GET of /feed-a/x on a new connection from an address. It returns the status
+// line of the response, or "" if there is no response.
 func (i *webdavInstance) getStatusLine(addr string) string {
 	i.t.Helper()
 	c, r := i.connectFrom(addr)
@@ -105,8 +105,9 @@
 	return line
 }
 
-// A client connects when there are no places left, with its request on the way. It gets 503
-// with Retry-After and then a clean end: a reset would take the response from it.
+// Verifies that a client that connects and sends a request while all connections are taken gets 503
+// with Retry-After, followed by EOF. If the gateway closed the connection with the request unread,
+// the kernel would send a reset, which could discard the response before the client has read it.
 func TestRejectedConnectionGets503(t *testing.T) {
 	_, addrs := startNodes(t, 1, fakenode.Options{})
 	instance := startWebDAV(t, "clients 4\n", addrs[0], addrs[0])
@@ -119,21 +120,21 @@
 	c, r := instance.send(getRequest("/feed-a/x"))
 	status, body, header := instance.receive(r, "GET")
 	if status != 503 || header.Get("Retry-After") == "" || !strings.Contains(body, "no harm") {
-		t.Errorf("%d %v %q", status, header, body)
+		t.Errorf("status %d, header %v, body %q; want 503 with Retry-After", status, header, body)
 	}
 	if _, err := r.ReadByte(); err != io.EOF {
-		t.Errorf("after the rejection: %v, want EOF", err)
+		t.Errorf("read after the 503: %v, want EOF", err)
 	}
 	c.Close()
 	held[0].Close()
-	eventually(t, "a place is free again", func() bool {
+	eventually(t, "a client is admitted after another has closed its connection", func() bool {
 		c, r := instance.send("")
 		return instance.get(c, r) == 404
 	})
 }
 
-// An instance starts, with no history of its clients, while others connect without a pause
-// and hold their connections. Known clients are served at once.
+// Verifies that clients of a known prefix are served during a flood that begins when the instance
+// has just started and has not learned any known clients yet.
 func TestFloodRightAfterStart(t *testing.T) {
 	_, addrs := startNodes(t, 1, fakenode.Options{})
 	quit := make(chan struct{})
@@ -144,22 +145,23 @@
 	for i := range 10 {
 		c, r := instance.connectFrom(fmt.Sprintf("127.9.0.%d", i+1))
 		if status := instance.get(c, r); status != 404 {
-			t.Errorf("known client %d in the flood: %d", i, status)
+			t.Errorf("known client %d during the flood: status %d, want 404", i, status)
 		}
 	}
 	close(quit)
 	flood.Wait()
 }
 
-// A client that has all the connections of its address connects again at once after every
-// rejection. It gets 503 for the burst of responses and is closed without one after that,
-// known clients are served meanwhile, and it is admitted once it has closed a connection.
+// Verifies the handling of a client that is at the limit of its address and reconnects immediately
+// after each rejection. It gets 503 until the rate limit of these responses is reached; after that its
+// connections are closed without a response. Known clients are served meanwhile, and the client is
+// admitted again once it has closed one of its connections.
 func TestImmediateReconnects(t *testing.T) {
 	const client = "127.0.8.8"
 	_, addrs := startNodes(t, 1, fakenode.Options{})
 	instance := startWebDAV(t, "clients 20\nadmit address 4 reserve 4 answers 20 answers-burst 20\nknown 127.9.0.0/16\n", addrs[0], addrs[0])
 	var admitted []net.Conn
-	for range 4 { // served, so that none is preempted for the next
+	for range 4 { // each is served a request, so that it is not preempted for the next
 		c, r := instance.connectFrom(client)
 		io.WriteString(c, putRequest("/feed-a/x", "x"))
 		instance.receive(r, "PUT")
@@ -167,10 +169,10 @@
 	}
 	rejected, closed := instance.reconnectWithoutPause(client)
 	if rejected < 20 || closed == 0 {
-		t.Errorf("%d got 503, %d were closed: want 503 for the burst and not for the rest", rejected, closed)
+		t.Errorf("%d connections got 503, %d were closed without a response; want 20 or more and 1 or more", rejected, closed)
 	}
 	admitted[0].Close()
-	eventually(t, "its place is free again", func() bool {
+	eventually(t, "the client is admitted after it has closed a connection", func() bool {
 		c, r := instance.connectFrom(client)
 		defer c.Close()
 		io.WriteString(c, getRequest("/feed-a/x"))
@@ -179,9 +181,9 @@
 	})
 }
 
-// reconnectWithoutPause connects 3,000 times from an address that is at its limit, and returns how
-// often it got 503 and how often it was closed without a response. Meanwhile known clients
-// have to be served.
+// reconnectWithoutPause connects 3,000 times from an address that is at its limit. It returns how many
+// connections got 503 and how many were closed without a response. At every 300th connection it
+// checks that a known client is served.
 func (i *webdavInstance) reconnectWithoutPause(addr string) (rejected, closed int) {
 	i.t.Helper()
 	for n := range 3000 {
@@ -194,13 +196,13 @@
 		case err != nil:
 			closed++
 		default:
-			i.t.Fatalf("past the limit of its address: %q", line)
+			i.t.Fatalf("connection over the limit of its address: status line %q, want 503 or a close", line)
 		}
 		c.Close()
 		if n%300 == 0 {
 			known, knownReader := i.connectFrom(fmt.Sprintf("127.9.0.%d", n/300+1))
 			if status := i.get(known, knownReader); status != 200 {
-				i.t.Errorf("a known client meanwhile: %d", status)
+				i.t.Errorf("known client during the reconnects: status %d, want 200", status)
 			}
 			known.Close()
 		}
@@ -208,8 +210,8 @@
 	return rejected, closed
 }
 
-// A known client closes its sending side behind its request, during a flood. It gets the
-// response and then a clean end.
+// Verifies that a known client that half-closes its connection after its request, during a flood,
+// gets the response followed by EOF.
 func TestHalfCloseDuringFlood(t *testing.T) {
 	_, addrs := startNodes(t, 1, fakenode.Options{UnitTime: 50 * time.Millisecond, Cores: 16, QueueLimit: 64})
 	instance := startWebDAV(t, floodConfig, addrs[0], addrs[0])
@@ -219,10 +221,10 @@
 		io.WriteString(c, putRequest(fmt.Sprint("/feed-a/half", i), "x"))
 		c.(*net.TCPConn).CloseWrite()
 		if status, _, _ := instance.receive(r, "PUT"); status != 201 {
-			t.Errorf("%d", status)
+			t.Errorf("status %d, want 201", status)
 		}
 		if _, err := r.ReadByte(); err != io.EOF {
-			t.Errorf("after the response: %v", err)
+			t.Errorf("read after the response: %v, want EOF", err)
 		}
 	}
 }
--- a/internal/e2e/client_disconnect_test.go
+++ b/internal/e2e/client_disconnect_test.go
@@ -9,7 +9,7 @@
 	"maddergap/internal/fakenode"
 )
 
-// A client disconnects in the middle of a body. No node may execute the incomplete write.
+// Verifies that no node executes a write whose client disconnected in the middle of the body.
 func TestIncompleteBodyIsNotExecuted(t *testing.T) {
 	nodes, addrs := startNodes(t, 1, fakenode.Options{})
 	instance := startWebDAV(t, "body hold 16k rate 1m\n", addrs[0], addrs[0])
@@ -18,7 +18,7 @@
 	c.Close()
 	_, r := instance.send(getRequest("/feed-a/s"))
 	if status, _, _ := instance.receive(r, "GET"); status != 404 {
-		t.Errorf("the incomplete body is stored: %d", status)
+		t.Errorf("read after an incomplete write: status %d, want 404", status)
 	}
 	for _, e := range nodes[0].Entries() {
 		if e.Method == "PUT" && e.ExecutedAt != 0 {
@@ -27,8 +27,8 @@
 	}
 }
 
-// Twenty clients disconnect in the middle of a response. The capacity that their requests
-// held at the node is released, so that a later request is served.
+// Verifies that the node capacity of a request is released when its client resets the connection in
+// the middle of the response. If twenty such requests kept it, a later request would have to wait.
 func TestClientDisconnectsDuringResponse(t *testing.T) {
 	_, addrs := startNodes(t, 1, fakenode.Options{})
 	instance := startWebDAV(t, "", addrs[0], addrs[0])
@@ -42,6 +42,6 @@
 	}
 	_, r = instance.send(getRequest("/feed-a/big"))
 	if status, body, _ := instance.receive(r, "GET"); status != 200 || len(body) != 8<<20 {
-		t.Errorf("%d with %d bytes after others have disconnected", status, len(body))
+		t.Errorf("read after twenty disconnects: status %d, %d bytes; want 200 and the whole file", status, len(body))
 	}
 }
--- a/internal/e2e/client_library_test.go
+++ b/internal/e2e/client_library_test.go
@@ -11,13 +11,14 @@
 	"maddergap/internal/fakenode"
 )
 
-// libraryClient checks each call of a WebDAV client of another project.
+// libraryClient runs a third-party WebDAV client library and checks the result of each call.
 type libraryClient struct {
 	*gowebdav.Client
 	t *testing.T
 }
 
-// A WebDAV client of another project uses each of its methods through the gateway.
+// Verifies that a third-party WebDAV client library works through the gateway, with its calls to
+// create, read, list, copy, move and remove files and collections.
 func TestClientLibrary(t *testing.T) {
 	_, addrs := startNodes(t, 2, fakenode.Options{})
 	instance := startWebDAV(t, "", addrs...)
@@ -51,24 +52,24 @@
 	content, err := c.Read("/feed-b/station/one")
 	c.must("Read", err)
 	if string(content) != "segment one" {
-		c.t.Errorf("read %q", content)
+		c.t.Errorf("Read returned %q, want \"segment one\"", content)
 	}
 	stream, err := c.ReadStream("/feed-b/station/two")
 	c.must("ReadStream", err)
 	if n, _ := io.Copy(io.Discard, stream); n != 1<<20 {
-		c.t.Errorf("%d bytes streamed", n)
+		c.t.Errorf("ReadStream returned %d bytes, want 1 MiB", n)
 	}
 	stream.Close()
 	stream, err = c.ReadStreamRange("/feed-b/station/one", 2, 3)
 	c.must("ReadStreamRange", err)
 	if b, _ := io.ReadAll(stream); string(b) != "gme" {
-		c.t.Errorf("range %q", b)
+		c.t.Errorf("ReadStreamRange returned %q, want \"gme\"", b)
 	}
 	stream.Close()
 	info, err := c.Stat("/feed-b/station/one")
 	c.must("Stat", err)
 	if err == nil && info.Size() != 11 {
-		c.t.Errorf("size %d", info.Size())
+		c.t.Errorf("Stat returned size %d, want 11", info.Size())
 	}
 }
 
@@ -77,18 +78,18 @@
 	c.must("Rename", c.Rename("/feed-b/station/three", "/feed-b/station/five", true))
 	for _, name := range []string{"one", "two", "four", "five"} {
 		if names := c.list("/feed-b/station"); !strings.Contains(names, name) || strings.Contains(names, "three") {
-			c.t.Errorf("the collection has %s, want %s and not three", names, name)
+			c.t.Errorf("members of the collection: %s; want %s among them, but not three", names, name)
 		}
 	}
 	if names := c.list("/feed-b"); !strings.Contains(names, "station") || !strings.Contains(names, "other") {
-		c.t.Errorf("the volume has %q", names)
+		c.t.Errorf("members of the volume: %q, want station and other", names)
 	}
 	if names := c.list("/"); !strings.Contains(names, "feed-a") || !strings.Contains(names, "feed-b") {
-		c.t.Errorf("the root has %q", names)
+		c.t.Errorf("members of the root: %q, want feed-a and feed-b", names)
 	}
 }
 
-// list returns the names in a collection, separated by spaces.
+// list returns the names of a collection's members, separated by spaces.
 func (c libraryClient) list(path string) string {
 	files, err := c.ReadDir(path)
 	c.must("ReadDir "+path, err)
@@ -103,7 +104,7 @@
 	c.must("Remove", c.Remove("/feed-b/station/two"))
 	c.must("RemoveAll", c.RemoveAll("/feed-b/station"))
 	if _, err := c.Stat("/feed-b/station/one"); !gowebdav.IsErrNotFound(err) {
-		c.t.Errorf("after removal: %v", err)
+		c.t.Errorf("Stat after the removal: %v, want not found", err)
 	}
 	if err := c.Rename("/feed-b/other/a", "/feed-b/else/a", false); err == nil {
 		c.t.Error("a move to another placement unit succeeded")
--- a/internal/e2e/client_test.go
+++ b/internal/e2e/client_test.go
@@ -20,7 +20,8 @@
 	return c.(*net.TCPConn)
 }
 
-// send connects to the instance and writes text.
+// send connects to the instance and writes text. Reads and writes on the connection time out
+// after 15 s.
 func (i *testInstance) send(text string) (net.Conn, *bufio.Reader) {
 	i.t.Helper()
 	c := i.dial(net.Dialer{})
@@ -31,7 +32,7 @@
 	return c, bufio.NewReader(c)
 }
 
-// dialerFrom connects from an address of the loopback range.
+// dialerFrom returns a dialer that connects from an address of the loopback range.
 func dialerFrom(addr string) net.Dialer {
 	return net.Dialer{LocalAddr: &net.TCPAddr{IP: net.ParseIP(addr)}, Timeout: 5 * time.Second}
 }
@@ -44,8 +45,8 @@
 	return c, bufio.NewReader(c)
 }
 
-// receive reads the response to a request of the method. It is an error of the test if
-// there is none, or if its body is truncated; the status is 0 if there is none.
+// receive reads the response to a request of the method. The test fails if there is no response
+// or if its body is truncated. The status is 0 if there is no response.
 func (i *testInstance) receive(r *bufio.Reader, method string) (status int, body string, header http.Header) {
 	i.t.Helper()
 	resp, body, err := readResponse(r, method)
@@ -59,9 +60,8 @@
 	return resp.StatusCode, body, resp.Header
 }
 
-// roundTrip sends a request on a connection of its own and returns the status and body of
-// the response. The status is 0 if there is no response, and negative if its body is
-// truncated.
+// roundTrip sends a request on a new connection and returns the status and body of the response.
+// The status is 0 if there is no response, and negated if the body is truncated.
 func (i *testInstance) roundTrip(request string) (status int, body string) {
 	c, err := net.Dial("tcp", i.addr)
 	if err != nil {
@@ -80,7 +80,8 @@
 	return resp.StatusCode, body
 }
 
-// readStatus reads a response from a connection and returns its status, 0 if there is none.
+// readStatus reads a response from a connection and returns its status, or 0 if there is no
+// response within 4 s.
 func readStatus(c net.Conn) int {
 	c.SetReadDeadline(time.Now().Add(4 * time.Second))
 	resp, _, _ := readResponse(bufio.NewReader(c), http.MethodGet)
@@ -90,8 +91,8 @@
 	return resp.StatusCode
 }
 
-// readResponse reads a response and its body. It returns no response if there is none, and
-// the response, the body so far and an error if the body is truncated.
+// readResponse reads a response and its body. The response is nil if its header could not be
+// read. If the body is truncated, it returns the response, the body so far and an error.
 func readResponse(r *bufio.Reader, method string) (*http.Response, string, error) {
 	resp, err := http.ReadResponse(r, &http.Request{Method: method})
 	if err != nil {
--- a/internal/e2e/fake_discovery_test.go
+++ b/internal/e2e/fake_discovery_test.go
@@ -9,15 +9,15 @@
 	"maddergap/internal/discoverytest"
 )
 
-// fakeDiscovery is the discovery agent on the instance's host, with a registry of its own.
+// fakeDiscovery is the discovery agent on the instance's host, with its own registry of endpoints.
 type fakeDiscovery struct {
 	*discoverytest.Agent
 	registry *discoverytest.Registry
-	addr     string
+	addr     string // address of the agent, host:port
 }
 
-// startDiscovery runs discovery with the nodes as endpoints s0, s1 and so on, each of a
-// shard of its own.
+// startDiscovery runs a discovery agent that lists the nodes as endpoints s0, s1 and so on, in the
+// shards 0, 1 and so on.
 func startDiscovery(t *testing.T, nodes ...*platformNode) *fakeDiscovery {
 	t.Helper()
 	d := &fakeDiscovery{registry: discoverytest.NewRegistry()}
@@ -35,8 +35,8 @@
 	return d
 }
 
-// startUnresponsiveDiscovery returns the address of a discovery agent that accepts
-// connections and never responds, as during an outage.
+// startUnresponsiveDiscovery runs a discovery agent that accepts connections and never responds, as
+// during an outage. It returns the agent's address.
 func startUnresponsiveDiscovery(t *testing.T) (addr string) {
 	t.Helper()
 	d := startDiscovery(t)
@@ -49,11 +49,12 @@
 	d.registry.ReplaceAll(endpoints...)
 }
 
+// endpointOf returns a node as an endpoint with a name, shard and status.
 func endpointOf(name string, node *platformNode, shard int, status string) discovery.Endpoint {
 	return discovery.Endpoint{Name: name, Address: node.Addr(), Zone: "z0", Group: shard, Status: status}
 }
 
-// marshalEndpointList returns an endpoint list in the form that a configuration has it.
+// marshalEndpointList returns the JSON text of an endpoint list, as in a configuration file.
 func marshalEndpointList(t *testing.T, endpoints ...discovery.Endpoint) []byte {
 	t.Helper()
 	index := int64(1)
--- a/internal/e2e/flood_harness_test.go
+++ b/internal/e2e/flood_harness_test.go
@@ -6,24 +6,26 @@
 	"time"
 )
 
-// floodConfig admits 64 clients, and reserves places for those of a known prefix.
+// floodConfig admits 64 connections: at most 8 from one address, and 16 reserved for known clients,
+// which are those of the prefix 127.9.0.0/16.
 const floodConfig = `clients 64
 admit address 8 reserve 16 answers 20 answers-burst 20
 known 127.9.0.0/16
 `
 
 const (
-	// floodConnections is how often a flood connects.
+	// floodConnections is the number of connections that a flood opens.
 	floodConnections = 10_000
-	// maxHeldConnections bounds the connections that a flood holds open, because of the
-	// test's own descriptors.
+	// maxHeldConnections is the number of connections that a flood holds open at the same time.
+	// It limits the descriptors that the test process needs.
 	maxHeldConnections = 3000
-	// firstHeldConnections of a flood are never closed: they may have been admitted.
+	// firstHeldConnections is the number of connections at the beginning of a flood that are held
+	// until the end, as the gateway may have admitted them.
 	firstHeldConnections = 200
 )
 
-// flood connects a number of times, the n-th time from the address of n, and holds the
-// connections open.
+// flood opens a number of connections, the n-th from the address addr(n). Beyond
+// maxHeldConnections it closes the oldest one after the first firstHeldConnections.
 func (i *testInstance) flood(connections int, addr func(n int) string) {
 	i.t.Helper()
 	var held []net.Conn
@@ -45,8 +47,8 @@
 	}
 }
 
-// holdConnectionsUntil opens a connection every millisecond until quit is closed, and holds
-// the first 2,000.
+// holdConnectionsUntil opens a connection every millisecond until quit is closed. It holds the first
+// 2,000 of them open and closes these when it returns.
 func (i *testInstance) holdConnectionsUntil(quit <-chan struct{}) {
 	var held []net.Conn
 	defer func() {
@@ -66,8 +68,8 @@
 	}
 }
 
-// sendUntil sends a request on one connection after the other, without waiting for
-// responses, until quit is closed.
+// sendUntil repeatedly connects, sends a request, and closes the connection without waiting for the
+// response, until quit is closed.
 func (i *testInstance) sendUntil(quit <-chan struct{}, request string) {
 	for {
 		select {
--- a/internal/e2e/harness_test.go
+++ b/internal/e2e/harness_test.go
@@ -1,11 +1,11 @@
-// Package e2e tests whole instances over real loopback sockets: clients, the daemon on its
-// epoll loop, and storage nodes. Assertions rest on what clients and nodes see on their
-// sockets, and not on the gateway's own accounts.
+// Package e2e tests whole instances over real loopback sockets: clients, the daemon with its
+// epoll event loop, and storage nodes. Most checks use what clients and nodes observe on their
+// sockets rather than the gateway's own counters.
 //
-// The harness is in harness_test.go (a running daemon), webdav_harness_test.go and
-// platform_harness_test.go (its two configurations), client_test.go (connections of
-// clients), platform_node_test.go and raw_node_test.go (nodes), and fake_discovery_test.go
-// (discovery).
+// The harness consists of harness_test.go (a running daemon), webdav_harness_test.go and
+// platform_harness_test.go (its two configurations), client_test.go, webdav_client_test.go and
+// flood_harness_test.go (clients), platform_node_test.go and raw_node_test.go (nodes), and
+// fake_discovery_test.go (discovery).
 package e2e
 
 import (
@@ -27,18 +27,17 @@
 }
 
 const (
-	// stopTimeout is by when a daemon has to return after Stop.
+	// stopTimeout is the time within which Run has to return after Stop.
 	stopTimeout = 20 * time.Second
-	// eventuallyTimeout is by when a condition of eventually has to hold.
+	// eventuallyTimeout is the time within which a condition passed to eventually has to hold.
 	eventuallyTimeout = 10 * time.Second
 )
 
-// testInstance is a daemon that runs in the test's process. It is stopped at the end of
-// the test.
+// testInstance is a daemon that runs in the test process. It is stopped at the end of the test.
 type testInstance struct {
 	t      *testing.T
-	addr   string // the first listener
-	dir    string // of the configuration files
+	addr   string // address of the first listener
+	dir    string // directory of the configuration files
 	daemon *daemon.Daemon
 	done   chan error // the result of Run; nil once stop has taken it
 	log    *logBuffer
@@ -48,10 +47,10 @@
 	return &testInstance{t: t, dir: t.TempDir(), done: make(chan error, 1), log: &logBuffer{}}
 }
 
-// logger returns a logger to the instance's log.
+// logger returns a logger that writes to the instance's log buffer.
 func (i *testInstance) logger() *slog.Logger { return slog.New(slog.NewTextHandler(i.log, nil)) }
 
-// run starts the daemon's loop.
+// run starts the daemon in a goroutine of its own.
 func (i *testInstance) run(d *daemon.Daemon) {
 	i.daemon = d
 	i.addr = d.Addrs()[0]
@@ -60,8 +59,9 @@
 	i.t.Cleanup(func() { i.stop() })
 }
 
-// stop requests a graceful shutdown and returns the result of Run, or nil if the daemon
-// was stopped before.
+// stop requests a graceful shutdown and returns the result of Run. It returns nil if an earlier
+// call has already returned that result. The test fails if Run does not return within stopTimeout and, after that, the time
+// that the kernel needs to release an inotify descriptor.
 func (i *testInstance) stop() error {
 	if i.done == nil {
 		return nil
@@ -72,12 +72,13 @@
 		stopped, err = i.runResult(inotifyReleaseTime())
 	}
 	if !stopped {
-		i.t.Error("the daemon does not stop")
+		i.t.Error("the daemon did not stop in time")
 	}
 	return err
 }
 
-// runResult returns the result of Run, if there is one within the timeout.
+// runResult waits for Run to return, up to the timeout, and returns its result. stopped reports
+// whether Run has returned.
 func (i *testInstance) runResult(timeout time.Duration) (stopped bool, err error) {
 	select {
 	case err := <-i.done:
@@ -88,10 +89,10 @@
 	}
 }
 
-// inotifyReleaseTime is how long the kernel takes now to release an inotify descriptor. A daemon
-// closes one as it stops, and so waits for the kernel's deferred work on all watches of the machine
-// (fsnotify_destroy_group). Beside many processes that start and end, that was seen to stand
-// still for over 25 s.
+// inotifyReleaseTime measures how long the kernel currently takes to release an inotify descriptor.
+// A daemon closes one when it stops, and the close waits for deferred work on all inotify watches
+// of the machine (fsnotify_destroy_group). While many other processes started and ended, a close
+// took over 25 s.
 func inotifyReleaseTime() time.Duration {
 	fd, err := unix.InotifyInit1(unix.IN_CLOEXEC)
 	if err != nil {
@@ -103,7 +104,7 @@
 	return time.Since(start)
 }
 
-// logBuffer is a log that can be read while the daemon writes it.
+// logBuffer holds a daemon's log output. It can be read while the daemon writes to it.
 type logBuffer struct {
 	mu     sync.Mutex
 	buffer bytes.Buffer
@@ -121,23 +122,26 @@
 	return l.buffer.String()
 }
 
-// eventually waits until a condition holds.
+// eventually waits until a condition holds, up to eventuallyTimeout. what describes the condition
+// in the failure message.
 func eventually(t *testing.T, what string, condition func() bool) {
 	t.Helper()
 	poll(t, what, eventuallyTimeout, 20*time.Millisecond, condition)
 }
 
-// within waits until a condition holds, which has to be before the timeout.
+// within waits until a condition holds, up to the timeout. It checks more often than eventually.
 func within(t *testing.T, timeout time.Duration, condition func() bool) {
 	t.Helper()
-	poll(t, "the condition", timeout, 5*time.Millisecond, condition)
+	poll(t, "the condition on this line", timeout, 5*time.Millisecond, condition)
 }
 
+// poll checks a condition at an interval until it holds. The test fails if it does not hold
+// within the timeout.
 func poll(t *testing.T, what string, timeout, interval time.Duration, condition func() bool) {
 	t.Helper()
 	for deadline := time.Now().Add(timeout); !condition(); time.Sleep(interval) {
 		if time.Now().After(deadline) {
-			t.Fatalf("not within %v: %s", timeout, what)
+			t.Fatalf("not true within %v: %s", timeout, what)
 		}
 	}
 }
--- a/internal/e2e/metrics_test.go
+++ b/internal/e2e/metrics_test.go
@@ -9,7 +9,8 @@
 	"maddergap/internal/fakenode"
 )
 
-// The metrics count requests, and rejected connections by reason.
+// Verifies the metrics of six connections with a request each to an instance that admits four
+// clients: the requests by outcome, the rejected connections by reason, and the open connections.
 func TestMetrics(t *testing.T) {
 	_, addrs := startNodes(t, 1, fakenode.Options{})
 	instance := startWebDAV(t, "clients 4\nmetrics 127.0.0.1:0\n", addrs[0], addrs[0])
@@ -18,7 +19,7 @@
 		instance.receive(r, "GET")
 	}
 	transport := &http.Transport{DisableKeepAlives: true}
-	eventually(t, "the counts are there", func() bool {
+	eventually(t, "the metrics show 4 requests served, 2 connections rejected and 4 open", func() bool {
 		request, _ := http.NewRequest("GET", "http://"+instance.daemon.MetricsAddr()+"/metrics", nil)
 		resp, err := transport.RoundTrip(request)
 		if err != nil {
--- a/internal/e2e/node_failure_test.go
+++ b/internal/e2e/node_failure_test.go
@@ -15,9 +15,9 @@
 	"maddergap/internal/fakenode"
 )
 
-// A node takes a write and never responds. The client gets 504 by the deadline, with no
-// promise that a retry is harmless, and nothing after it. The write is not sent again, and
-// the node is used again once it responds.
+// Verifies the handling of a write to which the node never responds. The client gets 504 by the
+// deadline, without Retry-After since the write may have been executed, and no second response.
+// The write is not sent again, and the node is used again after it has recovered.
 func TestUnresponsiveNode(t *testing.T) {
 	nodes, addrs := startNodes(t, 1, fakenode.Options{Script: []fakenode.Step{{Fault: fakenode.Silent, From: 0, To: 2 * time.Second}}})
 	instance := startWebDAV(t, "", addrs[0], addrs[0])
@@ -25,30 +25,30 @@
 	c, r := instance.send(putRequest("/feed-a/s", "segment"))
 	status, body, header := instance.receive(r, "PUT")
 	if took := time.Since(start); status != 504 || took > 1500*time.Millisecond || header.Get("Retry-After") != "" || body == "" {
-		t.Errorf("%d %q after %v", status, body, took)
+		t.Errorf("status %d, body %q after %v; want 504 by the deadline, without Retry-After", status, body, took)
 	}
 	c.SetReadDeadline(time.Now().Add(300 * time.Millisecond))
 	if n, _ := r.Read(make([]byte, 1)); n > 0 {
-		t.Error("a second response")
+		t.Error("the client got data after the response")
 	}
 	if sent := countRequests(nodes[0], "/feed-a/s"); sent != 1 {
-		t.Errorf("the write was sent to the node %d times", sent)
+		t.Errorf("the write was sent to the node %d times, want 1", sent)
 	}
 	for deadline := time.Now().Add(8 * time.Second); ; {
 		_, r := instance.send(putRequest("/feed-a/t", "segment"))
 		status, _, _ := instance.receive(r, "PUT")
-		if status == 201 || status == 204 { // 204: an earlier attempt was executed without a response
+		if status == 201 || status == 204 { // 204: the node has executed an earlier write without responding
 			break
 		}
 		t.Log(time.Since(start), status)
 		if time.Now().After(deadline) {
-			t.Fatal("the node is not used after its recovery")
+			t.Fatal("the node was not used again within 8 s")
 		}
 	}
 }
 
-// A node responds before it reads the body, of which more is to come than the socket
-// buffers hold. The client gets that response.
+// Verifies that the client gets the response of a node that responds before it reads the request
+// body. The body is larger than the socket buffers, so the upload is still in progress then.
 func TestNodeRespondsBeforeBody(t *testing.T) {
 	addr := startRawNode(t, func(c *net.TCPConn, r *bufio.Reader) {
 		if _, err := http.ReadRequest(r); err == nil {
@@ -66,12 +66,12 @@
 		}
 	}()
 	if status, body, _ := instance.receive(r, "PUT"); status != 423 || body != "locked" {
-		t.Errorf("%d %q", status, body)
+		t.Errorf("status %d, body %q; want 423 %q", status, body, "locked")
 	}
 }
 
-// A node resets the connection in the middle of a response. The client must not be able
-// to take it for complete.
+// Verifies that the client can detect a truncated response: the node resets the connection in the
+// middle of the body, and the gateway must not end its own response as if it were complete.
 func TestNodeResetsDuringResponse(t *testing.T) {
 	addr := startRawNode(t, func(c *net.TCPConn, r *bufio.Reader) {
 		if _, err := http.ReadRequest(r); err == nil {
@@ -87,7 +87,7 @@
 		t.Fatal(err)
 	}
 	if b, err := io.ReadAll(resp.Body); err == nil {
-		t.Errorf("the truncated response %q looks complete", b)
+		t.Errorf("the client read the truncated body %q without an error", b)
 	}
 }
 
@@ -111,8 +111,8 @@
 	return p.byPath[path]
 }
 
-// serveOneThenReset responds to the first request of a connection, and resets it after the
-// second is read.
+// serveOneThenReset serves a connection of a node: it responds to the first request, and resets the
+// connection when it has read the second.
 func (p *putCounter) serveOneThenReset(c *net.TCPConn, r *bufio.Reader) {
 	for n := 0; ; n++ {
 		request, err := http.ReadRequest(r)
@@ -129,9 +129,9 @@
 	}
 }
 
-// A node closes a reused connection as the next request goes out on it. Idempotent requests
-// are served all the same. A non-idempotent one is sent once at most, and must not get 503,
-// which promises that it was not executed, if it was sent.
+// Verifies the handling of a node that resets a reused connection when it has read the next request
+// on it. Idempotent requests are sent again and served. A non-idempotent request is sent at most
+// once; if it was sent it must not get 503, which promises that it was not executed.
 func TestNodeResetsReusedConnection(t *testing.T) {
 	puts := putCounter{byPath: map[string]int{}}
 	addr := startRawNode(t, puts.serveOneThenReset)
@@ -139,7 +139,7 @@
 	for i := range 10 {
 		_, r := instance.send(getRequest("/feed-a/s"))
 		if status, _, _ := instance.receive(r, "GET"); status != 200 {
-			t.Errorf("read %d: %d", i, status)
+			t.Errorf("read %d: status %d, want 200", i, status)
 		}
 	}
 	for i := range 10 {
@@ -147,13 +147,13 @@
 		_, r := instance.send(putRequest(path, "x"))
 		status, _, _ := instance.receive(r, "PUT")
 		if n := puts.count(path); n > 1 || (status == 503 && n > 0) {
-			t.Errorf("%s was sent %d times and got %d", path, n, status)
+			t.Errorf("write of %s was sent %d times and got %d; want it sent once at most, and no 503 if sent", path, n, status)
 		}
 	}
 }
 
-// A node sends a response of unknown length, which ends with the connection. The client
-// gets all of it, in chunks.
+// Verifies that the client gets the whole body of a response without a length, which the node ends
+// by closing the connection. The gateway sends it without Content-Length.
 func TestResponseOfUnknownLength(t *testing.T) {
 	want := bytes.Repeat([]byte("segment "), 100<<10)
 	addr := startRawNode(t, func(c *net.TCPConn, r *bufio.Reader) {
@@ -165,12 +165,11 @@
 	instance := startWebDAV(t, "", addr, addr)
 	_, r := instance.send(getRequest("/feed-a/s"))
 	if status, body, header := instance.receive(r, "GET"); status != 200 || body != string(want) || header.Get("Content-Length") != "" {
-		t.Errorf("%d with %d bytes, want %d", status, len(body), len(want))
+		t.Errorf("status %d, %d bytes; want 200 and the %d bytes sent, without Content-Length", status, len(body), len(want))
 	}
 }
 
-// A node responds after the deadline. The client has got its 504 by then, and must not get
-// another response.
+// Verifies that a node's response after the deadline is not forwarded: the client already got 504.
 func TestResponseAfterDeadline(t *testing.T) {
 	responded := make(chan error, 1)
 	addr := startRawNode(t, func(c *net.TCPConn, r *bufio.Reader) {
@@ -183,7 +182,7 @@
 	instance := startWebDAV(t, "", addr, addr)
 	c, r := instance.send(putRequest("/feed-a/s", "segment"))
 	if status, _, _ := instance.receive(r, "PUT"); status != 504 {
-		t.Errorf("%d, want 504", status)
+		t.Errorf("status %d, want 504", status)
 	}
 	<-responded
 	c.SetReadDeadline(time.Now().Add(200 * time.Millisecond))
@@ -192,8 +191,9 @@
 	}
 }
 
-// One of two shards does not respond to its part of a listing. The whole listing fails with
-// 503: a part must not look like the whole.
+// Verifies that a listing fails with 503 if one of the two shards does not respond to its part: an
+// incomplete listing must not look complete. A listing of infinite depth at the root of a volume
+// gets 403.
 func TestListingWithUnresponsiveShard(t *testing.T) {
 	_, addrs := startNodes(t, 1, fakenode.Options{})
 	unresponsive := startRawNode(t, func(c *net.TCPConn, r *bufio.Reader) { io.Copy(io.Discard, r) })
@@ -202,10 +202,10 @@
 	_, r := instance.send("PROPFIND /feed-b/ HTTP/1.1\r\nHost: h\r\nDepth: 1\r\nContent-Length: 0\r\n\r\n")
 	status, body, _ := instance.receive(r, "PROPFIND")
 	if status != 503 || strings.Contains(body, "multistatus") || time.Since(start) > 4*time.Second {
-		t.Errorf("%d %q after %v", status, body, time.Since(start))
+		t.Errorf("listing of depth 1: status %d, body %q after %v; want 503 within 4s", status, body, time.Since(start))
 	}
 	_, r = instance.send("PROPFIND /feed-b/ HTTP/1.1\r\nHost: h\r\nDepth: infinity\r\nContent-Length: 0\r\n\r\n")
 	if status, body, _ := instance.receive(r, "PROPFIND"); status != 403 || !strings.Contains(body, "propfind-finite-depth") {
-		t.Errorf("%d %q", status, body)
+		t.Errorf("listing of infinite depth: status %d, body %q; want 403 propfind-finite-depth", status, body)
 	}
 }
--- a/internal/e2e/platform_discovery_outage_test.go
+++ b/internal/e2e/platform_discovery_outage_test.go
@@ -13,14 +13,15 @@
 	"maddergap/internal/stallwatch"
 )
 
-// During an outage the discovery agent does not respond. A change that it has when it is
-// back counts as notified at once.
+// During an outage the discovery agent does not respond. A change made during the outage counts as
+// delivered to the instance when the outage ends.
 const (
-	// drainGrace is by when an instance may no longer send to a node, from the time at
-	// which discovery has it as draining.
+	// drainGrace is the time for which an instance may still send requests to a node after the
+	// change that discovery lists the node as draining was delivered.
 	drainGrace = 500 * time.Millisecond
-	// maxListDelay is by when an instance has to have the endpoint list: the grace less
-	// the 150 ms for which an instance may be stalled.
+	// maxListDelay is the maximum time from the end of an outage until the agent has sent the
+	// endpoint list to the instance. It is drainGrace less the 150 ms for which an instance may
+	// be stalled.
 	maxListDelay = 350 * time.Millisecond
 
 	outageInstances    = 12
@@ -28,9 +29,10 @@
 	outageSeed         = 31
 )
 
-// Discovery is back after an outage, whatever its length and phase, and has a node as
-// draining. Each instance has the list within maxListDelay, and the node is sent nothing
-// after drainGrace. Time for which this process was stalled is allowed for.
+// Verifies that an instance follows a change made during a discovery outage of random start and
+// length, in which a node begins to drain. After the outage the instance gets the list within
+// maxListDelay, and the node is sent no request after drainGrace. The longest stall of the test
+// process since the end of the outage is added to both limits.
 func TestPlatformDiscoveryRecovers(t *testing.T) {
 	stalls := stallwatch.Start()
 	defer stalls.Stop()
@@ -49,10 +51,10 @@
 			})
 		}
 	})
-	t.Logf("list delays after the recovery: %v", delays.all)
+	t.Logf("delays of the endpoint list after the end of an outage: %v", delays.all)
 }
 
-// listDelays records how long after a recovery of discovery instances had the list.
+// listDelays records the times from the end of an outage until an instance was sent the list.
 type listDelays struct {
 	mu  sync.Mutex
 	all []time.Duration
@@ -64,19 +66,19 @@
 	l.all = append(l.all, delay)
 }
 
-// outageTest is one instance under load with two nodes, of which discovery has one as up
+// outageTest is one instance under load with two nodes. At any time discovery lists one of them as up
 // and the other as draining.
 type outageTest struct {
 	t        *testing.T
 	instance *platformInstance
 	*fakeDiscovery
-	stalls *stallwatch.Watch
-	delays *listDelays
-	firstUp     []discovery.Endpoint // the first node is up
-	firstDraining  []discovery.Endpoint // the first node is draining
+	stalls        *stallwatch.Watch
+	delays        *listDelays
+	firstUp       []discovery.Endpoint // list in which the first node is up
+	firstDraining []discovery.Endpoint // list in which the first node is draining
 
 	mu       sync.Mutex
-	lastSent time.Time // when the first node was last sent a request
+	lastSent time.Time // time of the last request to the first node
 }
 
 func startOutageTest(t *testing.T, stalls *stallwatch.Watch, delays *listDelays) *outageTest {
@@ -99,7 +101,7 @@
 	return o
 }
 
-// respondFirst is the script of the first node.
+// respondFirst is the handler of the first node. It records the time of the request.
 func (o *outageTest) respondFirst(*http.Request) scriptednode.Response {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -107,7 +109,7 @@
 	return okResponse("draining")
 }
 
-// readUntil reads from one shard until quit is closed.
+// readUntil sends reads to shard 0, one after the other, until quit is closed.
 func (i *platformInstance) readUntil(quit <-chan struct{}) {
 	for {
 		select {
@@ -119,8 +121,8 @@
 	}
 }
 
-// drainDuringOutage has the first node drain during an outage of a random time and length,
-// and returns when the grace is over.
+// drainDuringOutage lists the first node as draining during an outage of random start and length. It
+// returns 500 ms after drainGrace has passed.
 func (o *outageTest) drainDuringOutage(random *rand.Rand) {
 	time.Sleep(time.Duration(random.IntN(400)) * time.Millisecond)
 	o.StartOutage()
@@ -130,28 +132,29 @@
 	time.Sleep(drainGrace + 500*time.Millisecond)
 }
 
-// wantDrained checks that the instance had the list in time, and that the first node was
-// sent nothing after the grace.
+// wantDrained checks that the instance was sent the list in time, and that the first node was sent no
+// request after drainGrace.
 func (o *outageTest) wantDrained() {
 	o.t.Helper()
 	recovered, listed := o.RecoveryTimes()
 	if listed.IsZero() {
-		o.t.Errorf("no list was had within %v of the recovery", time.Since(recovered))
+		o.t.Errorf("the instance was sent no list within %v after the outage", time.Since(recovered))
 	} else {
 		delay := listed.Sub(recovered)
 		o.delays.add(delay)
 		if delay > maxListDelay+o.stalls.LongestSince(recovered) {
-			o.t.Errorf("the list was had %v after the recovery, want %v at most", delay, maxListDelay)
+			o.t.Errorf("the instance was sent the list %v after the outage, want at most %v plus stalls", delay, maxListDelay)
 		}
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if late := o.lastSent.Sub(recovered); late > drainGrace+o.stalls.LongestSince(recovered) {
-		o.t.Errorf("a request was sent to a draining node %v after the recovery, past the grace of %v", late, drainGrace)
+		o.t.Errorf("a request was sent to a draining node %v after the outage, want at most %v plus stalls", late, drainGrace)
 	}
 }
 
-// undrainDuringOutage has the first node up again, and waits until it is used.
+// undrainDuringOutage lists the first node as up again during another outage, and waits until it is
+// sent a request.
 func (o *outageTest) undrainDuringOutage() {
 	o.StartOutage()
 	o.setEndpoints(o.firstUp...)
--- a/internal/e2e/platform_discovery_test.go
+++ b/internal/e2e/platform_discovery_test.go
@@ -12,9 +12,9 @@
 	"maddergap/internal/scriptednode"
 )
 
-// A reload moves discovery to another address, after a malformed configuration was
-// rejected. Requests are served throughout, by the new endpoint list once it is there, and
-// the old address is polled no longer.
+// Verifies that a reload changes the address of the discovery agent, after the reload of a malformed
+// configuration was rejected. Requests are served throughout, and by the nodes of the new agent's
+// list once the instance has received it. The old agent is no longer polled.
 func TestPlatformReloadChangesDiscoveryAddress(t *testing.T) {
 	one, two := startNodeResponding(t, "one"), startNodeResponding(t, "two")
 	before, after := startDiscovery(t, one), startDiscovery(t, two)
@@ -24,13 +24,13 @@
 		return body
 	}
 	if got := read(); got != "one" {
-		t.Fatalf("%q before", got)
+		t.Fatalf("response %q before any reload, want one", got)
 	}
 	writeFile(t, instance.configFile, `{"name":`)
 	instance.daemon.Reload()
 	within(t, time.Second, func() bool { return strings.Contains(instance.log.String(), "reload rejected") })
 	if got := read(); got != "one" {
-		t.Fatalf("%q after a malformed configuration", got)
+		t.Fatalf("response %q after the reload of a malformed configuration, want one", got)
 	}
 	instance.writeConfig(after.addr)
 	instance.daemon.Reload()
@@ -39,12 +39,12 @@
 	calls := before.Usage().Calls
 	time.Sleep(300 * time.Millisecond)
 	if before.Usage().Calls != calls {
-		t.Error("the old address is still polled")
+		t.Error("the discovery agent at the old address is still polled")
 	}
 }
 
-// Guards against a reload that is rejected and yet applied in part: with a change of the
-// scheduler's settings, discovery stays where it was.
+// Guards against a reload that is rejected and yet applied in part. The new configuration changes a
+// scheduler setting, for which it is rejected, and the discovery address, which must stay as it was.
 func TestPlatformReloadIsAllOrNothing(t *testing.T) {
 	one, two := startNodeResponding(t, "one"), startNodeResponding(t, "two")
 	before, after := startDiscovery(t, one), startDiscovery(t, two)
@@ -55,12 +55,12 @@
 	within(t, time.Second, func() bool { return strings.Contains(instance.log.String(), "reload rejected") })
 	time.Sleep(200 * time.Millisecond)
 	if got := instance.readBody(); got != "one" || strings.Contains(instance.log.String(), "discovery address changed") {
-		t.Errorf("%q after a configuration that was rejected", got)
+		t.Errorf("response %q after a rejected reload, want one and no change of the discovery address", got)
 	}
 }
 
-// Guards against a change that a reload accepts and that has no effect, without a word: it is
-// named in the log.
+// Guards against changed settings that a reload accepts and silently ignores. Settings that take
+// effect only at a restart have to be named in the log.
 func TestPlatformReloadLogsSettingsThatNeedRestart(t *testing.T) {
 	before, after := startDiscovery(t, startNodeResponding(t, "one")), startDiscovery(t, startNodeResponding(t, "two"))
 	instance := startPlatformReady(t, before, platformOptions{})
@@ -69,13 +69,13 @@
 	instance.daemon.Reload()
 	within(t, time.Second, func() bool { return instance.readBody() == "two" })
 	if want := `msg="needs a restart" settings="settings.limits.connectTimeout, settings.zones"`; !strings.Contains(instance.log.String(), want) {
-		t.Errorf("the log does not say %s", want)
+		t.Errorf("the log does not contain %s", want)
 	}
 }
 
-// Under load, nodes are drained, removed and replaced by others. By the nodes' own records
-// none is sent a request more than 500 ms after discovery has it as draining, every request
-// is served, and no write is sent twice.
+// Verifies that nodes can be drained, removed and replaced under load. According to the nodes' own
+// records, no node is sent a request more than 500 ms after discovery listed it as draining, and no
+// request is sent twice. Every request is served.
 func TestPlatformNodesAreDrainedAndReplaced(t *testing.T) {
 	var nodes []*platformNode
 	for range 4 {
@@ -93,17 +93,18 @@
 	load.stop()
 	for n, node := range nodes {
 		if len(node.receivedIDs()) == 0 {
-			t.Errorf("node %d was never sent a request", n)
+			t.Errorf("node %d was sent no request", n)
 		}
 	}
 	wantSentOnce(t, nodes...)
 	if load.served.Load() < 200 || load.notServed.Load() > 0 {
-		t.Errorf("%d served, %d not", load.served.Load(), load.notServed.Load())
+		t.Errorf("%d requests served, %d not served; want at least 200 and 0", load.served.Load(), load.notServed.Load())
 	}
 }
 
-// replaceNode has discovery drain the endpoint before n and then remove it, with n in its
-// place.
+// replaceNode replaces endpoint n-1, the old node, by endpoint n in discovery's list: the old one is
+// first listed as draining and then removed. It checks that the old node is sent no request from
+// 500 ms after it was listed as draining.
 func replaceNode(t *testing.T, d *fakeDiscovery, n int, old, replacement *platformNode) {
 	up := endpointOf(fmt.Sprint("s", n), replacement, 0, "up")
 	time.Sleep(200 * time.Millisecond)
@@ -113,17 +114,18 @@
 	d.setEndpoints(up)
 	time.Sleep(300 * time.Millisecond)
 	if sent := len(old.receivedIDs()); sent != before {
-		t.Errorf("%d requests were sent to a node 500 ms and more after it was draining", sent-before)
+		t.Errorf("%d requests were sent to a node later than 500 ms after it was listed as draining, want 0", sent-before)
 	}
 }
 
-// platformLoad is a load of four clients, two of reads and two of writes.
+// platformLoad is a load of four clients: two send reads, two send writes. Each sends its next request
+// after the response to the last one.
 type platformLoad struct {
-	instance *platformInstance
-	quit     chan struct{}
-	clients  sync.WaitGroup
-	served   atomic.Int64
-	notServed    atomic.Int64 // not served
+	instance  *platformInstance
+	quit      chan struct{}
+	clients   sync.WaitGroup
+	served    atomic.Int64
+	notServed atomic.Int64
 }
 
 func (i *platformInstance) startLoad() *platformLoad {
@@ -134,6 +136,7 @@
 	return load
 }
 
+// run sends requests of one client until quit is closed.
 func (l *platformLoad) run(writes bool) {
 	for {
 		select {
@@ -159,9 +162,9 @@
 	l.clients.Wait()
 }
 
-// A process starts with an old endpoint list in its configuration. As long as discovery may
-// respond, no request is sent by the old list. If discovery does not respond, requests are
-// served by the old list after a second.
+// Verifies the start of an instance with an old endpoint list in its configuration. If discovery
+// responds, no request is sent to the node of the old list that is draining by now. If discovery
+// does not respond, the instance uses the old list after a second.
 func TestPlatformStartsWithOldEndpointList(t *testing.T) {
 	old, current := startNodeResponding(t, "old"), startNodeResponding(t, "now")
 	oldList := strings.NewReplacer(`"settings":{`, fmt.Sprintf(`"known":%s,"settings":{`, marshalEndpointList(t, endpointOf("old", old, 0, "up"))))
@@ -169,16 +172,16 @@
 	d.setEndpoints(endpointOf("old", old, 0, "draining"), endpointOf("now", current, 0, "up"))
 	instance := startPlatform(t, d.addr, platformOptions{configChange: oldList})
 	if status, body := instance.roundTrip(instance.newRead(0, "1200m").text); status != 200 || body != "now" || len(old.receivedIDs()) != 0 {
-		t.Errorf("%d %q, %d requests sent by the old list", status, body, len(old.receivedIDs()))
+		t.Errorf("status %d, body %q, %d requests sent to the node of the old list; want 200, now and 0", status, body, len(old.receivedIDs()))
 	}
 
 	instance = startPlatform(t, startUnresponsiveDiscovery(t), platformOptions{configChange: oldList})
 	start := time.Now()
 	if instance.ready() {
-		t.Error("ready before discovery had time to respond")
+		t.Error("the instance was ready before discovery had a second to respond")
 	}
 	status, body := instance.roundTrip(instance.newRead(0, "4000m").text)
 	if took := time.Since(start); status != 200 || body != "old" || took < 900*time.Millisecond || took > 3*time.Second || !instance.ready() {
-		t.Errorf("%d %q after %v, ready %v", status, body, took, instance.ready())
+		t.Errorf("status %d, body %q after %v, ready %v; want 200 and old after 0.9 s to 3 s, and ready", status, body, took, instance.ready())
 	}
 }
--- a/internal/e2e/platform_harness_test.go
+++ b/internal/e2e/platform_harness_test.go
@@ -21,16 +21,18 @@
 type platformInstance struct {
 	*testInstance
 	configFile   string
-	configChange *strings.Replacer // nil: none
-	lastID       atomic.Int64      // of the requests made by newRequest
+	configChange *strings.Replacer // applied to platformConfig; nil for no change
+	lastID       atomic.Int64      // id of the last request made by newRequest
 }
 
-// platformOptions changes how a platform instance is started. The zero value changes nothing.
+// platformOptions are options for starting a platform instance. The zero value uses platformConfig
+// as it is, without failing system calls.
 type platformOptions struct {
 	configChange  *strings.Replacer // applied to platformConfig
-	syscallFaults string            // a table of failing system calls, as syscalls.ParseFaultTable reads it
+	syscallFaults string            // fault table in the format of syscalls.ParseFaultTable; "" for no faults
 }
 
+// platformConfig returns the text of a configuration file with discovery at the address.
 func platformConfig(discoveryAddr string) string {
 	return fmt.Sprintf(`{"name":"h0","listen":"127.0.0.1:0","discovery":%q,"seed":"00000000000000a1",
 "limits":{"cores":0.5,"memory_mb":64,"sockets":256},
@@ -42,23 +44,23 @@
 "limits":{"maxAttempts":4,"maxRetryAfter":500000,"retryAfter":true,"connIdle":30000000,"connectTimeout":250000}}}`, discoveryAddr)
 }
 
-// startPlatformReady runs an instance and waits until it is ready. At the end of the test
-// it checks that the scheduler's attempts agreed with those on the sockets, each time that
-// the instance logged its state.
+// startPlatformReady runs an instance and waits until it is ready. At the end of the test it checks
+// the node states that the instance logged at intervals: in each of them, the scheduler's number of
+// attempts in flight has to equal the number of node connections with an attempt.
 func startPlatformReady(t *testing.T, d *fakeDiscovery, options platformOptions) *platformInstance {
 	t.Helper()
 	i := startPlatform(t, d.addr, options)
 	t.Cleanup(func() {
 		i.stop()
 		if log := i.log.String(); strings.Contains(log, "mismatch=true") || !strings.Contains(log, `msg="instance state"`) {
-			t.Error("the scheduler's attempts and those on the sockets differ, or were not compared")
+			t.Error("the log has a node state whose attempts in flight and active connections differ, or has no instance state at all")
 		}
 	})
 	within(t, time.Second, i.ready)
 	return i
 }
 
-// startPlatform runs an instance and does not wait until it is ready.
+// startPlatform runs an instance without waiting until it is ready.
 func startPlatform(t *testing.T, discoveryAddr string, options platformOptions) *platformInstance {
 	t.Helper()
 	i := &platformInstance{testInstance: newTestInstance(t), configChange: options.configChange}
@@ -81,12 +83,13 @@
 	return i
 }
 
+// loadConfig reads the configuration file, at the start and at each reload.
 func (i *platformInstance) loadConfig() (*platform.Config, error) {
 	environment := map[string]string{platform.EnvConfig: i.configFile}
 	return platform.Load(func(name string) string { return environment[name] })
 }
 
-// writeConfig replaces the configuration file by one with discovery at the address.
+// writeConfig atomically replaces the configuration file by one with discovery at the address.
 func (i *platformInstance) writeConfig(discoveryAddr string) {
 	i.t.Helper()
 	text := platformConfig(discoveryAddr)
@@ -100,18 +103,20 @@
 	}
 }
 
-// readBody sends a read and returns the body of its response.
+// readBody sends a read to shard 0 and returns the body of the response.
 func (i *platformInstance) readBody() string {
 	_, body := i.roundTrip(i.newRead(0, "1200m").text)
 	return body
 }
 
+// ready reports whether the instance responds to the readiness probe with 200.
 func (i *platformInstance) ready() bool {
 	status, _ := i.roundTrip("GET /-/ready HTTP/1.1\r\nHost: h\r\n\r\n")
 	return status == 200
 }
 
-// loggedState returns a field of the latest line that logs the state of the instance, or "".
+// loggedState returns the value of a field in the latest "instance state" line of the log, or "" if
+// there is none.
 func (i *platformInstance) loggedState(field string) string {
 	log := i.log.String()
 	start := strings.LastIndex(log, `msg="instance state"`)
@@ -133,11 +138,11 @@
 // platformRequest is a request of the platform's protocol.
 type platformRequest struct {
 	id   string
-	text string // as it is sent
+	text string // the whole request in wire format
 }
 
-// newRequest returns a request with a new id. remaining is the time that the client has
-// left, in milliseconds with the suffix "m".
+// newRequest returns a request with a new id. remaining is the time until the client's deadline, in
+// milliseconds with the suffix "m".
 func (i *platformInstance) newRequest(method, class string, shard int, remaining string) platformRequest {
 	id := fmt.Sprintf("%016x", i.lastID.Add(1))
 	body := ""
--- a/internal/e2e/platform_idle_test.go
+++ b/internal/e2e/platform_idle_test.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// Four hundred clients connect and send nothing, with 256 descriptors for the instance.
-// Others are served all the same: idle connections are preempted for them. The rest is
-// closed within three seconds.
+// Verifies that idle connections do not shut out other clients. 400 clients connect and send nothing
+// to an instance with 256 descriptors. Idle connections are preempted, so that other clients are
+// served; the remaining idle connections are closed within three seconds.
 func TestPlatformIdleConnectionsArePreempted(t *testing.T) {
 	node := startNodeResponding(t, "fine")
 	instance := startPlatformReady(t, startDiscovery(t, node), platformOptions{})
@@ -26,22 +26,22 @@
 		}
 	}
 	if served < 18 {
-		t.Errorf("%d of 20 requests were served among idle connections", served)
+		t.Errorf("%d of 20 requests were served, want at least 18", served)
 	}
 	time.Sleep(150 * time.Millisecond)
 	instance.roundTrip(instance.newRead(0, "1200m").text)
 	if open := countOpen(idle); open > 256/4 {
-		t.Errorf("%d idle connections are kept of 256 descriptors: clients of the platform may have 85 in all", open)
+		t.Errorf("%d idle connections are open, want at most 64 with 256 descriptors: the platform lets its clients hold 85", open)
 	}
 	for _, c := range idle {
 		c.SetReadDeadline(start.Add(3 * time.Second))
 		if _, err := io.Copy(io.Discard, c); err != nil && os.IsTimeout(err) {
-			t.Fatal("an idle connection is open after 3 s")
+			t.Fatal("an idle connection is still open after 3 s")
 		}
 	}
 }
 
-// countOpen returns how many connections the gateway has not closed.
+// countOpen returns the number of connections that the gateway has not closed.
 func countOpen(conns []net.Conn) int {
 	open := 0
 	for _, c := range conns {
--- a/internal/e2e/platform_node_test.go
+++ b/internal/e2e/platform_node_test.go
@@ -11,14 +11,14 @@
 	"maddergap/internal/scriptednode"
 )
 
-// platformNode is a scripted node of the platform that records the requests it has read
-// whole.
+// platformNode is a scripted node of the platform that records the ids of the requests it has read
+// in full.
 type platformNode struct {
 	*scriptednode.Node
 	handler scriptednode.Handler
 
 	mu         sync.Mutex
-	requestIDs []string // in the order of arrival
+	requestIDs []string // in order of arrival
 }
 
 func startPlatformNode(t *testing.T, handler scriptednode.Handler) *platformNode {
@@ -33,14 +33,14 @@
 	return node
 }
 
-// startNodeResponding runs a node that responds 200 to each request, with the body given.
+// startNodeResponding runs a node that responds to each request with 200 and the given body.
 func startNodeResponding(t *testing.T, body string) *platformNode {
 	t.Helper()
 	return startPlatformNode(t, func(*http.Request) scriptednode.Response { return okResponse(body) })
 }
 
-// startNodeClosing runs a node whose responses of 200 end their connections, so that each
-// request needs another one.
+// startNodeClosing runs a node that responds to each request with 200 and then closes the connection,
+// so that the gateway has to dial for each request.
 func startNodeClosing(t *testing.T) *platformNode {
 	t.Helper()
 	return startPlatformNode(t, func(*http.Request) scriptednode.Response {
@@ -51,8 +51,8 @@
 	})
 }
 
-// startHungNode runs a node that reads requests and never responds. It keeps connections
-// open, also those that the gateway closes.
+// startHungNode runs a node that reads requests and never responds. It keeps its side of the
+// connections open until the end of the test, even if the gateway closes them.
 func startHungNode(t *testing.T) *platformNode {
 	t.Helper()
 	quit := make(chan struct{})
@@ -60,15 +60,16 @@
 		<-quit
 		return scriptednode.Response{Ending: scriptednode.Close}
 	})
-	t.Cleanup(func() { close(quit) }) // before the node is closed, which waits for its handlers
+	t.Cleanup(func() { close(quit) }) // runs before node.Close, which waits for the handlers
 	return node
 }
 
-// okResponse is a response of status 200 with a load report.
+// okResponse returns a response of status 200 with a body and a load report.
 func okResponse(body string) scriptednode.Response {
 	return scriptednode.Response{Text: fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\nX-Pressure: inflight=1\r\n\r\n%s", len(body), body)}
 }
 
+// respond records the id of a request and calls the node's handler.
 func (n *platformNode) respond(r *http.Request) scriptednode.Response {
 	n.mu.Lock()
 	n.requestIDs = append(n.requestIDs, r.Header.Get("X-Txn"))
@@ -76,14 +77,14 @@
 	return n.handler(r)
 }
 
-// receivedIDs returns the ids of the requests that came whole, in order.
+// receivedIDs returns the ids of the requests that the node has read in full, in order of arrival.
 func (n *platformNode) receivedIDs() []string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return slices.Clone(n.requestIDs)
 }
 
-// countReceived returns how often a request came.
+// countReceived returns how often the node has read the request of an id.
 func (n *platformNode) countReceived(id string) int {
 	count := 0
 	for _, received := range n.receivedIDs() {
@@ -94,7 +95,7 @@
 	return count
 }
 
-// wantSentOnce checks that no request came more than once, to whichever of the nodes.
+// wantSentOnce checks that no request was sent more than once to the nodes in total.
 func wantSentOnce(t *testing.T, nodes ...*platformNode) {
 	t.Helper()
 	count := map[string]int{}
