--- a/internal/e2e/platform_discovery_test.go
+++ b/internal/e2e/platform_discovery_test.go
@@ -24,13 +24,13 @@
 		return body
 	}
 	if got := read(); got != "one" {
-		t.Fatalf("response %q before any reload, want one", got)
+		t.Fatalf("response %q before any reload, want \"one\"", got)
 	}
 	writeFile(t, instance.configFile, `{"name":`)
 	instance.daemon.Reload()
 	within(t, time.Second, func() bool { return strings.Contains(instance.log.String(), "reload rejected") })
 	if got := read(); got != "one" {
-		t.Fatalf("response %q after the reload of a malformed configuration, want one", got)
+		t.Fatalf("response %q after the reload of a malformed configuration, want \"one\"", got)
 	}
 	instance.writeConfig(after.addr)
 	instance.daemon.Reload()
@@ -55,7 +55,7 @@
 	within(t, time.Second, func() bool { return strings.Contains(instance.log.String(), "reload rejected") })
 	time.Sleep(200 * time.Millisecond)
 	if got := instance.readBody(); got != "one" || strings.Contains(instance.log.String(), "discovery address changed") {
-		t.Errorf("response %q after a rejected reload, want one and no change of the discovery address", got)
+		t.Errorf("response %q after a rejected reload, want \"one\" and no change of the discovery address", got)
 	}
 }
 
@@ -172,7 +172,7 @@
 	d.setEndpoints(endpointOf("old", old, 0, "draining"), endpointOf("now", current, 0, "up"))
 	instance := startPlatform(t, d.addr, platformOptions{configChange: oldList})
 	if status, body := instance.roundTrip(instance.newRead(0, "1200m").text); status != 200 || body != "now" || len(old.receivedIDs()) != 0 {
-		t.Errorf("status %d, body %q, %d requests sent to the node of the old list; want 200, now and 0", status, body, len(old.receivedIDs()))
+		t.Errorf("status %d, body %q, %d requests sent to the node of the old list; want 200, \"now\" and 0", status, body, len(old.receivedIDs()))
 	}
 
 	instance = startPlatform(t, startUnresponsiveDiscovery(t), platformOptions{configChange: oldList})
@@ -182,6 +182,6 @@
 	}
 	status, body := instance.roundTrip(instance.newRead(0, "4000m").text)
 	if took := time.Since(start); status != 200 || body != "old" || took < 900*time.Millisecond || took > 3*time.Second || !instance.ready() {
-		t.Errorf("status %d, body %q after %v, ready %v; want 200 and old after 0.9 s to 3 s, and ready", status, body, took, instance.ready())
+		t.Errorf("status %d, body %q after %v, ready %v; want 200 and \"old\" after 0.9 s to 3 s, and ready", status, body, took, instance.ready())
 	}
 }
--- a/internal/e2e/platform_races_test.go
+++ b/internal/e2e/platform_races_test.go
@@ -17,9 +17,10 @@
 	"maddergap/internal/discovery"
 )
 
-// A client pipelines requests and disconnects while the first of them waits for a node, with
-// a FIN behind bytes that the gateway has not read, or with a reset. When a node is there,
-// none of the requests may be sent to it.
+// Guards against requests that are sent to a node although their client has disconnected. The client
+// pipelines requests and disconnects while the first of them waits for a node: with a FIN, which may
+// come after bytes that the gateway has not read yet, or with a reset. When a node becomes
+// available, none of the requests may be sent to it.
 func TestPlatformClientDisconnectsAfterPipelinedRequests(t *testing.T) {
 	for _, c := range []struct {
 		name     string
@@ -57,19 +58,19 @@
 		return status == 200
 	})
 	if ids := two.receivedIDs(); len(ids) != 1 {
-		t.Errorf("%d requests were sent to the node, want the one of a connected client", len(ids))
+		t.Errorf("%d requests were sent to the node, want 1, that of the connected client", len(ids))
 	}
 }
 
-// stalledListener is a node whose listen queue is full, so that no connection to it is
-// established until resume is called: the kernel of the client then succeeds with a retry.
-type stalledListener struct {
+// fullListener is a node whose listen queue is full, so that no connection to it is established until
+// resume is called. After that the gateway's kernel succeeds when it retransmits the SYN.
+type fullListener struct {
 	t    *testing.T
 	fd   int
 	addr string
 }
 
-func startStalledListener(t *testing.T) *stalledListener {
+func startFullListener(t *testing.T) *fullListener {
 	t.Helper()
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
@@ -85,7 +86,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := &stalledListener{t: t, fd: fd, addr: fmt.Sprintf("127.0.0.1:%d", sockaddr.(*unix.SockaddrInet4).Port)}
+	l := &fullListener{t: t, fd: fd, addr: fmt.Sprintf("127.0.0.1:%d", sockaddr.(*unix.SockaddrInet4).Port)}
 	filler, err := net.Dial("tcp", l.addr)
 	if err != nil {
 		t.Fatal(err)
@@ -94,8 +95,8 @@
 	return l
 }
 
-// resume makes room in the listen queue and accepts the next connection.
-func (l *stalledListener) resume() net.Conn {
+// resume makes room in the listen queue and accepts the connection that was pending.
+func (l *fullListener) resume() net.Conn {
 	l.t.Helper()
 	filler, _, err := unix.Accept(l.fd)
 	if err != nil {
@@ -122,14 +123,14 @@
 	return c
 }
 
-// endpoint returns the listener as an endpoint of the status.
-func (l *stalledListener) endpoint(status string) discovery.Endpoint {
+// endpoint returns the listener as an endpoint with a status.
+func (l *fullListener) endpoint(status string) discovery.Endpoint {
 	return discovery.Endpoint{Name: "late", Address: l.addr, Zone: "z0", Status: status}
 }
 
-// startWithPendingConnect runs an instance whose only node is a stalled listener, and has a
-// client send a request for which it dials the node.
-func startWithPendingConnect(t *testing.T, d *fakeDiscovery, node *stalledListener) (*platformInstance, net.Conn) {
+// startWithPendingConnect runs an instance whose only node does not accept connections yet. It sends a
+// request, waits until the instance is dialing the node, and returns the client's connection.
+func startWithPendingConnect(t *testing.T, d *fakeDiscovery, node *fullListener) (*platformInstance, net.Conn) {
 	t.Helper()
 	d.setEndpoints(node.endpoint("up"))
 	longConnect := strings.NewReplacer(`"connectTimeout":250000`, `"connectTimeout":3000000`)
@@ -140,20 +141,20 @@
 	return instance, c
 }
 
-// A connection to a node is established after the client of its request has disconnected.
-// The request must not be sent on it.
+// Verifies that a request is not sent on a node connection that is established only after the client
+// of the request has disconnected.
 func TestPlatformNodeConnectsAfterClientDisconnects(t *testing.T) {
-	node := startStalledListener(t)
+	node := startFullListener(t)
 	instance, c := startWithPendingConnect(t, startDiscovery(t), node)
 	c.Close()
 	within(t, time.Second, func() bool { return instance.loggedState("disconnected") == "1" })
 	wantNothingSent(t, node.resume())
 }
 
-// A connection to a node is established after discovery has the node as draining. The
-// request must not be sent on it, and is served by another node.
+// Verifies that a request is not sent on a node connection that is established only after discovery
+// has listed the node as draining. Another node serves the request.
 func TestPlatformNodeConnectsAfterDraining(t *testing.T) {
-	node := startStalledListener(t)
+	node := startFullListener(t)
 	other := startNodeResponding(t, "other")
 	d := startDiscovery(t)
 	instance, c := startWithPendingConnect(t, d, node)
@@ -163,22 +164,22 @@
 	wantNothingSent(t, node.resume())
 	r, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil || r.StatusCode != 200 {
-		t.Errorf("%v %v, want it served by the other node", r, err)
+		t.Errorf("response %v, error %v; want 200 from the other node", r, err)
 	}
 }
 
-// wantNothingSent checks that the gateway sends nothing on a connection to a node.
+// wantNothingSent checks that the gateway sends nothing on a node connection for 300 ms.
 func wantNothingSent(t *testing.T, c net.Conn) {
 	t.Helper()
 	t.Cleanup(func() { c.Close() })
 	c.SetReadDeadline(time.Now().Add(300 * time.Millisecond))
 	if sent, _ := io.ReadAll(c); len(sent) > 0 {
-		t.Errorf("%q is sent on the late connection", sent)
+		t.Errorf("the gateway sent %q on the connection, want nothing", sent)
 	}
 }
 
-// A node resets its connection together with a complete response, or shortly after it. The
-// response is delivered, and the next request is not affected.
+// Verifies that a response is forwarded although the node resets the connection immediately or
+// shortly after it has sent the complete response, and that the next request is not affected.
 func TestPlatformNodeResetsAfterResponse(t *testing.T) {
 	for _, delay := range []time.Duration{0, 300 * time.Microsecond, 2 * time.Millisecond} {
 		t.Run(delay.String(), func(t *testing.T) { testResetAfterResponse(t, delay) })
@@ -186,7 +187,7 @@
 }
 
 func testResetAfterResponse(t *testing.T, delay time.Duration) {
-	var sequential sync.Mutex // one connection is served at a time
+	var sequential sync.Mutex // held while a connection is served, so that only one is at a time
 	addr := startRawNode(t, func(c *net.TCPConn, r *bufio.Reader) {
 		sequential.Lock()
 		defer sequential.Unlock()
@@ -205,7 +206,7 @@
 	instance := startPlatformReady(t, d, platformOptions{})
 	for n := range 40 {
 		if status, body := instance.roundTrip(instance.newWrite(0, "1200m").text); status != 200 || body != "fine" {
-			t.Fatalf("request %d: %d %q", n, status, body)
+			t.Fatalf("request %d: status %d, body %q; want 200 and \"fine\"", n, status, body)
 		}
 	}
 }
--- a/internal/e2e/platform_requests_test.go
+++ b/internal/e2e/platform_requests_test.go
@@ -9,31 +9,31 @@
 	"maddergap/internal/scriptednode"
 )
 
-// Clients send requests that are malformed, incomplete or too large. Each gets an error or
-// a close in time, and none reaches a node.
+// Verifies that malformed, incomplete and too large requests, and a request with the id of a pending
+// one, end in an error or a close within 2.5 s, and that none of them is sent to a node.
 func TestPlatformInvalidRequests(t *testing.T) {
-	hold := make(chan struct{})
-	node := startPlatformNode(t, func(*http.Request) scriptednode.Response { <-hold; return okResponse("fine") })
+	release := make(chan struct{})
+	node := startPlatformNode(t, func(*http.Request) scriptednode.Response { <-release; return okResponse("fine") })
 	instance := startPlatformReady(t, startDiscovery(t, node), platformOptions{})
-	defer close(hold)
+	defer close(release)
 	pending := instance.newRead(0, "5000m")
 	go instance.roundTrip(pending.text)
 	within(t, time.Second, func() bool { return len(node.receivedIDs()) == 1 })
 	valid := instance.newWrite(0, "1200m").text
 	duplicateID := strings.Replace(valid, "X-Txn: ", "X-Txn: "+pending.id+"\r\nX-Old: ", 1)
 	if status := instance.wantNotServed("id of a pending request", duplicateID); status == 503 {
-		t.Error("id of a pending request: 503, which allows a retry")
+		t.Error("id of a pending request: status 503, which tells the client that a retry is harmless")
 	}
 	for name, text := range invalidRequests(valid, pending.text) {
 		instance.wantNotServed(name, text)
 	}
 	if ids := node.receivedIDs(); len(ids) != 1 {
-		t.Errorf("the node was sent %v, want the one valid request", ids)
+		t.Errorf("the node was sent the requests %v, want only the pending one", ids)
 	}
 }
 
-// invalidRequests returns variations of a valid request by what is wrong with them. The
-// text of another request is smuggled in one of them.
+// invalidRequests returns invalid variants of a valid request. The keys say what is wrong with them.
+// One of them contains a second request, smuggled, in what may be taken for the first one's body.
 func invalidRequests(valid, smuggled string) map[string]string {
 	replace := func(old, replacement string) string { return strings.Replace(valid, old, replacement, 1) }
 	return map[string]string{
@@ -53,14 +53,14 @@
 	}
 }
 
-// wantNotServed sends a request and checks that it is not served and ends in time. It
-// returns the status of the response.
+// wantNotServed sends a request and checks that it does not get 200 and ends within 2.5 s. It returns
+// the status of the response, as roundTrip does.
 func (i *platformInstance) wantNotServed(name, text string) (status int) {
 	i.t.Helper()
 	start := time.Now()
 	status, _ = i.roundTrip(text)
 	if status == 200 || time.Since(start) > 2500*time.Millisecond {
-		i.t.Errorf("%s: %d after %v", name, status, time.Since(start))
+		i.t.Errorf("%s: status %d after %v, want an error or a close within 2.5 s", name, status, time.Since(start))
 	}
 	return status
 }
--- a/internal/e2e/platform_responses_test.go
+++ b/internal/e2e/platform_responses_test.go
@@ -10,20 +10,20 @@
 	"maddergap/internal/scriptednode"
 )
 
-// nodeResponseCase is a response of a node to the first attempt of a request, and what
-// comes of it. Further attempts are served.
+// nodeResponseCase is a node's response to the first attempt of a request, and the expected result.
+// The node responds to further attempts with 200.
 type nodeResponseCase struct {
 	name          string
 	response      scriptednode.Response
-	readStatus    int // what the client of an idempotent read gets
-	writeStatus   int // what the client of a non-idempotent write gets
-	writeAttempts int
+	readStatus    int // status that the client of an idempotent read gets
+	writeStatus   int // status that the client of a non-idempotent write gets
+	writeAttempts int // number of attempts of the write
 }
 
-// longText is longer than a header may be.
+// longText is longer than the limit of a response header, 8 KB.
 var longText = strings.Repeat("x", 20<<10)
 
-// largeBody is larger than the buffers of a connection.
+// largeBody is larger than the buffers of one connection.
 var largeBody = strings.Repeat("x", 400000)
 
 var nodeResponseCases = []nodeResponseCase{
@@ -50,8 +50,9 @@
 	{"malformed chunk", scriptednode.Response{Text: "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n"}, 200, 502, 1},
 }
 
-// Nodes respond in each way that they may, good and bad. A read is retried, and its client
-// gets 200 within a second. A write that may have been executed is never sent again.
+// Verifies the handling of valid, malformed, truncated and failed responses of nodes. Reads are
+// retried, and their clients get 200 within a second. A write that the node may have executed is
+// never sent again.
 func TestPlatformNodeResponses(t *testing.T) {
 	for _, c := range nodeResponseCases {
 		t.Run(c.name, func(t *testing.T) { testNodeResponse(t, c) })
@@ -74,28 +75,28 @@
 	read := instance.newRead(0, "1200m")
 	instance.wantResponse("read", read, c.readStatus)
 	if n := node.countReceived(read.id); n < 1 || n > 4 {
-		t.Errorf("read: %d attempts", n)
+		t.Errorf("read: %d attempts, want 1 to 4", n)
 	}
 	write := instance.newWrite(0, "1200m")
 	instance.wantResponse("write", write, c.writeStatus)
 	if n := node.countReceived(write.id); n != c.writeAttempts || n < 1 || n > 4 {
-		t.Errorf("write: %d attempts", n)
+		t.Errorf("write: %d attempts, want the number of the case, within 1 to 4", n)
 	}
 	if status, body := instance.roundTrip(instance.newRead(0, "1200m").text); status == 0 {
-		t.Errorf("afterwards: %d %q", status, body)
+		t.Errorf("read afterwards: status %d, body %q; want a response", status, body)
 	}
 }
 
-// wantResponse sends a request and checks that it gets the status within a second, and if
-// it is 200 one of the bodies of nodeResponseCases.
+// wantResponse sends a request and checks that it gets the wanted status within a second. The body of
+// a response of 200 has to be one of the bodies in nodeResponseCases.
 func (i *platformInstance) wantResponse(name string, request platformRequest, want int) {
 	i.t.Helper()
 	start := time.Now()
 	status, body := i.roundTrip(request.text)
 	if status != want || status == 200 && body != "fine" && body != largeBody {
-		i.t.Errorf("%s: %d %.40q, want %d", name, status, body, want)
+		i.t.Errorf("%s: status %d, body %.40q; want %d", name, status, body, want)
 	}
 	if took := time.Since(start); took > time.Second {
-		i.t.Errorf("%s: the response took %v", name, took)
+		i.t.Errorf("%s: the response took %v, want at most 1 s", name, took)
 	}
 }
--- a/internal/e2e/platform_shutdown_test.go
+++ b/internal/e2e/platform_shutdown_test.go
@@ -15,8 +15,8 @@
 	"maddergap/internal/scriptednode"
 )
 
-// Clients send requests, each on a new connection, while an instance stops. Each gets a
-// response, 503 at worst.
+// Verifies that no request is lost while an instance stops. Clients send requests, each on a new
+// connection; each request is served or gets 503.
 func TestPlatformShutdownLosesNoRequest(t *testing.T) {
 	node := startPlatformNode(t, func(*http.Request) scriptednode.Response {
 		time.Sleep(20 * time.Millisecond)
@@ -46,12 +46,13 @@
 		t.Error(err)
 	}
 	if lost.Load() > 0 || served.Load() < 20 {
-		t.Errorf("%d lost, %d served", lost.Load(), served.Load())
+		t.Errorf("%d requests lost, %d served; want 0 and at least 20", lost.Load(), served.Load())
 	}
 }
 
-// Clients connect without a pause while an instance stops. Each connection that is
-// established gets a response, up to the last one in the listen queue.
+// Guards against connections that are reset because they are still in the listen queue when the
+// instance closes its listener. Clients keep connecting while the instance stops; the request on each
+// established connection gets a response.
 func TestPlatformShutdownServesListenQueue(t *testing.T) {
 	for range 4 {
 		node := startNodeResponding(t, "fine")
@@ -78,8 +79,8 @@
 	}
 }
 
-// wantResponseIfConnected connects, sends a request and checks that there is a response,
-// unless the connection is not established.
+// wantResponseIfConnected connects, sends a request and checks that there is a response. It checks
+// nothing if the connection cannot be established.
 func (i *platformInstance) wantResponseIfConnected() {
 	c, err := net.DialTimeout("tcp", i.addr, 300*time.Millisecond)
 	if err != nil {
@@ -90,7 +91,7 @@
 	request := i.newRead(0, "1000m")
 	c.SetDeadline(time.Now().Add(2 * time.Second))
 	if _, err := c.Write([]byte(request.text)); err != nil {
-		i.t.Errorf("request %s: %v", request.id, err)
+		i.t.Errorf("request %s cannot be written: %v", request.id, err)
 		return
 	}
 	b := make([]byte, 12)
@@ -99,10 +100,10 @@
 	}
 }
 
-// Three connections of clients are open as an instance stops. A new one has time for its
-// request, and on another the rest of a request is read. An idle one is shut down: a request
-// that crosses the shutdown is not forwarded, and its client sees EOF and no reset, so that
-// it can safely retry.
+// Verifies what a shutdown does to three kinds of client connections. A new connection has time to
+// send its request, and the rest of a partly received request is read; both are served. An idle
+// connection is shut down: a request sent after that is not forwarded, and its client sees EOF
+// and no reset, so that it can safely retry.
 func TestPlatformShutdownOfClientConnections(t *testing.T) {
 	node := startNodeResponding(t, "fine")
 	instance := startPlatformReady(t, startDiscovery(t, node), platformOptions{})
@@ -121,12 +122,12 @@
 	before := len(node.receivedIDs())
 	io.WriteString(idle, instance.newRead(0, "1200m").text)
 	if b, err := io.ReadAll(idleReader); err != nil || len(b) > 0 {
-		t.Errorf("the idle client sees %q, %v; want EOF", b, err)
+		t.Errorf("the idle client read %q, error %v; want EOF", b, err)
 	}
 	idle.Close()
 	time.Sleep(50 * time.Millisecond)
 	if n := len(node.receivedIDs()); n != before {
-		t.Error("a request was forwarded that came after the shutdown of its connection")
+		t.Error("a request sent after the shutdown of its connection was forwarded")
 	}
 	fmt.Fprint(fresh, instance.newRead(0, "1200m").text)
 	io.WriteString(partial, partialRequest[60:])
@@ -137,19 +138,19 @@
 	}
 }
 
-// wantServedAndClosed checks that a connection gets one response of 200 and then EOF.
+// wantServedAndClosed checks that a client connection gets one response of 200 followed by EOF.
 func wantServedAndClosed(t *testing.T, name string, c net.Conn) {
 	t.Helper()
 	c.SetReadDeadline(time.Now().Add(3 * time.Second))
 	response, err := io.ReadAll(c)
 	if got := string(response); err != nil || !strings.HasPrefix(got, "HTTP/1.1 200 ") || !strings.HasSuffix(got, "fine") {
-		t.Errorf("%s: %q, %v", name, got, err)
+		t.Errorf("%s: response %q, error %v; want 200 and then EOF", name, got, err)
 	}
 	c.Close()
 }
 
-// All nodes hang as an instance stops, and the clients' deadlines lie beyond its own. Each
-// client gets a response before the instance ends.
+// Verifies that every client gets a response from an instance that stops while its node hangs, even
+// if the clients' deadlines are later than the deadline of the shutdown.
 func TestPlatformShutdownWithHungNodes(t *testing.T) {
 	node := startHungNode(t)
 	instance := startPlatformReady(t, startDiscovery(t, node), platformOptions{})
@@ -167,24 +168,24 @@
 		c.SetReadDeadline(time.Now().Add(time.Second))
 		r, err := http.ReadResponse(bufio.NewReader(c), nil)
 		if err != nil || r.StatusCode < 500 {
-			t.Errorf("request %d: %v %v", n, r, err)
+			t.Errorf("request %d: response %v, error %v; want a status of 500 or more", n, r, err)
 		}
 	}
 }
 
-// An instance is stopped before it was ever ready, with discovery down and a reload before
-// the stop. It ends in time.
+// Verifies that an instance that was never ready, as discovery does not respond, stops within 2 s,
+// also right after a reload.
 func TestPlatformShutdownBeforeReady(t *testing.T) {
 	instance := startPlatform(t, startUnresponsiveDiscovery(t), platformOptions{})
 	start := time.Now()
 	instance.daemon.Reload()
 	if err := instance.stop(); err != nil || time.Since(start) > 2*time.Second {
-		t.Errorf("before it was ready: %v after %v", err, time.Since(start))
+		t.Errorf("stop returned %v after %v, want no error within 2 s", err, time.Since(start))
 	}
 }
 
-// An instance is stopped between two reloads with a request in flight, as discovery fails.
-// The request is served, and the instance ends.
+// Verifies that an instance stopped between two reloads, with a request in flight and discovery not
+// responding, serves the request, closes the client's connection and stops.
 func TestPlatformShutdownDuringReload(t *testing.T) {
 	node := startPlatformNode(t, func(*http.Request) scriptednode.Response {
 		time.Sleep(300 * time.Millisecond)
@@ -202,7 +203,7 @@
 	instance.daemon.Reload()
 	r, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil || r.StatusCode != 200 || !r.Close {
-		t.Errorf("%+v, %v", r, err)
+		t.Errorf("response %+v, error %v; want 200 with Connection: close", r, err)
 	}
 	c.Close()
 	if err := instance.stop(); err != nil {
--- a/internal/e2e/platform_syscall_faults_test.go
+++ b/internal/e2e/platform_syscall_faults_test.go
@@ -9,21 +9,21 @@
 	"time"
 )
 
-// System calls fail for a while, in ways that Linux documents. Every request that has the
-// time is served, no request is executed twice, and no node is taken for faulty: its circuit
-// breaker stays closed.
+// Verifies that requests are served although system calls fail for a while with errors that Linux
+// documents. No request is sent twice, and the circuit breaker of the node stays closed, as local
+// errors say nothing about the node.
 func TestFailingSystemCalls(t *testing.T) {
-	const shortly = "from 300ms for 300ms"
+	const briefly = "from 300ms for 300ms"
 	for _, faults := range []string{
-		"socket ENFILE " + shortly,
-		"connect EADDRNOTAVAIL " + shortly,
-		"connect ENETUNREACH " + shortly,
-		"accept ENFILE " + shortly + "; accept ECONNABORTED chance 0.3",
-		"accept EINVAL " + shortly,
+		"socket ENFILE " + briefly,
+		"connect EADDRNOTAVAIL " + briefly,
+		"connect ENETUNREACH " + briefly,
+		"accept ENFILE " + briefly + "; accept ECONNABORTED chance 0.3",
+		"accept EINVAL " + briefly,
 		"epoll_ctl ENOMEM chance 0.3 from 150ms",
-		"epoll_ctl ENOSPC " + shortly,
+		"epoll_ctl ENOSPC " + briefly,
 		"epoll_ctl ENOSPC from 300ms for 1s",
-		"write ENOBUFS " + shortly + "; read ENOMEM " + shortly,
+		"write ENOBUFS " + briefly + "; read ENOMEM " + briefly,
 		"read SHORT; write SHORT",
 		"read EINTR chance 0.3; write EINTR chance 0.3; accept EINTR chance 0.3; epoll_wait EINTR chance 0.3",
 		"shutdown ENOBUFS chance 0.5; connect EINTR chance 0.5; socket EMFILE chance 0.3",
@@ -36,7 +36,8 @@
 }
 
 func testFailingSystemCalls(t *testing.T, faults string) {
-	// Each response ends its connection, so that connections are made all the time.
+	// The node closes the connection after each response, so that the gateway has to dial for each
+	// request.
 	node := startNodeClosing(t)
 	instance := startPlatform(t, startDiscovery(t, node).addr, platformOptions{syscallFaults: faults})
 	within(t, 2*time.Second, instance.ready)
@@ -48,13 +49,13 @@
 	clients.Wait()
 	instance.stop()
 	if log := instance.log.String(); strings.Contains(log, "breaker_open=true") {
-		t.Errorf("the breaker of a faultless node opened; the instance's log:\n%s", log)
+		t.Errorf("the circuit breaker of a healthy node opened; the instance's log:\n%s", log)
 	}
 	wantSentOnce(t, node)
 }
 
-// wantServedUntil sends writes and reads in turn until the deadline, and checks that each is
-// served. It ends with the first that is not.
+// wantServedUntil alternates writes and reads until the deadline and checks that each is served. It
+// returns after the first that is not.
 func (i *platformInstance) wantServedUntil(deadline time.Time, writeFirst bool) {
 	for write := writeFirst; time.Now().Before(deadline); write = !write {
 		request := i.newRead(0, "2000m")
@@ -62,14 +63,14 @@
 			request = i.newWrite(0, "2000m")
 		}
 		if status, body := i.roundTrip(request.text); status != 200 || body != "fine" {
-			i.t.Errorf("request %s: %d %q", request.id, status, body)
+			i.t.Errorf("request %s: status %d, body %q; want 200 and \"fine\"", request.id, status, body)
 			return
 		}
 	}
 }
 
-// Epoll takes no new connection for a second. Requests are served all the same, a little
-// later.
+// Verifies that requests are served, with a small delay, while no descriptor can be registered with
+// epoll: epoll_ctl fails with ENOSPC for a second. The event loop then polls the connections.
 func TestServesWithoutEpoll(t *testing.T) {
 	const minServed = 20
 	node := startNodeClosing(t)
@@ -80,19 +81,19 @@
 	served := 0
 	for time.Since(start) < 1200*time.Millisecond {
 		if status, body := instance.roundTrip(instance.newRead(0, "800m").text); status != 200 || body != "fine" {
-			t.Fatalf("after %d requests: %d %q", served, status, body)
+			t.Fatalf("after %d requests: status %d, body %q; want 200 and \"fine\"", served, status, body)
 		}
 		served++
 	}
 	instance.stop()
 	if log := instance.log.String(); served < minServed || strings.Contains(log, "breaker_open=true") {
-		t.Errorf("%d requests served, want %d, with no breaker open; the instance's log:\n%s", served, minServed, log)
+		t.Errorf("%d requests served, want at least %d and no open circuit breaker; the instance's log:\n%s", served, minServed, log)
 	}
 }
 
-// System calls fail at each step of a shutdown, from before it begins until after the
-// listener is closed. What is in flight, what comes on open connections and what waits in
-// the listen queue is served, and the instance ends.
+// Verifies that no request is lost if system calls fail during a shutdown, from before it begins until
+// after the listener is closed. The requests on open connections and on new ones, which may still be
+// in the listen queue, are served, and the instance stops.
 func TestStopWhileSystemCallsFail(t *testing.T) {
 	for _, faults := range []string{
 		"accept EMFILE from 700ms for 600ms",
@@ -114,17 +115,18 @@
 }
 
 func testStopWhileSystemCallsFail(t *testing.T, faults string) {
-	// Each response ends its connection, so that each request needs another one.
+	// The node closes the connection after each response, so that the gateway has to dial for each
+	// request.
 	node := startNodeClosing(t)
 	start := time.Now()
 	instance := startPlatform(t, startDiscovery(t, node).addr, platformOptions{syscallFaults: faults})
 	within(t, 600*time.Millisecond, instance.ready)
-	open := make([]net.Conn, 4) // established before anything fails
+	open := make([]net.Conn, 4) // established before any system call fails
 	for n := range open {
 		open[n] = instance.connect()
 		fmt.Fprint(open[n], instance.newRead(0, "2500m").text)
 		if status := readStatus(open[n]); status != 200 {
-			t.Fatalf("%d before anything failed", status)
+			t.Fatalf("status %d before any system call failed, want 200", status)
 		}
 	}
 	time.Sleep(time.Until(start.Add(800 * time.Millisecond)))
@@ -133,7 +135,7 @@
 		fmt.Fprint(c, instance.newRead(0, "2500m").text)
 		responses.Go(func() {
 			if status := readStatus(c); status != 200 {
-				t.Errorf("%s: %d", name, status)
+				t.Errorf("%s: status %d, want 200", name, status)
 			}
 		})
 	}
@@ -144,12 +146,13 @@
 	instance.daemon.Stop()
 	responses.Wait()
 	if err := instance.stop(); err != nil {
-		t.Errorf("%v; the instance's log:\n%s", err, instance.log.String())
+		t.Errorf("the shutdown failed: %v; the instance's log:\n%s", err, instance.log.String())
 	}
 }
 
-// Guards against a faultless node that is ejected by a shortage on this machine: descriptors are
-// short, so that some dials come through and others wait until they time out.
+// Guards against a circuit breaker that opens for a healthy node because of a shortage on the
+// gateway's machine. 90 % of the socket calls fail with EMFILE, so that some dials succeed and
+// others are retried until their requests time out.
 func TestDescriptorShortageOpensNoBreaker(t *testing.T) {
 	node := startNodeClosing(t)
 	instance := startPlatform(t, startDiscovery(t, node).addr, platformOptions{syscallFaults: "socket EMFILE chance 0.9 from 300ms"})
@@ -167,6 +170,6 @@
 	instance.stop()
 	log := instance.log.String()
 	if opened := strings.Count(log, "breaker_open=true"); opened > 0 {
-		t.Errorf("the breaker of a faultless node was open at %d looks of %d", opened, strings.Count(log, "breaker_open="))
+		t.Errorf("the circuit breaker of a healthy node was open in %d of %d logged node states", opened, strings.Count(log, "breaker_open="))
 	}
 }
--- a/internal/e2e/raw_node_test.go
+++ b/internal/e2e/raw_node_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// startRawNode runs a node that does what the test does with each connection. Connections
-// are closed when serve returns, and at the end of the test.
+// startRawNode runs a node that calls serve in a goroutine for each connection. A connection is closed
+// when its call of serve returns, or else at the end of the test.
 func startRawNode(t *testing.T, serve func(c *net.TCPConn, r *bufio.Reader)) (addr string) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/e2e/reload_test.go
+++ b/internal/e2e/reload_test.go
@@ -8,8 +8,8 @@
 	"maddergap/internal/fakenode"
 )
 
-// The node list file is replaced by a malformed one. The last good list stays in force and
-// the log names the error. The next good list is followed.
+// Verifies that a malformed node list file is rejected with an error in the log while the last good
+// list stays in effect, and that the next valid list is applied.
 func TestNodeListFileIsReloaded(t *testing.T) {
 	_, addrs := startNodes(t, 2, fakenode.Options{})
 	instance := startWebDAV(t, "", addrs[0], addrs[0])
@@ -19,7 +19,7 @@
 	eventually(t, "the log names the error", func() bool { return strings.Contains(instance.log.String(), "nodes.list:1") })
 	_, r = instance.send(getRequest("/feed-a/s"))
 	if status, body, _ := instance.receive(r, "GET"); status != 200 || body != "first" {
-		t.Errorf("%d %q under a malformed list", status, body)
+		t.Errorf("read with a malformed node list: status %d, body %q; want 200 and \"first\"", status, body)
 	}
 	instance.setNodes(addrs[1], addrs[1])
 	eventually(t, "the new node is used", func() bool {
@@ -29,8 +29,8 @@
 	})
 }
 
-// A configuration with an error, or with a change that needs a restart, is rejected whole.
-// A good one is applied.
+// Verifies that a reload rejects a configuration as a whole if it has an error or a change that needs a
+// restart, and that a valid configuration is applied after that.
 func TestReloadIsAllOrNothing(t *testing.T) {
 	_, addrs := startNodes(t, 1, fakenode.Options{})
 	instance := startWebDAV(t, "", addrs[0], addrs[0])
@@ -51,8 +51,8 @@
 	})
 }
 
-// A reload lowers the limit of connections per address below what an address has open.
-// None of them is closed, and the next one is rejected.
+// Verifies that a reload that lowers the limit of connections per address closes no connection of an
+// address that is over the new limit, and that the next connection of that address is rejected.
 func TestReloadOfConnectionLimits(t *testing.T) {
 	_, addrs := startNodes(t, 1, fakenode.Options{})
 	instance := startWebDAV(t, "clients 50\n", addrs[0], addrs[0])
@@ -62,22 +62,22 @@
 	instance.get(c2, r2)
 	instance.writeConfig(webdavConfig + "clients 50\nadmit address 1\n")
 	instance.daemon.Reload()
-	eventually(t, "the reload", func() bool { return strings.Contains(instance.log.String(), "reloaded") })
+	eventually(t, "the log reports the reload", func() bool { return strings.Contains(instance.log.String(), "reloaded") })
 	if a, b := instance.get(c1, r1), instance.get(c2, r2); a != 404 || b != 404 {
-		t.Errorf("connections from before the reload: %d, %d", a, b)
+		t.Errorf("connections from before the reload: status %d and %d, want 404", a, b)
 	}
-	io.WriteString(c1, putRequest("/feed-a/x", "x")) // a connection that was served is not preempted
+	io.WriteString(c1, putRequest("/feed-a/x", "x")) // a connection whose request was served is not preempted
 	instance.receive(r1, "PUT")
 	io.WriteString(c2, putRequest("/feed-a/x", "x"))
 	instance.receive(r2, "PUT")
 	c3, r3 := instance.connectFrom("127.0.8.1")
 	if status := instance.get(c3, r3); status != 503 {
-		t.Errorf("past the new limit: %d, want 503", status)
+		t.Errorf("connection over the new limit: status %d, want 503", status)
 	}
 }
 
-// Guards against an operator who believes in a setting that is not in force: a directive that a
-// reload accepts and that takes effect at a restart only is named in the log.
+// Guards against changed directives that a reload accepts but that take effect only at a restart: the
+// log has to name them, or an operator would assume that they are in effect.
 func TestReloadLogsDirectivesThatNeedRestart(t *testing.T) {
 	_, addrs := startNodes(t, 1, fakenode.Options{})
 	instance := startWebDAV(t, "", addrs[0], addrs[0])
--- a/internal/e2e/request_parsing_test.go
+++ b/internal/e2e/request_parsing_test.go
@@ -9,9 +9,9 @@
 	"maddergap/internal/fakenode"
 )
 
-// Clients send requests in the forms that are used for request smuggling, and headers past
-// their limits. Each gets the status that RFC 9112 asks for and its connection ends: nothing
-// of what follows on it reaches a node.
+// Verifies that requests of the forms used for request smuggling, and headers over the limits, get the
+// status that RFC 9112 requires. The connection is closed after that, and no node is sent the request
+// or the second one hidden after it.
 func TestMalformedRequestsAreRejected(t *testing.T) {
 	nodes, addrs := startNodes(t, 1, fakenode.Options{})
 	instance := startWebDAV(t, "", addrs[0], addrs[0])
@@ -36,35 +36,35 @@
 		_, r := instance.send(c.text)
 		status, body, _ := instance.receive(r, "GET")
 		if status != c.status || body == "" {
-			t.Errorf("%s: %d %q, want %d", c.name, status, body, c.status)
+			t.Errorf("%s: status %d, body %q; want %d and a body", c.name, status, body, c.status)
 		}
 		if rest, _ := io.ReadAll(r); len(rest) > 0 {
-			t.Errorf("%s: more follows: %.100q", c.name, rest)
+			t.Errorf("%s: data after the response: %.100q, want EOF", c.name, rest)
 		}
 	}
 	_, r := instance.send("GET /feed-a/" + strings.Repeat("a", 4096-8) + " HTTP/1.1\r\nHost: h\r\n\r\n")
 	if status, _, _ := instance.receive(r, "GET"); status != 404 {
-		t.Errorf("a target of the maximum length: %d", status)
+		t.Errorf("target of the maximum length: status %d, want 404", status)
 	}
 	for _, e := range nodes[0].Entries() {
 		if strings.Contains(e.Path, "hidden") || e.Path == "/feed-a/s" {
-			t.Errorf("a node was sent %s %s", e.Method, e.Path)
+			t.Errorf("the node was sent %s %s, want nothing of these requests", e.Method, e.Path)
 		}
 	}
 }
 
-// A client ends a header line with a bare LF. It is rejected at once, not with 408 at the
-// end of header-time.
+// Verifies that a request whose lines end with a bare LF is rejected immediately with 400, and not with
+// 408 when header-time has passed.
 func TestBareLineFeedIsRejected(t *testing.T) {
 	_, addrs := startNodes(t, 1, fakenode.Options{})
 	instance := startWebDAV(t, "", addrs[0], addrs[0])
 	_, r := instance.send("GET /feed-a/x HTTP/1.1\nHost: h\n\n")
 	if status, _, _ := instance.receive(r, "GET"); status != 400 {
-		t.Errorf("%d, want 400", status)
+		t.Errorf("status %d, want 400", status)
 	}
 }
 
-// Requests that are pipelined on one connection get their responses in order.
+// Verifies that requests pipelined on one connection get their responses in order.
 func TestPipelinedRequests(t *testing.T) {
 	_, addrs := startNodes(t, 1, fakenode.Options{})
 	instance := startWebDAV(t, "", addrs[0], addrs[0])
@@ -81,30 +81,30 @@
 		{"GET", 200, "three"},
 	} {
 		if status, body, _ := instance.receive(r, want.method); status != want.status || body != want.body {
-			t.Errorf("response %d: %d %q, want %d %q", n, status, body, want.status, want.body)
+			t.Errorf("response %d: status %d, body %q; want %d %q", n, status, body, want.status, want.body)
 		}
 	}
 }
 
-// A client asks for 100 Continue and then sends a chunked body whose pieces are split
-// across writes.
+// Verifies that a client that expects 100 Continue gets it, and that its chunked body is stored intact
+// although the chunks are split across several writes.
 func TestExpectContinueWithChunkedBody(t *testing.T) {
 	_, addrs := startNodes(t, 1, fakenode.Options{})
 	instance := startWebDAV(t, "", addrs[0], addrs[0])
 	c, r := instance.send("PUT /feed-a/e HTTP/1.1\r\nHost: h\r\nExpect: 100-continue\r\nTransfer-Encoding: chunked\r\n\r\n")
 	line, _ := r.ReadString('\n')
 	if empty, _ := r.ReadString('\n'); line != "HTTP/1.1 100 Continue\r\n" || empty != "\r\n" {
-		t.Fatalf("%q %q", line, empty)
+		t.Fatalf("got %q %q, want 100 Continue and an empty line", line, empty)
 	}
 	for _, piece := range []string{"3\r\n", "abc", "\r\n4;x=y\r\ndefg\r", "\n0\r\nTrailer: t\r\n\r", "\n"} {
 		io.WriteString(c, piece)
 		time.Sleep(5 * time.Millisecond)
 	}
 	if status, _, _ := instance.receive(r, "PUT"); status != 201 {
-		t.Errorf("chunked PUT: %d", status)
+		t.Errorf("chunked PUT: status %d, want 201", status)
 	}
 	_, r = instance.send(getRequest("/feed-a/e"))
 	if _, body, _ := instance.receive(r, "GET"); body != "abcdefg" {
-		t.Errorf("%q is stored", body)
+		t.Errorf("stored body %q, want \"abcdefg\"", body)
 	}
 }
--- a/internal/e2e/shutdown_test.go
+++ b/internal/e2e/shutdown_test.go
@@ -11,8 +11,8 @@
 	"maddergap/internal/fakenode"
 )
 
-// An instance is stopped with writes in flight, as by SIGTERM. Its listeners close, the
-// writes are served, and then it ends.
+// Verifies a graceful shutdown with writes in flight, as after SIGTERM: the instance serves the writes,
+// closes its listeners and ends.
 func TestShutdownServesRequestsInFlight(t *testing.T) {
 	_, addrs := startNodes(t, 1, fakenode.Options{UnitTime: 300 * time.Millisecond, Cores: 4, QueueLimit: 10})
 	instance := startWebDAV(t, "", addrs[0], addrs[0])
@@ -30,18 +30,17 @@
 	}
 	for range 2 {
 		if status := <-statuses; status != 201 {
-			t.Errorf("a request in flight got %d", status)
+			t.Errorf("request in flight: status %d, want 201", status)
 		}
 	}
 	if c, err := net.Dial("tcp", instance.addr); err == nil {
 		c.Close()
-		t.Error("the listener is still open")
+		t.Error("the listener is open after the shutdown")
 	}
 }
 
-// Clients connect without a pause while an instance stops. Those connections are refused
-// by the kernel, or closed with no request taken. A request that was taken before the stop
-// is served, and sent to the node once.
+// Verifies that an instance stops although clients keep connecting, sending requests and closing their
+// connections. A request received before the stop is served, and sent to the node exactly once.
 func TestShutdownDuringFlood(t *testing.T) {
 	nodes, addrs := startNodes(t, 1, fakenode.Options{UnitTime: 200 * time.Millisecond, Cores: 4, QueueLimit: 64})
 	instance := startWebDAV(t, floodConfig, addrs[0], addrs[0])
@@ -59,9 +58,9 @@
 		t.Error(err)
 	}
 	if status, _, _ := instance.receive(r, "PUT"); status != 201 {
-		t.Errorf("the request taken before the stop: %d", status)
+		t.Errorf("request received before the stop: status %d, want 201", status)
 	}
 	if sent := countRequests(nodes[0], "/feed-a/taken"); sent != 1 {
-		t.Errorf("it was sent to the node %d times", sent)
+		t.Errorf("the request was sent to the node %d times, want 1", sent)
 	}
 }
--- a/internal/e2e/slow_client_test.go
+++ b/internal/e2e/slow_client_test.go
@@ -14,8 +14,8 @@
 	"maddergap/internal/fakenode"
 )
 
-// A client that writes a byte at a time is served if it is done within header-time, and one
-// that stops in its header gets 408.
+// Verifies that a client that writes its request one byte at a time is served, while clients that stop
+// in the middle of the header or of the body get 408.
 func TestSlowRequests(t *testing.T) {
 	_, addrs := startNodes(t, 1, fakenode.Options{})
 	instance := startWebDAV(t, "", addrs[0], addrs[0])
@@ -27,18 +27,18 @@
 		time.Sleep(time.Millisecond)
 	}
 	if status, _, _ := instance.receive(r, "PUT"); status != 201 {
-		t.Errorf("a slow request within its time: %d", status)
+		t.Errorf("request written slowly: status %d, want 201", status)
 	}
 	if status, _, _ := instance.receive(stuckReader, "GET"); status != 408 {
-		t.Errorf("a header that stops: %d, want 408", status)
+		t.Errorf("incomplete header: status %d, want 408", status)
 	}
 	if status, _, _ := instance.receive(halfReader, "PUT"); status != 408 {
-		t.Errorf("a header that stops: %d, want 408", status)
+		t.Errorf("incomplete body: status %d, want 408", status)
 	}
 }
 
-// A client reads nothing of a large response. It is dropped after stall-time, and the
-// memory of its response is released.
+// Verifies that a client that reads nothing of a large response is disconnected after stall-time, and
+// that the gateway has not sent the whole response by then.
 func TestStalledReader(t *testing.T) {
 	_, addrs := startNodes(t, 1, fakenode.Options{})
 	instance := startWebDAV(t, "", addrs[0], addrs[0])
@@ -46,16 +46,16 @@
 	instance.receive(r, "PUT")
 	c, _ := instance.send(getRequest("/feed-a/big"))
 	if stalled := waitForReset(t, c); stalled < 1500*time.Millisecond || stalled > 3*time.Second { // stall-time is 2 s
-		t.Errorf("dropped after its response made no progress for %v", stalled)
+		t.Errorf("disconnected after %v without progress, want 1.5 s to 3 s", stalled)
 	}
 	if n, err := io.Copy(io.Discard, c); err == nil || n >= 16<<20 {
-		t.Errorf("%d bytes, %v: the gateway waited for a client that has stopped", n, err)
+		t.Errorf("read %d bytes, error %v; want a truncated response", n, err)
 	}
 }
 
-// waitForReset waits, without reading, until a connection is reset, and returns for how
-// long no byte had arrived by then. It counts from the last byte, not from the request: a
-// busy machine takes its time to fill the socket buffers.
+// waitForReset waits, without reading, until a connection is reset, and returns the time since the
+// last byte arrived. It does not count from the request, as a busy machine may take long to fill the
+// socket buffers.
 func waitForReset(t *testing.T, c net.Conn) (stalled time.Duration) {
 	t.Helper()
 	raw, err := c.(syscall.Conn).SyscallConn()
@@ -69,20 +69,21 @@
 			if n, err := unix.IoctlGetInt(int(fd), unix.TIOCINQ); err == nil && n > buffered {
 				buffered, lastArrival = n, time.Now()
 			}
-			poll := []unix.PollFd{{Fd: int32(fd)}}
-			n, _ := unix.Poll(poll, 0)
-			reset = n > 0 && poll[0].Revents&(unix.POLLERR|unix.POLLHUP) != 0
+			fds := []unix.PollFd{{Fd: int32(fd)}}
+			n, _ := unix.Poll(fds, 0)
+			reset = n > 0 && fds[0].Revents&(unix.POLLERR|unix.POLLHUP) != 0
 		})
 		if reset {
 			return time.Since(lastArrival)
 		}
 	}
-	t.Error("the gateway waits for a client that reads nothing of its response")
+	t.Error("a client that reads nothing of its response was not disconnected within 20 s")
 	return 0
 }
 
-// A thousand clients read nothing of large responses. Each is held to its share of the
-// buffers and dropped after stall-time, and others are served meanwhile.
+// Verifies that known clients still get responses while a thousand clients read nothing of large
+// responses: each connection may fill only its share of the buffers. After stall-time these
+// clients are disconnected, and requests are served as before.
 func TestManyStalledReaders(t *testing.T) {
 	_, addrs := startNodes(t, 1, fakenode.Options{})
 	instance := startWebDAV(t, "clients 1200\nadmit reserve 50 answers 20 answers-burst 20\nknown 127.9.0.0/16\nbuffer 16k\nbuffers 8m\n", addrs[0], addrs[0])
@@ -100,10 +101,10 @@
 		c, r := instance.connectFrom(fmt.Sprintf("127.9.0.%d", i+2))
 		io.WriteString(c, putRequest(fmt.Sprint("/feed-a/small", i), "y"))
 		if status, _, _ := instance.receive(r, "PUT"); status != 201 && status != 503 {
-			t.Errorf("a known client among stalled readers: %d", status)
+			t.Errorf("known client among stalled readers: status %d, want 201 or 503", status)
 		}
 	}
-	eventually(t, "the stalled readers are dropped and requests are served as before", func() bool {
+	eventually(t, "requests are served again after the stalled readers were disconnected", func() bool {
 		c, r := instance.connectFrom("127.9.0.1")
 		io.WriteString(c, putRequest("/feed-a/small", "y"))
 		status, _, _ := instance.receive(r, "PUT")
--- a/internal/e2e/startup_test.go
+++ b/internal/e2e/startup_test.go
@@ -11,8 +11,8 @@
 	"maddergap/internal/fakenode"
 )
 
-// A configuration allows more clients than the process may have descriptors. The instance
-// must not start, since it would run out of them under load.
+// Verifies that an instance does not start if its configuration allows more clients than the process
+// may have descriptors. Otherwise it would run out of descriptors under load.
 func TestDescriptorLimitIsChecked(t *testing.T) {
 	defer func() {
 		if r := recover(); r != nil {
@@ -21,12 +21,12 @@
 	}()
 	err := startError(t, "clients 1000000\n")
 	if err == nil || !strings.Contains(err.Error(), "descriptors; the limit is") {
-		t.Errorf("%v", err)
+		t.Errorf("error %v, want one about the descriptor limit", err)
 	}
 }
 
-// A second instance is started on the address of the first. Its listeners must not share
-// the address, as those of one instance do: it fails to start.
+// Verifies that a second instance fails to start on the address of a running one. The listeners of one
+// instance share their address, but instances must not share theirs.
 func TestSecondInstanceOnSameAddress(t *testing.T) {
 	_, addrs := startNodes(t, 1, fakenode.Options{})
 	instance := startWebDAV(t, floodConfig, addrs[0], addrs[0])
@@ -37,6 +37,6 @@
 		t.Fatal(err)
 	}
 	if _, err := daemon.New(c, slog.New(slog.DiscardHandler)); err == nil || !strings.Contains(err.Error(), "address already in use") {
-		t.Errorf("a second instance on the same address: %v", err)
+		t.Errorf("second instance on the same address: error %v, want address already in use", err)
 	}
 }
--- a/internal/e2e/webdav_client_test.go
+++ b/internal/e2e/webdav_client_test.go
@@ -7,10 +7,10 @@
 	"testing"
 )
 
-// baseURLPlaceholder stands for the instance's URL in header fields of a webdavClient.
+// baseURLPlaceholder is replaced by the instance's URL in the header fields that a webdavClient sends.
 const baseURLPlaceholder = "{base}"
 
-// webdavClient sends WebDAV requests over reused connections.
+// webdavClient sends WebDAV requests to an instance over kept-alive connections.
 type webdavClient struct {
 	t         *testing.T
 	baseURL   string
@@ -23,8 +23,8 @@
 	return c
 }
 
-// do sends a request and returns the response with its body. fields are names and values
-// of header fields in turn.
+// do sends a request and returns the response and its body. fields are alternating names and values of
+// header fields.
 func (c *webdavClient) do(method, path, body string, fields ...string) (*http.Response, string) {
 	c.t.Helper()
 	request, err := http.NewRequest(method, c.baseURL+path, strings.NewReader(body))
@@ -48,7 +48,7 @@
 	c.t.Helper()
 	resp, responseBody := c.do(method, path, body, fields...)
 	if resp.StatusCode != status {
-		c.t.Errorf("%s: %s %s %v: %d %.100q, want %d", name, method, path, fields, resp.StatusCode, responseBody, status)
+		c.t.Errorf("%s: %s %s %v: status %d, body %.100q; want %d", name, method, path, fields, resp.StatusCode, responseBody, status)
 	}
 	return resp
 }
--- a/internal/e2e/webdav_harness_test.go
+++ b/internal/e2e/webdav_harness_test.go
@@ -16,6 +16,7 @@
 	"maddergap/internal/nodelist"
 )
 
+// webdavConfig is the common part of the configuration files of WebDAV instances.
 const webdavConfig = `listen 127.0.0.1:0
 nodes nodes.list
 log-requests no
@@ -39,8 +40,8 @@
 	*testInstance
 }
 
-// startWebDAV runs an instance with nodes at the addresses, one for each shard. moreConfig
-// is appended to webdavConfig.
+// startWebDAV runs an instance with a node at each address: the first for shard 0, the second for
+// shard 1. moreConfig is appended to webdavConfig.
 func startWebDAV(t *testing.T, moreConfig string, nodeAddrs ...string) *webdavInstance {
 	t.Helper()
 	i := &webdavInstance{newTestInstance(t)}
@@ -66,7 +67,8 @@
 	writeFile(i.t, i.configFile(), text)
 }
 
-// setNodes replaces the node list file: a node at each address, one for each shard.
+// setNodes replaces the node list file by one with a node at each address, the n-th for shard n,
+// counted from 0.
 func (i *webdavInstance) setNodes(addrs ...string) {
 	i.t.Helper()
 	var nodes []nodelist.Node
@@ -78,7 +80,7 @@
 	}
 }
 
-// get reads /feed-a/x on an open connection and returns the status.
+// get sends a GET of /feed-a/x on an open connection and returns the status of the response.
 func (i *webdavInstance) get(c net.Conn, r *bufio.Reader) int {
 	i.t.Helper()
 	io.WriteString(c, getRequest("/feed-a/x"))
@@ -86,7 +88,8 @@
 	return status
 }
 
-// startError returns the error with which an instance does not start.
+// startError parses a configuration and creates a daemon from it, and returns the error of the step
+// that fails. It does not run the daemon.
 func startError(t *testing.T, moreConfig string) error {
 	dir := t.TempDir()
 	nodelist.Replace(filepath.Join(dir, "nodes.list"), []nodelist.Node{{Name: "n0", Addr: "127.0.0.1:1"}})
@@ -98,7 +101,7 @@
 	return err
 }
 
-// startNodes runs WebDAV nodes and returns them and their addresses.
+// startNodes runs a number of WebDAV nodes with the same options and returns them with their addresses.
 func startNodes(t *testing.T, count int, options fakenode.Options) ([]*fakenode.Node, []string) {
 	t.Helper()
 	var nodes []*fakenode.Node
@@ -118,7 +121,7 @@
 	return nodes, addrs
 }
 
-// countRequests returns how often a node was sent a request for the path.
+// countRequests returns the number of requests for a path that a node was sent.
 func countRequests(node *fakenode.Node, path string) int {
 	count := 0
 	for _, e := range node.Entries() {
--- a/internal/e2e/webdav_locks_test.go
+++ b/internal/e2e/webdav_locks_test.go
@@ -7,13 +7,13 @@
 	"maddergap/internal/fakenode"
 )
 
-// lockInfo is the body of a LOCK request for a write lock of the scope, shared or exclusive.
+// lockInfo returns the body of a LOCK request for a write lock. scope is "shared" or "exclusive".
 func lockInfo(scope string) string {
 	return `<D:lockinfo xmlns:D="DAV:"><D:lockscope><D:` + scope + `/></D:lockscope><D:locktype><D:write/></D:locktype></D:lockinfo>`
 }
 
-// A write under an exclusive lock succeeds with the token of the lock, and no other way.
-// The cases build on one another.
+// Verifies that a file with an exclusive lock can be written only with the token of that lock. The cases
+// run in order, each on the state that the previous one left.
 func TestExclusiveLock(t *testing.T) {
 	_, addrs := startNodes(t, 2, fakenode.Options{})
 	client := newWebDAVClient(t, startWebDAV(t, "", addrs...))
@@ -24,7 +24,7 @@
 	resp, _ := client.do("LOCK", "/feed-b/u/a", exclusive, "Timeout", "Second-100")
 	token := resp.Header.Get("Lock-Token")
 	if resp.StatusCode != 200 || !strings.HasPrefix(token, "<urn:uuid:") {
-		t.Fatalf("LOCK: %d %q", resp.StatusCode, token)
+		t.Fatalf("LOCK: status %d, Lock-Token %q; want 200 and a urn:uuid token", resp.StatusCode, token)
 	}
 	for _, c := range []struct {
 		name, method, body string
@@ -51,8 +51,8 @@
 	}
 }
 
-// Shared locks are held beside each other and exclude an exclusive lock. Each holder
-// writes with its own token. A lock of a missing file creates it.
+// Verifies that a file can have several shared locks, which exclude an exclusive lock, and that each
+// holder writes with its own token. A LOCK of a missing file creates the file.
 func TestSharedLocks(t *testing.T) {
 	_, addrs := startNodes(t, 1, fakenode.Options{})
 	client := newWebDAVClient(t, startWebDAV(t, "", addrs[0], addrs[0]))
@@ -68,8 +68,8 @@
 	client.want("write beside the second holder", 423, "PUT", "/feed-a/new", "x")
 }
 
-// A lock of a collection with infinite depth covers its members. It is removed with the
-// collection.
+// Verifies that a lock of infinite depth on a collection covers its members, and that it is removed when
+// the collection is deleted.
 func TestCollectionLock(t *testing.T) {
 	_, addrs := startNodes(t, 1, fakenode.Options{})
 	client := newWebDAVClient(t, startWebDAV(t, "", addrs[0], addrs[0]))
--- a/internal/e2e/webdav_methods_test.go
+++ b/internal/e2e/webdav_methods_test.go
@@ -7,10 +7,10 @@
 	"maddergap/internal/fakenode"
 )
 
-// setStation is the body of a PROPPATCH request that sets the property station to k1.
+// setStation is the body of a PROPPATCH request that sets the dead property "station" to "k1".
 const setStation = `<D:propertyupdate xmlns:D="DAV:" xmlns:z="urn:z"><D:set><D:prop><z:station>k1</z:station></D:prop></D:set></D:propertyupdate>`
 
-// webdavMethodCases build on one another.
+// webdavMethodCases run in order, each on the state that the previous ones left.
 var webdavMethodCases = []struct {
 	name, method, path, body string
 	status                   int
@@ -47,7 +47,7 @@
 	{"unknown method", "PATCH", "/feed-b/u/a", "", 501, nil},
 }
 
-// Each method of RFC 4918 and its errors.
+// Verifies the status codes of the methods of RFC 4918, for successful requests and for errors.
 func TestWebDAVMethods(t *testing.T) {
 	_, addrs := startNodes(t, 2, fakenode.Options{})
 	client := newWebDAVClient(t, startWebDAV(t, "", addrs...))
@@ -55,9 +55,9 @@
 		client.want(c.name, c.status, c.method, c.path, c.body, c.fields...)
 	}
 	if resp, _ := client.do("OPTIONS", "/feed-b/u/a", ""); resp.Header.Get("DAV") != "1, 2, 3" {
-		t.Errorf("DAV: %q", resp.Header.Get("DAV"))
+		t.Errorf("DAV header %q, want \"1, 2, 3\"", resp.Header.Get("DAV"))
 	}
 	if _, body := client.do("PROPFIND", "/feed-b/u/a", `<D:propfind xmlns:D="DAV:" xmlns:z="urn:z"><D:prop><z:station/></D:prop></D:propfind>`, "Depth", "0"); !strings.Contains(body, "k1") {
-		t.Errorf("the dead property is lost: %s", body)
+		t.Errorf("the dead property station is missing after the move: %s", body)
 	}
 }
