--- a/internal/e2e/admission_test.go
+++ b/internal/e2e/admission_test.go
@@ -221,7 +221,7 @@
 		io.WriteString(c, putRequest(fmt.Sprint("/feed-a/half", i), "x"))
 		c.(*net.TCPConn).CloseWrite()
 		if status, _, _ := instance.receive(r, "PUT"); status != 201 {
-			t.Errorf("status %d, want 201", status)
+			t.Errorf("%d", status)
 		}
 		if _, err := r.ReadByte(); err != io.EOF {
 			t.Errorf("read after the response: %v, want EOF", err)
--- a/internal/e2e/client_disconnect_test.go
+++ b/internal/e2e/client_disconnect_test.go
@@ -27,8 +27,8 @@
 	}
 }
 
-// Verifies that the node capacity of a request is released when its client resets the connection in
-// the middle of the response. If twenty such requests kept it, a later request would have to wait.
+// Verifies that the capacity that a request holds at its node is released when the client resets the
+// connection in the middle of the response: after twenty such requests, another one is served.
 func TestClientDisconnectsDuringResponse(t *testing.T) {
 	_, addrs := startNodes(t, 1, fakenode.Options{})
 	instance := startWebDAV(t, "", addrs[0], addrs[0])
--- a/internal/e2e/flood_harness_test.go
+++ b/internal/e2e/flood_harness_test.go
@@ -16,7 +16,7 @@
 const (
 	// floodConnections is the number of connections that a flood opens.
 	floodConnections = 10_000
-	// maxHeldConnections is the number of connections that a flood holds open at the same time.
+	// maxHeldConnections is the maximum number of connections that a flood holds open.
 	// It limits the descriptors that the test process needs.
 	maxHeldConnections = 3000
 	// firstHeldConnections is the number of connections at the beginning of a flood that are held
--- a/internal/e2e/harness_test.go
+++ b/internal/e2e/harness_test.go
@@ -39,7 +39,7 @@
 	addr   string // address of the first listener
 	dir    string // directory of the configuration files
 	daemon *daemon.Daemon
-	done   chan error // the result of Run; nil once stop has taken it
+	done   chan error // receives the result of Run; nil after it was received
 	log    *logBuffer
 }
 
@@ -60,8 +60,8 @@
 }
 
 // stop requests a graceful shutdown and returns the result of Run. It returns nil if an earlier
-// call has already returned that result. The test fails if Run does not return within stopTimeout and, after that, the time
-// that the kernel needs to release an inotify descriptor.
+// call has already returned that result. The test fails if Run does not return within stopTimeout
+// plus inotifyReleaseTime.
 func (i *testInstance) stop() error {
 	if i.done == nil {
 		return nil
--- a/internal/e2e/node_failure_test.go
+++ b/internal/e2e/node_failure_test.go
@@ -66,7 +66,7 @@
 		}
 	}()
 	if status, body, _ := instance.receive(r, "PUT"); status != 423 || body != "locked" {
-		t.Errorf("status %d, body %q; want 423 %q", status, body, "locked")
+		t.Errorf("status %d, body %q; want 423 and \"locked\"", status, body)
 	}
 }
 
@@ -187,7 +187,7 @@
 	<-responded
 	c.SetReadDeadline(time.Now().Add(200 * time.Millisecond))
 	if n, _ := r.Read(make([]byte, 1)); n > 0 {
-		t.Error("the client got the late response")
+		t.Error("the client got the response that the node sent after the deadline")
 	}
 }
 
--- a/internal/e2e/platform_discovery_outage_test.go
+++ b/internal/e2e/platform_discovery_outage_test.go
@@ -16,8 +16,8 @@
 // During an outage the discovery agent does not respond. A change made during the outage counts as
 // delivered to the instance when the outage ends.
 const (
-	// drainGrace is the time for which an instance may still send requests to a node after the
-	// change that discovery lists the node as draining was delivered.
+	// drainGrace is the time for which an instance may still send requests to a node after
+	// discovery has notified it that the node is draining.
 	drainGrace = 500 * time.Millisecond
 	// maxListDelay is the maximum time from the end of an outage until the agent has sent the
 	// endpoint list to the instance. It is drainGrace less the 150 ms for which an instance may
--- a/internal/e2e/platform_discovery_test.go
+++ b/internal/e2e/platform_discovery_test.go
@@ -92,7 +92,7 @@
 	}
 	load.stop()
 	for n, node := range nodes {
-		if len(node.receivedIDs()) == 0 {
+		if len(node.received()) == 0 {
 			t.Errorf("node %d was sent no request", n)
 		}
 	}
@@ -110,16 +110,16 @@
 	time.Sleep(200 * time.Millisecond)
 	d.setEndpoints(endpointOf(fmt.Sprint("s", n-1), old, 0, "draining"), up)
 	time.Sleep(500 * time.Millisecond)
-	before := len(old.receivedIDs())
+	before := len(old.received())
 	d.setEndpoints(up)
 	time.Sleep(300 * time.Millisecond)
-	if sent := len(old.receivedIDs()); sent != before {
+	if sent := len(old.received()); sent != before {
 		t.Errorf("%d requests were sent to a node later than 500 ms after it was listed as draining, want 0", sent-before)
 	}
 }
 
 // platformLoad is a load of four clients: two send reads, two send writes. Each sends its next request
-// after the response to the last one.
+// after the response to the previous one.
 type platformLoad struct {
 	instance  *platformInstance
 	quit      chan struct{}
@@ -171,8 +171,8 @@
 	d := startDiscovery(t)
 	d.setEndpoints(endpointOf("old", old, 0, "draining"), endpointOf("now", current, 0, "up"))
 	instance := startPlatform(t, d.addr, platformOptions{configChange: oldList})
-	if status, body := instance.roundTrip(instance.newRead(0, "1200m").text); status != 200 || body != "now" || len(old.receivedIDs()) != 0 {
-		t.Errorf("status %d, body %q, %d requests sent to the node of the old list; want 200, \"now\" and 0", status, body, len(old.receivedIDs()))
+	if status, body := instance.roundTrip(instance.newRead(0, "1200m").text); status != 200 || body != "now" || len(old.received()) != 0 {
+		t.Errorf("status %d, body %q, %d requests sent to the node of the old list; want 200, \"now\" and 0", status, body, len(old.received()))
 	}
 
 	instance = startPlatform(t, startUnresponsiveDiscovery(t), platformOptions{configChange: oldList})
--- a/internal/e2e/platform_node_test.go
+++ b/internal/e2e/platform_node_test.go
@@ -77,8 +77,8 @@
 	return n.handler(r)
 }
 
-// receivedIDs returns the ids of the requests that the node has read in full, in order of arrival.
-func (n *platformNode) receivedIDs() []string {
+// received returns the ids of the requests that the node has read in full, in order of arrival.
+func (n *platformNode) received() []string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return slices.Clone(n.requestIDs)
@@ -87,7 +87,7 @@
 // countReceived returns how often the node has read the request of an id.
 func (n *platformNode) countReceived(id string) int {
 	count := 0
-	for _, received := range n.receivedIDs() {
+	for _, received := range n.received() {
 		if received == id {
 			count++
 		}
@@ -100,9 +100,9 @@
 	t.Helper()
 	count := map[string]int{}
 	for _, node := range nodes {
-		for _, id := range node.receivedIDs() {
+		for _, id := range node.received() {
 			if count[id]++; count[id] > 1 {
-				t.Errorf("request %s was sent %d times", id, count[id])
+				t.Errorf("request %s was sent %d times, want 1", id, count[id])
 			}
 		}
 	}
--- a/internal/e2e/platform_races_test.go
+++ b/internal/e2e/platform_races_test.go
@@ -57,7 +57,7 @@
 		status, _ := instance.roundTrip(instance.newRead(1, "1200m").text)
 		return status == 200
 	})
-	if ids := two.receivedIDs(); len(ids) != 1 {
+	if ids := two.received(); len(ids) != 1 {
 		t.Errorf("%d requests were sent to the node, want 1, that of the connected client", len(ids))
 	}
 }
--- a/internal/e2e/platform_requests_test.go
+++ b/internal/e2e/platform_requests_test.go
@@ -18,7 +18,7 @@
 	defer close(release)
 	pending := instance.newRead(0, "5000m")
 	go instance.roundTrip(pending.text)
-	within(t, time.Second, func() bool { return len(node.receivedIDs()) == 1 })
+	within(t, time.Second, func() bool { return len(node.received()) == 1 })
 	valid := instance.newWrite(0, "1200m").text
 	duplicateID := strings.Replace(valid, "X-Txn: ", "X-Txn: "+pending.id+"\r\nX-Old: ", 1)
 	if status := instance.wantNotServed("id of a pending request", duplicateID); status == 503 {
@@ -27,13 +27,13 @@
 	for name, text := range invalidRequests(valid, pending.text) {
 		instance.wantNotServed(name, text)
 	}
-	if ids := node.receivedIDs(); len(ids) != 1 {
+	if ids := node.received(); len(ids) != 1 {
 		t.Errorf("the node was sent the requests %v, want only the pending one", ids)
 	}
 }
 
 // invalidRequests returns invalid variants of a valid request. The keys say what is wrong with them.
-// One of them contains a second request, smuggled, in what may be taken for the first one's body.
+// One of them contains a second request, smuggled, in bytes that could be parsed as the body.
 func invalidRequests(valid, smuggled string) map[string]string {
 	replace := func(old, replacement string) string { return strings.Replace(valid, old, replacement, 1) }
 	return map[string]string{
--- a/internal/e2e/platform_responses_test.go
+++ b/internal/e2e/platform_responses_test.go
@@ -23,7 +23,7 @@
 // longText is longer than the limit of a response header, 8 KB.
 var longText = strings.Repeat("x", 20<<10)
 
-// largeBody is larger than the buffers of one connection.
+// largeBody is larger than the buffers of a connection.
 var largeBody = strings.Repeat("x", 400000)
 
 var nodeResponseCases = []nodeResponseCase{
--- a/internal/e2e/platform_shutdown_test.go
+++ b/internal/e2e/platform_shutdown_test.go
@@ -119,14 +119,14 @@
 	partialRequest := instance.newRead(0, "1200m").text
 	io.WriteString(partial, partialRequest[:60])
 	within(t, time.Second, func() bool { return strings.Contains(instance.log.String(), `msg="shutting down"`) })
-	before := len(node.receivedIDs())
+	before := len(node.received())
 	io.WriteString(idle, instance.newRead(0, "1200m").text)
 	if b, err := io.ReadAll(idleReader); err != nil || len(b) > 0 {
 		t.Errorf("the idle client read %q, error %v; want EOF", b, err)
 	}
 	idle.Close()
 	time.Sleep(50 * time.Millisecond)
-	if n := len(node.receivedIDs()); n != before {
+	if n := len(node.received()); n != before {
 		t.Error("a request sent after the shutdown of its connection was forwarded")
 	}
 	fmt.Fprint(fresh, instance.newRead(0, "1200m").text)
--- a/internal/e2e/platform_syscall_faults_test.go
+++ b/internal/e2e/platform_syscall_faults_test.go
@@ -9,9 +9,9 @@
 	"time"
 )
 
-// Verifies that requests are served although system calls fail for a while with errors that Linux
-// documents. No request is sent twice, and the circuit breaker of the node stays closed, as local
-// errors say nothing about the node.
+// Verifies that requests with a deadline of 2 s are served although system calls fail for a while with
+// errors that Linux documents. No request is sent twice, and the circuit breaker of the node stays
+// closed, as local errors say nothing about the node.
 func TestFailingSystemCalls(t *testing.T) {
 	const briefly = "from 300ms for 300ms"
 	for _, faults := range []string{
--- a/internal/e2e/startup_test.go
+++ b/internal/e2e/startup_test.go
@@ -21,7 +21,7 @@
 	}()
 	err := startError(t, "clients 1000000\n")
 	if err == nil || !strings.Contains(err.Error(), "descriptors; the limit is") {
-		t.Errorf("error %v, want one about the descriptor limit", err)
+		t.Errorf("%v", err)
 	}
 }
 
