--- a/cmd/maddergap/scenario.go
+++ b/cmd/maddergap/scenario.go
@@ -40,9 +40,9 @@
 	if err != nil {
 		return err
 	}
-	plan := scenario.Draw(c.Seed, size)
+	plan := scenario.GeneratePlan(c.Seed, size)
 	fmt.Fprintf(io.out, "day of seed %d: %d heads, %d nodes, %v, %d requests\n", c.Seed, size.Instances, size.Nodes, size.Length, len(plan.Requests))
-	for _, event := range plan.Story {
+	for _, event := range plan.FaultDescriptions {
 		fmt.Fprintln(io.out, " ", event)
 	}
 	if c.Story {
--- a/cmd/maddergap/scenario_test.go
+++ b/cmd/maddergap/scenario_test.go
@@ -19,7 +19,7 @@
 	defer os.Unsetenv(asProgram)
 	size := scenario.Short
 	size.Rate = 150 // two cores can sustain this while other tests run
-	report, err := scenario.Run(&scenario.Options{Plan: scenario.Draw(1, size), Dir: t.TempDir(), Exe: []string{os.Args[0]}, LateTolerance: time.Second, Flood: true})
+	report, err := scenario.Run(&scenario.Options{Plan: scenario.GeneratePlan(1, size), Dir: t.TempDir(), Exe: []string{os.Args[0]}, LateTolerance: time.Second, Flood: true})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/scenario/audit_test.go
+++ b/internal/scenario/audit_test.go
@@ -43,7 +43,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			report, err := Run(&Options{
-				Plan:          Draw(3, testSize),
+				Plan:          GeneratePlan(3, testSize),
 				Dir:           t.TempDir(),
 				NewScheduler:  c.newScheduler,
 				EditNodeList:  c.editNodeList,
--- a/internal/scenario/faulty_scheduler_test.go
+++ b/internal/scenario/faulty_scheduler_test.go
@@ -155,9 +155,10 @@
 	return ""
 }
 
-// swapOrder reverses the order of each two requests of an order key: it holds the first until the
-// second arrives, but no longer than maxHold, and passes the second to the real scheduler before the
-// first. Each gets a key of its own, so that the real scheduler does not restore the order.
+// swapOrder swaps the requests of an order key in pairs. It holds the first until the second arrives
+// and then passes the second to the real scheduler before the first. A request held for longer than
+// maxHold is passed on at the next event. Each request gets a key of its own, so that the real
+// scheduler does not restore the order.
 func swapOrder(f *faultyScheduler) {
 	const maxHold = 800 * time.Millisecond
 	type heldRequest struct {
--- a/internal/scenario/fleet.go
+++ b/internal/scenario/fleet.go
@@ -9,8 +9,8 @@
 	"maddergap/internal/audit"
 )
 
-// fleet holds the nodes and instances of a scenario. Instances may restart while its methods are
-// called.
+// fleet holds the nodes and instances of a scenario. Its methods may be called while instances
+// restart.
 type fleet struct {
 	launcher launcher
 
@@ -38,7 +38,7 @@
 	f.started = append(f.started, s)
 }
 
-// killInstance kills an instance, begins its outage and then calls onKilled.
+// killInstance begins the outage of an instance, kills the instance and then calls onKilled.
 func (f *fleet) killInstance(instance int, onKilled func()) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/scenario/flood.go
+++ b/internal/scenario/flood.go
@@ -42,7 +42,7 @@
 	results []string // statistics by instance, empty after an error; complete when wait returns
 }
 
-// start starts one flood for each of the options in the background.
+// start starts the floods in the background, one for each element of options.
 func (f *floods) start(l launcher, options []flood.Options, progress io.Writer) {
 	f.results = make([]string, len(options))
 	for i, o := range options {
--- a/internal/scenario/generate_faults.go
+++ b/internal/scenario/generate_faults.go
@@ -12,7 +12,7 @@
 // relativePeriod is a period of the scenario. Both ends are fractions of the scenario's length.
 type relativePeriod struct{ from, to float64 }
 
-// Periods of the faults. Random jitter of up to 1/jitterDivisor of the length delays either end.
+// Periods of the faults and of the surge of requests. Random jitter delays either end.
 var (
 	silentPeriod  = relativePeriod{0.08, 0.18}
 	pausePeriod   = relativePeriod{0.2, 0.24}
@@ -53,8 +53,8 @@
 	faultOrder []int // nodes in the order in which faults are assigned to them
 }
 
-// Draw generates a plan. The same seed and size give the same plan.
-func Draw(seed uint64, size Size) *Plan {
+// GeneratePlan returns the plan for a seed and a size. The same seed and size always give the same plan.
+func GeneratePlan(seed uint64, size Size) *Plan {
 	g := &planGenerator{
 		random: rand.New(rand.NewPCG(seed, secondSeed)),
 		plan: &Plan{
@@ -88,9 +88,9 @@
 	return from, to
 }
 
-// addDescription adds a line to the plan's description of the faults.
+// addDescription adds a line to the plan's FaultDescriptions.
 func (g *planGenerator) addDescription(format string, args ...any) {
-	g.plan.Story = append(g.plan.Story, fmt.Sprintf(format, args...))
+	g.plan.FaultDescriptions = append(g.plan.FaultDescriptions, fmt.Sprintf(format, args...))
 }
 
 // faultyNode returns the i-th node to which a fault is assigned. With few nodes, a node can have
--- a/internal/scenario/generate_requests.go
+++ b/internal/scenario/generate_requests.go
@@ -8,6 +8,8 @@
 )
 
 const (
+	// A volume has streams. The objects of a stream are stored before the scenario starts; traceRead and
+	// archiveExport requests read them.
 	streamsPerVolume  = 4
 	objectsPerStream  = 3
 	journalsPerVolume = 3
--- a/internal/scenario/in_process.go
+++ b/internal/scenario/in_process.go
@@ -93,7 +93,7 @@
 type inProcessInstance struct {
 	daemon    *daemon.Daemon
 	result    chan error      // result of daemon.Run
-	stopped   bool            // set when stop or kill receives the result, which only one of them may do
+	stopped   bool            // set by the first call of stop or kill; only that call receives from result
 	shutdowns *sync.WaitGroup // inProcessLauncher.shutdowns
 }
 
--- a/internal/scenario/plan.go
+++ b/internal/scenario/plan.go
@@ -35,11 +35,11 @@
 	InstanceKills   []InstanceKill
 	DrainedNodes    []int
 	// NodeRestarts holds, for each node that restarts, the time at which it is up again.
-	NodeRestarts map[int]time.Duration
-	Requests     []Request // sorted by time
-	Volumes      []string
-	Objects      []string // paths of objects that are stored before the scenario starts
-	Story        []string // descriptions of the faults, for printing
+	NodeRestarts      map[int]time.Duration
+	Requests          []Request // sorted by time
+	Volumes           []string
+	Objects           []string // paths of objects that are stored before the scenario starts
+	FaultDescriptions []string // one line for each fault and for the surge, for printing
 }
 
 // Request is a request that a client sends during the scenario.
--- a/internal/scenario/preload.go
+++ b/internal/scenario/preload.go
@@ -19,8 +19,8 @@
 	preloadUnits       = 4 // units of each object
 )
 
-// storeObjects stores objects directly on the nodes that have their shards, without an instance
-// between. It runs before the instances start.
+// storeObjects stores objects directly on the nodes that have their shards. It runs before the
+// instances start.
 func storeObjects(paths []string, c *config.Config, nodeAddrs []string) error {
 	table := route.NewTable(c, nil)
 	transport := &http.Transport{}
--- a/internal/scenario/runner.go
+++ b/internal/scenario/runner.go
@@ -22,11 +22,11 @@
 	// preparation. Processes start and objects are stored in that time.
 	startupTime          = 2 * time.Second
 	startupTimePerServer = 100 * time.Millisecond
-	// drainGrace is how long after a node is draining or removed in the node list an attempt may still
-	// begin there.
+	// drainGrace is how long attempts may still be sent to a node after the node list shows it as
+	// draining or removed.
 	drainGrace = 500 * time.Millisecond
-	// clockTolerance is how far the times may differ that the two ends of a connection record for the
-	// same event.
+	// clockTolerance is how far the times of the same event in the records of the two ends of a
+	// connection may differ.
 	clockTolerance = 100 * time.Millisecond
 )
 
--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -1,7 +1,7 @@
 // Package scenario runs a scripted fault scenario with real sockets: fake nodes with faults, several
-// gateway instances, and clients that send requests on an open-loop schedule drawn from a seed.
-// Servers run as processes or within the calling process. Package audit then judges the run by the
-// records of clients and nodes.
+// gateway instances, and clients that send requests on an open-loop schedule. The faults and the
+// schedule are generated from a seed. Servers run as processes or within the calling process. Package
+// audit then judges the run by the records of clients and nodes.
 package scenario
 
 import (
--- a/internal/scenario/schedule.go
+++ b/internal/scenario/schedule.go
@@ -137,12 +137,12 @@
 	return input
 }
 
-// stallIntervals stops the measurement of stalls and returns them. The report counts the late
-// responses that coincide with a stall, but they remain violations.
+// stallIntervals stops the measurement of stalls and returns the stalls. The report counts the late
+// responses that coincide with a stall, but a stall does not excuse a violation.
 func (r *runner) stallIntervals() []audit.Interval {
 	r.stalls.Stop()
 	var intervals []audit.Interval
-	for _, stall := range r.stalls.Spans() {
+	for _, stall := range r.stalls.Stalls() {
 		intervals = append(intervals, audit.Interval{From: stall.From.UnixMicro(), To: stall.To.UnixMicro()})
 	}
 	return intervals
--- a/internal/stallwatch/stallwatch.go
+++ b/internal/stallwatch/stallwatch.go
@@ -67,8 +67,8 @@
 	w.stalls = append(w.stalls, s)
 }
 
-// Spans returns the recorded stalls, the oldest first. It returns at most the last maxStalls.
-func (w *Watch) Spans() []Stall {
+// Stalls returns the recorded stalls, the oldest first. It returns at most the last maxStalls.
+func (w *Watch) Stalls() []Stall {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return slices.Clone(w.stalls)
@@ -86,9 +86,9 @@
 func (w *Watch) LongestSince(t time.Time) (longest time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for _, span := range w.stalls {
-		if span.To.After(t) {
-			longest = max(longest, span.duration())
+	for _, stall := range w.stalls {
+		if stall.To.After(t) {
+			longest = max(longest, stall.duration())
 		}
 	}
 	return longest
--- a/internal/stallwatch/stallwatch_test.go
+++ b/internal/stallwatch/stallwatch_test.go
@@ -14,7 +14,7 @@
 		w.record(Stall{From: at, To: at.Add(stall)})
 		at = at.Add(time.Second)
 	}
-	if n := len(w.Spans()); n != 2 || w.Longest() != 30*time.Millisecond {
+	if n := len(w.Stalls()); n != 2 || w.Longest() != 30*time.Millisecond {
 		t.Errorf("got %d stalls, the longest %v; want 2, the longest 30ms", n, w.Longest())
 	}
 	if got := w.LongestSince(at.Add(-1500 * time.Millisecond)); got != 8*time.Millisecond {
