--- a/internal/audit/platform_test.go
+++ b/internal/audit/platform_test.go
@@ -16,9 +16,9 @@
 // msAfterStart returns the record time that is ms milliseconds after startAt.
 func msAfterStart(ms int64) int64 { return startAt + ms*1000 }
 
-// platformInput returns an input with the parameters that only the platform's runs set: a disconnect
-// grace, a timeout tolerance, and a mean work of requests. A node that has just started may receive
-// about 5 requests in a window (0.5 x 10) plus 3*sqrt(5)+3 by chance: 14.
+// platformInput returns an input with the parameters that only runs on the platform's protocol (package
+// soak) set: a disconnect grace, a timeout tolerance, and a mean work of requests. A node that has just
+// started may receive about 5 requests in a window (0.5 x 10) plus 3*sqrt(5)+3 by chance: 14.
 func platformInput(requests []RequestRecord, attempts []fakenode.Entry) Input {
 	return Input{
 		Config: &config.Config{
--- a/internal/audit/records.go
+++ b/internal/audit/records.go
@@ -10,16 +10,19 @@
 // RequestRecord describes a request as its client saw it. Times are in microseconds of Unix time; 0
 // means that the event did not happen.
 type RequestRecord struct {
-	TraceID  string  `json:"trace"` // 32 hexadecimal digits of the client's traceparent
-	Instance int     `json:"head"`  // number of the instance that the request was sent to
-	Volume   string  `json:"volume"`
-	Class    int     `json:"class"`         // index in the settings' classes
-	OrderKey string  `json:"key,omitempty"` // set for an ordered class only
-	Sequence int     `json:"sequence"`      // number of the request among those of its client or order key
-	Units    float64 `json:"units"`         // units of work
-	SentAt   int64   `json:"sent"`          // time at which the last byte was written
-	Deadline int64   `json:"deadline"`      // time until which the client waits
-	// RespondedAt is the time at which the last byte of the response was read.
+	TraceID  string `json:"trace"` // 32 hexadecimal digits of the client's traceparent
+	Instance int    `json:"head"`  // number of the instance that the request was sent to
+	Volume   string `json:"volume"`
+	Class    int    `json:"class"`         // index in the settings' classes
+	OrderKey string `json:"key,omitempty"` // set for an ordered class only
+	// Sequence is the number of the request within its order key (package scenario) or among the
+	// requests of its instance's clients (package soak). No rule uses it.
+	Sequence int     `json:"sequence"`
+	Units    float64 `json:"units"`    // units of work
+	SentAt   int64   `json:"sent"`     // time at which the last byte was written
+	Deadline int64   `json:"deadline"` // time by which the client wants the response
+	// RespondedAt is the time at which the last byte of the response was read. For a truncated response
+	// it is 0 or the time at which reading failed.
 	RespondedAt int64 `json:"answered,omitempty"`
 	Status      int   `json:"status,omitempty"`
 	// Truncated is set if the header of a response was read, but not the complete body.
@@ -43,9 +46,9 @@
 	From, To int64
 }
 
-// Notice is the period from the time at which an instance is notified that a node drains, was removed
-// or has started, to its notification of another state of that node. Times are in microseconds of Unix
-// time. To is 0 if no other notification came.
+// Notice is a period that begins when an instance is notified that a node drains, was removed or has
+// started. It ends when the instance is notified of another state of that node. Times are in
+// microseconds of Unix time. To is 0 if no other notification came.
 type Notice struct {
 	Instance int
 	Node     string
@@ -65,14 +68,14 @@
 	Drains []Interval
 	// NodeStarts are the starts of nodes that warm up afterwards. Only Name and From are used.
 	NodeStarts []Interval
-	// Stalls are the periods in which the process that runs the clients was not running.
+	// Stalls are the periods in which the process that runs the clients did not run.
 	Stalls []Interval
 	// DrainNotices holds the notices of drains if instances are notified one by one. If all are
 	// notified at once, Drains holds the drains instead.
 	DrainNotices []Notice
 	// StartNotices holds the notices of NodeStarts if instances are notified one by one. If it is not
-	// empty, a node counts as overloaded only if more than two thirds of the work in a window came from
-	// instances that were notified of the start.
+	// empty, a load above the limit is a violation only if more than two thirds of the work in the
+	// window came from instances that were notified of the start.
 	StartNotices []Notice
 	// StartedAt is the start of the run in microseconds of Unix time. 0 disables the statistics of the
 	// startup.
--- a/internal/audit/rules.go
+++ b/internal/audit/rules.go
@@ -9,7 +9,8 @@
 // and in the report. The comment of each rule says what is allowed.
 type Rule int
 
-// The rules. Package invariant checks some of them within the gateway and uses the same names.
+// The rules. Package invariant checks some of them within the gateway, under the same names without the
+// prefix Rule.
 const (
 	// RuleSingleResponse requires that a request gets one final response, at most LateTolerance after
 	// its deadline. No attempt may begin after the response, or later than DisconnectGrace after the
--- a/internal/audit/summary.go
+++ b/internal/audit/summary.go
@@ -11,7 +11,7 @@
 type outcome int
 
 const (
-	outcomeServed       outcome = iota // any other complete response
+	outcomeServed       outcome = iota // a complete response that is neither a failure nor a rejection
 	outcomeDisconnected                // the client did not wait for the response
 	outcomeUnanswered
 	outcomeFailed   // 502, 504 or a truncated response; the request may have been executed
--- a/internal/audit/tenant_limit.go
+++ b/internal/audit/tenant_limit.go
@@ -8,13 +8,13 @@
 const (
 	// limitSlack is the factor by which the rule multiplies a limit's rate.
 	limitSlack = 1.1
-	// limitBurstSlack is the fraction of the burst that the rule allows in addition, or the units of
-	// the largest request if that is more.
+	// limitBurstSlack is the additional burst that the rule allows, as a fraction of the limit's burst.
+	// The rule allows at least the units of the largest request in addition.
 	limitBurstSlack = 0.1
 )
 
-// judgeTenantLimit judges RuleTenantLimit. Its figure is the highest level of any limit's bucket, as a
-// fraction of its capacity including slack.
+// judgeTenantLimit judges RuleTenantLimit. Its figure is the highest level of any volume's leaky bucket
+// (see checkTenantLimit), as a fraction of the bucket's capacity, which includes the slack.
 func (r *run) judgeTenantLimit() Verdict {
 	v := Verdict{Rule: RuleTenantLimit, Bound: 1}
 	for _, volume := range r.input.Config.Volumes {
