--- a/internal/soak/audit.go
+++ b/internal/soak/audit.go
@@ -12,7 +12,7 @@
 	drainGrace = 500 * time.Millisecond
 	// disconnectGrace is the time after a client disconnected within which an attempt may still begin.
 	disconnectGrace = 100 * time.Millisecond
-	// timeoutTolerance is the time by which the timeout sent with an attempt may exceed the client's.
+	// timeoutTolerance is the time by which an attempt's timeout may extend beyond the client's deadline.
 	timeoutTolerance = 150 * time.Millisecond
 	// lateTolerance is the time by which a response may miss its deadline, since the machine may be busy.
 	lateTolerance = 500 * time.Millisecond
@@ -40,7 +40,7 @@
 }
 
 // auditInput collects the records of clients, nodes and discovery. It adds maxStall to the clock
-// tolerance.
+// tolerance, since a stall delays the times in these records.
 func (f *fleet) auditInput(dir string, maxStall time.Duration) (in audit.Input, err error) {
 	in.Config, err = f.deployment.auditConfig(dir)
 	if err != nil {
--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -40,7 +40,7 @@
 	running       sync.WaitGroup
 
 	mu      sync.Mutex
-	records []audit.RequestRecord // of requests that have ended, in this order
+	records []audit.RequestRecord // of requests that have ended, in the order of their ends
 }
 
 // start starts the clients, which send requests until stop is closed.
--- a/internal/soak/client_faults.go
+++ b/internal/soak/client_faults.go
@@ -26,7 +26,7 @@
 }
 
 // stall opens a connection, sends the first half of a request and nothing more. It returns an error if
-// the instance neither responds nor closes the connection within stalledRequestTimeout and
+// the instance neither responds nor closes the connection within stalledRequestTimeout plus
 // responseGrace.
 func (g *clientGroup) stall() error {
 	conn, err := net.DialTimeout("tcp", g.addr, clientDialTimeout)
--- a/internal/soak/client_test.go
+++ b/internal/soak/client_test.go
@@ -51,8 +51,8 @@
 	return scriptednode.OK(responseBody(r.Header.Get("X-Txn")))
 }
 
-// Verifies that the record of a request says what the instance did about it: how it responded, or that it
-// did not. A wrong record would make the audit blame an instance, or miss a fault.
+// Verifies that the record of a request agrees with how the instance responded, or that it did not respond.
+// A wrong record would make the audit blame an instance, or miss a fault.
 func TestClientRecordsOutcome(t *testing.T) {
 	for _, c := range []struct {
 		name      string
--- a/internal/soak/deployment.go
+++ b/internal/soak/deployment.go
@@ -20,7 +20,7 @@
 	keyCooldown      = 200 * time.Millisecond // see scheduler.Settings.KeyCooldown
 	maxAttempts      = 4
 	maxRetryAfter    = 500 * time.Millisecond
-	connectionIdle   = 4 * time.Second // idle time after which nodes are said to close a connection
+	connectionIdle   = 4 * time.Second // idle time after which nodes close a connection, by the settings
 	connectTimeout   = 250 * time.Millisecond
 	maxUnits         = 4
 	meanUnits        = 1 // mean work of a request
@@ -37,8 +37,8 @@
 	retryBudgetRatio  = 0.1 // additional retries allowed for each request in a window
 )
 
-// The limit of the limited plan, as the part of each instance. This part admits the largest request
-// (maxUnits) and is below the load that the instance's clients offer, so that the limit takes effect.
+// Each instance's share of the limit of the limited plan. It admits the largest request (maxUnits) and
+// is below the load that the instance's clients offer, so that the limit takes effect.
 const (
 	limitRatePerInstance  = 2.0 // units per second
 	limitBurstPerInstance = 4.0 // units
@@ -50,7 +50,7 @@
 	initialFraction   = 0.25 // fraction of the capacity at the start
 	overloadFactor    = 2
 	overloadWindow    = time.Second
-	slowStartMinUnits = 16
+	slowStartMinUnits = 16  // units that a node can process in any window
 	nodeCapacity      = 150 // units per second after the warm-up
 )
 
@@ -104,10 +104,11 @@
 }
 
 // drawDeployment returns the deployment determined by the options. It has a class of each effect and
-// an ordered class. Latency objectives, deadlines and the deduplication of the keyed class are random.
+// an ordered class. Latency objectives, deadlines and the deduplication of the idempotent class are
+// random.
 func drawDeployment(o *Options) *deployment {
 	r := rand.New(rand.NewPCG(o.Seed, deploymentStream))
-	duration := func(from, to time.Duration) time.Duration { // from plus whole milliseconds, less than to
+	duration := func(from, to time.Duration) time.Duration { // from plus a random number of whole milliseconds, below to
 		return from + time.Duration(r.IntN(int((to-from).Milliseconds())))*time.Millisecond
 	}
 	objective := func(longest time.Duration) time.Duration { return duration(longest*2/5, longest) }
--- a/internal/soak/fault.go
+++ b/internal/soak/fault.go
@@ -84,8 +84,8 @@
 	Start    time.Duration // since the beginning of the run
 	Duration time.Duration // 0 for InstanceReload, which has none
 	Kind     FaultKind
-	// Target is the index of a node or of an instance, depending on the component of Kind. An agent or
-	// clients are given by the index of their instance. The target of an outage may be allAgents.
+	// Target is the index of a node or of an instance, depending on the component of Kind. For an agent
+	// and for clients it is the index of their instance. For an outage it may also be allAgents.
 	Target int
 	// Signals is used for InstanceTerminate only.
 	Signals SignalSeries
--- a/internal/soak/fleet.go
+++ b/internal/soak/fleet.go
@@ -51,8 +51,8 @@
 	return &fleet{options: o, deployment: drawDeployment(o), registry: discoverytest.NewRegistry()}
 }
 
-// addr returns the address (host:port) of the instance or node of an index. It stays the same over
-// restarts.
+// addr returns the address (host:port) of the instance or node with an index. The address stays the same
+// over restarts.
 func (f *fleet) addr(index, port int) string {
 	network := firstNetwork + int(f.options.Seed%networkCount)
 	return loopback.Addr(network, index+1, port)
--- a/internal/soak/instance_log.go
+++ b/internal/soak/instance_log.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// maxLogLine is the length in bytes of the longest line of a log that can be read.
+// maxLogLine is the maximum length of a line in a log, in bytes.
 const maxLogLine = 1 << 20
 
 // loggedViolations returns the lines of an instance's log that report a violated invariant, a request
--- a/internal/soak/node_list_cost.go
+++ b/internal/soak/node_list_cost.go
@@ -19,10 +19,10 @@
 	listNodesPerShard  = 4
 )
 
-// MeasureNodeLists measures the CPU time, memory and descriptors that an instance uses, and what it
-// receives from discovery, for node lists of each size. There are no clients, and several outages of
-// discovery occur, each with a change of one node. A line for each size is printed to out. exe and dir
-// are as in Run.
+// MeasureNodeLists measures the cost of node lists of each size. It runs an instance without clients
+// through several outages of discovery, each with a change of one node. For each size it prints a line
+// to out with the CPU time, peak memory and descriptors of the instance, and the number and total size
+// of the responses from discovery. exe and dir are as in Run.
 func MeasureNodeLists(exe []string, dir string, sizes []int, out io.Writer) error {
 	fmt.Fprintf(out, "members: %d outages of %v with one change each\n", listOutages, listOutageDuration)
 	for _, size := range sizes {
--- a/internal/soak/node_test.go
+++ b/internal/soak/node_test.go
@@ -54,7 +54,7 @@
 func TestNodeRecordsRequests(t *testing.T) {
 	n := startNode(t, 1)
 	if status, body, err := get(t, n, testShard); status != http.StatusOK || body != responseBody("7") || err != nil {
-		t.Errorf("request for the shard of the node: got %d %q, error %v", status, body, err)
+		t.Errorf("request for the shard of the node: got %d %q, error %v, want 200 and the body for request 7", status, body, err)
 	}
 	if status, _, err := get(t, n, testShard+1); status != http.StatusServiceUnavailable || err != nil {
 		t.Errorf("request for another shard: got %d, error %v, want 503", status, err)
@@ -65,10 +65,10 @@
 	}
 	served, rejected := records[0], records[1]
 	if served.Status != http.StatusOK || served.ExecutedAt == 0 || served.Timeout != 1500 || served.Traceparent != "7" {
-		t.Errorf("got record %+v of the served request", served)
+		t.Errorf("got record %+v of the served request, want it executed, with status 200, timeout 1500 and trace ID 7", served)
 	}
 	if rejected.Status != http.StatusServiceUnavailable || rejected.ExecutedAt != 0 || rejected.Sequence != 2 {
-		t.Errorf("got record %+v of the rejected request", rejected)
+		t.Errorf("got record %+v of the rejected request, want it not executed, with status 503 and sequence number 2", rejected)
 	}
 }
 
--- a/internal/soak/options.go
+++ b/internal/soak/options.go
@@ -9,7 +9,7 @@
 type Options struct {
 	// Seed determines the plan of faults, the deployment and the requests of the clients.
 	Seed      uint64
-	Duration  time.Duration // time from the start of the faults until the instances are terminated
+	Duration  time.Duration // time from when all instances are ready until they are terminated
 	Instances int           // number of gateway instances
 	Nodes     int           // number of storage nodes, nodesPerShard for each shard
 }
--- a/internal/soak/pausable_listener.go
+++ b/internal/soak/pausable_listener.go
@@ -15,7 +15,7 @@
 	regularBacklog = 512
 )
 
-// pausePollInterval is the time between two checks of Accept whether a pause is over.
+// pausePollInterval is the interval at which Accept checks whether a pause is over.
 const pausePollInterval = 5 * time.Millisecond
 
 // pausableListener is a TCP listener that can stop accepting connections for a while, like the listener
@@ -62,7 +62,7 @@
 	l.paused.Store(true)
 }
 
-// resume accepts connections again. Connections that arrived during the pause are reset.
+// resume accepts connections again. Connections that were established during the pause are reset.
 func (l *pausableListener) resume() {
 	l.control(func(fd int) {
 		resetQueuedConns(fd)
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -64,7 +64,7 @@
 	plan    *Plan
 	options *Options
 	rand    *rand.Rand
-	end     time.Duration // time from which on no fault is drawn
+	end     time.Duration // end of the period in which faults start; see faultFreeEnd
 }
 
 // DrawPlan returns the plan determined by the options. The same options give the same plan. Faults are
@@ -147,8 +147,7 @@
 	return min(duration, max(p.end-start, shortest))
 }
 
-// drawDrainDuration draws the duration of a drain that coincides with another fault, which starts at
-// start.
+// drawDrainDuration draws the duration of a drain that coincides with a fault that starts at start.
 func (p *planner) drawDrainDuration(start time.Duration) time.Duration {
 	return p.drawDurationBetween(time.Second, 3*time.Second, start)
 }
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -1,8 +1,8 @@
 // Package soak is a randomized fault-injection test of a whole fleet. It runs gateway instances as
-// processes that speak the platform's protocol, while faults overlap in time. Discovery, storage
-// nodes and clients are fakes in the process that runs the soak, on loopback addresses. A run passes
-// if the audit finds no violated rule in the records of clients and nodes, if no instance logs a
-// violated invariant, and if nothing else fails (see Report).
+// processes that speak the platform's protocol (see package platform), while faults overlap in time.
+// Discovery, storage nodes and clients are fakes in the process that runs the soak, on loopback
+// addresses. A run passes if the audit finds no violated rule in the records of clients and nodes, if
+// no instance logs a violated invariant, and if nothing else fails (see Report).
 //
 // options.go, fault.go, plan.go and syscall_faults.go define the faults of a run. deployment.go and
 // workload.go define the configuration of the instances and the requests of the clients. All of these
--- a/internal/soak/workload.go
+++ b/internal/soak/workload.go
@@ -9,7 +9,7 @@
 const (
 	// unlimitedFraction is the fraction of requests for the volume whose plan has no limit.
 	unlimitedFraction = 0.8
-	// orderKeyCount is the number of keys from which requests of unordered classes draw theirs.
+	// orderKeyCount is the number of order keys that requests of unordered classes carry.
 	orderKeyCount = 64
 	// orderedClassKeyCount is the same number for ordered classes. It is small, so that several
 	// requests with the same key are often in progress at an instance.
@@ -26,8 +26,8 @@
 	timeout time.Duration // time that the request gives the gateway to respond
 }
 
-// drawRequest draws the request with an ID. Its timeout is from half of the deadline of its class up to
-// all of it.
+// drawRequest draws a request and gives it an ID. Its timeout is at least half of the deadline of its
+// class and below the deadline.
 func (d *deployment) drawRequest(r *rand.Rand, id string) request {
 	req := request{
 		id:     id,
