--- a/internal/bench/overload.go
+++ b/internal/bench/overload.go
@@ -19,8 +19,8 @@
 )
 
 // Overload measures how many requests a gateway serves from a node that cannot process all of the
-// clients' requests. It compares that with the node's rate without a gateway, with as many clients as
-// keep the node busy.
+// clients' requests. It compares that with the rate of the node alone, under just as many clients as keep
+// it busy.
 func (o *Options) Overload(clientCounts ...int) error {
 	node, err := o.startOverloadedNode()
 	if err != nil {
--- a/internal/bench/stream.go
+++ b/internal/bench/stream.go
@@ -79,7 +79,7 @@
 	return len(p), nil
 }
 
-// startSink starts a node that discards what is written to it. To a read it responds with as many zero
+// startSink starts a node that discards what is written to it. It responds to a read with as many zero
 // bytes as the object's name says. It serves until its listener is closed.
 func startSink() (net.Listener, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/flood/addresses.go
+++ b/internal/flood/addresses.go
@@ -2,8 +2,8 @@
 
 import "net/netip"
 
-// addressesPerByte is the number of values that a counted byte of an address takes, from 1 on.
-const addressesPerByte = 250
+// hostsPerNetwork is the number of addresses that share a network number.
+const hostsPerNetwork = 250
 
 // Second bytes of the loopback addresses of each kind of client.
 const (
@@ -23,17 +23,17 @@
 }
 
 // OtherClientAddrs returns the addresses of n clients that are not known to the gateway: 127.10.1.1,
-// 127.10.2.1 and so on. Up to 250 of them each have a /24 prefix of their own.
+// 127.10.2.1 and so on. The first 250 have a /24 prefix each.
 func OtherClientAddrs(n int) []netip.Addr {
 	return addresses(n, func(network, host byte) [4]byte { return [4]byte{127, otherClientNetwork, host + 1, network + 1} })
 }
 
-// addresses returns n addresses. It calls address with host counting up from 0; after each
-// addressesPerByte addresses, host restarts at 0 and network increases by one.
+// addresses returns n addresses, each made by a call of address. host counts up from 0; after each
+// hostsPerNetwork addresses it restarts at 0 and network increases by one.
 func addresses(n int, address func(network, host byte) [4]byte) []netip.Addr {
 	var addrs []netip.Addr
 	for i := range n {
-		network, host := byte(i/addressesPerByte), byte(i%addressesPerByte)
+		network, host := byte(i/hostsPerNetwork), byte(i%hostsPerNetwork)
 		addrs = append(addrs, netip.AddrFrom4(address(network, host)))
 	}
 	return addrs
--- a/internal/flood/attack.go
+++ b/internal/flood/attack.go
@@ -31,7 +31,7 @@
 const (
 	// slowByteInterval is the pause after each byte of SlowHeader and SlowBody.
 	slowByteInterval = 200 * time.Millisecond
-	// slowBodyBytes is the number of body bytes that SlowBody sends at most. It is less than the
+	// slowBodyBytes is the maximum number of body bytes that SlowBody sends. It is less than the
 	// Content-Length, so the body never becomes complete.
 	slowBodyBytes = 1000
 	// slowReaderBuffer is the size of the receive buffer of a SlowReader connection in bytes. It is
--- a/internal/flood/flood.go
+++ b/internal/flood/flood.go
@@ -85,8 +85,8 @@
 }
 
 // RunProcess runs the flood of o, without well-behaved clients, in a separate process, so that it does not
-// slow down clients in this process. argv is the program and its first arguments. Of o.Sources only the
-// number is passed on.
+// slow down clients in this process. argv is the program and its first arguments. Only the number
+// of o.Sources is passed on.
 func RunProcess(o Options, argv ...string) (*Stats, error) {
 	out, err := subprocess.Output(append(slices.Clone(argv), "flood", "--json",
 		"--target", o.Target,
