--- a/internal/discovery/call.go
+++ b/internal/discovery/call.go
@@ -92,7 +92,7 @@
 func (d *responseDecoder) write(p []byte) (complete bool, err error) {
 	d.undecoded = append(d.undecoded, p...)
 	for !d.inBody {
-		n := http1.DefaultLimits.HeaderBlock(d.undecoded, &d.scanned)
+		n := http1.DefaultLimits.FindHeaderEnd(d.undecoded, &d.scanned)
 		if n == 0 {
 			return false, nil
 		}
--- a/internal/eventloop/accept.go
+++ b/internal/eventloop/accept.go
@@ -202,9 +202,9 @@
 		}
 		l.conns.add(socket{fd: fd, id: decision.ID, side: clientSide, state: socketOpen, wanted: readEvents})
 		l.registerConn(decision.ID)
-	case len(decision.Answer) > 0 && l.rejected.hasCapacity():
+	case len(decision.Response) > 0 && l.rejected.hasCapacity():
 		// Written at once and without epoll: the response fits in the send buffer of a new socket.
-		l.calls.Write(fd, decision.Answer)
+		l.calls.Write(fd, decision.Response)
 		unix.Shutdown(fd, unix.SHUT_WR)
 		l.rejected.add(fd, l.Now()+decision.Linger)
 	default:
--- a/internal/eventloop/dial.go
+++ b/internal/eventloop/dial.go
@@ -103,7 +103,7 @@
 // of resources, which no peer can bring about.
 func (l *Loop) reportDialDelay(id gateway.ConnID) {
 	if isShortage(l.dials.err) {
-		l.Gateway.DialShort(l.Now(), id)
+		l.Gateway.DialShortOfResources(l.Now(), id)
 	} else {
 		l.Gateway.Stalled(l.Now(), id)
 	}
--- a/internal/gateway/accept.go
+++ b/internal/gateway/accept.go
@@ -12,12 +12,12 @@
 type AcceptResult struct {
 	ID       ConnID // id of the connection; set if it is admitted
 	Admitted bool
-	// Answer is the response to a rejected connection, valid until the next call of Accept.
+	// Response is the response to a rejected connection, valid until the next call of Accept.
 	// The driver writes it with a single write, even if that takes only a part of it. Then it
-	// shuts down the sending side, and closes the connection after Linger. If Answer is
+	// shuts down the sending side, and closes the connection after Linger. If Response is
 	// empty, the driver closes the connection at once.
-	Answer []byte
-	Linger time.Duration
+	Response []byte
+	Linger   time.Duration
 }
 
 // Accept decides whether to admit a new client connection of a listener. A rejected
@@ -36,7 +36,7 @@
 		if !decision.SendRejection {
 			return AcceptResult{}
 		}
-		return AcceptResult{Answer: g.rejectionResponse(decision.Reason), Linger: lingerTimeout}
+		return AcceptResult{Response: g.rejectionResponse(decision.Reason), Linger: lingerTimeout}
 	}
 	c := &clientConn{remote: remote, admitted: true}
 	g.openConn(c)
--- a/internal/gateway/admission_test.go
+++ b/internal/gateway/admission_test.go
@@ -11,7 +11,7 @@
 func (h *harness) acceptFrom(addr string) ConnID {
 	result := h.gateway.Accept(h.now, netip.MustParseAddrPort(addr), 0)
 	if !result.Admitted {
-		h.t.Fatalf("the connection from %s was rejected with %q", addr, result.Answer)
+		h.t.Fatalf("the connection from %s was rejected with %q", addr, result.Response)
 	}
 	h.runActions()
 	return result.ID
@@ -181,9 +181,9 @@
 		if result.Admitted {
 			t.Fatal("a connection was admitted beyond the limit")
 		}
-		if len(result.Answer) > 0 {
+		if len(result.Response) > 0 {
 			responses++
-			h.wantContains("the response", string(result.Answer), "HTTP/1.1 503 ", "Retry-After: 1\r\n", "Connection: close\r\n\r\ntoo many connections (total)")
+			h.wantContains("the response", string(result.Response), "HTTP/1.1 503 ", "Retry-After: 1\r\n", "Connection: close\r\n\r\ntoo many connections (total)")
 		}
 	}
 	if responses != 2 || len(h.gateway.conns.slots) != slots || len(h.gateway.timers.heap) != timers {
--- a/internal/gateway/buffered_protocol.go
+++ b/internal/gateway/buffered_protocol.go
@@ -19,7 +19,7 @@
 	info := b.p.ParseRequest(&req.header)
 	if info.Status != 0 {
 		if info.Close {
-			c.enter(clientClosing)
+			c.advancePhase(clientClosing)
 		}
 		g.respondLocally(req, info.Status, info.Reason)
 		return
--- a/internal/gateway/client_conn.go
+++ b/internal/gateway/client_conn.go
@@ -73,8 +73,8 @@
 	accountedBytes int              // share of this connection in bufferPool.clientBytes
 }
 
-// enter advances the connection to a phase, unless it is already past that phase.
-func (c *clientConn) enter(phase clientPhase) { c.phase = max(c.phase, phase) }
+// advancePhase advances the connection to a phase, unless it is already past that phase.
+func (c *clientConn) advancePhase(phase clientPhase) { c.phase = max(c.phase, phase) }
 
 // responseDue reports whether the client waits for the response to a submitted request that
 // has no final response yet.
@@ -161,9 +161,9 @@
 func (c *clientConn) handleRemoved(g *Gateway) {
 	if c.responseDue() {
 		g.invariants.CheckUnansweredClose(g.clock.now, &invariant.UnansweredClose{
-			Request:   c.req.id,
-			Unwritten: len(c.pending()),
-			ReadBy:    c.readDeadline,
+			Request:      c.req.id,
+			Unwritten:    len(c.pending()),
+			ReadDeadline: c.readDeadline,
 		})
 	}
 	g.buffers.clientBytes -= int64(c.accountedBytes)
@@ -184,7 +184,7 @@
 		return
 	}
 	if !req.body.complete { // RFC 9112 section 9.3: the rest of the body cannot be distinguished from a next request
-		c.enter(clientDiscarding)
+		c.advancePhase(clientDiscarding)
 	}
 	c.requestEndDue = true
 	c.requestServed = req.id != 0 && req.response.source != nil && req.response.status < 400
--- a/internal/gateway/client_end.go
+++ b/internal/gateway/client_end.go
@@ -19,7 +19,7 @@
 		g.dropClient(c, Abort, Dropped)
 		return
 	}
-	c.enter(clientClosing)
+	c.advancePhase(clientClosing)
 	req.body.complete = true
 	req.response.reason = "the body did not come in time"
 	g.counts.Malformed++
@@ -37,7 +37,7 @@
 	req.response.reason = reason
 	req.header.MinorVersion = 1
 	req.headerReceivedAt = g.clock.now
-	c.enter(clientClosing)
+	c.advancePhase(clientClosing)
 	g.writeLocalResponse(req, 408, []byte(reason+"\n"), nil)
 }
 
@@ -72,7 +72,7 @@
 	case c.peer != peerConnected:
 		g.closeConn(c, Close)
 	case c.phase != clientLingering:
-		c.enter(clientLingering)
+		c.advancePhase(clientLingering)
 		g.actions.add(CloseWrite, c.id)
 		g.resumeReading(c)
 		g.setDeadline(c, g.clock.now+lingerTimeout)
--- a/internal/gateway/client_flow.go
+++ b/internal/gateway/client_flow.go
@@ -4,8 +4,8 @@
 
 // transferProgress is the progress of the transfer of a request body or a response.
 type transferProgress struct {
-	since Time  // time at which the transfer began; 0: it has not begun
-	bytes int64 // number of bytes transferred
+	startedAt Time  // time at which the transfer began; 0: it has not begun
+	bytes     int64 // number of bytes transferred
 }
 
 // deadline returns when a transfer that has just made progress times out: after noProgress,
@@ -17,7 +17,7 @@
 	if rate <= 0 {
 		return now + noProgress
 	}
-	return min(now+noProgress, p.since+grace+Time(float64(p.bytes)/float64(rate)*float64(time.Second)))
+	return min(now+noProgress, p.startedAt+grace+Time(float64(p.bytes)/float64(rate)*float64(time.Second)))
 }
 
 // uploadDeadline returns when the transfer of the client's request body times out.
@@ -33,7 +33,7 @@
 // stopUploadTimer stops the timeout for a client's request body. If output is pending, the
 // timeout for reading it stays in force.
 func (g *Gateway) stopUploadTimer(c *clientConn) {
-	if len(c.pending()) > 0 && c.download.since > 0 {
+	if len(c.pending()) > 0 && c.download.startedAt > 0 {
 		g.setDeadline(c, c.readDeadline)
 	} else {
 		g.setDeadline(c, never)
@@ -67,8 +67,8 @@
 	}
 	g.accountClientBytes(c)
 	if !c.flushPending && len(c.pending()) > 0 {
-		if c.download.since == 0 {
-			c.download = transferProgress{since: g.clock.now}
+		if c.download.startedAt == 0 {
+			c.download = transferProgress{startedAt: g.clock.now}
 			c.readDeadline = g.downloadDeadline(c)
 		}
 		if c.timer.deadline == never {
--- a/internal/gateway/client_input.go
+++ b/internal/gateway/client_input.go
@@ -65,7 +65,7 @@
 		c.headerStartedAt = g.clock.now
 		g.setDeadline(c, g.clock.now+g.config.Timeouts.Header)
 	}
-	n := g.config.HeaderLimits.HeaderBlock(data, &c.headerScanned)
+	n := g.config.HeaderLimits.FindHeaderEnd(data, &c.headerScanned)
 	if n == 0 {
 		return data, false
 	}
@@ -115,6 +115,6 @@
 	case len(data) <= maxPipelinedBytes:
 		return data
 	}
-	c.enter(clientOverflowed)
+	c.advancePhase(clientOverflowed)
 	return nil
 }
--- a/internal/gateway/conn_events.go
+++ b/internal/gateway/conn_events.go
@@ -66,12 +66,12 @@
 	}
 }
 
-// DialShort is called instead of Stalled for a dial that is deferred because descriptors,
+// DialShortOfResources is called instead of Stalled for a dial that is deferred because descriptors,
 // memory or ports have run out. No peer can cause such a shortage.
-func (g *Gateway) DialShort(now Time, id ConnID) {
+func (g *Gateway) DialShortOfResources(now Time, id ConnID) {
 	g.Stalled(now, id)
 	if c, ok := g.conns.find(id).(*nodeConn); ok {
-		c.dialShort = true
+		c.dialShortOfResources = true
 	}
 }
 
--- a/internal/gateway/idle_conns.go
+++ b/internal/gateway/idle_conns.go
@@ -93,7 +93,7 @@
 // makeIdle keeps a connection open for the next request. It closes the connection instead if
 // the node has left the endpoint list, or has moved or restarted since the dial.
 func (g *Gateway) makeIdle(c *nodeConn) {
-	if !c.node.listed || c.closed || !c.current() {
+	if !c.node.listed || c.closed || !c.isCurrent() {
 		g.closeConn(c, Close)
 		return
 	}
--- a/internal/gateway/invariant_checks.go
+++ b/internal/gateway/invariant_checks.go
@@ -25,7 +25,7 @@
 	}
 	a.Serving = n.listed && n.state == scheduler.Serving
 	a.StateChangedAt = n.stateChangedAt
-	if c := attempt.conn; c != nil && (c.node != n || !c.current()) {
+	if c := attempt.conn; c != nil && (c.node != n || !c.isCurrent()) {
 		a.Serving = false
 	}
 	return a
--- a/internal/gateway/local_response.go
+++ b/internal/gateway/local_response.go
@@ -144,8 +144,8 @@
 // ends the header of a response. It also decides that the connection is closed after the
 // response if the gateway drains, or has not received the complete request body.
 func (g *Gateway) appendHeaderEnd(b []byte, c *clientConn, req *request) []byte {
-	if g.intake >= intakeLastRequests || !req.body.complete {
-		c.enter(clientClosing)
+	if g.intake >= intakeDraining || !req.body.complete {
+		c.advancePhase(clientClosing)
 	}
 	if c.phase >= clientClosing {
 		b = append(b, "Connection: close\r\n"...)
--- a/internal/gateway/node_conn.go
+++ b/internal/gateway/node_conn.go
@@ -26,13 +26,13 @@
 // established, the connection becomes idle once it is.
 type nodeConn struct {
 	bufferedConn
-	node        *node
-	addr        string // address that was dialed
-	incarnation Time   // incarnation of the node when it was dialed; see node.started
-	state       nodeConnState
-	attempt     *nodeAttempt // nil: none
-	dialStalled bool         // dialing was deferred for a failure of this machine or its network
-	dialShort   bool         // dialing was deferred for lack of descriptors, memory or ports
+	node                 *node
+	addr                 string // address that was dialed
+	incarnation          Time   // incarnation of the node when it was dialed; see node.started
+	state                nodeConnState
+	attempt              *nodeAttempt // nil: none
+	dialStalled          bool         // dialing was deferred for a failure of this machine or its network
+	dialShortOfResources bool         // dialing was deferred for lack of descriptors, memory or ports
 
 	idleSince   Time          // when the connection last became idle, also while it is reused; 0: never
 	idleElement *list.Element // element of nodeTable.idleByAge; nil: the connection is not idle
@@ -42,9 +42,9 @@
 	interimResponses int // number of 1xx responses to the attempt
 }
 
-// current reports whether the connection leads to the present address and incarnation of
+// isCurrent reports whether the connection leads to the present address and incarnation of
 // its node.
-func (c *nodeConn) current() bool {
+func (c *nodeConn) isCurrent() bool {
 	return c.addr == c.node.addr && c.incarnation == c.node.started
 }
 
@@ -150,7 +150,7 @@
 	switch {
 	case c.state == nodeReadingBody && attempt.outcome != scheduler.OK:
 		return attempt.outcome
-	case c.state == nodeDialing && c.dialShort: // the deferred dial was made, and refused
+	case c.state == nodeDialing && c.dialShortOfResources: // the deferred dial was made, and refused
 		return scheduler.ConnectFailed
 	case c.state == nodeDialing:
 		return g.dialFailureOutcome(c, attempt)
@@ -169,7 +169,7 @@
 // A dial deferred for lack of resources never does, because other connections may have
 // taken the last of them.
 func (g *Gateway) dialFailureOutcome(c *nodeConn, attempt *nodeAttempt) scheduler.Outcome {
-	if c.dialShort || c.dialStalled && g.nodes.lastConnected <= attempt.startedAt {
+	if c.dialShortOfResources || c.dialStalled && g.nodes.lastConnected <= attempt.startedAt {
 		return scheduler.NotSent
 	}
 	return scheduler.ConnectFailed
--- a/internal/gateway/node_response.go
+++ b/internal/gateway/node_response.go
@@ -34,7 +34,7 @@
 // the bytes after the header, and whether they can be processed now.
 func (g *Gateway) consumeResponseHeader(c *nodeConn, data []byte) (rest []byte, more bool) {
 	attempt := c.attempt
-	headerLength := g.config.HeaderLimits.HeaderBlock(data, &c.headerScanned)
+	headerLength := g.config.HeaderLimits.FindHeaderEnd(data, &c.headerScanned)
 	if headerLength == 0 {
 		return data, false
 	}
--- a/internal/gateway/request_lifecycle.go
+++ b/internal/gateway/request_lifecycle.go
@@ -27,13 +27,13 @@
 	req.body.continueHandled = !req.header.ExpectContinue
 	c.requestCount++
 	if g.isLastRequest(c, req) {
-		c.enter(clientClosing)
+		c.advancePhase(clientClosing)
 	}
 	// The response to the previous request may still be in the write buffer. Admission counts
 	// at most one request of a connection, so the previous one ends here.
 	g.reportAdmittedRequestEnd(c)
 	if ok, reason := g.admission.BeginRequest(g.clock.now, uint64(c.id), g.buffers.clientBytes, req.body.complete); !ok {
-		c.enter(clientClosing)
+		c.advancePhase(clientClosing)
 		// Counted and logged as a rejected connection, as the connection ends with the response.
 		g.recordRejection(c.remote, reason, true)
 		g.respondLocally(req, 503, rejectionText(reason))
@@ -47,7 +47,7 @@
 // its limit of requests.
 func (g *Gateway) isLastRequest(c *clientConn, req *request) bool {
 	limit := g.config.Limits.RequestsPerConn
-	return g.intake >= intakeLastRequests || req.header.Close || limit > 0 && c.requestCount >= limit
+	return g.intake >= intakeDraining || req.header.Close || limit > 0 && c.requestCount >= limit
 }
 
 // internMethod returns a method as a string, without allocating if it is a known one.
@@ -89,7 +89,7 @@
 // restartUploadTimer starts the timer and the minimum rate for the upload of a body, or
 // restarts them after the client was paused.
 func (g *Gateway) restartUploadTimer(c *clientConn) {
-	c.upload = transferProgress{since: g.clock.now}
+	c.upload = transferProgress{startedAt: g.clock.now}
 	g.setDeadline(c, g.uploadDeadline(c))
 }
 
@@ -143,7 +143,7 @@
 // rejectLongBody responds with 413 to a request whose body has to be buffered and is longer
 // than the buffer.
 func (g *Gateway) rejectLongBody(c *clientConn, req *request) {
-	c.enter(clientClosing)
+	c.advancePhase(clientClosing)
 	g.respondLocally(req, 413, "the body is longer than any may be")
 }
 
@@ -212,7 +212,7 @@
 	if req.id != 0 && !req.response.final {
 		g.cancelRequest(req, AnsweredLocally)
 	}
-	c.enter(clientClosing)
+	c.advancePhase(clientClosing)
 	req.body.complete = true
 	var malformed *http1.Error
 	if errors.As(err, &malformed) && req.response.source == nil {
@@ -227,7 +227,7 @@
 // cannot be parsed, and are discarded.
 func (g *Gateway) rejectMalformedHeader(c *clientConn, req *request, err error) {
 	g.counts.Malformed++
-	c.enter(clientDiscarding)
+	c.advancePhase(clientDiscarding)
 	req.body.complete = true
 	req.method = ""
 	req.header.MinorVersion = 1
--- a/internal/gateway/response_after_end_test.go
+++ b/internal/gateway/response_after_end_test.go
@@ -82,7 +82,7 @@
 			other := h.connectClient(getRequest("/feed-b/s/other")) // may reuse the object of the request
 			h.deliver(n, test.after)
 			h.advanceTime(3 * time.Second)
-			h.wantReportsOfRequests()
+			h.wantEachRequestReportedOnce()
 			test.want[Rejected]++ // the other request, which no node responds to
 			h.wantOutcomes(test.want)
 			if text := h.takeWritten(other); strings.Contains(text, "hello") || strings.Contains(text, "world") {
@@ -92,9 +92,9 @@
 	}
 }
 
-// wantReportsOfRequests checks that the end of every submitted request was reported once, that each
+// wantEachRequestReportedOnce checks that the end of every submitted request was reported once, that each
 // report has the properties of its request, and that the counts add up.
-func (h *harness) wantReportsOfRequests() {
+func (h *harness) wantEachRequestReportedOnce() {
 	h.t.Helper()
 	reported := map[string]int{}
 	for _, span := range h.spans {
--- a/internal/gateway/shutdown.go
+++ b/internal/gateway/shutdown.go
@@ -7,13 +7,13 @@
 )
 
 // intakePhase tells which requests an instance accepts. Drain advances it to
-// intakeLastRequests, and Shutdown to intakeClosed. It never goes back.
+// intakeDraining, and Shutdown to intakeClosed. It never goes back.
 type intakePhase uint8
 
 const (
-	intakeOpen         intakePhase = iota
-	intakeLastRequests             // each response asks its client to close the connection; requests are still accepted
-	intakeClosed                   // requests under way are answered; new ones are accepted for firstRequestGrace at most
+	intakeOpen     intakePhase = iota
+	intakeDraining             // each response asks its client to close the connection; requests are still accepted
+	intakeClosed               // requests under way are answered; new ones are accepted for firstRequestGrace at most
 )
 
 func (p intakePhase) String() string { return [...]string{"open", "last requests", "closed"}[p] }
@@ -23,7 +23,7 @@
 // instance is going to stop, and must not be lost.
 func (g *Gateway) Drain(now Time) {
 	g.clock.advance(now)
-	g.intake = max(g.intake, intakeLastRequests)
+	g.intake = max(g.intake, intakeDraining)
 }
 
 // Shutdown stops accepting requests. Requests under way are answered, and client connections
--- a/internal/gateway/states_test.go
+++ b/internal/gateway/states_test.go
@@ -15,7 +15,7 @@
 		"peer":            {peerConnected, peerHalfClosed, peerDisconnected},
 		"client input":    {inputDiscarded, inputHeader, inputBody, inputPipelined},
 		"node connection": {nodeDialing, nodeIdle, nodeAwaitingResponse, nodeReadingBody},
-		"intake":          {intakeOpen, intakeLastRequests, intakeClosed},
+		"intake":          {intakeOpen, intakeDraining, intakeClosed},
 	}
 	for kind, values := range states {
 		names := map[string]bool{}
--- a/internal/gateway/unsent_response_test.go
+++ b/internal/gateway/unsent_response_test.go
@@ -36,7 +36,7 @@
 			if strings.Count(got, "HTTP/1.1 ") != 1 || h.closedBy[c] == Abort {
 				t.Errorf("the responses are %q, want one; the connection was closed by %v", got, h.closedBy[c])
 			}
-			h.wantReportsOfRequests()
+			h.wantEachRequestReportedOnce()
 		})
 	}
 }
--- a/internal/gateway/webdav_protocol.go
+++ b/internal/gateway/webdav_protocol.go
@@ -181,7 +181,7 @@
 		req.response.chunked = true
 		b = append(b, "Transfer-Encoding: chunked\r\n"...)
 	default:
-		c.enter(clientClosing) // the body is delimited by the end of the connection
+		c.advancePhase(clientClosing) // the body is delimited by the end of the connection
 	}
 	c.out = g.appendHeaderEnd(b, c, req)
 	g.flushClient(c)
--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -61,10 +61,10 @@
 	}
 }
 
-// HeaderBlock is like HeaderEnd, but if p contains no complete header and exceeds the limit, it returns
+// FindHeaderEnd is like HeaderEnd, but if p contains no complete header and exceeds the limit, it returns
 // the length of p, which the parser then rejects. It returns 0 while more bytes are needed. The caller
 // keeps scanned between the calls for one header; it starts at 0.
-func (l Limits) HeaderBlock(p []byte, scanned *int) int {
+func (l Limits) FindHeaderEnd(p []byte, scanned *int) int {
 	n := HeaderEnd(p, *scanned)
 	if n == 0 && len(p) <= l.HeaderBytes {
 		*scanned = len(p)
--- a/internal/http1/request.go
+++ b/internal/http1/request.go
@@ -10,7 +10,7 @@
 	ExpectContinue bool // set if the client waits for a 100 response before it sends the body
 }
 
-// ParseRequest parses a request header into r. block ends where HeaderEnd or HeaderBlock found the end
+// ParseRequest parses a request header into r. block ends where HeaderEnd or FindHeaderEnd found the end
 // of the header. The memory of r.Fields is reused. The error is an *Error.
 func ParseRequest(block []byte, r *Request, limits Limits) error {
 	*r = Request{Message: Message{Fields: r.Fields[:0], ContentLength: -1}}
--- a/internal/http1/response.go
+++ b/internal/http1/response.go
@@ -7,7 +7,7 @@
 }
 
 // ParseResponse parses a response header into r. method is the method of the request, on which the
-// length of the body depends. block ends where HeaderEnd or HeaderBlock found the end of the header.
+// length of the body depends. block ends where HeaderEnd or FindHeaderEnd found the end of the header.
 // The memory of r.Fields is reused. The error is an *Error.
 func ParseResponse(block []byte, r *Response, method string, limits Limits) error {
 	*r = Response{Message: Message{Fields: r.Fields[:0], ContentLength: -1}}
--- a/internal/invariant/rules.go
+++ b/internal/invariant/rules.go
@@ -123,15 +123,15 @@
 
 // UnansweredClose describes the close of a connection while the response to a request on it is due.
 type UnansweredClose struct {
-	Request   uint64 // the gateway's number of the request
-	Unwritten int    // number of bytes queued for the client
-	ReadBy    Time   // deadline for the client to read more of the queued bytes; valid if Unwritten > 0
+	Request      uint64 // the gateway's number of the request
+	Unwritten    int    // number of bytes queued for the client
+	ReadDeadline Time   // deadline for the client to read more of the queued bytes; valid if Unwritten > 0
 }
 
 // Allowed reports whether the gateway cannot respond because the client does not read earlier output
 // and its time for that has passed. Other clients need no exception: for a client that has
 // disconnected no response is due, and a client that cuts off its request body gets an error status.
-func (u *UnansweredClose) Allowed(now Time) bool { return u.Unwritten > 0 && now >= u.ReadBy }
+func (u *UnansweredClose) Allowed(now Time) bool { return u.Unwritten > 0 && now >= u.ReadDeadline }
 
 // Attempt describes an attempt, and the state of its node, client and request, at the time of a check.
 type Attempt struct {
--- a/internal/waitqueue/owners.go
+++ b/internal/waitqueue/owners.go
@@ -40,8 +40,8 @@
 	}
 }
 
-// Sweep deletes the OwnerQueue of each owner that has no ready requests.
-func (q *Queue[R, P, O]) Sweep() {
+// DeleteEmptyOwners deletes the OwnerQueue of each owner that has no ready requests.
+func (q *Queue[R, P, O]) DeleteEmptyOwners() {
 	for owner, ownerQueue := range q.owners {
 		if ownerQueue.readyCount == 0 {
 			delete(q.owners, owner)
--- a/internal/waitqueue/waitqueue_test.go
+++ b/internal/waitqueue/waitqueue_test.go
@@ -143,7 +143,7 @@
 		m.markSuspended(r)
 		m.makeReady(r)
 	}
-	m.queue.Sweep()
+	m.queue.DeleteEmptyOwners()
 }
 
 // removeExpired calls RemoveExpired with an extend function that moves the expiry of the requests of
@@ -254,8 +254,8 @@
 		t.Errorf("%d shared subqueues, %d of one owner, %d free, %d shared by profile",
 			len(q.Shared), len(q.SubqueuesOf("v")), len(q.freeSubqueues), len(q.sharedByProfile))
 	}
-	q.Sweep()
+	q.DeleteEmptyOwners()
 	if len(q.owners) != 0 {
-		t.Errorf("%d owners without ready requests remain after Sweep", len(q.owners))
+		t.Errorf("%d owners without ready requests remain after DeleteEmptyOwners", len(q.owners))
 	}
 }
--- a/scheduler/timers.go
+++ b/scheduler/timers.go
@@ -153,7 +153,7 @@
 func (s *Scheduler) sweep() {
 	s.timers.sweptAt = s.now
 	for _, n := range s.members.nodes {
-		n.queue.Sweep()
+		n.queue.DeleteEmptyOwners()
 	}
 	s.sweepVolumes()
 	s.sweepKeyOrders()
