--- a/scheduler/attempts.go
+++ b/scheduler/attempts.go
@@ -82,7 +82,7 @@
 	s.startKeyCooldown(r, e.Outcome)
 	switch {
 	case r.state == completed:
-		s.leaveKeyOrder(r)
+		s.removeFromKeyOrder(r)
 	case e.Responded:
 		s.complete(r)
 	case r.inFlight > 0:
--- a/scheduler/backpressure_test.go
+++ b/scheduler/backpressure_test.go
@@ -8,7 +8,7 @@
 // Guards against requests of low value filling the queue of a slow node while requests of other
 // instances, of full value, wait behind them. The lower their value, the earlier requests are held
 // back. They are sent again once the node responds fast, or has not responded for a while.
-func TestLowPriorityIsHeldBackUnderPressure(t *testing.T) {
+func TestLowPriorityIsBlockedUnderPressure(t *testing.T) {
 	s := testSettings(func(s *Settings) {
 		s.ExcessWeight, s.Classes[0].LateWeightFactor, s.Classes[1].PriorityWeight = 0.3, 0.1, 1
 	})
--- a/scheduler/circuit_breaker.go
+++ b/scheduler/circuit_breaker.go
@@ -38,8 +38,8 @@
 // blocks reports whether the breaker lets no request pass.
 func (b *breaker) blocks(now Time) bool { return b.open && now < b.trialAt }
 
-// trialDue reports whether the breaker is open and lets a trial request pass.
-func (b *breaker) trialDue(now Time) bool { return b.open && now >= b.trialAt }
+// isTrialDue reports whether the breaker is open and lets a trial request pass.
+func (b *breaker) isTrialDue(now Time) bool { return b.open && now >= b.trialAt }
 
 // requestSent sets the time of the next trial request if the breaker is open. It is called for every
 // send.
--- a/scheduler/dispatch.go
+++ b/scheduler/dispatch.go
@@ -14,7 +14,7 @@
 	s.checkResponsiveness(n)
 	s.completeExpired(n.queue)
 	for n.queue.Len() > 0 {
-		if n.breaker.trialDue(s.now) {
+		if n.breaker.isTrialDue(s.now) {
 			s.openBreaker(n) // already open; the previous trial request no longer counts against the window
 		}
 		if s.blockedBy(nodeRules, candidate{node: n}) != ReasonAllowed {
@@ -156,7 +156,7 @@
 	if missesObjective {
 		bestInTime = sub.BestByDeadline
 	}
-	if missesObjective && s.idleTrialDue(n) {
+	if missesObjective && s.isIdleTrialDue(n) {
 		expectedResponseAt = distantPast
 	}
 	for {
@@ -168,9 +168,9 @@
 	}
 }
 
-// idleTrialDue reports whether a node with nothing in flight is sent a request although no response is
+// isIdleTrialDue reports whether a node with nothing in flight is sent a request although no response is
 // expected by its deadline. Only new responses correct an expected latency that is too long, for
 // example after a time-out. Without a trial request the node would never be sent anything again.
-func (s *Scheduler) idleTrialDue(n *node) bool {
+func (s *Scheduler) isIdleTrialDue(n *node) bool {
 	return len(n.inFlight) == 0 && s.now >= n.lastSendAt+maxTrialInterval
 }
--- a/scheduler/key_order.go
+++ b/scheduler/key_order.go
@@ -17,8 +17,8 @@
 	cooldownOwner *request
 }
 
-// joinKeyOrder adds an arriving request to the order of its key.
-func (s *Scheduler) joinKeyOrder(r *request) {
+// addToKeyOrder adds an arriving request to the order of its key.
+func (s *Scheduler) addToKeyOrder(r *request) {
 	if !r.class.Ordered || r.Key == "" {
 		return
 	}
@@ -57,9 +57,9 @@
 	order.cooldownUntil, order.cooldownOwner = s.now+s.settings.KeyCooldown, r
 }
 
-// leaveKeyOrder removes a request that is over from the order of its key, and makes the next request
+// removeFromKeyOrder removes a request that is over from the order of its key, and makes the next request
 // ready.
-func (s *Scheduler) leaveKeyOrder(r *request) {
+func (s *Scheduler) removeFromKeyOrder(r *request) {
 	order := s.keyOrders[r.Key]
 	if order == nil || r.state != completed || r.inFlight > 0 {
 		return
--- a/scheduler/limits.go
+++ b/scheduler/limits.go
@@ -17,11 +17,11 @@
 // limitBlocks reports whether the limit of a volume's plan blocks its requests of a profile now.
 // Retries are exempt.
 func (s *Scheduler) limitBlocks(p *profile, v *volume) bool {
-	return !p.isRetry && s.overLimit(v, p.units)
+	return !p.isRetry && s.exceedsLimit(v, p.units)
 }
 
-// overLimit reports whether a first attempt of the given units would exceed the limit of a volume.
-func (s *Scheduler) overLimit(v *volume, units float64) bool {
+// exceedsLimit reports whether a first attempt of the given units would exceed the limit of a volume.
+func (s *Scheduler) exceedsLimit(v *volume, units float64) bool {
 	if v.plan.Limit <= 0 {
 		return false
 	}
--- a/scheduler/membership.go
+++ b/scheduler/membership.go
@@ -77,7 +77,7 @@
 		s.enqueue(r)
 	}
 	if anyRemoved {
-		s.forgetRemoved()
+		s.deleteRemovedNodes()
 	}
 }
 
@@ -136,9 +136,9 @@
 	}
 }
 
-// forgetRemoved deletes the removed nodes that have nothing in flight. Otherwise an instance that runs
+// deleteRemovedNodes deletes the removed nodes that have nothing in flight. Otherwise an instance that runs
 // for long would keep every node that it ever knew.
-func (s *Scheduler) forgetRemoved() {
+func (s *Scheduler) deleteRemovedNodes() {
 	m := &s.members
 	m.nodes = slices.DeleteFunc(m.nodes, func(n *node) bool {
 		if n.State != Removed || len(n.inFlight) > 0 {
--- a/scheduler/reference_test.go
+++ b/scheduler/reference_test.go
@@ -368,10 +368,10 @@
 	r.completed = true
 	delete(ref.requests, r.ID)
 	ref.markDirty(r.node)
-	ref.leaveKeyOrder(r)
+	ref.removeFromKeyOrder(r)
 }
 
-func (ref *reference) leaveKeyOrder(r *request) {
+func (ref *reference) removeFromKeyOrder(r *request) {
 	order := ref.keyOrders[r.Key]
 	if order == nil || !r.completed || r.inFlight > 0 {
 		return
@@ -416,7 +416,7 @@
 	}
 	switch {
 	case r.completed:
-		ref.leaveKeyOrder(r)
+		ref.removeFromKeyOrder(r)
 	case e.Responded:
 		ref.complete(r)
 	case r.inFlight > 0:
--- a/scheduler/requests.go
+++ b/scheduler/requests.go
@@ -131,7 +131,7 @@
 		s.rejectOrFail(r)
 		return
 	}
-	s.joinKeyOrder(r)
+	s.addToKeyOrder(r)
 	s.enqueue(r)
 }
 
@@ -155,7 +155,7 @@
 }
 
 // makeReady makes a queued request ready at its node, or defers it until the time at which it may be
-// sent. A request that waits for an earlier request of its key stays suspended until leaveKeyOrder
+// sent. A request that waits for an earlier request of its key stays suspended until removeFromKeyOrder
 // makes it ready.
 func (s *Scheduler) makeReady(r *request) {
 	readyAt, isNext := s.readyAt(r)
@@ -207,5 +207,5 @@
 	default:
 		s.unassigned.RemoveLater(r)
 	}
-	s.leaveKeyOrder(r)
+	s.removeFromKeyOrder(r)
 }
--- a/scheduler/retries_test.go
+++ b/scheduler/retries_test.go
@@ -103,7 +103,7 @@
 
 // Verifies that an instance makes no retries for one window after its start, because it does not know
 // how much of the budget its earlier process has spent.
-func TestRetryBudgetCountsAsSpentAfterRestart(t *testing.T) {
+func TestNoRetriesForOneWindowAfterRestart(t *testing.T) {
 	s := testSettings(func(s *Settings) {
 		s.RetryBudget = &RetryBudget{MinRetries: 3, Ratio: 1, Window: 2 * time.Second}
 	})
--- a/scheduler/slow_start_test.go
+++ b/scheduler/slow_start_test.go
@@ -92,7 +92,7 @@
 
 // Verifies that an instance sends nothing to a starting node for one window after its own start,
 // because its earlier process may have sent all that the node can serve in that window.
-func TestSlowStartWindowCountsAsSpentAfterRestart(t *testing.T) {
+func TestNoSendsToStartingNodeForOneWindowAfterRestart(t *testing.T) {
 	s := testSettings(func(s *Settings) {
 		s.SlowStart = SlowStart{WarmupDuration: 10 * time.Second, InitialFraction: 0.25, MinUnits: 12, OverloadWindow: time.Second}
 	})
--- a/scheduler/status.go
+++ b/scheduler/status.go
@@ -106,7 +106,7 @@
 	if reason := s.blockedBy(profileRules, c); reason != ReasonAllowed {
 		return reason
 	}
-	if r.Deadline < expectedResponseAt && !s.idleTrialDue(n) {
+	if r.Deadline < expectedResponseAt && !s.isIdleTrialDue(n) {
 		return ReasonTooLate
 	}
 	return s.blockedBy(requestRules, c)
--- a/scheduler/timers.go
+++ b/scheduler/timers.go
@@ -53,7 +53,7 @@
 	wakeAt := s.watchEndpoints()
 	if s.now >= s.timers.nextWakeAt {
 		s.timers.nextWakeAt = never
-		s.markDue()
+		s.markDueNodes()
 	}
 	s.dispatchDirty()
 	wakeAt = min(wakeAt, s.timers.nextWakeAt)
@@ -111,29 +111,29 @@
 	}
 }
 
-// markDue marks the nodes dirty whose wake time has come, in the order in which they joined. Only
+// markDueNodes marks the nodes dirty whose wake time has come, in the order in which they joined. Only
 // nodes with queued requests or attempts in flight have a wake time, so the cost does not grow with
 // the endpoint list.
-func (s *Scheduler) markDue() {
+func (s *Scheduler) markDueNodes() {
 	t := &s.timers
-	var due []*node
-	kept := t.scheduled[:0]
+	var dueNodes []*node
+	stillScheduled := t.scheduled[:0]
 	for _, n := range t.scheduled {
 		switch {
 		case s.now >= n.wakeAt:
-			due = append(due, n)
+			dueNodes = append(dueNodes, n)
 			n.scheduled = false
 		case n.wakeAt < never:
-			kept = append(kept, n)
+			stillScheduled = append(stillScheduled, n)
 			t.nextWakeAt = min(t.nextWakeAt, n.wakeAt)
 		default:
 			n.scheduled = false
 		}
 	}
-	clear(t.scheduled[len(kept):])
-	t.scheduled = kept
-	slices.SortFunc(due, func(a, b *node) int { return cmp.Compare(a.joinOrder, b.joinOrder) })
-	for _, n := range due {
+	clear(t.scheduled[len(stillScheduled):])
+	t.scheduled = stillScheduled
+	slices.SortFunc(dueNodes, func(a, b *node) int { return cmp.Compare(a.joinOrder, b.joinOrder) })
+	for _, n := range dueNodes {
 		s.markDirty(n)
 	}
 }
