--- a/internal/simwire/events.go
+++ b/internal/simwire/events.go
@@ -67,26 +67,26 @@
 	kind := f.text()
 	e.Instance = f.text()
 	switch kind {
-	case wordStart:
+	case kindStart:
 		e.Message, err = parseStart(f)
-	case wordStop:
+	case kindStop:
 		e.Message = Stop{}
-	case wordEndpointUpdate:
+	case kindEndpointUpdate:
 		e.Message, endpoints, err = parseEndpointUpdate(f)
-	case wordArrival:
+	case kindArrival:
 		e.Message = Report{parseArrival(f)}
-	case wordAttemptEnded:
+	case kindAttemptEnded:
 		e.Message = parseAttemptEnded(f)
-	case wordResponseStarted:
+	case kindResponseStarted:
 		e.Message = Report{parseResponseStarted(f)}
-	case wordClientDisconnected:
+	case kindClientDisconnected:
 		e.Message = Report{scheduler.ClientDisconnected{ID: f.uint()}}
-	case wordTimerFired:
+	case kindTimerFired:
 		f.text() // timer name; instances have a single timer
 		e.Message = Report{scheduler.TimerFired{}}
-	case wordHealthCheckResult:
+	case kindHealthCheckResult:
 		e.Message = parseHealthCheckResult(f)
-	case wordPeerMessage:
+	case kindPeerMessage:
 		e.Message, err = parsePeerMessage(f)
 	default:
 		return e, 0, fmt.Errorf("unknown message %.40q", kind)
@@ -102,7 +102,7 @@
 
 func parseStart(f *fields) (Start, error) {
 	start := Start{Seed: f.uint()}
-	if err := json.Unmarshal([]byte(f.rest()), &start.Site); err != nil {
+	if err := json.Unmarshal([]byte(f.remaining()), &start.Site); err != nil {
 		return start, fmt.Errorf("site settings: %w", err)
 	}
 	return start, nil
@@ -124,7 +124,7 @@
 // parseEndpoint parses a line of an endpoint list.
 func parseEndpoint(line string) (endpoint scheduler.Endpoint, err error) {
 	f := newFields(line)
-	if f.text() != wordEndpoint {
+	if f.text() != kindEndpoint {
 		return endpoint, fmt.Errorf("expected an item line, got %.40q", line)
 	}
 	endpoint.Node, endpoint.Zone = f.text(), int(f.int())
--- a/internal/simwire/fields.go
+++ b/internal/simwire/fields.go
@@ -35,8 +35,8 @@
 	return value
 }
 
-// rest consumes the remaining values and returns them as one string, separated by spaces.
-func (f *fields) rest() string {
+// remaining consumes the remaining values and returns them as one string, separated by spaces.
+func (f *fields) remaining() string {
 	text := strings.Join(f.values[min(f.next, len(f.values)):], " ")
 	f.next = len(f.values)
 	return text
--- a/internal/simwire/words.go
+++ b/internal/simwire/protocol.go
@@ -1,5 +1,5 @@
 // Package simwire reads and writes the text protocol of the simulator. Only this package translates
-// between the protocol's words and the terms of the code. It makes no scheduling decisions and sets no
+// between the protocol's names and the terms of the code. It makes no scheduling decisions and sets no
 // defaults.
 //
 // The simulator sends a batch of events, and waits for the reply before it sends the next batch:
@@ -16,36 +16,36 @@
 
 import "maddergap/scheduler"
 
-// First words of the lines that are not events. wordBatchEnd is a whole line.
+// Kinds of the input lines that are not events. A line of kindBatchEnd has no values.
 const (
-	wordBatch    = "clock"
-	wordBatchEnd = "over_to_you"
-	wordEndpoint = "item"
+	kindBatch    = "clock"
+	kindBatchEnd = "over_to_you"
+	kindEndpoint = "item"
 )
 
-// Kinds of events.
+// Kinds of event lines.
 const (
-	wordStart              = "boot"
-	wordStop               = "shutdown"
-	wordEndpointUpdate     = "registry"
-	wordArrival            = "job_in"
-	wordAttemptEnded       = "ended"
-	wordResponseStarted    = "begun"
-	wordClientDisconnected = "dropped"
-	wordTimerFired         = "bell"
-	wordHealthCheckResult  = "health_result"
-	wordPeerMessage        = "peer_data"
+	kindStart              = "boot"
+	kindStop               = "shutdown"
+	kindEndpointUpdate     = "registry"
+	kindArrival            = "job_in"
+	kindAttemptEnded       = "ended"
+	kindResponseStarted    = "begun"
+	kindClientDisconnected = "dropped"
+	kindTimerFired         = "bell"
+	kindHealthCheckResult  = "health_result"
+	kindPeerMessage        = "peer_data"
 )
 
 // Kinds of lines in a reply.
 const (
-	wordSend           = "dispatch"
-	wordReject         = "shed"
-	wordFail           = "drop_request"
-	wordSetTimer       = "arm"
-	wordWatchEndpoints = "track"
-	wordFault          = "broken"
-	wordNextBatch      = "next"
+	kindSend           = "dispatch"
+	kindReject         = "shed"
+	kindFail           = "drop_request"
+	kindSetTimer       = "arm"
+	kindWatchEndpoints = "track"
+	kindFault          = "broken"
+	kindNextBatch      = "next"
 )
 
 // Kinds of endpoint updates. Any other kind is a list of changes.
--- a/internal/simwire/reader.go
+++ b/internal/simwire/reader.go
@@ -82,7 +82,7 @@
 // readBatch reads the batch that begins with the line first.
 func (r *Reader) readBatch(first string) (batch Batch, err error) {
 	f := newFields(first)
-	if f.text() != wordBatch {
+	if f.text() != kindBatch {
 		return batch, fmt.Errorf("a batch starts with clock, got %.40q", first)
 	}
 	batch.Time, batch.Number = f.duration(), f.text()
@@ -94,7 +94,7 @@
 		if err != nil {
 			return batch, err
 		}
-		if line == wordBatchEnd {
+		if line == kindBatchEnd {
 			return batch, nil
 		}
 		event, err := r.readEvent(line)
--- a/internal/simwire/writer.go
+++ b/internal/simwire/writer.go
@@ -19,26 +19,26 @@
 func (w *Writer) Action(instance string, action scheduler.Action) {
 	switch a := action.(type) {
 	case scheduler.Send:
-		fmt.Fprintf(w.output, "%s %s %d %s 0\n", wordSend, instance, a.ID, a.Node)
+		fmt.Fprintf(w.output, "%s %s %d %s 0\n", kindSend, instance, a.ID, a.Node)
 	case scheduler.Reject:
-		fmt.Fprintf(w.output, "%s %s %d %d\n", wordReject, instance, a.ID, a.RetryAfter.Microseconds())
+		fmt.Fprintf(w.output, "%s %s %d %d\n", kindReject, instance, a.ID, a.RetryAfter.Microseconds())
 	case scheduler.Fail:
-		fmt.Fprintf(w.output, "%s %s %d\n", wordFail, instance, a.ID)
+		fmt.Fprintf(w.output, "%s %s %d\n", kindFail, instance, a.ID)
 	case scheduler.SetTimer:
-		fmt.Fprintf(w.output, "%s %s %d w\n", wordSetTimer, instance, a.After.Microseconds())
+		fmt.Fprintf(w.output, "%s %s %d w\n", kindSetTimer, instance, a.After.Microseconds())
 	case scheduler.WatchEndpoints:
-		fmt.Fprintf(w.output, "%s %s 1\n", wordWatchEndpoints, instance)
+		fmt.Fprintf(w.output, "%s %s 1\n", kindWatchEndpoints, instance)
 	}
 }
 
 // Fault adds a line that says that an instance has failed and why. A newline in text is written as a
 // space.
 func (w *Writer) Fault(instance, text string) {
-	fmt.Fprintf(w.output, "%s %s %s\n", wordFault, instance, strings.ReplaceAll(text, "\n", " "))
+	fmt.Fprintf(w.output, "%s %s %s\n", kindFault, instance, strings.ReplaceAll(text, "\n", " "))
 }
 
 // EndBatch ends the reply to the batch with this number, and flushes it to the output.
 func (w *Writer) EndBatch(number string) error {
-	fmt.Fprintf(w.output, "%s %s\n", wordNextBatch, number)
+	fmt.Fprintf(w.output, "%s %s\n", kindNextBatch, number)
 	return w.output.Flush()
 }
