--- a/internal/eventloop/io.go
+++ b/internal/eventloop/io.go
@@ -112,7 +112,7 @@
 	id := s.id
 	interrupts := 0
 	for s != nil && s.state != socketConnecting {
-		p := l.Gateway.Out(l.Now(), id)
+		p := l.Gateway.PendingOutput(l.Now(), id)
 		if len(p) == 0 {
 			l.setWanted(s, s.wanted&^unix.EPOLLOUT)
 			return
--- a/internal/gateway/accept.go
+++ b/internal/gateway/accept.go
@@ -105,8 +105,8 @@
 // or that the next request has arrived. Until then the connection is not preempted, as
 // closing it would lose the unwritten part of the response.
 func (g *Gateway) reportAdmittedRequestEnd(c *clientConn) {
-	if c.requestEndDue {
-		c.requestEndDue = false
+	if c.requestEndUnreported {
+		c.requestEndUnreported = false
 		g.admission.EndRequest(g.clock.now, uint64(c.id), c.requestServed)
 	}
 }
--- a/internal/gateway/actions.go
+++ b/internal/gateway/actions.go
@@ -6,7 +6,7 @@
 // Operations on connections.
 const (
 	Dial       Op = iota // connect to Addr, then call Connected or Closed
-	Flush                // write the bytes that Out returns and call Wrote
+	Flush                // write the bytes that PendingOutput returns and call Wrote
 	Pause                // stop reading
 	Resume               // start reading again
 	CloseWrite           // shut down the sending side
--- a/internal/gateway/admission_test.go
+++ b/internal/gateway/admission_test.go
@@ -159,14 +159,14 @@
 	if n := h.gateway.Counts().BufferedBytes; n != 0 {
 		t.Errorf("%d bytes are still accounted for, want 0", n)
 	}
-	again := h.acceptFrom("1.1.1.4:1")
-	h.deliver(again, getRequest("/feed-a/s/x"))
+	laterClient := h.acceptFrom("1.1.1.4:1")
+	h.deliver(laterClient, getRequest("/feed-a/s/x"))
 	for i := range 2 {
 		if n := h.findNodeConn(h.nodeConn(i)); n != nil && n.attempt != nil {
 			h.deliver(h.nodeConn(i), okResponse("well"))
 		}
 	}
-	h.wantContains("the response after the buffers have drained", h.takeWritten(again), "200 OK", "well")
+	h.wantContains("the response after the buffers have drained", h.takeWritten(laterClient), "200 OK", "well")
 }
 
 // Verifies that a connection rejected during a flood takes no slot and no timer, and that
--- a/internal/gateway/bench_test.go
+++ b/internal/gateway/bench_test.go
@@ -36,7 +36,7 @@
 					node = a.Conn
 					g.Connected(now, a.Conn)
 				case Flush:
-					g.Wrote(now, a.Conn, len(g.Out(now, a.Conn)))
+					g.Wrote(now, a.Conn, len(g.PendingOutput(now, a.Conn)))
 				}
 			}
 		}
--- a/internal/gateway/buffered_protocol.go
+++ b/internal/gateway/buffered_protocol.go
@@ -79,9 +79,9 @@
 	req.response.status = attempt.conn.response.Status
 	g.counts.Served++
 	client := req.client
-	out := http1.AppendStatus(g.buffers.orNew(client.out), req.response.status)
-	out = http1.AppendIntField(out, "Content-Length", int64(len(attempt.responseBody)))
-	client.out = append(g.appendHeaderEnd(out, client, req), attempt.responseBody...)
+	output := http1.AppendStatus(g.buffers.orNew(client.output), req.response.status)
+	output = http1.AppendIntField(output, "Content-Length", int64(len(attempt.responseBody)))
+	client.output = append(g.appendHeaderEnd(output, client, req), attempt.responseBody...)
 	g.endAttempt(attempt, scheduler.OK)
 	g.reportRequestEnd(req, Served)
 	g.responseQueued(req)
--- a/internal/gateway/client_conn.go
+++ b/internal/gateway/client_conn.go
@@ -55,9 +55,9 @@
 	acceptDelay     Time     // how long the connection may have waited to be accepted
 
 	admitted bool // set while admission counts the connection
-	// requestEndDue is set if admission has yet to be notified of the end of a request; see
+	// requestEndUnreported is set if admission has yet to be notified of the end of a request; see
 	// reportAdmittedRequestEnd. requestServed is the result to report.
-	requestEndDue, requestServed bool
+	requestEndUnreported, requestServed bool
 
 	// mayHaveUnreadRequest is set when a system call on the connection was deferred for lack
 	// of local resources, and reset when data is read. While it is set, a request may be
@@ -76,9 +76,9 @@
 // advancePhase advances the connection to a phase, unless it is already past that phase.
 func (c *clientConn) advancePhase(phase clientPhase) { c.phase = max(c.phase, phase) }
 
-// responseDue reports whether the client waits for the response to a submitted request that
+// awaitsResponse reports whether the client waits for the response to a submitted request that
 // has no final response yet.
-func (c *clientConn) responseDue() bool {
+func (c *clientConn) awaitsResponse() bool {
 	return c.req != nil && c.req.id != 0 && !c.req.response.final && c.peer != peerDisconnected
 }
 
@@ -127,7 +127,7 @@
 	case c.req != nil && c.peer == peerDisconnected:
 		g.dropClient(c, Close, ClientDisconnected) // no one would read the response
 	case c.req != nil && !c.req.body.complete:
-		g.rejectMalformedBody(c, c.req, errBodyCutOff)
+		g.rejectMalformedBody(c, c.req, errBodyIncomplete)
 	default: // a half-close: the response is still due
 	}
 }
@@ -159,7 +159,7 @@
 // handleRemoved removes the connection from the counts. A close while a response is due is
 // checked against the invariant ResponseBeforeClose.
 func (c *clientConn) handleRemoved(g *Gateway) {
-	if c.responseDue() {
+	if c.awaitsResponse() {
 		g.invariants.CheckUnansweredClose(g.clock.now, &invariant.UnansweredClose{
 			Request:      c.req.id,
 			Unwritten:    len(c.pending()),
@@ -186,7 +186,7 @@
 	if !req.body.complete { // RFC 9112 section 9.3: the rest of the body cannot be distinguished from a next request
 		c.advancePhase(clientDiscarding)
 	}
-	c.requestEndDue = true
+	c.requestEndUnreported = true
 	c.requestServed = req.id != 0 && req.response.source != nil && req.response.status < 400
 	c.req, req.client = nil, nil
 	g.recycle(req)
--- a/internal/gateway/client_flow.go
+++ b/internal/gateway/client_flow.go
@@ -48,7 +48,7 @@
 
 // accountClientBytes updates the number of bytes buffered for clients after a change at c.
 func (g *Gateway) accountClientBytes(c *clientConn) {
-	n := len(c.unread) + len(c.out)
+	n := len(c.unread) + len(c.output)
 	if req := c.req; req != nil {
 		n += len(req.body.data)
 		if req.listing != nil {
--- a/internal/gateway/client_input.go
+++ b/internal/gateway/client_input.go
@@ -54,9 +54,9 @@
 	return data
 }
 
-// consumeHeader processes the header of a request, if it is complete. It returns the rest of
-// data, and whether the rest can be processed now.
-func (g *Gateway) consumeHeader(c *clientConn, data []byte) (rest []byte, more bool) {
+// consumeHeader processes the header of a request, if it is complete. It returns the unconsumed
+// part of data, and whether this part can be processed now.
+func (g *Gateway) consumeHeader(c *clientConn, data []byte) (unconsumed []byte, more bool) {
 	if data[0] == '\r' || data[0] == '\n' { // RFC 9112 section 2.2: empty lines before a request
 		c.headerScanned = 0
 		return data[1:], true
@@ -76,7 +76,7 @@
 
 // consumeBody processes a piece of the body of the request under way, or pauses reading from
 // the client if there is no room for it. It returns the same as consumeHeader.
-func (g *Gateway) consumeBody(c *clientConn, data []byte) (rest []byte, more bool) {
+func (g *Gateway) consumeBody(c *clientConn, data []byte) (unconsumed []byte, more bool) {
 	req := c.req
 	if g.uploadBlocked(req) {
 		g.pauseReading(c)
@@ -85,13 +85,13 @@
 	}
 	c.upload.bytes += int64(len(data))
 	g.setDeadline(c, g.uploadDeadline(c))
-	piece, rest, err := req.body.decoder.Next(data)
+	piece, unconsumed, err := req.body.decoder.Next(data)
 	if err != nil {
 		g.rejectMalformedBody(c, req, err)
 		return nil, false
 	}
 	g.receiveBody(c, req, piece)
-	return rest, true
+	return unconsumed, true
 }
 
 // uploadBlocked reports whether there is no room for more of a request body: a submitted
@@ -107,7 +107,7 @@
 // bufferPipelined returns the input that a client has pipelined, which is processed after the
 // current request. It pauses reading from the client, or drops the input if EOF means a
 // disconnect and the input exceeds maxPipelinedBytes.
-func (g *Gateway) bufferPipelined(c *clientConn, data []byte) (rest []byte) {
+func (g *Gateway) bufferPipelined(c *clientConn, data []byte) (unconsumed []byte) {
 	switch {
 	case !g.protocol.eofMeansDisconnect():
 		g.pauseReading(c)
--- a/internal/gateway/conn.go
+++ b/internal/gateway/conn.go
@@ -30,10 +30,10 @@
 	id            ConnID
 	unread        []byte // bytes received and not consumed yet
 	headerScanned int    // number of bytes of unread already searched for the end of a header
-	out           []byte // output buffer, including bytes that are already written
-	written       int    // number of bytes of out that are already written
+	output        []byte // output buffer, including bytes that are already written
+	written       int    // number of bytes of output that are already written
 	paused        bool   // set while the driver is asked not to read
-	flushPending  bool   // set from the request of a Flush to the next call of Out
+	flushPending  bool   // set from the request of a Flush to the next call of PendingOutput
 	closed        bool
 	timer         connTimer
 }
@@ -41,7 +41,7 @@
 func (c *bufferedConn) base() *bufferedConn { return c }
 
 // pending returns the bytes that are still to be written.
-func (c *bufferedConn) pending() []byte { return c.out[c.written:] }
+func (c *bufferedConn) pending() []byte { return c.output[c.written:] }
 
 // withUnread returns the bytes that were received before and not consumed, followed by data.
 func (c *bufferedConn) withUnread(data []byte) []byte {
@@ -52,19 +52,18 @@
 	return c.unread
 }
 
-// storeUnread keeps the bytes that were not consumed: rest, the tail of the slice that
-// withUnread returned.
-func (g *Gateway) storeUnread(c connection, rest []byte) {
+// storeUnread keeps the unconsumed bytes, which are the tail of the slice that withUnread returned.
+func (g *Gateway) storeUnread(c connection, unconsumed []byte) {
 	base := c.base()
 	switch {
 	case base.closed:
-	case len(rest) == 0:
+	case len(unconsumed) == 0:
 		g.buffers.put(base.unread)
 		base.unread = nil
 	case len(base.unread) > 0:
-		base.unread = base.unread[:copy(base.unread, rest)]
+		base.unread = base.unread[:copy(base.unread, unconsumed)]
 	default:
-		base.unread = append(g.buffers.get(), rest...)
+		base.unread = append(g.buffers.get(), unconsumed...)
 	}
 }
 
@@ -72,10 +71,10 @@
 // moved to the front of the buffer only if more than ConnBuffer written bytes precede it.
 func (g *Gateway) removeWritten(c connection, n int) {
 	base := c.base()
-	if base.written += n; base.written == len(base.out) {
+	if base.written += n; base.written == len(base.output) {
 		g.discardOutput(c)
 	} else if base.written > g.config.Limits.ConnBuffer {
-		base.out = append(base.out[:0], base.pending()...)
+		base.output = append(base.output[:0], base.pending()...)
 		base.written = 0
 	}
 }
@@ -83,8 +82,8 @@
 // discardOutput drops the pending output, and releases its buffer.
 func (g *Gateway) discardOutput(c connection) {
 	base := c.base()
-	g.buffers.put(base.out)
-	base.out, base.written = nil, 0
+	g.buffers.put(base.output)
+	base.output, base.written = nil, 0
 }
 
 // flush asks the driver to write the pending output, if there is any.
@@ -164,6 +163,6 @@
 	g.conns.remove(base.id, closedByDriver)
 	g.timers.remove(&base.timer)
 	g.buffers.put(base.unread)
-	g.buffers.put(base.out)
-	base.unread, base.out, base.written = nil, nil, 0
+	g.buffers.put(base.output)
+	base.unread, base.output, base.written = nil, nil, 0
 }
--- a/internal/gateway/conn_events.go
+++ b/internal/gateway/conn_events.go
@@ -20,11 +20,11 @@
 	}
 }
 
-// Out returns the bytes that are to be written to a connection, or nil if there are none. All
-// output goes through Out. Before the first byte of an attempt, Out repeats the invariant
-// checks that were made when the attempt was started. If a check fails now, the attempt is
-// withheld, and Out returns nil.
-func (g *Gateway) Out(now Time, id ConnID) []byte {
+// PendingOutput returns the bytes that are to be written to a connection, or nil if there are
+// none. The driver gets all output from it. Before the first byte of an attempt, it repeats the
+// invariant checks that were made when the attempt was started. If a check fails now, the
+// attempt is withheld, and PendingOutput returns nil.
+func (g *Gateway) PendingOutput(now Time, id ConnID) []byte {
 	g.clock.advance(now)
 	c := g.conns.find(id)
 	if c == nil {
@@ -38,7 +38,7 @@
 	return base.pending()
 }
 
-// Wrote is called when the first n of the bytes that Out returned were written.
+// Wrote is called when the first n of the bytes that PendingOutput returned were written.
 func (g *Gateway) Wrote(now Time, id ConnID, n int) {
 	g.clock.advance(now)
 	c := g.conns.find(id)
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -82,7 +82,7 @@
 			}
 			for _, a := range actions {
 				if a.Op == Flush {
-					h.gateway.Wrote(h.now, a.Conn, len(h.gateway.Out(h.now, a.Conn)))
+					h.gateway.Wrote(h.now, a.Conn, len(h.gateway.PendingOutput(h.now, a.Conn)))
 				}
 			}
 		}
@@ -204,7 +204,7 @@
 		t.Fatalf("%v", h.closedBy)
 	}
 	h.runActions()
-	if again := h.gateway.Accept(h.now, netip.MustParseAddrPort("10.0.0.1:4"), 0).ID; again.Slot() != first.Slot() {
+	if reused := h.gateway.Accept(h.now, netip.MustParseAddrPort("10.0.0.1:4"), 0).ID; reused.Slot() != first.Slot() {
 		t.Error("the slot was not reused")
 	}
 }
--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -151,7 +151,7 @@
 
 // flush writes the pending output of a connection, unless the connection is blocked.
 func (h *harness) flush(id ConnID) {
-	p := h.gateway.Out(h.now, id)
+	p := h.gateway.PendingOutput(h.now, id)
 	if len(p) == 0 || h.blocked[id] {
 		return
 	}
--- a/internal/gateway/http_test.go
+++ b/internal/gateway/http_test.go
@@ -147,8 +147,8 @@
 	n := h.nodeConn(0)
 	h.deliver(n, "HTTP/1.1 200 OK\r\nContent-Length: 1000000\r\n\r\n"+strings.Repeat("x", 40<<10))
 	h.deliver(n, strings.Repeat("x", 10<<10))
-	if !h.paused[n] || len(h.gateway.Out(h.now, c)) > 64<<10 {
-		t.Errorf("the node is not paused, or too much is buffered: %d bytes, want at most 64 KiB", len(h.gateway.Out(h.now, c)))
+	if !h.paused[n] || len(h.gateway.PendingOutput(h.now, c)) > 64<<10 {
+		t.Errorf("the node is not paused, or too much is buffered: %d bytes, want at most 64 KiB", len(h.gateway.PendingOutput(h.now, c)))
 	}
 	h.advanceTime(4 * time.Second)
 	if h.closedBy[c] != Abort || h.closedBy[n] != Abort {
@@ -179,8 +179,8 @@
 	h.blocked[n] = false
 	h.flush(n)
 	h.runActions()
-	for rest := len(putRequest("/feed-a/s/x", strings.Repeat("x", 1<<20))) - sent; rest > 0; rest -= 8 << 10 {
-		h.deliver(c, strings.Repeat("x", min(8<<10, rest)))
+	for remaining := len(putRequest("/feed-a/s/x", strings.Repeat("x", 1<<20))) - sent; remaining > 0; remaining -= 8 << 10 {
+		h.deliver(c, strings.Repeat("x", min(8<<10, remaining)))
 	}
 	if got := h.takeWritten(n); len(got) < 1<<20 {
 		t.Fatalf("%d bytes at the node, want at least 1 MiB", len(got))
--- a/internal/gateway/idle_conns.go
+++ b/internal/gateway/idle_conns.go
@@ -74,10 +74,10 @@
 	return limit == 0 || g.nodes.conns < limit
 }
 
-// makeRoomForNodeConn reports whether another connection to any node can be opened. At the
+// ensureNodeConnCapacity reports whether another connection to any node can be opened. At the
 // limit, it first closes the connection that has been idle longest, and returns false if there
 // is no idle connection.
-func (g *Gateway) makeRoomForNodeConn() bool {
+func (g *Gateway) ensureNodeConnCapacity() bool {
 	if g.belowNodeConnLimit() {
 		return true
 	}
--- a/internal/gateway/invariant_checks_test.go
+++ b/internal/gateway/invariant_checks_test.go
@@ -117,7 +117,7 @@
 }
 
 // Verifies that violations that could not be prevented are detected, counted and reported: a
-// node begins to drain between Out and a delayed write of the bytes; a client connection is
+// node begins to drain between PendingOutput and a delayed write of the bytes; a client connection is
 // closed before its response; the end of a request is reported twice.
 func TestViolationsAreDetectedAfterwards(t *testing.T) {
 	h := newScriptedHarness(t)
@@ -125,10 +125,10 @@
 	h.decideToSend()
 	h.runScheduler()
 	h.gateway.Connected(h.now, h.dialed[0])
-	out := h.gateway.Out(h.now, h.dialed[0])
+	output := h.gateway.PendingOutput(h.now, h.dialed[0])
 	h.drainNode()
 	h.now += 200 * time.Millisecond
-	h.gateway.Wrote(h.now, h.dialed[0], len(out))
+	h.gateway.Wrote(h.now, h.dialed[0], len(output))
 	h.gateway.closeConn(h.gateway.conns.find(h.client), Close)
 	h.gateway.reportRequestEnd(h.gateway.requests.byID[1], Rejected)
 	h.gateway.reportRequestEnd(h.gateway.requests.byID[1], Rejected)
--- a/internal/gateway/lag_estimate.go
+++ b/internal/gateway/lag_estimate.go
@@ -20,8 +20,8 @@
 	minLag      = 2 * time.Millisecond // shorter delays are within the resolution of the driver's timer
 )
 
-// current returns the estimate at the time now.
-func (s *lagEstimate) current(now Time) Time {
+// at returns the estimate at the time now.
+func (s *lagEstimate) at(now Time) Time {
 	halfLives := float64(now-s.measuredAt) / float64(lagHalfLife)
 	return Time(float64(s.peak) * math.Exp2(-halfLives))
 }
@@ -31,7 +31,7 @@
 	if s.nextAdvance == 0 {
 		return
 	}
-	if delay := now - s.nextAdvance; delay >= minLag && delay > s.current(now) {
+	if delay := now - s.nextAdvance; delay >= minLag && delay > s.at(now) {
 		s.peak, s.measuredAt = delay, now
 	}
 }
@@ -40,5 +40,5 @@
 // after the estimated delays in reading the request and in writing the response. It is at least
 // half of the deadline.
 func (g *Gateway) clientTimeRemaining(deadline time.Duration) time.Duration {
-	return max(deadline-2*g.lag.current(g.clock.now), deadline/2)
+	return max(deadline-2*g.lag.at(g.clock.now), deadline/2)
 }
--- a/internal/gateway/local_response.go
+++ b/internal/gateway/local_response.go
@@ -106,7 +106,7 @@
 		g.recycle(req)
 		return
 	}
-	b := http1.AppendStatus(g.buffers.orNew(c.out), status)
+	b := http1.AppendStatus(g.buffers.orNew(c.output), status)
 	if req.id != 0 {
 		b = g.appendRequestIDField(b, req)
 	}
@@ -122,7 +122,7 @@
 	if req.method != "HEAD" {
 		b = append(b, body...)
 	}
-	c.out = b
+	c.output = b
 	g.responseQueued(req)
 }
 
--- a/internal/gateway/membership_source.go
+++ b/internal/gateway/membership_source.go
@@ -94,7 +94,7 @@
 }
 
 func (g *Gateway) writeToDiscovery(c *discoveryConn, data []byte) {
-	c.out = append(g.buffers.orNew(c.out), data...)
+	c.output = append(g.buffers.orNew(c.output), data...)
 	g.flush(c)
 }
 
--- a/internal/gateway/node_response.go
+++ b/internal/gateway/node_response.go
@@ -32,7 +32,7 @@
 
 // consumeResponseHeader parses the header of a response if data holds all of it. It returns
 // the bytes after the header, and whether they can be processed now.
-func (g *Gateway) consumeResponseHeader(c *nodeConn, data []byte) (rest []byte, more bool) {
+func (g *Gateway) consumeResponseHeader(c *nodeConn, data []byte) (unconsumed []byte, more bool) {
 	attempt := c.attempt
 	headerLength := g.config.HeaderLimits.FindHeaderEnd(data, &c.headerScanned)
 	if headerLength == 0 {
@@ -86,20 +86,20 @@
 
 // consumeResponseBody processes a piece of a response body. If too much of the response is
 // still to be written to the client, it pauses reading from the node instead.
-func (g *Gateway) consumeResponseBody(c *nodeConn, data []byte) (rest []byte, more bool) {
+func (g *Gateway) consumeResponseBody(c *nodeConn, data []byte) (unconsumed []byte, more bool) {
 	attempt := c.attempt
 	if client := attempt.streamingClient(); client != nil && len(client.pending()) > g.bufferAllowance() {
 		g.pauseReading(c)
 		g.setDeadline(c, never) // no timeout while the node waits for the client
 		return data, false
 	}
-	piece, rest, err := c.responseBody.Next(data)
+	piece, unconsumed, err := c.responseBody.Next(data)
 	if err != nil {
 		g.abortNodeConn(c, g.protocol.brokenResponseOutcome())
 		return nil, false
 	}
 	g.receiveResponseData(attempt, piece)
-	return rest, true
+	return unconsumed, true
 }
 
 // receiveResponseData passes a piece of a response body on, or counts and discards it if no
--- a/internal/gateway/observer.go
+++ b/internal/gateway/observer.go
@@ -107,7 +107,7 @@
 	c := g.counts
 	c.Clients, c.NodeConns = g.clientConns, g.nodes.conns
 	c.BufferedBytes = g.buffers.clientBytes
-	c.Lag = g.lag.current(g.clock.now)
+	c.Lag = g.lag.at(g.clock.now)
 	c.Admitted = g.admission.Counts()
 	c.Invariants = g.invariants.Counts()
 	return c
--- a/internal/gateway/races_test.go
+++ b/internal/gateway/races_test.go
@@ -8,10 +8,10 @@
 	"maddergap/scheduler"
 )
 
-// Verifies that nothing is sent for a client that leaves while the connection for its request is
+// Verifies that nothing is sent for a client that disconnects while the connection for its request is
 // being dialed. Once established, the connection serves another request.
 func TestClientDisconnectsWhileDialing(t *testing.T) {
-	for name, leave := range map[string]func(h *harness, client ConnID){
+	for name, disconnect := range map[string]func(h *harness, client ConnID){
 		"end":   func(h *harness, client ConnID) { h.gateway.EOF(h.now, client) },
 		"reset": func(h *harness, client ConnID) { h.gateway.Closed(h.now, client) },
 	} {
@@ -19,12 +19,12 @@
 		h.deferConnects = true
 		client := h.connectClient(requestWithID("a"))
 		conn := h.nodeConn(0)
-		leave(h, client)
+		disconnect(h, client)
 		h.runActions()
 		h.gateway.Connected(h.now, conn)
 		h.runActions()
 		if got := h.takeWritten(conn); got != "" {
-			t.Errorf("%s: %q was sent for a client that has left, want nothing", name, got)
+			t.Errorf("%s: %q was sent for a client that has disconnected, want nothing", name, got)
 		}
 		h.wantOutcomes(map[Outcome]int{ClientDisconnected: 1})
 		client = h.connectClient(requestWithID("b"))
@@ -60,7 +60,7 @@
 	}
 }
 
-// Verifies that the connection to the node is reset if a client leaves when only a part of its
+// Verifies that the connection to the node is reset if a client disconnects when only a part of its
 // request was written. The node then does not execute the request.
 func TestClientDisconnectsWithRequestHalfWritten(t *testing.T) {
 	h := newProtocolHarness(t)
@@ -79,7 +79,7 @@
 	h.wantOutcomes(map[Outcome]int{Served: 1, ClientDisconnected: 1})
 }
 
-// Guards against a client that pipelines requests and leaves unnoticed while the first request
+// Guards against a client that pipelines requests and disconnects unnoticed while the first request
 // waits for a node: its EOF comes after the pipelined requests, so that the connection must be
 // read on. None of its requests is sent, and the bytes kept of them are limited.
 func TestClientDisconnectsBehindPipelinedRequests(t *testing.T) {
@@ -101,7 +101,7 @@
 		h.setNodeState(scheduler.Serving)
 		h.advanceTime(time.Second)
 		if len(h.dialed) != 0 {
-			t.Errorf("%q was sent for a client that has left, want nothing", h.takeWritten(h.nodeConn(0)))
+			t.Errorf("%q was sent for a client that has disconnected, want nothing", h.takeWritten(h.nodeConn(0)))
 		}
 		h.wantOutcomes(map[Outcome]int{ClientDisconnected: 1})
 	}
@@ -124,7 +124,7 @@
 	h.wantLingeringClose(client)
 }
 
-// Verifies that pipelined requests are not sent if their client leaves in the batch of events in
+// Verifies that pipelined requests are not sent if their client disconnects in the batch of events in
 // which the response to its first request arrives.
 func TestClientDisconnectsAsResponseArrives(t *testing.T) {
 	h := newProtocolHarness(t)
@@ -135,7 +135,7 @@
 	h.gateway.EOF(h.now, client)
 	h.runActions()
 	if got := h.takeWritten(conn); got != "" {
-		t.Errorf("%q was sent for a client that has left, want nothing", got)
+		t.Errorf("%q was sent for a client that has disconnected, want nothing", got)
 	}
 }
 
--- a/internal/gateway/random_histories_test.go
+++ b/internal/gateway/random_histories_test.go
@@ -33,9 +33,9 @@
 	case 0, 1, 2:
 		x.clientSendsRequest(step)
 	case 3:
-		x.clientSendsRest()
+		x.clientSendsRemainder()
 	case 4:
-		x.clientLeaves()
+		x.clientDisconnects()
 	case 5, 6, 7:
 		x.nodeSendsData()
 	case 8:
@@ -44,7 +44,7 @@
 		x.refuseDials = rapid.IntRange(0, 4).Draw(x.rt, "refuse") == 0
 		x.advanceTime(time.Duration(rapid.IntRange(1, 700).Draw(x.rt, "ms")) * time.Millisecond)
 	case 10, 11:
-		x.nodeSendsRest()
+		x.nodeSendsRemainder()
 	case 12:
 		x.shutdownAdvances()
 	}
@@ -95,8 +95,8 @@
 	x.clients, x.unsent[c] = append(x.clients, c), text[sent:]
 }
 
-// clientSendsRest sends the rest of the request that a client has begun, if there is one.
-func (x *randomHistory) clientSendsRest() {
+// clientSendsRemainder sends the rest of the request that a client has begun, if there is one.
+func (x *randomHistory) clientSendsRemainder() {
 	if len(x.clients) > 0 {
 		c := x.pickConn(x.clients)
 		x.deliver(c, x.unsent[c])
@@ -104,7 +104,7 @@
 	}
 }
 
-func (x *randomHistory) clientLeaves() {
+func (x *randomHistory) clientDisconnects() {
 	if len(x.clients) == 0 {
 		return
 	}
@@ -143,8 +143,8 @@
 	x.deliver(n, text[:sent])
 }
 
-// nodeSendsRest sends the rest, or one more byte, of a response that a node has begun.
-func (x *randomHistory) nodeSendsRest() {
+// nodeSendsRemainder sends the rest, or one more byte, of a response that a node has begun.
+func (x *randomHistory) nodeSendsRemainder() {
 	var streaming []ConnID
 	for _, n := range x.dialed {
 		if x.unsent[n] != "" && x.findNodeConn(n) != nil {
@@ -188,8 +188,8 @@
 	}
 }
 
-// checkNothingLeft checks that no request is left at the end of the history.
-func (x *randomHistory) checkNothingLeft() {
+// checkNoRequestsRemain checks that no request remains at the end of the history.
+func (x *randomHistory) checkNoRequestsRemain() {
 	g := x.gateway
 	if len(g.requests.byID) == 0 {
 		return
@@ -233,7 +233,7 @@
 			x.checkRequests()
 		}
 		x.advanceTime(30 * time.Second)
-		x.checkNothingLeft()
+		x.checkNoRequestsRemain()
 		x.checkCounts()
 	})
 }
--- a/internal/gateway/random_races_test.go
+++ b/internal/gateway/random_races_test.go
@@ -65,7 +65,7 @@
 	case event < 3 && !x.stopped:
 		x.clientSendsRequest()
 	case event < 5 && len(x.clients) > 0:
-		x.clientLeaves()
+		x.clientDisconnects()
 	case event < 7 && len(x.dialed) > 0:
 		x.dialEnds()
 	case event < 9 && len(x.dialed) > 0:
@@ -102,7 +102,7 @@
 	x.gateway.Data(x.now, request.client, []byte(text))
 }
 
-func (x *raceHistory) clientLeaves() {
+func (x *raceHistory) clientDisconnects() {
 	c := x.pickConn(x.clients)
 	if rapid.Bool().Draw(x.rt, "reset") {
 		x.gateway.Closed(x.now, c)
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -108,11 +108,11 @@
 // inUse reports whether a client, an attempt or the scheduler still refers to the request, or
 // its end is still to be reported.
 func (r *request) inUse() bool {
-	endDue := !r.response.reported
+	endUnreported := !r.response.reported
 	if r.id == 0 { // a listing, or a request that the gateway answers at once
-		endDue = r.listing != nil && !r.response.final
+		endUnreported = r.listing != nil && !r.response.final
 	}
-	return r.client != nil || r.attempts.inFlight > 0 || endDue
+	return r.client != nil || r.attempts.inFlight > 0 || endUnreported
 }
 
 // recycle takes back the object of a request, and its buffers, if it is no longer in use. It
--- a/internal/gateway/request_lifecycle.go
+++ b/internal/gateway/request_lifecycle.go
@@ -77,7 +77,7 @@
 // and starts the timer for the body if that is not complete yet.
 func (g *Gateway) sendContinue(c *clientConn, req *request) {
 	if !req.body.continueHandled && !req.body.complete {
-		c.out = append(c.out, "HTTP/1.1 100 Continue\r\n\r\n"...)
+		c.output = append(c.output, "HTTP/1.1 100 Continue\r\n\r\n"...)
 		g.flushClient(c)
 	}
 	req.body.continueHandled = true
@@ -201,8 +201,8 @@
 	g.reportRequestEnd(req, outcome)
 }
 
-// errBodyCutOff reports that the client closed its sending side before the end of the body.
-var errBodyCutOff = &http1.Error{Status: 400, Reason: "the body ended early"}
+// errBodyIncomplete reports that the client closed its sending side before the end of the body.
+var errBodyIncomplete = &http1.Error{Status: 400, Reason: "the body ended early"}
 
 // rejectMalformedBody ends a request whose body is malformed. As no node gets the complete
 // request, it is not executed. The client gets an error response, or is dropped if part of a
--- a/internal/gateway/response_after_end_test.go
+++ b/internal/gateway/response_after_end_test.go
@@ -31,7 +31,7 @@
 func lateResponses() []lateResponse {
 	get := getRequest("/feed-a/s/x")
 	abort := func(h *harness, _ ConnID) { h.gateway.AbortRemaining(h.now) }
-	leave := func(h *harness, c ConnID) { h.gateway.Closed(h.now, c) }
+	disconnect := func(h *harness, c ConnID) { h.gateway.Closed(h.now, c) }
 	deadline := func(h *harness, _ ConnID) { h.advanceTime(time.Second) }
 	secondResponse := func(h *harness, _ ConnID) { h.deliver(h.nodeConn(0), okResponse("first")) }
 	reload := func(h *harness, _ ConnID) { h.reloadWithout("volume feed-a plan p shards 0\n") }
@@ -44,9 +44,9 @@
 		{"abort before the response", get, "", abort, okResponse("hello"), map[Outcome]int{Failed: 1}},
 		{"abort in a part of a listing", listRequest, listingHeader + firstChunk, abort, lastChunks, map[Outcome]int{Failed: 2}},
 		{"abort before a part of a listing", listRequest, "", abort, listingHeader + firstChunk + lastChunks, map[Outcome]int{Failed: 2}},
-		{"client leaves in the response", get, chunkedHeader + firstChunk, leave, lastChunks, map[Outcome]int{ClientDisconnected: 1}},
-		{"client leaves before the response", get, "", leave, chunkedHeader + firstChunk + lastChunks, map[Outcome]int{ClientDisconnected: 1}},
-		{"client leaves in a listing", listRequest, listingHeader + firstChunk, leave, lastChunks, map[Outcome]int{ClientDisconnected: 2}},
+		{"client disconnects in the response", get, chunkedHeader + firstChunk, disconnect, lastChunks, map[Outcome]int{ClientDisconnected: 1}},
+		{"client disconnects before the response", get, "", disconnect, chunkedHeader + firstChunk + lastChunks, map[Outcome]int{ClientDisconnected: 1}},
+		{"client disconnects in a listing", listRequest, listingHeader + firstChunk, disconnect, lastChunks, map[Outcome]int{ClientDisconnected: 2}},
 		{"deadline before the response", get, "", deadline, chunkedHeader + firstChunk + lastChunks, map[Outcome]int{Rejected: 1}},
 		{"deadline in the response", get, chunkedHeader + firstChunk, deadline, lastChunks, map[Outcome]int{Served: 1}},
 		{"two responses", get, "", secondResponse, chunkedHeader + firstChunk + lastChunks, map[Outcome]int{Served: 1}},
--- a/internal/gateway/send.go
+++ b/internal/gateway/send.go
@@ -26,7 +26,7 @@
 		attempt.conn = idle
 		g.setDeadline(idle, req.deadline)
 		g.sendRequest(idle, req)
-	case n.conns >= g.config.Limits.ConnsPerNode || !g.makeRoomForNodeConn(): // a limit of this instance, not a fault of the node
+	case n.conns >= g.config.Limits.ConnsPerNode || !g.ensureNodeConnCapacity(): // a limit of this instance, not a fault of the node
 		g.endAttempt(attempt, scheduler.NotSent)
 	default:
 		g.dialNode(n, attempt)
@@ -54,10 +54,10 @@
 // the body as is buffered. It replaces the content of the connection's write buffer.
 func (g *Gateway) encodeRequest(c *nodeConn, req *request) {
 	attempt := c.attempt
-	c.out = c.out[:0]
+	c.output = c.output[:0]
 	c.written = 0
-	b := g.protocol.appendRequest(g, g.buffers.orNew(c.out), req, attempt)
-	c.out = append(appendRequestFraming(b, req), "\r\n"...)
+	b := g.protocol.appendRequest(g, g.buffers.orNew(c.output), req, attempt)
+	c.output = append(appendRequestFraming(b, req), "\r\n"...)
 	attempt.fullyQueued = req.body.complete
 	attempt.chunked = !req.body.complete && req.header.ContentLength < 0
 	if len(req.body.data) > 0 {
@@ -87,9 +87,9 @@
 // if the attempt uses chunked transfer coding.
 func appendBody(c *nodeConn, data []byte) {
 	if c.attempt.chunked {
-		c.out = http1.AppendChunk(c.out, data)
+		c.output = http1.AppendChunk(c.output, data)
 	} else {
-		c.out = append(c.out, data...)
+		c.output = append(c.output, data...)
 	}
 }
 
@@ -98,13 +98,13 @@
 func (g *Gateway) forwardBody(req *request, data []byte) {
 	attempt := req.attempts.uploading
 	c := attempt.conn
-	c.out = g.buffers.orNew(c.out)
+	c.output = g.buffers.orNew(c.output)
 	if len(data) > 0 {
 		appendBody(c, data)
 	}
 	if req.body.complete {
 		if attempt.chunked {
-			c.out = http1.AppendLastChunk(c.out)
+			c.output = http1.AppendLastChunk(c.output)
 		}
 		attempt.fullyQueued = true
 		req.attempts.uploading = nil
--- a/internal/gateway/shutdown_test.go
+++ b/internal/gateway/shutdown_test.go
@@ -14,7 +14,7 @@
 	h.deliver(h.nodeConn(0), okResponse("zero"))
 	h.takeWritten(idle)
 	c := h.connectClient(getRequest("/feed-a/s/1") + getRequest("/feed-a/s/2"))
-	silent, fresh, half := h.connectClient(""), h.connectClient(""), h.connectClient(getRequest("/feed-b/s/0"))
+	noRequest, fresh, half := h.connectClient(""), h.connectClient(""), h.connectClient(getRequest("/feed-b/s/0"))
 	h.deliver(h.nodeConn(1), okResponse("zero"))
 	h.takeWritten(half)
 	h.deliver(half, "GET /feed-a/s/4 HTT")
@@ -39,8 +39,8 @@
 		h.wantLingeringClose(late.c)
 	}
 	h.advanceTime(firstRequestGrace)
-	if h.closedBy[silent] != Close || !h.gateway.Idle() || h.gateway.Counts().Received != 5 {
-		t.Errorf("connection without a request closed by %v, want close; Idle %v, want true; %d requests received, want 5", h.closedBy[silent], h.gateway.Idle(), h.gateway.Counts().Received)
+	if h.closedBy[noRequest] != Close || !h.gateway.Idle() || h.gateway.Counts().Received != 5 {
+		t.Errorf("connection without a request closed by %v, want close; Idle %v, want true; %d requests received, want 5", h.closedBy[noRequest], h.gateway.Idle(), h.gateway.Counts().Received)
 	}
 }
 
--- a/internal/gateway/unsent_response.go
+++ b/internal/gateway/unsent_response.go
@@ -31,7 +31,7 @@
 	if c.outputWritten > start {
 		return false
 	}
-	c.out = c.out[:c.written+int(start-c.outputWritten)]
+	c.output = c.output[:c.written+int(start-c.outputWritten)]
 	if len(c.pending()) > 0 {
 		return true // the rest belongs to the previous response
 	}
--- a/internal/gateway/webdav_protocol.go
+++ b/internal/gateway/webdav_protocol.go
@@ -166,7 +166,7 @@
 // writeResponseHeader writes the header of a node's response to a client.
 func (g *Gateway) writeResponseHeader(c *clientConn, req *request, r *http1.Response) {
 	req.response.outputStart = c.outputEnd()
-	b := http1.AppendStatus(g.buffers.orNew(c.out), r.Status)
+	b := http1.AppendStatus(g.buffers.orNew(c.output), r.Status)
 	b = http1.AppendEndToEndFields(b, &r.Message, "x-request-id")
 	b = g.appendRequestIDField(b, req)
 	switch {
@@ -183,7 +183,7 @@
 	default:
 		c.advancePhase(clientClosing) // the body is delimited by the end of the connection
 	}
-	c.out = g.appendHeaderEnd(b, c, req)
+	c.output = g.appendHeaderEnd(b, c, req)
 	g.flushClient(c)
 }
 
@@ -195,11 +195,11 @@
 		return true
 	}
 	c := req.client
-	c.out = g.buffers.orNew(c.out)
+	c.output = g.buffers.orNew(c.output)
 	if req.response.chunked {
-		c.out = http1.AppendChunk(c.out, data)
+		c.output = http1.AppendChunk(c.output, data)
 	} else {
-		c.out = append(c.out, data...)
+		c.output = append(c.output, data...)
 	}
 	g.flushClient(c)
 	return true
@@ -216,7 +216,7 @@
 	}
 	g.learnSize(req, &attempt.conn.response)
 	if req.response.chunked {
-		req.client.out = http1.AppendLastChunk(req.client.out)
+		req.client.output = http1.AppendLastChunk(req.client.output)
 	}
 	g.endAttempt(attempt, scheduler.OK)
 	g.reportRequestEnd(req, Served)
--- a/internal/platform/random_settings_test.go
+++ b/internal/platform/random_settings_test.go
@@ -171,7 +171,7 @@
 			case gateway.Dial:
 				g.Connected(now, action.Conn)
 			case gateway.Flush:
-				out := string(g.Out(now, action.Conn))
+				out := string(g.PendingOutput(now, action.Conn))
 				g.Wrote(now, action.Conn, len(out))
 				if action.Conn == client {
 					return strings.Fields(out)[1]
--- a/internal/platform/write_test.go
+++ b/internal/platform/write_test.go
@@ -65,7 +65,7 @@
 // timeout returns the timeout that the attempt contains if it is written now.
 func (a *pendingAttempt) timeout(t *testing.T) time.Duration {
 	t.Helper()
-	_, remaining, found := strings.Cut(string(a.gateway.Out(a.now, a.nodeConn)), "X-Remaining: ")
+	_, remaining, found := strings.Cut(string(a.gateway.PendingOutput(a.now, a.nodeConn)), "X-Remaining: ")
 	text, _, _ := strings.Cut(remaining, "u\r\n")
 	micros, err := strconv.ParseInt(text, 10, 64)
 	if !found || err != nil {
@@ -95,7 +95,7 @@
 func TestNoWriteToDrainingNode(t *testing.T) {
 	attempt := newPendingAttempt(t, 0)
 	attempt.gateway.SetNodes(attempt.now, []nodelist.Node{{Name: "n", Addr: "10.0.0.1:1", State: scheduler.Draining}})
-	if out := attempt.gateway.Out(attempt.now, attempt.nodeConn); len(out) > 0 {
+	if out := attempt.gateway.PendingOutput(attempt.now, attempt.nodeConn); len(out) > 0 {
 		t.Errorf("%q is written to a draining node", out)
 	}
 }
