--- a/internal/gateway/local_response.go
+++ b/internal/gateway/local_response.go
@@ -106,7 +106,7 @@
 		g.recycle(req)
 		return
 	}
-	b := http1.AppendStatus(g.buffers.orNew(c.out), status)
+	b := http1.AppendStatus(g.buffers.orNew(c.output), status)
 	if req.id != 0 {
 		b = g.appendRequestIDField(b, req)
 	}
@@ -122,7 +122,7 @@
 	if req.method != "HEAD" {
 		b = append(b, body...)
 	}
-	c.out = b
+	c.output = b
 	g.responseQueued(req)
 }
 
@@ -144,8 +144,8 @@
 // ends the header of a response. It also decides that the connection is closed after the
 // response if the gateway drains, or has not received the complete request body.
 func (g *Gateway) appendHeaderEnd(b []byte, c *clientConn, req *request) []byte {
-	if g.intake >= intakeLastRequests || !req.body.complete {
-		c.enter(clientClosing)
+	if g.intake >= intakeDraining || !req.body.complete {
+		c.advancePhase(clientClosing)
 	}
 	if c.phase >= clientClosing {
 		b = append(b, "Connection: close\r\n"...)
