--- a/internal/gateway/admission_test.go
+++ b/internal/gateway/admission_test.go
@@ -49,8 +49,8 @@
 	}
 }
 
-// Verifies that a client is disconnected that reads its response below the minimum rate, a few
-// bytes each second. Otherwise it would occupy a connection to a node for ever.
+// Verifies that a client that reads its response below the minimum rate, a few bytes each second,
+// is disconnected. Otherwise it would occupy a connection to a node for ever.
 func TestDownloadBelowMinRateIsEnded(t *testing.T) {
 	h := newHarness(t, "pace answer 1k after 5s\n")
 	c := h.connectClient(getRequest("/feed-a/s/x"))
@@ -86,9 +86,9 @@
 	h.wantLingeringClose(c)
 }
 
-// Verifies which connections are preempted when known clients connect at the connection limit:
-// one whose request was not received completely, and an idle one, but neither one whose request
-// was submitted nor one whose response is not written completely.
+// Verifies which connections are preempted when known clients connect at the connection limit.
+// A connection may be preempted while its request is incomplete, and while it is idle. It must not
+// be preempted from the submission of its request until the response is written completely.
 func TestPreemption(t *testing.T) {
 	h := newHarness(t, "clients 3\nadmit reserve 1\nknown 10.0.0.0/8\n")
 	slow := h.acceptFrom("1.1.1.1:1")
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -26,7 +26,7 @@
 	ended       bool
 
 	// State of the request on the connection.
-	fullyQueued      bool // the whole request is in the connection's write buffer, or was written
+	fullyQueued      bool // the whole request is in the connection's output buffer, or was written
 	firstByteWritten bool
 	chunked          bool          // the request body is sent with chunked transfer coding
 	stalled          bool          // AttemptStalled was sent to the scheduler, AttemptResumed not yet
@@ -36,7 +36,7 @@
 	outcome           scheduler.Outcome // as the response header reports it
 	hasLoadReport     bool
 	responseStarted   bool          // ResponseStarted was sent to the scheduler
-	bufferResponse    bool          // the protocol passes the response on only when it is complete
+	bufferResponse    bool          // the protocol forwards the response only when it is complete
 	status            int           // HTTP status; 0: no response header was read
 	reportedLoad      float64       // number of requests at the node by its load report, if hasLoadReport
 	discardedBytes    int64         // number of body bytes read and discarded
@@ -49,9 +49,9 @@
 	return a.fullyQueued && len(a.conn.pending()) == 0
 }
 
-// responseConsumer returns the request that the attempt's response is passed on to, or nil
-// if the response is read and discarded. A buffered response has a consumer until the
-// request gets its final response, a streamed one only while it is being passed on.
+// responseConsumer returns the request that takes the attempt's response, or nil if the
+// response is read and discarded. A buffered response has a consumer until the request gets
+// its final response, a streamed one only while it is being forwarded.
 func (a *nodeAttempt) responseConsumer() *request {
 	req := a.req.live()
 	if req == nil || !a.bufferResponse && req.response.source != a {
@@ -90,7 +90,7 @@
 		startedAt:   g.clock.now,
 		startBefore: startBefore,
 	}
-	g.ids.fill(attempt.spanID[:])
+	g.ids.fillRandom(attempt.spanID[:])
 	req.attempts.latest = attempt
 	req.attempts.count++
 	req.attempts.inFlight++
@@ -147,7 +147,7 @@
 
 // cancelAttempts is called when a request is about to end without a complete response of a
 // node. It aborts an attempt that the node cannot execute because the body is incomplete,
-// and one whose response was being passed on. An attempt that a node may be executing goes
+// and one whose response was being forwarded. An attempt that a node may be executing goes
 // on until it has an outcome, because it occupies the node's capacity until then.
 func (g *Gateway) cancelAttempts(req *request) {
 	switch attempts := &req.attempts; {
--- a/internal/gateway/client_conn.go
+++ b/internal/gateway/client_conn.go
@@ -17,9 +17,9 @@
 const (
 	clientOpen       clientPhase = iota // requests are read
 	clientClosing                       // the connection is closed after the response to the current request
-	clientOverflowed                    // closing, and the client has exceeded maxPipelinedBytes: its input is dropped
+	clientOverflowed                    // closing after exceeding maxPipelinedBytes; input is discarded
 	clientDiscarding                    // closing, and the input can no longer be parsed as requests
-	clientLingering                     // the sending side is shut down; input is dropped until the client closes
+	clientLingering                     // the sending side is shut down; input is discarded until the client closes
 )
 
 func (p clientPhase) String() string {
@@ -40,7 +40,7 @@
 }
 
 // clientConn is a connection from a client. It processes one request at a time: pipelined
-// requests stay in unread until the complete response to the current one is in the write
+// requests stay in unread until the complete response to the current one is in the output
 // buffer.
 type clientConn struct {
 	bufferedConn
@@ -59,8 +59,8 @@
 	// reportAdmittedRequestEnd. requestServed is the result to report.
 	requestEndUnreported, requestServed bool
 
-	// mayHaveUnreadRequest is set when a system call on the connection was deferred for lack
-	// of local resources, and reset when data is read. While it is set, a request may be
+	// mayHaveUnreadRequest is set when a system call on the connection is delayed by a local
+	// error (see Stalled), and reset when data is read. While it is set, a request may be
 	// waiting in the socket. The driver does not say whether the call was a read or a write.
 	// After a write the flag is set without need; the only consequence is that Shutdown gives
 	// the connection firstRequestGrace before it closes it.
@@ -141,7 +141,8 @@
 func (c *clientConn) handleTimer(g *Gateway) {
 	req := c.req
 	switch {
-	case c.phase >= clientDiscarding, len(c.pending()) > 0 && g.clock.now >= c.readDeadline: // the client does not read its response
+	case c.phase >= clientDiscarding, len(c.pending()) > 0 && g.clock.now >= c.readDeadline:
+		// The client does not read its response.
 		g.dropClient(c, Abort, Dropped)
 	case req != nil && !req.body.complete && !req.response.final:
 		g.uploadTimedOut(c, req)
@@ -183,7 +184,8 @@
 		g.recycle(req)
 		return
 	}
-	if !req.body.complete { // RFC 9112 section 9.3: the rest of the body cannot be distinguished from a next request
+	if !req.body.complete {
+		// RFC 9112 section 9.3: the rest of the body cannot be distinguished from a next request.
 		c.advancePhase(clientDiscarding)
 	}
 	c.requestEndUnreported = true
@@ -210,7 +212,7 @@
 		return
 	}
 	if c.phase >= clientClosing || g.intake == intakeClosed || c.peer == peerDisconnected {
-		// No further request is read. Pipelined requests are dropped without a response; the
+		// No further request is read. Pipelined requests are discarded without a response; the
 		// client may repeat them on another connection (RFC 9112 section 9.3.2).
 		c.unread = c.unread[:0]
 	}
--- a/internal/gateway/client_end.go
+++ b/internal/gateway/client_end.go
@@ -64,7 +64,7 @@
 }
 
 // lingeringClose shuts down the sending side of a client connection. Further input is read
-// and dropped until the client closes the connection too, or lingerTimeout has passed. If
+// and discarded until the client closes the connection too, or lingerTimeout has passed. If
 // the gateway closed a socket with unread bytes in it, the connection would be reset, and the
 // client would lose the last response.
 func (g *Gateway) lingeringClose(c *clientConn) {
--- a/internal/gateway/client_input.go
+++ b/internal/gateway/client_input.go
@@ -4,7 +4,7 @@
 // the client has disconnected. Reading from such a client is not paused while its request is
 // under way: the EOF arrives behind the pipelined input, and while that is unread, the
 // gateway would not notice the disconnect and would still send the request. Input beyond the
-// limit is dropped, and the connection is closed after the response. 16 KiB has room for
+// limit is discarded, and the connection is closed after the response. 16 KiB has room for
 // several requests with headers of the usual size, and bounds the memory that such a client
 // takes up in addition to its request.
 const maxPipelinedBytes = 16 << 10
@@ -13,7 +13,7 @@
 type clientInput uint8
 
 const (
-	inputDiscarded clientInput = iota // input that is dropped
+	inputDiscarded clientInput = iota // input that is read and ignored
 	inputHeader                       // the header of a request
 	inputBody                         // the body of the request under way
 	inputPipelined                    // requests that follow the request under way
@@ -105,7 +105,7 @@
 }
 
 // bufferPipelined returns the input that a client has pipelined, which is processed after the
-// current request. It pauses reading from the client, or drops the input if EOF means a
+// current request. It pauses reading from the client, or discards the input if EOF means a
 // disconnect and the input exceeds maxPipelinedBytes.
 func (g *Gateway) bufferPipelined(c *clientConn, data []byte) (unconsumed []byte) {
 	switch {
--- a/internal/gateway/clock.go
+++ b/internal/gateway/clock.go
@@ -9,7 +9,7 @@
 	origin time.Time // wall-clock time of Time zero
 
 	date       []byte // the Date field for dateSecond; nil: not formatted yet
-	dateSecond int64  // wall-clock second
+	dateSecond int64  // wall-clock second that date shows
 }
 
 // advance takes a reading of the driver's clock.
--- a/internal/gateway/conn.go
+++ b/internal/gateway/conn.go
@@ -79,7 +79,7 @@
 	}
 }
 
-// discardOutput drops the pending output, and releases its buffer.
+// discardOutput discards the pending output, and releases its buffer.
 func (g *Gateway) discardOutput(c connection) {
 	base := c.base()
 	g.buffers.put(base.output)
--- a/internal/gateway/conn_events.go
+++ b/internal/gateway/conn_events.go
@@ -66,7 +66,7 @@
 	}
 }
 
-// DialShortOfResources is called instead of Stalled for a dial that is deferred because descriptors,
+// DialShortOfResources is called instead of Stalled for a dial that is delayed because descriptors,
 // memory or ports have run out. No peer can cause such a shortage.
 func (g *Gateway) DialShortOfResources(now Time, id ConnID) {
 	g.Stalled(now, id)
@@ -76,10 +76,10 @@
 }
 
 // Stalled is called when a system call on a connection (connect, read or write) has failed
-// because of a local condition, such as a lack of memory or an unreachable network, and will
-// be retried later. The peer is not to blame for the delay. This package uses the word stall
-// for this case only: a peer that sends or reads nothing makes no progress, and a late call
-// of Advance is lag.
+// with a local error, such as a lack of memory or an unreachable network, and will be retried
+// later. The peer is not to blame for the delay. This package calls only such a delay a stall: a
+// peer that sends or reads nothing is said to make no progress, and the lateness of a call of
+// Advance is called lag.
 func (g *Gateway) Stalled(now Time, id ConnID) {
 	g.clock.advance(now)
 	switch c := g.conns.find(id).(type) {
--- a/internal/gateway/connection_reuse_test.go
+++ b/internal/gateway/connection_reuse_test.go
@@ -84,8 +84,8 @@
 	h.wantContains("the request on the most recently used connection", h.takeWritten(connB), "GET /c ")
 }
 
-// Guards against a node that closes a connection right after a response: whether a request
-// that is sent before the reset arrives was executed is then unknown. A non-idempotent request
+// Guards against a node that closes a connection right after a response: it is then unknown
+// whether a request that was sent before the reset arrived was executed. A non-idempotent request
 // is therefore not sent on a connection whose response has just arrived, while other requests
 // reuse it at once.
 func TestNonIdempotentRequestAvoidsFreshConnection(t *testing.T) {
@@ -147,8 +147,8 @@
 }
 
 // Verifies that a response that arrives before the complete request was written is taken for a
-// late response to an earlier request on the connection. The present request was not executed
-// then, and is sent again on another connection.
+// late response to an earlier request on the connection. In that case the current request was not
+// executed, and is sent again on another connection.
 func TestResponseToAnEarlierRequest(t *testing.T) {
 	h := newProtocolHarness(t)
 	h.connectClient(requestWithID("warm"))
@@ -170,15 +170,15 @@
 	h.wantContains("the response", h.takeWritten(client), "200 OK", "its own")
 }
 
-// longResponses is a protocol whose limit of a response is above the bytes that WebDAV discards of
-// an unwanted one.
+// longResponses is a fakeProtocol that permits longer responses than the 64 KiB that
+// webdavProtocol reads of an unwanted response.
 type longResponses struct{ fakeProtocol }
 
-func (longResponses) MaxResponseBytes() (one, all int64) { return 1 << 18, 1 << 20 }
+func (longResponses) MaxResponseBytes() (perResponse, total int64) { return 1 << 18, 1 << 20 }
 
-// Guards against node connections that are closed because a client has left. With a protocol that
-// buffers its messages, an unwanted response of any permitted length is read to its end, and the
-// connection serves the next request.
+// Guards against node connections that are closed because a client has disconnected. With a
+// protocol that buffers its messages, an unwanted response of any permitted length is read to its
+// end, and the connection serves the next request.
 func TestConnectionOutlivesUnwantedResponse(t *testing.T) {
 	h := newProtocolHarness(t)
 	h.gateway.SetProtocol(longResponses{})
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -31,8 +31,8 @@
 
 // never is the greatest Time. As the time of an event it means that the event does not occur.
 // The constants of that name in packages scheduler, admission and discovery (whose client
-// returns it from Step) have the same value. The event loop has a lower constant of its own,
-// and treats every time that Advance returns from that value on as never.
+// returns it from Step) have the same value. The event loop has a lower constant of its own, and
+// treats any time at or above that constant as never.
 const never = Time(math.MaxInt64)
 
 // ErrRestartRequired is returned by Reload if the new configuration changes settings of
@@ -177,10 +177,10 @@
 	case scheduler.Send:
 		g.startAttempt(g.requests.byID[a.ID], a.Node, a.StartBefore)
 	case scheduler.Reject:
-		g.noteExpiryReason(a.ID)
+		g.noteWaitReason(a.ID)
 		g.reject(g.requests.byID[a.ID], a.RetryAfter)
 	case scheduler.Fail:
-		g.noteExpiryReason(a.ID)
+		g.noteWaitReason(a.ID)
 		g.fail(g.requests.byID[a.ID])
 	case scheduler.SetTimer:
 		g.scheduler.setTimer(g.clock.now + a.After)
--- a/internal/gateway/http_test.go
+++ b/internal/gateway/http_test.go
@@ -68,8 +68,8 @@
 }
 
 // Verifies that the response to HEAD is forwarded with its Content-Length and without a body, and
-// that an HTTP/1.0 client gets a chunked response without chunks and its connection is closed
-// after it.
+// that an HTTP/1.0 client gets the body of a chunked response without chunks, and its connection is
+// closed after the response.
 func TestHeadAndHTTP10(t *testing.T) {
 	h := newHarness(t, "")
 	c := h.connectClient("HEAD /feed-a/s/x HTTP/1.1\r\nHost: h\r\n\r\n")
--- a/internal/gateway/ids.go
+++ b/internal/gateway/ids.go
@@ -23,9 +23,9 @@
 	return idGenerator{random: random, prefix: random.Uint32()}
 }
 
-// fill sets the first 8 bytes of a trace or span id to a random value. It is never zero, as
-// W3C Trace Context forbids ids of zeros only.
-func (g *idGenerator) fill(id []byte) {
+// fillRandom sets the first 8 bytes of a trace or span id to a random value other than zero,
+// because W3C Trace Context forbids ids that consist of zeros.
+func (g *idGenerator) fillRandom(id []byte) {
 	binary.LittleEndian.PutUint64(id, g.random.Uint64()|1)
 }
 
--- a/internal/gateway/invariant_checks_test.go
+++ b/internal/gateway/invariant_checks_test.go
@@ -144,7 +144,7 @@
 }
 
 // Guards against a failure of this machine or its network that ejects every node: a dial that
-// was deferred for it must not count against the node. If another connection was established
+// was delayed by it must not count against the node. If another connection was established
 // meanwhile, the cause was not local, and the dial does count against the node.
 func TestStalledDialIsNotTheNodesFault(t *testing.T) {
 	for _, othersConnect := range []bool{false, true} {
--- a/internal/gateway/listing.go
+++ b/internal/gateway/listing.go
@@ -28,10 +28,12 @@
 	bytes        int        // total length of bodies
 	pending      int        // number of parts without a final response
 
-	rejected    int           // number of parts that were rejected
-	retryAfter  time.Duration // longest retry-after time of the parts that were rejected
-	errorStatus int           // status of the first part that failed in another way, 507 if the listing is too long; 0: no failure
-	errorReason string        // response text for errorStatus
+	rejected   int           // number of parts that were rejected
+	retryAfter time.Duration // longest retry-after time of the parts that were rejected
+	// errorStatus is the status of the first part that failed in another way, or 507 if the
+	// listing is too long; 0: no failure.
+	errorStatus int
+	errorReason string // response text for errorStatus
 }
 
 // receiveListingBody buffers a piece of the body of a PROPFIND.
@@ -95,7 +97,8 @@
 	part.listing = parent.listing
 	part.listingPart = index
 	part.rawHeader = append(g.buffers.get(), parent.rawHeader...)
-	http1.ParseRequest(part.rawHeader, &part.header, g.config.HeaderLimits) // cannot fail: the parent's header was valid
+	// ParseRequest cannot fail, as the parent's header was valid.
+	http1.ParseRequest(part.rawHeader, &part.header, g.config.HeaderLimits)
 	part.body.data = append(g.buffers.get(), parent.body.data...)
 	part.body.received = int64(len(part.body.data))
 	part.body.complete = true
@@ -103,7 +106,7 @@
 	part.trace.id = parent.trace.id
 	part.trace.parent = parent.trace.span
 	part.trace.sampled = parent.trace.sampled
-	g.ids.fill(part.trace.span[:])
+	g.ids.fillRandom(part.trace.span[:])
 	part.classification = g.routes.Classify(route.RequestHeader{
 		Method:        part.method,
 		Location:      part.location,
--- a/internal/gateway/local_response.go
+++ b/internal/gateway/local_response.go
@@ -14,11 +14,11 @@
 	reasonTimedOut = "no answer in time; whether the request took effect is not known"
 )
 
-// noteExpiryReason records, for the report to the observer, what kept a request from being sent
+// noteWaitReason records, for the report to the observer, what kept a request from being sent
 // before the scheduler decided to reject or fail it.
-func (g *Gateway) noteExpiryReason(id uint64) {
+func (g *Gateway) noteWaitReason(id uint64) {
 	if req := g.requests.byID[id]; req != nil {
-		req.response.waitReason = g.scheduler.expiryReason(id)
+		req.response.waitReason = g.scheduler.waitReasonOf(id)
 	}
 }
 
@@ -61,7 +61,8 @@
 		g.recycle(req)
 	case req.client == nil:
 		g.recycle(req)
-	case req.response.source != nil: // a part of a node's response was sent; only a reset can tell the client that the rest is missing
+	case req.response.source != nil:
+		// A part of a node's response was sent. Only a reset can tell the client that the rest is missing.
 		g.dropClient(req.client, Abort, Dropped)
 	default:
 		g.writeLocalResponse(req, req.response.status, []byte(req.response.reason+"\n"), func(b []byte) []byte {
--- a/internal/gateway/membership_source.go
+++ b/internal/gateway/membership_source.go
@@ -4,7 +4,7 @@
 
 // MembershipSource is a client of the discovery service, which provides the endpoint list.
 // Like the gateway it does no I/O: it takes clock readings and bytes, and returns operations
-// and watch events. It chooses the numbers of its connections itself.
+// and updates of the endpoint list. It chooses the numbers of its connections itself.
 type MembershipSource interface {
 	// Step returns the next operation, and the time by which Step has to be called again.
 	// The gateway calls it until it returns no operation.
@@ -16,7 +16,8 @@
 	// Closed is called when connection conn is lost or could not be established. It is not
 	// called for a connection that the source itself has closed.
 	Closed(now Time, conn int)
-	// TakeUpdate returns the watch event since the last call, if there was one.
+	// TakeUpdate returns the changes of the endpoint list since the last call. ok is false if there
+	// were none.
 	TakeUpdate() (update membership.Update, ok bool)
 }
 
--- a/internal/gateway/node_conn.go
+++ b/internal/gateway/node_conn.go
@@ -31,8 +31,8 @@
 	incarnation          Time   // incarnation of the node when it was dialed; see node.started
 	state                nodeConnState
 	attempt              *nodeAttempt // nil: none
-	dialStalled          bool         // dialing was deferred for a failure of this machine or its network
-	dialShortOfResources bool         // dialing was deferred for lack of descriptors, memory or ports
+	dialStalled          bool         // dialing was delayed by a local error; see Stalled
+	dialShortOfResources bool         // dialing was delayed because descriptors, memory or ports had run out
 
 	idleSince   Time          // when the connection last became idle, also while it is reused; 0: never
 	idleElement *list.Element // element of nodeTable.idleByAge; nil: the connection is not idle
@@ -150,7 +150,7 @@
 	switch {
 	case c.state == nodeReadingBody && attempt.outcome != scheduler.OK:
 		return attempt.outcome
-	case c.state == nodeDialing && c.dialShortOfResources: // the deferred dial was made, and refused
+	case c.state == nodeDialing && c.dialShortOfResources: // the delayed dial was made, and refused
 		return scheduler.ConnectFailed
 	case c.state == nodeDialing:
 		return g.dialFailureOutcome(c, attempt)
@@ -163,11 +163,11 @@
 }
 
 // dialFailureOutcome returns the outcome of an attempt whose connection was not
-// established. The failure counts against the node, unless dialing was deferred for a
-// failure of this machine or its network. If another connection was established since the
-// attempt began, a deferred dial counts against the node too: there may be no route to it.
-// A dial deferred for lack of resources never does, because other connections may have
-// taken the last of them.
+// established. The failure counts against the node, unless dialing was delayed by a local
+// error. After a local error it counts too if a connection to any node was established since
+// the attempt began: the network works, and there may be no route to this node. A dial that
+// times out because descriptors, memory or ports have run out never counts: other connections
+// may have taken the last of them.
 func (g *Gateway) dialFailureOutcome(c *nodeConn, attempt *nodeAttempt) scheduler.Outcome {
 	if c.dialShortOfResources || c.dialStalled && g.nodes.lastConnected <= attempt.startedAt {
 		return scheduler.NotSent
@@ -201,8 +201,8 @@
 
 func (c *nodeConn) handleRemoved(g *Gateway) { g.nodes.connClosed(c.node) }
 
-// nodeConnStalled is called when a system call on a connection was deferred for lack of
-// local resources. It notifies the scheduler, so that the delay does not count against the
+// nodeConnStalled is called when a system call on a connection is delayed by a local
+// error; see Stalled. It notifies the scheduler, so that the delay does not count against the
 // node.
 func (g *Gateway) nodeConnStalled(c *nodeConn) {
 	if c.state == nodeDialing {
--- a/internal/gateway/node_failure_test.go
+++ b/internal/gateway/node_failure_test.go
@@ -97,8 +97,8 @@
 }
 
 // Verifies what happens if a node closes an idle connection just as a request is sent on it. If
-// no byte was written, the request was not executed and is retried. Otherwise its execution is
-// unknown, and a non-idempotent request fails.
+// no byte was written, the request was not executed and is retried. Otherwise it may have been
+// executed, and a non-idempotent request fails.
 func TestIdleConnectionClosesAsRequestIsSent(t *testing.T) {
 	for _, written := range []bool{false, true} {
 		h := newHarness(t, "")
@@ -140,7 +140,7 @@
 }
 
 // Verifies what becomes of a request that a node rejects because its queue is full. A request
-// with a buffered body is retried. One whose body was forwarded beyond the buffer cannot be
+// with a buffered body is retried. A request whose body was forwarded beyond the buffer cannot be
 // retried, and is rejected with Retry-After.
 func TestNodeQueueFull(t *testing.T) {
 	const full = "HTTP/1.1 503 Service Unavailable\r\nMaddergap-Ran: no\r\nContent-Length: 0\r\n\r\n"
@@ -164,7 +164,7 @@
 }
 
 // Verifies that a write fails if the node's 503 response does not say that the request was not
-// executed: its execution is then unknown.
+// executed: it may have been.
 func TestPlain503IsAFailure(t *testing.T) {
 	h := newHarness(t, "")
 	client := h.connectClient(putRequest("/feed-a/s/x", "segment"))
--- a/internal/gateway/node_response.go
+++ b/internal/gateway/node_response.go
@@ -65,7 +65,7 @@
 }
 
 // beginResponse evaluates the header of a response. If the outcome is not OK, only the
-// scheduler gets it; otherwise the response is passed on to the client. beginResponse
+// scheduler gets it; otherwise the response is forwarded to the client. beginResponse
 // returns false if the response cannot be used.
 func (g *Gateway) beginResponse(attempt *nodeAttempt) bool {
 	response := &attempt.conn.response
@@ -102,8 +102,9 @@
 	return unconsumed, true
 }
 
-// receiveResponseData passes a piece of a response body on, or counts and discards it if no
-// request takes the response. It aborts the connection if the response exceeds a limit.
+// receiveResponseData passes a piece of a response body to the protocol, or counts and
+// discards it if no request takes the response. It aborts the connection if the response
+// exceeds a limit.
 func (g *Gateway) receiveResponseData(attempt *nodeAttempt, data []byte) {
 	if len(data) == 0 {
 		return
@@ -121,7 +122,7 @@
 }
 
 // responseProgressed restarts the no-progress timeout of a response that has begun. It
-// notifies the scheduler once when a streamed response begins to be passed on.
+// notifies the scheduler once when the gateway begins to forward a streamed response.
 func (g *Gateway) responseProgressed(c *nodeConn) {
 	attempt := c.attempt
 	if attempt.bufferResponse {
--- a/internal/gateway/observer.go
+++ b/internal/gateway/observer.go
@@ -15,14 +15,14 @@
 
 // Outcomes.
 const (
-	// Served: a node's response was passed on.
+	// Served: a node's response was forwarded.
 	Served Outcome = iota
 	// Rejected: the scheduler, or AbortRemaining, rejected the request, and the client may
 	// safely retry it.
 	Rejected
 	// Failed: the request failed, and it is not known whether it was executed.
 	Failed
-	// ClientDisconnected: the client left before the final response.
+	// ClientDisconnected: the client disconnected before the final response.
 	ClientDisconnected
 	// Dropped: the gateway closed the client's connection before the final response, for
 	// instance because the client did not read it.
@@ -52,12 +52,12 @@
 	Volume         string
 	Class          string
 	Status         int               // HTTP status of the response; 0: there was none
-	Outcome        Outcome           // of a request
+	Outcome        Outcome           // how a request ended; not used for an attempt
 	Client         string            // address of a request's client; empty for an attempt
 	Attempts       int               // number of attempts of a request
 	Attempt        int               // index of an attempt among those of its request, from 0
 	Node           string            // name of an attempt's node; empty for a request
-	AttemptOutcome scheduler.Outcome // of an attempt
+	AttemptOutcome scheduler.Outcome // how an attempt ended; not used for a request
 	Reason         string            // why the gateway itself responded to a request; empty: it did not
 	WaitReason     string            // what kept a rejected or failed request from being sent; empty: nothing
 }
--- a/internal/gateway/protocol.go
+++ b/internal/gateway/protocol.go
@@ -24,8 +24,8 @@
 	parseResponse(r *http1.Response) ResponseInfo
 
 	// beginUnwantedResponse begins a response to a request that already has its final response,
-	// or whose client has left. The response is read and dropped. If beginUnwantedResponse
-	// returns false, the attempt ends with brokenResponseOutcome.
+	// or whose client has disconnected. The response is read and discarded. If
+	// beginUnwantedResponse returns false, the attempt ends with brokenResponseOutcome.
 	beginUnwantedResponse(attempt *nodeAttempt) bool
 	// beginResponse, responseData and endResponse forward a response whose outcome is OK. They
 	// are called only while the request has no final response. If beginResponse or
@@ -45,8 +45,8 @@
 	brokenResponseOutcome() scheduler.Outcome
 	// allowsEarlyResponse reports whether a node may respond before it has the complete request.
 	allowsEarlyResponse() bool
-	// eofMeansDisconnect reports whether a client that shuts down its sending side has left, so
-	// that it needs no response.
+	// eofMeansDisconnect reports whether a client that shuts down its sending side has
+	// disconnected, so that it needs no response.
 	eofMeansDisconnect() bool
 	// appendRetryAfter appends the header fields that tell a client when to retry.
 	appendRetryAfter(b []byte, after time.Duration) []byte
@@ -56,8 +56,10 @@
 
 // ResponseInfo is the information that a protocol extracts from the header of a response.
 type ResponseInfo struct {
-	Outcome       scheduler.Outcome // what the header says of the attempt; OK: the response is for the client
-	ReportedLoad  float64           // number of requests that the node reports as running or waiting; valid if HasLoadReport
+	Outcome scheduler.Outcome // what the header says of the attempt; OK: the response is for the client
+	// ReportedLoad is the number of requests that the node reports as running or waiting. It is
+	// valid if HasLoadReport is set.
+	ReportedLoad  float64
 	HasLoadReport bool
 }
 
--- a/internal/gateway/random_histories_test.go
+++ b/internal/gateway/random_histories_test.go
@@ -174,7 +174,7 @@
 }
 
 // checkRequests checks that no request object serves two requests, and that every request has its
-// final response by its deadline, or a node's response that is being passed on.
+// final response by its deadline, or a node's response that is being forwarded.
 func (x *randomHistory) checkRequests() {
 	ids := map[*request]uint64{}
 	for id, req := range x.gateway.requests.byID {
--- a/internal/gateway/random_races_test.go
+++ b/internal/gateway/random_races_test.go
@@ -30,16 +30,19 @@
 	*harness
 	rt *rapid.T
 
-	requests             []*trackedRequest
-	requestsByID         map[string]*trackedRequest
-	clients              []ConnID
-	lastRequest          map[ConnID]*trackedRequest // last request of each client connection
-	carried              map[ConnID]*trackedRequest // request that each node connection carries
-	disconnecting        []*trackedRequest          // requests whose client left in this batch
-	nodeDraining         bool                       // n0 is draining
-	connsToN0            map[ConnID]bool            // open connections: whether they lead to n0, at the end of the batch
-	connectedBeforeDrain map[ConnID]bool            // connections established in this batch: whether n0 was not draining then
-	stopped              bool                       // Shutdown was called
+	requests      []*trackedRequest
+	requestsByID  map[string]*trackedRequest
+	clients       []ConnID
+	lastRequest   map[ConnID]*trackedRequest // last request of each client connection
+	carried       map[ConnID]*trackedRequest // request that each node connection carries
+	disconnecting []*trackedRequest          // requests whose client disconnected in this batch
+	nodeDraining  bool                       // n0 is draining
+	// connsToN0 tells for each open connection whether it leads to n0; set by endBatch.
+	connsToN0 map[ConnID]bool
+	// connectedBeforeDrain tells for each connection that was established in this batch whether n0
+	// was not draining at that time.
+	connectedBeforeDrain map[ConnID]bool
+	stopped              bool // Shutdown was called
 }
 
 func newRaceHistory(t *testing.T, rt *rapid.T) *raceHistory {
@@ -201,7 +204,7 @@
 	case request == nil:
 		x.rt.Fatalf("request %q was sent to a node, but no client sent it", requestID)
 	case request.disconnected:
-		x.rt.Fatalf("%s was sent although its client has left", requestID)
+		x.rt.Fatalf("%s was sent although its client has disconnected", requestID)
 	case request.responseCount > 0:
 		x.rt.Fatalf("%s was sent after its response", requestID)
 	case request.nonIdempotent && request.attemptsSent > 0:
@@ -234,7 +237,7 @@
 }
 
 // checkEnd checks at the end of the history that no request is left, and that each has a response
-// unless its client has left.
+// unless its client has disconnected.
 func (x *raceHistory) checkEnd() {
 	if n := len(x.gateway.requests.byID); n != 0 {
 		x.rt.Fatalf("%d requests are left, want 0", n)
@@ -247,11 +250,11 @@
 }
 
 // Regression test: events that were handled in one batch have led to requests that were sent for
-// clients that had left, to draining nodes, or twice. Here requests, responses, disconnects, dialed
-// connections, endpoint lists, timers and a shutdown come in any order within a batch. Verifies that
-// a request whose client has left is not sent, that each request gets one response, its own, that a
-// non-idempotent request that may have been executed is not sent again, and that nothing is sent to
-// a draining node.
+// clients that had disconnected, to draining nodes, or twice. Here requests, responses, disconnects,
+// dialed connections, endpoint lists, timers and a shutdown come in any order within a batch.
+// Verifies that a request whose client has disconnected is not sent, that each request gets one
+// response, its own, that a non-idempotent request that may have been executed is not sent again, and
+// that nothing is sent to a draining node.
 func TestRandomRaces(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		x := newRaceHistory(t, rt)
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -13,8 +13,8 @@
 // attempt, nor the scheduler refers to it; see inUse.
 type request struct {
 	id uint64 // 0: not submitted
-	// client is nil if the client has left or the complete response is in its write buffer,
-	// and for a part of a listing.
+	// client is nil if the client has disconnected, if the complete response is in its output
+	// buffer, and for a part of a listing.
 	client *clientConn
 	method string
 
@@ -42,7 +42,7 @@
 }
 
 // requestBody is the part of a request body that was received. Each attempt sends data
-// again, which is possible until consumed is set.
+// first. Once consumed is set, data is no longer enough for another attempt.
 type requestBody struct {
 	decoder         http1.BodyDecoder
 	data            []byte // beginning of the body, at most Limits.BodyBuffer and one read
@@ -78,7 +78,7 @@
 	// gateway has decided on a response of its own, or the request was cancelled.
 	final    bool
 	reported bool         // the end of the request was reported
-	source   *nodeAttempt // attempt whose response is passed on; nil: the gateway responds, or no response yet
+	source   *nodeAttempt // attempt whose response is forwarded; nil: the gateway responds, or no response yet
 	chunked  bool         // the response is sent with chunked transfer coding
 	// outputStart is the position in the client's output at which source's response begins; see
 	// outputEnd.
--- a/internal/gateway/request_lifecycle.go
+++ b/internal/gateway/request_lifecycle.go
@@ -8,8 +8,8 @@
 	"maddergap/scheduler"
 )
 
-// beginRequest is called with the complete header of a request. It parses the header, has
-// the request admitted, and hands it to the protocol.
+// beginRequest is called with the complete header of a request. It parses the header,
+// asks admission whether to accept the request, and passes an accepted one to the protocol.
 func (g *Gateway) beginRequest(c *clientConn, header []byte) {
 	req := g.requests.create()
 	req.client = c
@@ -29,7 +29,7 @@
 	if g.isLastRequest(c, req) {
 		c.advancePhase(clientClosing)
 	}
-	// The response to the previous request may still be in the write buffer. Admission counts
+	// The response to the previous request may still be in the output buffer. Admission counts
 	// at most one request of a connection, so the previous one ends here.
 	g.reportAdmittedRequestEnd(c)
 	if ok, reason := g.admission.BeginRequest(g.clock.now, uint64(c.id), g.buffers.clientBytes, req.body.complete); !ok {
@@ -172,10 +172,10 @@
 
 // cancelRequest ends a request that has no final response yet. It is called when
 //
-//   - the client has left;
+//   - the client has disconnected;
 //   - the gateway drops the client, for instance because the client does not read its
 //     response;
-//   - the body is malformed, cut off or too slow, to which the gateway itself responds;
+//   - the body is malformed, cut off or too slow, and the gateway itself responds;
 //   - the request is a part of a listing whose parent is cancelled.
 //
 // The outcome is for the observer. The scheduler does not distinguish these cases: it is
--- a/internal/gateway/scheduler_client.go
+++ b/internal/gateway/scheduler_client.go
@@ -19,9 +19,9 @@
 	wakeAt  Time              // time at which the scheduler's timer fires; never: it is not set
 }
 
-// expiryReporter is implemented by a Scheduler that can tell what kept a request from being
-// sent until the scheduler ended it.
-type expiryReporter interface {
+// waitReasonReporter is implemented by a Scheduler that reports what kept a request from being
+// sent until the scheduler ended the request.
+type waitReasonReporter interface {
 	ExpiryReason(id uint64) scheduler.Reason
 }
 
@@ -49,10 +49,10 @@
 // hasEvents reports whether there are events, so that decide has to be called.
 func (s *schedulerClient) hasEvents() bool { return len(s.pending) > 0 }
 
-// expiryReason returns what kept a request from being sent. It is valid for a request that the
+// waitReasonOf returns what kept a request from being sent. It is valid for a request that the
 // last call of decide has ended. It returns ReasonAllowed if the scheduler reports no reasons.
-func (s *schedulerClient) expiryReason(id uint64) scheduler.Reason {
-	if reporter, ok := s.impl.(expiryReporter); ok {
+func (s *schedulerClient) waitReasonOf(id uint64) scheduler.Reason {
+	if reporter, ok := s.impl.(waitReasonReporter); ok {
 		return reporter.ExpiryReason(id)
 	}
 	return scheduler.ReasonAllowed
--- a/internal/gateway/send.go
+++ b/internal/gateway/send.go
@@ -26,7 +26,8 @@
 		attempt.conn = idle
 		g.setDeadline(idle, req.deadline)
 		g.sendRequest(idle, req)
-	case n.conns >= g.config.Limits.ConnsPerNode || !g.ensureNodeConnCapacity(): // a limit of this instance, not a fault of the node
+	case n.conns >= g.config.Limits.ConnsPerNode || !g.ensureNodeConnCapacity():
+		// A limit of this instance was reached. That is no fault of the node.
 		g.endAttempt(attempt, scheduler.NotSent)
 	default:
 		g.dialNode(n, attempt)
@@ -51,7 +52,7 @@
 }
 
 // encodeRequest encodes the header of the request that a connection carries, and as much of
-// the body as is buffered. It replaces the content of the connection's write buffer.
+// the body as is buffered. It replaces the content of the connection's output buffer.
 func (g *Gateway) encodeRequest(c *nodeConn, req *request) {
 	attempt := c.attempt
 	c.output = c.output[:0]
@@ -83,7 +84,7 @@
 	return b
 }
 
-// appendBody appends a piece of a request body to the write buffer of a connection, as a chunk
+// appendBody appends a piece of a request body to the output buffer of a connection, as a chunk
 // if the attempt uses chunked transfer coding.
 func appendBody(c *nodeConn, data []byte) {
 	if c.attempt.chunked {
--- a/internal/gateway/shutdown_test.go
+++ b/internal/gateway/shutdown_test.go
@@ -46,7 +46,7 @@
 
 // Verifies that AbortRemaining answers every request that has no response yet when the time for a
 // graceful shutdown is over: 503 if no attempt was made, and 502 otherwise. A node's response that
-// arrives later is dropped.
+// arrives later is discarded.
 func TestAbortRemainingAnswersEveryRequest(t *testing.T) {
 	h := newHarness(t, "")
 	sent := h.connectClient(getRequest("/feed-a/s/1"))
--- a/internal/gateway/timers.go
+++ b/internal/gateway/timers.go
@@ -2,7 +2,7 @@
 
 import "container/heap"
 
-// connTimer is the timer of a connection, which has only one.
+// connTimer is the only timer of a connection.
 //
 // A deadline that moves later leaves the heap entry in place, so that extending it with each
 // read costs nothing. heapDeadline is therefore never later than deadline, and an entry that
--- a/internal/gateway/trace.go
+++ b/internal/gateway/trace.go
@@ -10,13 +10,13 @@
 // begins a sampled trace if the field is missing or invalid.
 func (g *Gateway) startTrace(req *request) {
 	t := &req.trace
-	g.ids.fill(t.span[:])
+	g.ids.fillRandom(t.span[:])
 	if id, parent, sampled, ok := parseTraceparent(req.header.Get("traceparent")); ok {
 		t.id, t.parent, t.sampled = id, parent, sampled
 		return
 	}
-	g.ids.fill(t.id[:8])
-	g.ids.fill(t.id[8:])
+	g.ids.fillRandom(t.id[:8])
+	g.ids.fillRandom(t.id[8:])
 	t.sampled = true
 }
 
--- a/internal/gateway/unsent_response.go
+++ b/internal/gateway/unsent_response.go
@@ -2,8 +2,8 @@
 
 // If a node's response breaks off before any byte of it was written to the client, it is
 // withdrawn. The request can then have another attempt, or a response of the gateway's own.
-// Otherwise the gateway would have to reset the client's connection although it could still send
-// a status.
+// Without this, the gateway would have to reset the client's connection although it could still
+// send a status.
 
 // outputEnd returns the number of bytes that were written to the client or are pending, since the
 // connection was accepted. That is the position of the next byte to be queued.
@@ -43,7 +43,7 @@
 	return true
 }
 
-// discardPart drops the received part of the response to a listing's part.
+// discardPart discards the received part of the response to a listing's part.
 func (l *listing) discardPart(index int) {
 	l.bytes -= len(l.bodies[index])
 	l.bodies[index] = nil
--- a/internal/gateway/webdav_protocol.go
+++ b/internal/gateway/webdav_protocol.go
@@ -94,7 +94,8 @@
 }
 
 func (webdavProtocol) prepareArrival(g *Gateway, req *request) *http1.Error {
-	if req.listing == nil && req.body.complete && req.header.ContentLength < 0 { // a chunked body, whose length is known only now
+	if req.listing == nil && req.body.complete && req.header.ContentLength < 0 {
+		// The body is chunked, and its length is known only now.
 		req.classification = g.classify(req, req.body.received)
 	}
 	class := &req.classification
@@ -144,7 +145,7 @@
 }
 
 // beginResponse forwards the header of the first usable response to the client. A further
-// response to the same request is read and dropped.
+// response to the same request is read and discarded.
 func (webdavProtocol) beginResponse(g *Gateway, req *request, attempt *nodeAttempt) bool {
 	if req.response.source != nil {
 		return true
