--- a/internal/gateway/client_conn.go
+++ b/internal/gateway/client_conn.go
@@ -17,9 +17,9 @@
 const (
 	clientOpen       clientPhase = iota // requests are read
 	clientClosing                       // the connection is closed after the response to the current request
-	clientOverflowed                    // closing, and the client has exceeded maxPipelinedBytes: its input is dropped
+	clientOverflowed                    // closing after exceeding maxPipelinedBytes; input is discarded
 	clientDiscarding                    // closing, and the input can no longer be parsed as requests
-	clientLingering                     // the sending side is shut down; input is dropped until the client closes
+	clientLingering                     // the sending side is shut down; input is discarded until the client closes
 )
 
 func (p clientPhase) String() string {
@@ -40,7 +40,7 @@
 }
 
 // clientConn is a connection from a client. It processes one request at a time: pipelined
-// requests stay in unread until the complete response to the current one is in the write
+// requests stay in unread until the complete response to the current one is in the output
 // buffer.
 type clientConn struct {
 	bufferedConn
@@ -55,12 +55,12 @@
 	acceptDelay     Time     // how long the connection may have waited to be accepted
 
 	admitted bool // set while admission counts the connection
-	// requestEndDue is set if admission has yet to be notified of the end of a request; see
+	// requestEndUnreported is set if admission has yet to be notified of the end of a request; see
 	// reportAdmittedRequestEnd. requestServed is the result to report.
-	requestEndDue, requestServed bool
+	requestEndUnreported, requestServed bool
 
-	// mayHaveUnreadRequest is set when a system call on the connection was deferred for lack
-	// of local resources, and reset when data is read. While it is set, a request may be
+	// mayHaveUnreadRequest is set when a system call on the connection is delayed by a local
+	// error (see Stalled), and reset when data is read. While it is set, a request may be
 	// waiting in the socket. The driver does not say whether the call was a read or a write.
 	// After a write the flag is set without need; the only consequence is that Shutdown gives
 	// the connection firstRequestGrace before it closes it.
@@ -73,12 +73,12 @@
 	accountedBytes int              // share of this connection in bufferPool.clientBytes
 }
 
-// enter advances the connection to a phase, unless it is already past that phase.
-func (c *clientConn) enter(phase clientPhase) { c.phase = max(c.phase, phase) }
+// advancePhase advances the connection to a phase, unless it is already past that phase.
+func (c *clientConn) advancePhase(phase clientPhase) { c.phase = max(c.phase, phase) }
 
-// responseDue reports whether the client waits for the response to a submitted request that
+// awaitsResponse reports whether the client waits for the response to a submitted request that
 // has no final response yet.
-func (c *clientConn) responseDue() bool {
+func (c *clientConn) awaitsResponse() bool {
 	return c.req != nil && c.req.id != 0 && !c.req.response.final && c.peer != peerDisconnected
 }
 
@@ -127,7 +127,7 @@
 	case c.req != nil && c.peer == peerDisconnected:
 		g.dropClient(c, Close, ClientDisconnected) // no one would read the response
 	case c.req != nil && !c.req.body.complete:
-		g.rejectMalformedBody(c, c.req, errBodyCutOff)
+		g.rejectMalformedBody(c, c.req, errBodyIncomplete)
 	default: // a half-close: the response is still due
 	}
 }
@@ -141,7 +141,8 @@
 func (c *clientConn) handleTimer(g *Gateway) {
 	req := c.req
 	switch {
-	case c.phase >= clientDiscarding, len(c.pending()) > 0 && g.clock.now >= c.readDeadline: // the client does not read its response
+	case c.phase >= clientDiscarding, len(c.pending()) > 0 && g.clock.now >= c.readDeadline:
+		// The client does not read its response.
 		g.dropClient(c, Abort, Dropped)
 	case req != nil && !req.body.complete && !req.response.final:
 		g.uploadTimedOut(c, req)
@@ -159,11 +160,11 @@
 // handleRemoved removes the connection from the counts. A close while a response is due is
 // checked against the invariant ResponseBeforeClose.
 func (c *clientConn) handleRemoved(g *Gateway) {
-	if c.responseDue() {
+	if c.awaitsResponse() {
 		g.invariants.CheckUnansweredClose(g.clock.now, &invariant.UnansweredClose{
-			Request:   c.req.id,
-			Unwritten: len(c.pending()),
-			ReadBy:    c.readDeadline,
+			Request:      c.req.id,
+			Unwritten:    len(c.pending()),
+			ReadDeadline: c.readDeadline,
 		})
 	}
 	g.buffers.clientBytes -= int64(c.accountedBytes)
@@ -183,10 +184,11 @@
 		g.recycle(req)
 		return
 	}
-	if !req.body.complete { // RFC 9112 section 9.3: the rest of the body cannot be distinguished from a next request
-		c.enter(clientDiscarding)
+	if !req.body.complete {
+		// RFC 9112 section 9.3: the rest of the body cannot be distinguished from a next request.
+		c.advancePhase(clientDiscarding)
 	}
-	c.requestEndDue = true
+	c.requestEndUnreported = true
 	c.requestServed = req.id != 0 && req.response.source != nil && req.response.status < 400
 	c.req, req.client = nil, nil
 	g.recycle(req)
@@ -210,7 +212,7 @@
 		return
 	}
 	if c.phase >= clientClosing || g.intake == intakeClosed || c.peer == peerDisconnected {
-		// No further request is read. Pipelined requests are dropped without a response; the
+		// No further request is read. Pipelined requests are discarded without a response; the
 		// client may repeat them on another connection (RFC 9112 section 9.3.2).
 		c.unread = c.unread[:0]
 	}
--- a/internal/gateway/client_end.go
+++ b/internal/gateway/client_end.go
@@ -19,7 +19,7 @@
 		g.dropClient(c, Abort, Dropped)
 		return
 	}
-	c.enter(clientClosing)
+	c.advancePhase(clientClosing)
 	req.body.complete = true
 	req.response.reason = "the body did not come in time"
 	g.counts.Malformed++
@@ -37,7 +37,7 @@
 	req.response.reason = reason
 	req.header.MinorVersion = 1
 	req.headerReceivedAt = g.clock.now
-	c.enter(clientClosing)
+	c.advancePhase(clientClosing)
 	g.writeLocalResponse(req, 408, []byte(reason+"\n"), nil)
 }
 
@@ -64,7 +64,7 @@
 }
 
 // lingeringClose shuts down the sending side of a client connection. Further input is read
-// and dropped until the client closes the connection too, or lingerTimeout has passed. If
+// and discarded until the client closes the connection too, or lingerTimeout has passed. If
 // the gateway closed a socket with unread bytes in it, the connection would be reset, and the
 // client would lose the last response.
 func (g *Gateway) lingeringClose(c *clientConn) {
@@ -72,7 +72,7 @@
 	case c.peer != peerConnected:
 		g.closeConn(c, Close)
 	case c.phase != clientLingering:
-		c.enter(clientLingering)
+		c.advancePhase(clientLingering)
 		g.actions.add(CloseWrite, c.id)
 		g.resumeReading(c)
 		g.setDeadline(c, g.clock.now+lingerTimeout)
--- a/internal/gateway/client_input.go
+++ b/internal/gateway/client_input.go
@@ -4,7 +4,7 @@
 // the client has disconnected. Reading from such a client is not paused while its request is
 // under way: the EOF arrives behind the pipelined input, and while that is unread, the
 // gateway would not notice the disconnect and would still send the request. Input beyond the
-// limit is dropped, and the connection is closed after the response. 16 KiB has room for
+// limit is discarded, and the connection is closed after the response. 16 KiB has room for
 // several requests with headers of the usual size, and bounds the memory that such a client
 // takes up in addition to its request.
 const maxPipelinedBytes = 16 << 10
@@ -13,7 +13,7 @@
 type clientInput uint8
 
 const (
-	inputDiscarded clientInput = iota // input that is dropped
+	inputDiscarded clientInput = iota // input that is read and ignored
 	inputHeader                       // the header of a request
 	inputBody                         // the body of the request under way
 	inputPipelined                    // requests that follow the request under way
@@ -54,9 +54,9 @@
 	return data
 }
 
-// consumeHeader processes the header of a request, if it is complete. It returns the rest of
-// data, and whether the rest can be processed now.
-func (g *Gateway) consumeHeader(c *clientConn, data []byte) (rest []byte, more bool) {
+// consumeHeader processes the header of a request, if it is complete. It returns the unconsumed
+// part of data, and whether this part can be processed now.
+func (g *Gateway) consumeHeader(c *clientConn, data []byte) (unconsumed []byte, more bool) {
 	if data[0] == '\r' || data[0] == '\n' { // RFC 9112 section 2.2: empty lines before a request
 		c.headerScanned = 0
 		return data[1:], true
@@ -65,7 +65,7 @@
 		c.headerStartedAt = g.clock.now
 		g.setDeadline(c, g.clock.now+g.config.Timeouts.Header)
 	}
-	n := g.config.HeaderLimits.HeaderBlock(data, &c.headerScanned)
+	n := g.config.HeaderLimits.FindHeaderEnd(data, &c.headerScanned)
 	if n == 0 {
 		return data, false
 	}
@@ -76,7 +76,7 @@
 
 // consumeBody processes a piece of the body of the request under way, or pauses reading from
 // the client if there is no room for it. It returns the same as consumeHeader.
-func (g *Gateway) consumeBody(c *clientConn, data []byte) (rest []byte, more bool) {
+func (g *Gateway) consumeBody(c *clientConn, data []byte) (unconsumed []byte, more bool) {
 	req := c.req
 	if g.uploadBlocked(req) {
 		g.pauseReading(c)
@@ -85,13 +85,13 @@
 	}
 	c.upload.bytes += int64(len(data))
 	g.setDeadline(c, g.uploadDeadline(c))
-	piece, rest, err := req.body.decoder.Next(data)
+	piece, unconsumed, err := req.body.decoder.Next(data)
 	if err != nil {
 		g.rejectMalformedBody(c, req, err)
 		return nil, false
 	}
 	g.receiveBody(c, req, piece)
-	return rest, true
+	return unconsumed, true
 }
 
 // uploadBlocked reports whether there is no room for more of a request body: a submitted
@@ -105,9 +105,9 @@
 }
 
 // bufferPipelined returns the input that a client has pipelined, which is processed after the
-// current request. It pauses reading from the client, or drops the input if EOF means a
+// current request. It pauses reading from the client, or discards the input if EOF means a
 // disconnect and the input exceeds maxPipelinedBytes.
-func (g *Gateway) bufferPipelined(c *clientConn, data []byte) (rest []byte) {
+func (g *Gateway) bufferPipelined(c *clientConn, data []byte) (unconsumed []byte) {
 	switch {
 	case !g.protocol.eofMeansDisconnect():
 		g.pauseReading(c)
@@ -115,6 +115,6 @@
 	case len(data) <= maxPipelinedBytes:
 		return data
 	}
-	c.enter(clientOverflowed)
+	c.advancePhase(clientOverflowed)
 	return nil
 }
--- a/internal/gateway/local_response.go
+++ b/internal/gateway/local_response.go
@@ -14,11 +14,11 @@
 	reasonTimedOut = "no answer in time; whether the request took effect is not known"
 )
 
-// noteExpiryReason records, for the report to the observer, what kept a request from being sent
+// noteWaitReason records, for the report to the observer, what kept a request from being sent
 // before the scheduler decided to reject or fail it.
-func (g *Gateway) noteExpiryReason(id uint64) {
+func (g *Gateway) noteWaitReason(id uint64) {
 	if req := g.requests.byID[id]; req != nil {
-		req.response.waitReason = g.scheduler.expiryReason(id)
+		req.response.waitReason = g.scheduler.waitReasonOf(id)
 	}
 }
 
@@ -61,7 +61,8 @@
 		g.recycle(req)
 	case req.client == nil:
 		g.recycle(req)
-	case req.response.source != nil: // a part of a node's response was sent; only a reset can tell the client that the rest is missing
+	case req.response.source != nil:
+		// A part of a node's response was sent. Only a reset can tell the client that the rest is missing.
 		g.dropClient(req.client, Abort, Dropped)
 	default:
 		g.writeLocalResponse(req, req.response.status, []byte(req.response.reason+"\n"), func(b []byte) []byte {
@@ -106,7 +107,7 @@
 		g.recycle(req)
 		return
 	}
-	b := http1.AppendStatus(g.buffers.orNew(c.out), status)
+	b := http1.AppendStatus(g.buffers.orNew(c.output), status)
 	if req.id != 0 {
 		b = g.appendRequestIDField(b, req)
 	}
@@ -122,7 +123,7 @@
 	if req.method != "HEAD" {
 		b = append(b, body...)
 	}
-	c.out = b
+	c.output = b
 	g.responseQueued(req)
 }
 
@@ -144,8 +145,8 @@
 // ends the header of a response. It also decides that the connection is closed after the
 // response if the gateway drains, or has not received the complete request body.
 func (g *Gateway) appendHeaderEnd(b []byte, c *clientConn, req *request) []byte {
-	if g.intake >= intakeLastRequests || !req.body.complete {
-		c.enter(clientClosing)
+	if g.intake >= intakeDraining || !req.body.complete {
+		c.advancePhase(clientClosing)
 	}
 	if c.phase >= clientClosing {
 		b = append(b, "Connection: close\r\n"...)
--- a/internal/gateway/node_response.go
+++ b/internal/gateway/node_response.go
@@ -32,9 +32,9 @@
 
 // consumeResponseHeader parses the header of a response if data holds all of it. It returns
 // the bytes after the header, and whether they can be processed now.
-func (g *Gateway) consumeResponseHeader(c *nodeConn, data []byte) (rest []byte, more bool) {
+func (g *Gateway) consumeResponseHeader(c *nodeConn, data []byte) (unconsumed []byte, more bool) {
 	attempt := c.attempt
-	headerLength := g.config.HeaderLimits.HeaderBlock(data, &c.headerScanned)
+	headerLength := g.config.HeaderLimits.FindHeaderEnd(data, &c.headerScanned)
 	if headerLength == 0 {
 		return data, false
 	}
@@ -65,7 +65,7 @@
 }
 
 // beginResponse evaluates the header of a response. If the outcome is not OK, only the
-// scheduler gets it; otherwise the response is passed on to the client. beginResponse
+// scheduler gets it; otherwise the response is forwarded to the client. beginResponse
 // returns false if the response cannot be used.
 func (g *Gateway) beginResponse(attempt *nodeAttempt) bool {
 	response := &attempt.conn.response
@@ -86,24 +86,25 @@
 
 // consumeResponseBody processes a piece of a response body. If too much of the response is
 // still to be written to the client, it pauses reading from the node instead.
-func (g *Gateway) consumeResponseBody(c *nodeConn, data []byte) (rest []byte, more bool) {
+func (g *Gateway) consumeResponseBody(c *nodeConn, data []byte) (unconsumed []byte, more bool) {
 	attempt := c.attempt
 	if client := attempt.streamingClient(); client != nil && len(client.pending()) > g.bufferAllowance() {
 		g.pauseReading(c)
 		g.setDeadline(c, never) // no timeout while the node waits for the client
 		return data, false
 	}
-	piece, rest, err := c.responseBody.Next(data)
+	piece, unconsumed, err := c.responseBody.Next(data)
 	if err != nil {
 		g.abortNodeConn(c, g.protocol.brokenResponseOutcome())
 		return nil, false
 	}
 	g.receiveResponseData(attempt, piece)
-	return rest, true
+	return unconsumed, true
 }
 
-// receiveResponseData passes a piece of a response body on, or counts and discards it if no
-// request takes the response. It aborts the connection if the response exceeds a limit.
+// receiveResponseData passes a piece of a response body to the protocol, or counts and
+// discards it if no request takes the response. It aborts the connection if the response
+// exceeds a limit.
 func (g *Gateway) receiveResponseData(attempt *nodeAttempt, data []byte) {
 	if len(data) == 0 {
 		return
@@ -121,7 +122,7 @@
 }
 
 // responseProgressed restarts the no-progress timeout of a response that has begun. It
-// notifies the scheduler once when a streamed response begins to be passed on.
+// notifies the scheduler once when the gateway begins to forward a streamed response.
 func (g *Gateway) responseProgressed(c *nodeConn) {
 	attempt := c.attempt
 	if attempt.bufferResponse {
--- a/internal/gateway/shutdown_test.go
+++ b/internal/gateway/shutdown_test.go
@@ -14,7 +14,7 @@
 	h.deliver(h.nodeConn(0), okResponse("zero"))
 	h.takeWritten(idle)
 	c := h.connectClient(getRequest("/feed-a/s/1") + getRequest("/feed-a/s/2"))
-	silent, fresh, half := h.connectClient(""), h.connectClient(""), h.connectClient(getRequest("/feed-b/s/0"))
+	noRequest, fresh, half := h.connectClient(""), h.connectClient(""), h.connectClient(getRequest("/feed-b/s/0"))
 	h.deliver(h.nodeConn(1), okResponse("zero"))
 	h.takeWritten(half)
 	h.deliver(half, "GET /feed-a/s/4 HTT")
@@ -39,14 +39,14 @@
 		h.wantLingeringClose(late.c)
 	}
 	h.advanceTime(firstRequestGrace)
-	if h.closedBy[silent] != Close || !h.gateway.Idle() || h.gateway.Counts().Received != 5 {
-		t.Errorf("connection without a request closed by %v, want close; Idle %v, want true; %d requests received, want 5", h.closedBy[silent], h.gateway.Idle(), h.gateway.Counts().Received)
+	if h.closedBy[noRequest] != Close || !h.gateway.Idle() || h.gateway.Counts().Received != 5 {
+		t.Errorf("connection without a request closed by %v, want close; Idle %v, want true; %d requests received, want 5", h.closedBy[noRequest], h.gateway.Idle(), h.gateway.Counts().Received)
 	}
 }
 
 // Verifies that AbortRemaining answers every request that has no response yet when the time for a
 // graceful shutdown is over: 503 if no attempt was made, and 502 otherwise. A node's response that
-// arrives later is dropped.
+// arrives later is discarded.
 func TestAbortRemainingAnswersEveryRequest(t *testing.T) {
 	h := newHarness(t, "")
 	sent := h.connectClient(getRequest("/feed-a/s/1"))
--- a/internal/gateway/webdav_protocol.go
+++ b/internal/gateway/webdav_protocol.go
@@ -94,7 +94,8 @@
 }
 
 func (webdavProtocol) prepareArrival(g *Gateway, req *request) *http1.Error {
-	if req.listing == nil && req.body.complete && req.header.ContentLength < 0 { // a chunked body, whose length is known only now
+	if req.listing == nil && req.body.complete && req.header.ContentLength < 0 {
+		// The body is chunked, and its length is known only now.
 		req.classification = g.classify(req, req.body.received)
 	}
 	class := &req.classification
@@ -144,7 +145,7 @@
 }
 
 // beginResponse forwards the header of the first usable response to the client. A further
-// response to the same request is read and dropped.
+// response to the same request is read and discarded.
 func (webdavProtocol) beginResponse(g *Gateway, req *request, attempt *nodeAttempt) bool {
 	if req.response.source != nil {
 		return true
@@ -166,7 +167,7 @@
 // writeResponseHeader writes the header of a node's response to a client.
 func (g *Gateway) writeResponseHeader(c *clientConn, req *request, r *http1.Response) {
 	req.response.outputStart = c.outputEnd()
-	b := http1.AppendStatus(g.buffers.orNew(c.out), r.Status)
+	b := http1.AppendStatus(g.buffers.orNew(c.output), r.Status)
 	b = http1.AppendEndToEndFields(b, &r.Message, "x-request-id")
 	b = g.appendRequestIDField(b, req)
 	switch {
@@ -181,9 +182,9 @@
 		req.response.chunked = true
 		b = append(b, "Transfer-Encoding: chunked\r\n"...)
 	default:
-		c.enter(clientClosing) // the body is delimited by the end of the connection
+		c.advancePhase(clientClosing) // the body is delimited by the end of the connection
 	}
-	c.out = g.appendHeaderEnd(b, c, req)
+	c.output = g.appendHeaderEnd(b, c, req)
 	g.flushClient(c)
 }
 
@@ -195,11 +196,11 @@
 		return true
 	}
 	c := req.client
-	c.out = g.buffers.orNew(c.out)
+	c.output = g.buffers.orNew(c.output)
 	if req.response.chunked {
-		c.out = http1.AppendChunk(c.out, data)
+		c.output = http1.AppendChunk(c.output, data)
 	} else {
-		c.out = append(c.out, data...)
+		c.output = append(c.output, data...)
 	}
 	g.flushClient(c)
 	return true
@@ -216,7 +217,7 @@
 	}
 	g.learnSize(req, &attempt.conn.response)
 	if req.response.chunked {
-		req.client.out = http1.AppendLastChunk(req.client.out)
+		req.client.output = http1.AppendLastChunk(req.client.output)
 	}
 	g.endAttempt(attempt, scheduler.OK)
 	g.reportRequestEnd(req, Served)
