--- a/internal/http1/append.go
+++ b/internal/http1/append.go
@@ -44,10 +44,10 @@
 	return dst
 }
 
-// equalFoldAny reports whether a field name equals one of the words, regardless of case.
-func equalFoldAny(name []byte, words []string) bool {
-	for _, word := range words {
-		if EqualFold(name, word) {
+// equalFoldAny reports whether a field name equals one of the names, regardless of case.
+func equalFoldAny(name []byte, names []string) bool {
+	for _, candidate := range names {
+		if EqualFold(name, candidate) {
 			return true
 		}
 	}
--- a/internal/http1/body.go
+++ b/internal/http1/body.go
@@ -66,25 +66,25 @@
 	return b.done
 }
 
-// Next decodes the next part of p. It returns data, the bytes of the body in this part, and rest, the
-// bytes of p after it. Unless p is empty or the body is complete, it consumes at least one byte; data
-// can still be empty. The error is an *Error.
-func (b *BodyDecoder) Next(p []byte) (data, rest []byte, err error) {
+// Next decodes the next part of p. It returns data, the bytes of the body in this part, and
+// unconsumed, the bytes of p after it. Unless p is empty or the body is complete, it consumes at least
+// one byte; data can still be empty. The error is an *Error.
+func (b *BodyDecoder) Next(p []byte) (data, unconsumed []byte, err error) {
 	switch {
 	case b.done:
 		return nil, p, nil
 	case b.framing == framedByClose:
 		return p, nil, nil
 	case b.framing == framedByLength || b.chunk == inChunkData:
-		data, rest = b.nextData(p)
-		return data, rest, nil
+		data, unconsumed = b.nextData(p)
+		return data, unconsumed, nil
 	}
-	rest, err = b.readChunkLines(p)
-	return nil, rest, err
+	unconsumed, err = b.readChunkLines(p)
+	return nil, unconsumed, err
 }
 
 // nextData splits p at the end of the body or of the current chunk.
-func (b *BodyDecoder) nextData(p []byte) (data, rest []byte) {
+func (b *BodyDecoder) nextData(p []byte) (data, unconsumed []byte) {
 	n := min(int64(len(p)), b.remaining)
 	b.remaining -= n
 	if b.remaining == 0 {
@@ -96,7 +96,7 @@
 
 // readChunkLines parses the lines before the data of a chunk, and the trailer. A line may come in
 // several calls.
-func (b *BodyDecoder) readChunkLines(p []byte) (rest []byte, err error) {
+func (b *BodyDecoder) readChunkLines(p []byte) (unconsumed []byte, err error) {
 	for len(p) > 0 && !b.done && b.chunk != inChunkData {
 		n := bytes.IndexByte(p, '\n') + 1
 		complete := n > 0
--- a/internal/http1/fields.go
+++ b/internal/http1/fields.go
@@ -22,14 +22,14 @@
 func (m *Message) parseFields(p []byte, limits Limits) error {
 	var fr framing
 	for {
-		line, rest, err := cutLine(p)
+		line, remaining, err := cutLine(p)
 		if err != nil {
 			return err
 		}
 		if len(line) == 0 {
 			break
 		}
-		p = rest
+		p = remaining
 		f, err := parseField(line)
 		if err != nil {
 			return err
@@ -100,13 +100,13 @@
 	return nil
 }
 
-// EqualFold reports whether a field name or token equals a word, regardless of ASCII case.
-func EqualFold(b []byte, word string) bool {
-	if len(b) != len(word) {
+// EqualFold reports whether b, a field name or token, equals token, regardless of ASCII case.
+func EqualFold(b []byte, token string) bool {
+	if len(b) != len(token) {
 		return false
 	}
 	for i := range b {
-		if toLower(b[i]) != toLower(word[i]) {
+		if toLower(b[i]) != toLower(token[i]) {
 			return false
 		}
 	}
--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -79,7 +79,7 @@
 
 // cutLine splits p after its first line and returns the line without its CRLF. The line must contain no
 // other CR or LF.
-func cutLine(p []byte) (line, rest []byte, err error) {
+func cutLine(p []byte) (line, remaining []byte, err error) {
 	i := bytes.IndexByte(p, '\n')
 	if i < 1 || p[i-1] != '\r' || bytes.IndexByte(p[:i-1], '\r') >= 0 {
 		return nil, nil, errBareLineBreak
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -66,23 +66,23 @@
 	}
 }
 
-// decode decodes the body at the start of wire in pieces of up to pieceSize bytes. rest is what follows
-// the body.
-func decode(m *Message, wire []byte, pieceSize int) (out, rest []byte, err error) {
+// decode decodes the body at the start of wire in pieces of up to pieceSize bytes. remaining is what
+// follows the body.
+func decode(m *Message, wire []byte, pieceSize int) (body, remaining []byte, err error) {
 	var b BodyDecoder
 	b.Reset(m)
 	for len(wire) > 0 && !b.Done() {
 		piece := wire[:min(pieceSize, len(wire))]
 		data, unread, err := b.Next(piece)
 		if err != nil {
-			return out, wire, err
+			return body, wire, err
 		}
-		out, wire = append(out, data...), wire[len(piece)-len(unread):]
+		body, wire = append(body, data...), wire[len(piece)-len(unread):]
 	}
 	if !b.Done() {
-		return out, wire, io.ErrUnexpectedEOF
+		return body, wire, io.ErrUnexpectedEOF
 	}
-	return out, wire, nil
+	return body, wire, nil
 }
 
 // Verifies that a chunked body is decoded the same whatever pieces it arrives in, that the bytes after
@@ -96,9 +96,9 @@
 	}
 	wire = append(AppendLastChunk(wire), "GET"...)
 	for n := 1; n < 50; n++ {
-		got, rest, err := decode(&Message{Chunked: true, ContentLength: -1}, wire, n)
-		if err != nil || !bytes.Equal(got, want) || string(rest) != "GET" {
-			t.Fatalf("pieces of %d: got %d bytes, rest %q, error %v", n, len(got), rest, err)
+		got, remaining, err := decode(&Message{Chunked: true, ContentLength: -1}, wire, n)
+		if err != nil || !bytes.Equal(got, want) || string(remaining) != "GET" {
+			t.Fatalf("pieces of %d: got %d bytes, remaining %q, error %v", n, len(got), remaining, err)
 		}
 	}
 	for _, bad := range []string{"g\r\n", "\r\n", "3\r\nabcd\r\n", "3\nabc\r\n", "-1\r\n", "3;a\rb\r\nabc\r\n",
@@ -189,9 +189,9 @@
 	f.Fuzz(func(t *testing.T, p []byte, n int) {
 		n = max(1, n%64)
 		m := &Message{Chunked: true, ContentLength: -1}
-		a, restA, errA := decode(m, p, len(p)+1)
-		b, restB, errB := decode(m, p, n)
-		if (errA == nil) != (errB == nil) || (errA == nil && (!bytes.Equal(a, b) || !bytes.Equal(restA, restB))) {
+		a, remainingA, errA := decode(m, p, len(p)+1)
+		b, remainingB, errB := decode(m, p, n)
+		if (errA == nil) != (errB == nil) || (errA == nil && (!bytes.Equal(a, b) || !bytes.Equal(remainingA, remainingB))) {
 			t.Fatalf("in one piece: %q, error %v; in pieces of %d: %q, error %v", a, errA, n, b, errB)
 		}
 	})
--- a/internal/http1/request.go
+++ b/internal/http1/request.go
@@ -17,14 +17,14 @@
 	if len(block) > limits.HeaderBytes {
 		return errHeaderTooLong
 	}
-	line, rest, err := cutLine(block)
+	line, remaining, err := cutLine(block)
 	if err != nil {
 		return err
 	}
 	if err := r.parseRequestLine(line, limits); err != nil {
 		return err
 	}
-	if err := r.parseFields(rest, limits); err != nil {
+	if err := r.parseFields(remaining, limits); err != nil {
 		return err
 	}
 	if err := r.applyRequestFields(); err != nil {
--- a/internal/http1/response.go
+++ b/internal/http1/response.go
@@ -14,14 +14,14 @@
 	if len(block) > limits.HeaderBytes {
 		return errHeaderTooLong
 	}
-	line, rest, err := cutLine(block)
+	line, remaining, err := cutLine(block)
 	if err != nil {
 		return err
 	}
 	if err := r.parseStatusLine(line); err != nil {
 		return err
 	}
-	if err := r.parseFields(rest, limits); err != nil {
+	if err := r.parseFields(remaining, limits); err != nil {
 		return err
 	}
 	// RFC 9112 6.3: these responses have no body, whatever their fields say.
--- a/internal/route/location.go
+++ b/internal/route/location.go
@@ -41,11 +41,11 @@
 // The error is ErrTargetForm.
 func SplitTarget(target string) (path, authority string, err error) {
 	if !strings.HasPrefix(target, "/") {
-		rest, ok := cutScheme(target)
+		withoutScheme, ok := trimScheme(target)
 		if !ok {
 			return "", "", ErrTargetForm
 		}
-		authority, target, _ = strings.Cut(rest, "/")
+		authority, target, _ = strings.Cut(withoutScheme, "/")
 		target = "/" + target
 		if authority == "" {
 			return "", "", ErrTargetForm
@@ -55,9 +55,9 @@
 	return path, authority, nil
 }
 
-// cutScheme removes "http://" or "https://", regardless of case. ok is false if s does not begin with
+// trimScheme removes "http://" or "https://", regardless of case. ok is false if s does not begin with
 // one of them or nothing follows.
-func cutScheme(s string) (rest string, ok bool) {
+func trimScheme(s string) (remaining string, ok bool) {
 	for _, scheme := range [...]string{"http://", "https://"} {
 		if len(s) > len(scheme) && strings.EqualFold(s[:len(scheme)], scheme) {
 			return s[len(scheme):], true
@@ -144,7 +144,7 @@
 		return Location{}, err
 	}
 	location := Location{Path: path}
-	volumeName, rest, _ := strings.Cut(path[1:], "/")
+	volumeName, unitPath, _ := strings.Cut(path[1:], "/")
 	if volumeName == "" {
 		return location, nil
 	}
@@ -153,11 +153,11 @@
 		return location, ErrUnknownVolume
 	}
 	location.Kind, location.Volume = VolumeRoot, volume
-	if rest == "" {
+	if unitPath == "" {
 		return location, nil
 	}
 	location.Kind = PlacementUnit
-	location.PlacementUnit, _, _ = strings.Cut(rest, "/")
+	location.PlacementUnit, _, _ = strings.Cut(unitPath, "/")
 	location.Shard = selectShard(location.PlacementUnit, t.config.Volumes[volume].Shards)
 	return location, nil
 }
