--- a/internal/platform/random_settings_test.go
+++ b/internal/platform/random_settings_test.go
@@ -171,10 +171,10 @@
 			case gateway.Dial:
 				g.Connected(now, action.Conn)
 			case gateway.Flush:
-				out := string(g.PendingOutput(now, action.Conn))
-				g.Wrote(now, action.Conn, len(out))
+				output := string(g.PendingOutput(now, action.Conn))
+				g.Wrote(now, action.Conn, len(output))
 				if action.Conn == client {
-					return strings.Fields(out)[1]
+					return strings.Fields(output)[1]
 				}
 				g.Data(now, action.Conn, []byte("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"))
 			}
--- a/internal/platform/request.go
+++ b/internal/platform/request.go
@@ -19,11 +19,11 @@
 	}
 	var headers requestHeaders
 	if reason := headers.read(r); reason != "" {
-		return badRequest(reason)
+		return protocolViolation(reason)
 	}
 	info, reason := p.parseHeaders(&headers)
 	if reason != "" {
-		return badRequest(reason)
+		return protocolViolation(reason)
 	}
 	if rejection, ok := p.checkMethod(r, info.Arrival.Class); !ok {
 		return rejection
@@ -32,9 +32,9 @@
 	return info
 }
 
-// badRequest returns the gateway's response to a request that does not conform to the protocol. It
+// protocolViolation returns the gateway's response to a request that does not conform to the protocol. It
 // closes the connection, since client and gateway may disagree about where the next request begins.
-func badRequest(reason string) gateway.RequestInfo {
+func protocolViolation(reason string) gateway.RequestInfo {
 	return gateway.RequestInfo{Status: 400, Reason: reason, Close: true}
 }
 
@@ -143,9 +143,9 @@
 	case !isWrite && !isRead:
 		return gateway.RequestInfo{Status: 405, Reason: "a read is a GET, a write a PUT", Close: true}, false
 	case isRead && (r.ContentLength > 0 || r.Chunked):
-		return badRequest("a read has no body"), false
+		return protocolViolation("a read has no body"), false
 	case len(p.classWrites) > 0 && p.classWrites[class] != isWrite:
-		return badRequest("the method does not fit the class"), false
+		return protocolViolation("the method does not fit the class"), false
 	}
 	return gateway.RequestInfo{}, true
 }
--- a/internal/platform/request_test.go
+++ b/internal/platform/request_test.go
@@ -37,7 +37,7 @@
 }
 
 // Each replacement in the valid request makes it violate the protocol.
-func TestBadRequests(t *testing.T) {
+func TestProtocolViolations(t *testing.T) {
 	p := newProtocol(t)
 	for _, c := range [][2]string{
 		{"X-Txn: 00c0ffee00c0ffee\r\n", ""}, {"00c0ffee00c0ffee", "a b"}, {"00c0ffee00c0ffee", strings.Repeat("a", 65)},
--- a/internal/platform/write_test.go
+++ b/internal/platform/write_test.go
@@ -95,7 +95,7 @@
 func TestNoWriteToDrainingNode(t *testing.T) {
 	attempt := newPendingAttempt(t, 0)
 	attempt.gateway.SetNodes(attempt.now, []nodelist.Node{{Name: "n", Addr: "10.0.0.1:1", State: scheduler.Draining}})
-	if out := attempt.gateway.PendingOutput(attempt.now, attempt.nodeConn); len(out) > 0 {
-		t.Errorf("%q is written to a draining node", out)
+	if output := attempt.gateway.PendingOutput(attempt.now, attempt.nodeConn); len(output) > 0 {
+		t.Errorf("%q is written to a draining node", output)
 	}
 }
--- a/internal/webdav/multistatus.go
+++ b/internal/webdav/multistatus.go
@@ -77,23 +77,23 @@
 // One malformed body is an error for the whole, since the part of a shard must not be missing
 // unnoticed.
 func MergeMultistatus(bodies [][]byte, maxBytes int) ([]byte, error) {
-	var out bytes.Buffer
-	out.WriteString(multistatusStart)
+	var merged bytes.Buffer
+	merged.WriteString(multistatusStart)
 	seen := map[string]bool{}
 	for _, body := range bodies {
-		if err := appendResponses(&out, body, seen); err != nil {
+		if err := appendResponses(&merged, body, seen); err != nil {
 			return nil, err
 		}
-		if out.Len() > maxBytes {
+		if merged.Len() > maxBytes {
 			return nil, ErrListingTooLarge
 		}
 	}
-	out.WriteString(multistatusEnd)
-	return out.Bytes(), nil
+	merged.WriteString(multistatusEnd)
+	return merged.Bytes(), nil
 }
 
-// appendResponses copies the response elements of a body to out, except those whose href is in seen.
-func appendResponses(out *bytes.Buffer, body []byte, seen map[string]bool) error {
+// appendResponses copies the response elements of a body to merged, except those whose href is in seen.
+func appendResponses(merged *bytes.Buffer, body []byte, seen map[string]bool) error {
 	r := newMultistatusReader(body)
 	for {
 		element, href, err := r.next()
@@ -105,7 +105,7 @@
 		}
 		if !seen[href] {
 			seen[href] = true
-			writeWithNamespaces(out, element, r.rootAttrs)
+			writeWithNamespaces(merged, element, r.rootAttrs)
 		}
 	}
 }
@@ -199,17 +199,17 @@
 
 // writeWithNamespaces writes an element. It adds the namespace declarations of the root to the start tag,
 // except those that the tag itself contains.
-func writeWithNamespaces(out *bytes.Buffer, element []byte, rootAttrs []xml.Attr) {
+func writeWithNamespaces(output *bytes.Buffer, element []byte, rootAttrs []xml.Attr) {
 	nameEnd := bytes.IndexAny(element, " \t\r\n/>")
 	startTag := element[:bytes.IndexByte(element, '>')+1]
-	out.Write(element[:nameEnd])
+	output.Write(element[:nameEnd])
 	for _, a := range rootAttrs {
 		name, ok := namespaceAttr(a)
 		if ok && !bytes.Contains(startTag, []byte(name+"=")) {
-			fmt.Fprintf(out, ` %s="%s"`, name, escape(a.Value))
+			fmt.Fprintf(output, ` %s="%s"`, name, escape(a.Value))
 		}
 	}
-	out.Write(element[nameEnd:])
+	output.Write(element[nameEnd:])
 }
 
 // namespaceAttr returns the name of an attribute with its prefix. ok reports whether the attribute
--- a/internal/webdav/webdav_test.go
+++ b/internal/webdav/webdav_test.go
@@ -70,7 +70,7 @@
 // Verifies that merging the listings of two shards, which declare namespaces in different ways, yields the
 // collection once and the members of both.
 func TestMergeMultistatus(t *testing.T) {
-	out, err := MergeMultistatus([][]byte{[]byte(listing1), []byte(listing2)}, 1<<20)
+	merged, err := MergeMultistatus([][]byte{[]byte(listing1), []byte(listing2)}, 1<<20)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -81,15 +81,15 @@
 			X    *struct{} `xml:"DAV: propstat>prop>x"`
 		} `xml:"DAV: response"`
 	}
-	if err := xml.Unmarshal(out, &m); err != nil {
-		t.Fatalf("%v in %s", err, out)
+	if err := xml.Unmarshal(merged, &m); err != nil {
+		t.Fatalf("%v in %s", err, merged)
 	}
 	var hrefs []string
 	for _, r := range m.Responses {
 		hrefs = append(hrefs, r.Href)
 	}
 	if strings.Join(hrefs, " ") != "/feed-a/ /feed-a/one /feed-a/t&wo" {
-		t.Errorf("got the members %v in %s", hrefs, out)
+		t.Errorf("got the members %v in %s", hrefs, merged)
 	}
 	// A truncated or foreign body, or a result over the limit, is an error and never a shorter listing.
 	for _, bad := range []string{listing1[:len(listing1)-20], "", "<html/>", listing1 + listing1, `<!DOCTYPE x><D:multistatus xmlns:D="DAV:"/>`} {
@@ -109,9 +109,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	out := string(ListVolumes(p, []string{"feed-a", "feed-b"}, "1"))
-	if strings.Count(out, "<D:response>") != 3 || strings.Count(out, "404 Not Found") != 3 || xml.Unmarshal([]byte(out), new(struct{})) != nil {
-		t.Error(out)
+	listing := string(ListVolumes(p, []string{"feed-a", "feed-b"}, "1"))
+	if strings.Count(listing, "<D:response>") != 3 || strings.Count(listing, "404 Not Found") != 3 || xml.Unmarshal([]byte(listing), new(struct{})) != nil {
+		t.Error(listing)
 	}
 	for _, bad := range []string{"<x/>", "<propfind/>", `<propfind xmlns="DAV:"/>`, `<propfind xmlns="DAV:"><allprop/><propname/></propfind>`, "<a",
 		`<!DOCTYPE a [<!ENTITY b "c">]><propfind xmlns="DAV:"><allprop/></propfind>`} {
@@ -126,9 +126,9 @@
 	f.Add([]byte(listing1))
 	f.Add([]byte(listing2))
 	f.Fuzz(func(t *testing.T, p []byte) {
-		if out, err := MergeMultistatus([][]byte{p}, 1<<20); err == nil {
-			if _, err := MergeMultistatus([][]byte{out}, 1<<20); err != nil {
-				t.Fatalf("%q is merged to %q, which cannot be merged", p, out)
+		if merged, err := MergeMultistatus([][]byte{p}, 1<<20); err == nil {
+			if _, err := MergeMultistatus([][]byte{merged}, 1<<20); err != nil {
+				t.Fatalf("%q is merged to %q, which cannot be merged", p, merged)
 			}
 		}
 	})
