--- a/internal/config/args.go
+++ b/internal/config/args.go
@@ -157,7 +157,7 @@
 }
 
 // IntList reads a list of whole numbers from 0 to high and of ranges of such numbers, such as 0,1,4-6.
-func (a *Args) IntList(name string, high int) (out []int) {
+func (a *Args) IntList(name string, high int) (numbers []int) {
 	w := a.Word(name)
 	for part := range strings.SplitSeq(w, ",") {
 		from, to, ranged := strings.Cut(part, "-")
@@ -170,9 +170,9 @@
 			a.Errorf("%s is %q, want numbers up to %d, such as 0,1 or 0-3", name, w, high)
 			return nil
 		}
-		for n := lo; n <= hi && len(out) <= high; n++ {
-			out = append(out, n)
+		for n := lo; n <= hi && len(numbers) <= high; n++ {
+			numbers = append(numbers, n)
 		}
 	}
-	return out
+	return numbers
 }
--- a/internal/nodelist/nodelist.go
+++ b/internal/nodelist/nodelist.go
@@ -35,8 +35,8 @@
 	Started     time.Time // wall-clock time at which the node's process started; zero means long ago
 }
 
-// stateWords are the words for the node states in the file, indexed by scheduler.NodeState.
-var stateWords = []string{
+// stateNames are the names of the node states in the file, indexed by scheduler.NodeState.
+var stateNames = []string{
 	scheduler.Serving:  "serving",
 	scheduler.Draining: "draining",
 	scheduler.Removed:  "gone",
@@ -103,7 +103,7 @@
 		case "shard":
 			node.Shard = args.Int(keyword, 0, maxZoneOrShard)
 		case "state":
-			node.State = scheduler.NodeState(args.OneOf(keyword, stateWords...))
+			node.State = scheduler.NodeState(args.OneOf(keyword, stateNames...))
 		case "started":
 			node.Started = time.UnixMilli(int64(args.Float(keyword) * 1000))
 		default:
@@ -123,7 +123,7 @@
 func Format(nodes []Node) []byte {
 	var b strings.Builder
 	for _, node := range nodes {
-		fmt.Fprintf(&b, "node %s %s zone %d shard %d state %s", node.Name, node.Addr, node.Zone, node.Shard, stateWords[node.State])
+		fmt.Fprintf(&b, "node %s %s zone %d shard %d state %s", node.Name, node.Addr, node.Zone, node.Shard, stateNames[node.State])
 		if !node.Started.IsZero() {
 			fmt.Fprintf(&b, " started %.3f", float64(node.Started.UnixMilli())/1000)
 		}
--- a/internal/subprocess/subprocess.go
+++ b/internal/subprocess/subprocess.go
@@ -36,22 +36,22 @@
 }
 
 // Start starts a command and waits until addr accepts connections. The command's standard output
-// and standard error go to out. If out is nil, standard output is discarded. The error for a command
-// that exits before it accepts connections includes its output if out is a file, and its standard
-// error if out is nil.
-func Start(addr string, out io.Writer, argv ...string) (*Process, error) {
-	return StartEnv(addr, out, nil, argv...)
+// and standard error go to output. If output is nil, standard output is discarded. The error for
+// a command that exits before it accepts connections includes what the command wrote if output is
+// a file, and its standard error if output is nil.
+func Start(addr string, output io.Writer, argv ...string) (*Process, error) {
+	return StartEnv(addr, output, nil, argv...)
 }
 
 // StartEnv is like Start but adds environment variables, each in the form "name=value".
-func StartEnv(addr string, out io.Writer, env []string, argv ...string) (*Process, error) {
+func StartEnv(addr string, output io.Writer, env []string, argv ...string) (*Process, error) {
 	var captured bytes.Buffer
 	cmd := command(argv)
 	cmd.Env = append(os.Environ(), env...)
-	if out == nil {
+	if output == nil {
 		cmd.Stderr = &captured
 	} else {
-		cmd.Stdout, cmd.Stderr = out, out
+		cmd.Stdout, cmd.Stderr = output, output
 	}
 	if err := cmd.Start(); err != nil {
 		return nil, err
@@ -60,7 +60,7 @@
 	go func() { p.exit <- cmd.Wait() }()
 	listening, err := p.waitListening(addr)
 	if err != nil {
-		return nil, fmt.Errorf("%v did not start: %v: %s", argv, err, output(out, &captured))
+		return nil, fmt.Errorf("%v did not start: %v: %s", argv, err, writtenOutput(output, &captured))
 	}
 	if !listening {
 		p.Kill()
@@ -100,10 +100,10 @@
 // errExited is returned by waitListening for a process that exited with status 0.
 var errExited = errors.New("exited with status 0")
 
-// output returns what a command has written: the content of the file if out is a file, and the
+// writtenOutput returns what a command has written: the content of the file if output is a file, and the
 // captured text otherwise.
-func output(out io.Writer, captured *bytes.Buffer) []byte {
-	if f, ok := out.(*os.File); ok {
+func writtenOutput(output io.Writer, captured *bytes.Buffer) []byte {
+	if f, ok := output.(*os.File); ok {
 		text, _ := os.ReadFile(f.Name())
 		return bytes.TrimSpace(text)
 	}
@@ -113,11 +113,11 @@
 // Output runs a command, waits for it to exit and returns its standard output. If the command
 // fails, the error includes its standard error.
 func Output(argv ...string) ([]byte, error) {
-	out, err := command(argv).Output()
+	stdout, err := command(argv).Output()
 	if exitErr := (*exec.ExitError)(nil); errors.As(err, &exitErr) {
 		err = fmt.Errorf("%v: %w: %s", argv, err, bytes.TrimSpace(exitErr.Stderr))
 	}
-	return out, err
+	return stdout, err
 }
 
 // Pid returns the process ID.
--- a/internal/supervisor/run_test.go
+++ b/internal/supervisor/run_test.go
@@ -73,7 +73,7 @@
 }
 
 // Verifies that a worker notices that its supervisor was killed: SendHeartbeats returns
-// ErrParentGone. Otherwise the worker would go on running and keep the listeners open.
+// ErrParentExited. Otherwise the worker would go on running and keep the listeners open.
 func TestHeartbeatsEndWithParent(t *testing.T) {
 	parentEnd, workerEnd, err := os.Pipe()
 	if err != nil {
@@ -86,7 +86,7 @@
 		t.Fatalf("with a parent: got %v, want nil", err)
 	}
 	parentEnd.Close()
-	if err := SendHeartbeats(workerEnd, func() bool { return true }, make(chan struct{})); !errors.Is(err, ErrParentGone) {
-		t.Errorf("without a parent: got %v, want ErrParentGone", err)
+	if err := SendHeartbeats(workerEnd, func() bool { return true }, make(chan struct{})); !errors.Is(err, ErrParentExited) {
+		t.Errorf("without a parent: got %v, want ErrParentExited", err)
 	}
 }
--- a/internal/syscalls/faulttable.go
+++ b/internal/syscalls/faulttable.go
@@ -74,31 +74,31 @@
 func ParseFaultTable(text string) (*FaultTable, error) {
 	t := &FaultTable{Seed: 1}
 	for entry := range strings.SplitSeq(text, ";") {
-		words := strings.Fields(entry)
-		if len(words) == 0 {
+		fields := strings.Fields(entry)
+		if len(fields) == 0 {
 			continue
 		}
-		if err := t.parseEntry(words); err != nil {
+		if err := t.parseEntry(fields); err != nil {
 			return nil, &FaultTableError{Entry: strings.TrimSpace(entry), Err: err}
 		}
 	}
 	return t, nil
 }
 
-// parseEntry parses the words of one entry and stores the result in the table.
-func (t *FaultTable) parseEntry(words []string) (err error) {
-	if len(words) < 2 {
+// parseEntry parses the fields of one entry and stores the result in the table.
+func (t *FaultTable) parseEntry(fields []string) (err error) {
+	if len(fields) < 2 {
 		return errors.New("want a keyword or system call and its value")
 	}
-	switch words[0] {
+	switch fields[0] {
 	case "seed":
-		t.Seed, err = strconv.ParseUint(words[1], 10, 64)
+		t.Seed, err = strconv.ParseUint(fields[1], 10, 64)
 		return err
 	case "step":
-		t.WallClockStep, err = time.ParseDuration(words[1])
+		t.WallClockStep, err = time.ParseDuration(fields[1])
 		return err
 	}
-	f, err := parseFault(words)
+	f, err := parseFault(fields)
 	if err != nil {
 		return err
 	}
@@ -107,9 +107,9 @@
 }
 
 // parseFault parses "CALL ERRNO" and the options after it.
-func parseFault(words []string) (Fault, error) {
-	f := Fault{Call: words[0], Probability: 1}
-	errno, known := errnoByName[words[1]]
+func parseFault(fields []string) (Fault, error) {
+	f := Fault{Call: fields[0], Probability: 1}
+	errno, known := errnoByName[fields[1]]
 	if !known || !slices.Contains(callNames, f.Call) {
 		return f, fmt.Errorf("want one of the system calls %v and a known errno name", callNames)
 	}
@@ -117,11 +117,11 @@
 	if errno == 0 && f.Call != "read" && f.Call != "write" {
 		return f, fmt.Errorf("%s applies to read and write only", shortTransfer)
 	}
-	if len(words)%2 != 0 {
+	if len(fields)%2 != 0 {
 		return f, errors.New("an option has no value")
 	}
-	for i := 2; i < len(words); i += 2 {
-		if err := f.parseOption(words[i], words[i+1]); err != nil {
+	for i := 2; i < len(fields); i += 2 {
+		if err := f.parseOption(fields[i], fields[i+1]); err != nil {
 			return f, err
 		}
 	}
