--- a/internal/admission/conn.go
+++ b/internal/admission/conn.go
@@ -92,7 +92,7 @@
 	if a.connsByListener[c.listener] == 0 {
 		delete(a.connsByListener, c.listener)
 	}
-	a.leaveState(c)
+	a.resetState(c)
 	if c.client.known {
 		a.knownConns--
 		a.knownAddresses.removeConn(a.now, c.client.address)
@@ -104,7 +104,7 @@
 
 // setState moves a connection to a state, and to the preemption queue that this implies.
 func (a *Admission) setState(c *conn, newState connState) {
-	a.leaveState(c)
+	a.resetState(c)
 	c.state, c.stateSince = newState, a.now
 	if newState != connIdle && !c.client.known {
 		a.unknownRequests++
@@ -120,8 +120,8 @@
 	}
 }
 
-// leaveState sets a connection's state to connIdle and removes it from its preemption queue.
-func (a *Admission) leaveState(c *conn) {
+// resetState sets a connection's state to connIdle and removes it from its preemption queue.
+func (a *Admission) resetState(c *conn) {
 	if c.state != connIdle && !c.client.known {
 		a.unknownRequests--
 	}
--- a/internal/orderedset/orderedset.go
+++ b/internal/orderedset/orderedset.go
@@ -123,11 +123,11 @@
 	case root == nil:
 		return nil
 	case root.key == key && root.tie == tie:
-		rest := s.join(root.left, root.right)
+		joined := s.join(root.left, root.right)
 		*root = node[T]{left: s.freeNodes}
 		s.freeNodes = root
 		s.size--
-		return rest
+		return joined
 	case root.before(key, tie):
 		root.right = s.remove(root.right, key, tie)
 	default:
--- a/internal/waitqueue/queue.go
+++ b/internal/waitqueue/queue.go
@@ -165,14 +165,14 @@
 		q.deferred.Remove(int64(item.deferredUntil), int64(item.Sequence))
 		item.state, item.deferredUntil = Suspended, 0
 	case Ready:
-		q.leaveSubqueues(item)
+		q.removeFromSubqueues(item)
 		item.state = Suspended
 	}
 }
 
-// leaveSubqueues removes a ready request from its subqueues. If it was the last ready request of an
+// removeFromSubqueues removes a ready request from its subqueues. If it was the last ready request of an
 // isolated owner, the owner is no longer isolated.
-func (q *Queue[R, P, O]) leaveSubqueues(item *Item[R, P, O]) {
+func (q *Queue[R, P, O]) removeFromSubqueues(item *Item[R, P, O]) {
 	item.ownerSubqueue.remove(item.keys())
 	if item.sharedSubqueue != nil {
 		item.sharedSubqueue.remove(item.keys())
