--- a/internal/daemon/node_list_source.go
+++ b/internal/daemon/node_list_source.go
@@ -24,13 +24,13 @@
 // it changes. If the file cannot be read or parsed, the error is logged and the last valid list stays in
 // effect.
 type nodeListSource struct {
-	path    string
-	log     *slog.Logger
-	loop    *eventloop.Loop
-	gateway *gateway.Gateway
-	text    []byte          // as last read, valid or not; unchanged text is not applied again
-	initial []nodelist.Node // first list; nil after start
-	pollDue atomic.Bool     // set by background, cleared by onWake
+	path      string
+	log       *slog.Logger
+	loop      *eventloop.Loop
+	gateway   *gateway.Gateway
+	text      []byte          // as last read, valid or not; unchanged text is not applied again
+	initial   []nodelist.Node // first list; nil after start
+	isPollDue atomic.Bool     // set by background, cleared by onWake
 }
 
 // newNodeListSource reads the node list at path. It returns an error if the list is not valid.
@@ -55,7 +55,7 @@
 }
 
 func (s *nodeListSource) onWake() {
-	if s.pollDue.Swap(false) {
+	if s.isPollDue.Swap(false) {
 		s.refresh()
 	}
 }
@@ -70,7 +70,7 @@
 		case <-quit:
 			return
 		case <-ticker.C:
-			s.pollDue.Store(true)
+			s.isPollDue.Store(true)
 			s.loop.Wake()
 		}
 	}
--- a/internal/discovery/agent_test.go
+++ b/internal/discovery/agent_test.go
@@ -195,17 +195,17 @@
 	const span = 20 * time.Second
 	for _, delay := range []Time{150 * time.Millisecond, 400 * time.Millisecond, 900 * time.Millisecond, 1900 * time.Millisecond} {
 		h := newAgentHarness(t)
-		dueAt := map[int]Time{h.lastConn: h.now + delay}
-		h.onRequest = func(conn int, _ string) { dueAt[conn] = h.now + delay }
+		responseAt := map[int]Time{h.lastConn: h.now + delay}
+		h.onRequest = func(conn int, _ string) { responseAt[conn] = h.now + delay }
 		index, lists := 40, 0
 		for end := h.now + span; h.now < end; {
 			h.advance(5 * time.Millisecond)
-			for conn, due := range dueAt {
+			for conn, due := range responseAt {
 				if !h.open[conn] {
-					delete(dueAt, conn)
+					delete(responseAt, conn)
 				} else if h.now >= due {
 					index++
-					delete(dueAt, conn)
+					delete(responseAt, conn)
 					delete(h.pendingRequests, conn)
 					h.deliver(conn, httpResponse(listJSON(index, true, endpointJSON("a", "up"))))
 					h.step()
--- a/internal/eventloop/accept.go
+++ b/internal/eventloop/accept.go
@@ -87,7 +87,7 @@
 type acceptBudget struct {
 	remaining int           // number of connections that may still be accepted
 	until     time.Duration // time at which accepting stops, by the loop's clock
-	spent     bool          // set when no more is accepted in this iteration
+	exhausted bool          // set when no more is accepted in this iteration
 }
 
 // serveListeners runs the accept phase of an iteration that began at iterationStart. Actions
@@ -112,7 +112,7 @@
 		budget.remaining = maxAcceptsShared
 	}
 	for _, knownClients := range []bool{true, false} {
-		for more := true; more && !budget.spent; {
+		for more := true; more && !budget.exhausted; {
 			more = l.acceptRound(knownClients, &budget)
 		}
 	}
@@ -130,12 +130,12 @@
 		budget.remaining--
 		if budget.remaining == 0 || l.accepting.paused() || l.Now() >= budget.until {
 			l.accepting.firstListener++
-			budget.spent = true
+			budget.exhausted = true
 			return false
 		}
 	}
 	if l.accepting.paused() {
-		budget.spent = true
+		budget.exhausted = true
 	}
 	return more
 }
--- a/internal/eventloop/filewatch.go
+++ b/internal/eventloop/filewatch.go
@@ -58,8 +58,8 @@
 }
 
 // nextInotifyEvent decodes the first struct inotify_event (see inotify(7)) in p and returns the
-// bytes after it as rest.
-func nextInotifyEvent(p []byte) (mask uint32, name, rest []byte) {
+// bytes after it as remaining.
+func nextInotifyEvent(p []byte) (mask uint32, name, remaining []byte) {
 	const maskOffset, nameLengthOffset = 4, 12
 	mask = binary.NativeEndian.Uint32(p[maskOffset:])
 	nameLength := int(binary.NativeEndian.Uint32(p[nameLengthOffset:]))
--- a/internal/eventloop/listen.go
+++ b/internal/eventloop/listen.go
@@ -66,11 +66,11 @@
 	if !twoQueues {
 		return sa, nil
 	}
-	secondFD, err := openBoundSocket(sa, family, true)
+	knownClientsFD, err := openBoundSocket(sa, family, true)
 	if err != nil {
 		return nil, err
 	}
-	if err := l.startListener(&listener{fd: secondFD, addressKey: fd, knownClients: true}); err != nil {
+	if err := l.startListener(&listener{fd: knownClientsFD, addressKey: fd, knownClients: true}); err != nil {
 		return nil, err
 	}
 	if l.SetKnownClientFilter(filter) != nil { // an old kernel: one queue takes all connections
