--- a/scheduler/actions.go
+++ b/scheduler/actions.go
@@ -3,8 +3,8 @@
 import "time"
 
 // Action is an instruction to the caller of Handle: a Send, Reject, Fail, SetTimer or WatchEndpoints.
-// Each request gets one final response, unless its client disconnects: the response of the attempt
-// whose AttemptEnded has Responded set, a Reject or a Fail.
+// Each request gets one final response: the response of the attempt whose AttemptEnded has Responded
+// set, a Reject or a Fail. A request whose client disconnects before that gets none.
 type Action interface{ action() }
 
 // Send starts an attempt of a request at a node. The caller reports the end of the attempt with
--- a/scheduler/attempts.go
+++ b/scheduler/attempts.go
@@ -9,7 +9,7 @@
 type attempt struct {
 	request *request
 	node    *node
-	// sentAt is the time of the send, moved forward by the time that the attempt was stalled.
+	// sentAt is the time of the send, moved forward by the length of each stall that has ended.
 	sentAt    Time
 	stalledAt Time // start of the current stall, 0 if there is none (see AttemptStalled)
 	// filledWindow reports whether the attempt left no room for another one in the node's window.
@@ -17,7 +17,7 @@
 }
 
 // inFlightSince returns the time since which the attempt has been in flight: the time of its send,
-// moved forward by the time that it was stalled.
+// moved forward by the length of its stalls, including the current one.
 func (a *attempt) inFlightSince(now Time) Time {
 	if a.stalledAt > 0 {
 		return a.sentAt + now - a.stalledAt
@@ -63,7 +63,7 @@
 	}
 }
 
-// handleAttemptEnded updates the state of the node by an attempt's outcome. It then completes the
+// handleAttemptEnded updates the state of the node from an attempt's outcome. It then completes the
 // request or queues it for a retry.
 func (s *Scheduler) handleAttemptEnded(e AttemptEnded) {
 	id := attemptID{e.ID, uint64(e.Attempt)}
--- a/scheduler/backpressure.go
+++ b/scheduler/backpressure.go
@@ -18,9 +18,9 @@
 	// pressureHalfLifeObjectivesLate is the same for requests that are expected to miss their latency
 	// objective. It is longer because these requests have too little weight to be sent as soon.
 	pressureHalfLifeObjectivesLate = 4.0
-	// halfLifeFactorPerInstance multiplies the half-life for each further instance that the volume's
-	// requests arrive through, so that all instances together try the node about as often as a single
-	// one.
+	// halfLifeFactorPerInstance makes the half-life longer if the volume's requests arrive through n
+	// instances: the half-life is multiplied by halfLifeFactorPerInstance*(n-1), but at least by 1.
+	// All instances together thus try the node about as often as a single one.
 	halfLifeFactorPerInstance = 2.0
 )
 
--- a/scheduler/circuit_breaker.go
+++ b/scheduler/circuit_breaker.go
@@ -29,7 +29,7 @@
 	trialAt       Time
 	trialInterval time.Duration
 	// consecutiveFailures is the number of failed and reset connections since the last response other
-	// than "queue full", or since the restart of the node. A time-out leaves it unchanged.
+	// than "queue full", or since the restart of the node. A timeout leaves it unchanged.
 	consecutiveFailures int
 }
 
--- a/scheduler/circuit_breaker_test.go
+++ b/scheduler/circuit_breaker_test.go
@@ -66,7 +66,7 @@
 
 // Guards against open breakers of healthy nodes when the machine of the instance runs out of file
 // descriptors or memory, which stalls its attempts. The stalled time must count neither as time
-// without a response nor as latency. A time-out of a stalled attempt must not count against the node.
+// without a response nor as latency. A timeout of a stalled attempt must not count against the node.
 func TestStalledAttemptsDoNotCountAgainstNode(t *testing.T) {
 	h := newHarness(t, testSettings(), nodeA)
 	n := h.scheduler.members.nodes[0]
--- a/scheduler/deadlines.go
+++ b/scheduler/deadlines.go
@@ -10,8 +10,9 @@
 	// reaches the client in time.
 	expiryMargin = 10 * time.Millisecond
 	// firstAttemptWaitFraction is the fraction of its remaining time that a request waits for its
-	// first attempt if others are sent before it. Such a request is unlikely to be served in the rest
-	// of its time. If it is rejected at this point, its client still has time to retry.
+	// first attempt if others are sent before it, but it waits at least until its latency deadline.
+	// Such a request is unlikely to be served in the rest of its time. If it is rejected at this
+	// point, its client still has time to retry.
 	firstAttemptWaitFraction = 0.5
 	// minOvertakingSends is the number of requests that have to be sent to the node in the meantime
 	// for such a rejection. At a node to which this instance rarely sends, a long wait means little.
--- a/scheduler/deadlines_test.go
+++ b/scheduler/deadlines_test.go
@@ -39,7 +39,7 @@
 }
 
 // Guards against rejections that come too late for the client to retry. Under overload, requests of
-// other volumes may be sent before a request until its deadline. Such a request is rejected after half
+// other volumes may keep a request waiting until its deadline. Such a request is rejected after half
 // of its time. A request at a node to which little is sent keeps all of its time.
 func TestOvertakenRequestIsRejectedAtHalfOfItsTime(t *testing.T) {
 	rejectedAfter := func(overtakers int) time.Duration {
--- a/scheduler/dispatch.go
+++ b/scheduler/dispatch.go
@@ -170,7 +170,7 @@
 
 // isIdleTrialDue reports whether a node with nothing in flight is sent a request although no response is
 // expected by its deadline. Only new responses correct an expected latency that is too long, for
-// example after a time-out. Without a trial request the node would never be sent anything again.
+// example after a timeout. Without a trial request the node would never be sent anything again.
 func (s *Scheduler) isIdleTrialDue(n *node) bool {
 	return len(n.inFlight) == 0 && s.now >= n.lastSendAt+maxTrialInterval
 }
--- a/scheduler/dispatch_test.go
+++ b/scheduler/dispatch_test.go
@@ -20,7 +20,7 @@
 	assertEqual(t, "sent", h.sentIDs(), []uint64{1, 3})
 }
 
-// Guards against a node that never gets a request again after a time-out. Its expected latency is then
+// Guards against a node that never gets a request again after a timeout. Its expected latency is then
 // past every deadline, and only a response can correct it. The node must therefore get a trial request
 // after a while without sends.
 func TestIdleNodeGetsTrialRequestAfterTimeout(t *testing.T) {
@@ -44,5 +44,5 @@
 			actions = scheduler.Handle(now, []Event{TimerFired{}})
 		}
 	}
-	t.Error("the node got no request after the time-out")
+	t.Error("the node got no request after the timeout")
 }
--- a/scheduler/estimates.go
+++ b/scheduler/estimates.go
@@ -36,7 +36,7 @@
 
 func newEstimates() estimates { return estimates{servedUnitsByShard: map[int]*decayingSum{}} }
 
-// observation is the measurement of one response, or of a failure that is counted like a response.
+// observation is the measurement of one response. A timeout or a full queue is counted like a response.
 type observation struct {
 	latency         float64 // seconds
 	waitingFraction float64 // fraction of the latency objective spent waiting at the node
@@ -64,7 +64,7 @@
 	s.estimates.allNodes.add(s.now, 1, o.latency, o.clampedWaitingFraction())
 }
 
-// observeAtNode counts an observation for its node alone. Time-outs and full queues are counted this
+// observeAtNode counts an observation for its node alone. Timeouts and full queues are counted this
 // way. Otherwise a few hung nodes would raise the pressure of all nodes, and requests for healthy ones
 // would be held back.
 func (s *Scheduler) observeAtNode(n *node, o observation) {
@@ -101,9 +101,9 @@
 
 // waitingTime returns the seconds of a response's latency that were spent waiting: the latency less
 // the estimated service time, which this response has already updated. If the node reported its load,
-// the result is the mean of this time and the service time of as many mean requests. Because the
-// report counts only half, a node whose reports are stale or wrong is still judged by its latency. An
-// invalid report is ignored.
+// the result is the average of this time and the service time of as many requests of mean size.
+// Because the report counts only half, a node whose reports are stale or wrong is still judged by its
+// latency. An invalid report is ignored.
 func (s *Scheduler) waitingTime(latency float64, r *request, e AttemptEnded) float64 {
 	waitedSeconds := latency - s.estimates.unitServiceTime*r.Units
 	if !e.HasLoadReport || e.ReportedLoad < 0 || !(e.ReportedLoad < math.Inf(1)) {
--- a/scheduler/estimates_test.go
+++ b/scheduler/estimates_test.go
@@ -8,7 +8,8 @@
 
 // Verifies the estimate of a node with few observations: it is blended with the responses of all
 // nodes, because with many instances each gets a response from a node only every few seconds. Old
-// responses count less. Failures count as responses that waited for all of the latency objective.
+// responses count less. Timeouts and full queues count as responses that waited for all of the latency
+// objective.
 func TestFewObservationsAreBlendedWithAllNodes(t *testing.T) {
 	newAttempt := func(n *node) *attempt {
 		return &attempt{request: &request{Arrival: newArrival(1), class: &Class{LatencyObjective: 200 * ms}}, node: n}
@@ -82,8 +83,8 @@
 	}
 }
 
-// Guards against time-outs at a few hung nodes that raise the pressure of all nodes, so that instances
-// hold back requests for healthy nodes. A time-out must count for its own node only.
+// Guards against timeouts at a few hung nodes that raise the pressure of all nodes, so that instances
+// hold back requests for healthy nodes. A timeout must count for its own node only.
 func TestTimeoutsCountAtTheirNodeAlone(t *testing.T) {
 	h := newHarness(t, testSettings(), nodeA, nodeB)
 	for id := uint64(1); id <= 6; id++ {
--- a/scheduler/fair_queue.go
+++ b/scheduler/fair_queue.go
@@ -23,7 +23,7 @@
 //	F = S + cost/φ
 //
 // In addition to the paper, units within the volume's reserve get S = v and do not count in F. As in
-// mClock, reserves are thus served first, and the rest is shared by weight.
+// the mClock scheduler, reserves are thus served first, and the rest is shared by weight.
 func (s *Scheduler) tag(r *request, n *node) {
 	v := r.volume
 	nodeStream := v.streams[n]
--- a/scheduler/key_order.go
+++ b/scheduler/key_order.go
@@ -57,8 +57,8 @@
 	order.cooldownUntil, order.cooldownOwner = s.now+s.settings.KeyCooldown, r
 }
 
-// removeFromKeyOrder removes a request that is over from the order of its key, and makes the next request
-// ready.
+// removeFromKeyOrder removes a request from the order of its key and makes the next request ready. It
+// has no effect until the request is completed and none of its attempts is in flight.
 func (s *Scheduler) removeFromKeyOrder(r *request) {
 	order := s.keyOrders[r.Key]
 	if order == nil || r.state != completed || r.inFlight > 0 {
--- a/scheduler/key_order_test.go
+++ b/scheduler/key_order_test.go
@@ -4,9 +4,9 @@
 	"testing"
 )
 
-// Verifies that writes with one key do not overtake each other. An attempt may still be running after
-// its request got its response, so the next request of the key waits for the outcome of the attempt
-// and for a cooldown.
+// Verifies that requests with one key do not overtake each other. When its client has disconnected or
+// it has timed out, an attempt may still be running on its node. The next request of the key therefore
+// waits for the outcome of the attempt and for a cooldown.
 func TestRequestsOfOneKeyRunInOrder(t *testing.T) {
 	s := testSettings(func(s *Settings) {
 		s.Classes[0].Ordered, s.Classes[0].LateWeightFactor, s.KeyCooldown = true, 1, 300*ms
--- a/scheduler/limits.go
+++ b/scheduler/limits.go
@@ -1,7 +1,8 @@
 package scheduler
 
 // The limit of a plan bounds a volume's first attempts with a token bucket. Each instance holds an
-// even share of it. The bucket starts empty, because what was sent before a restart is not known.
+// even share of it. The bucket is empty when the instance starts, because what was sent before a
+// restart is not known, and fills from then on, even before the volume's first request.
 
 // setLimit sets the rate and capacity of this instance's share.
 func (v *volume) setLimit() {
--- a/scheduler/membership.go
+++ b/scheduler/membership.go
@@ -34,7 +34,7 @@
 	pacingJitter   float64 // random factor on the pacing gap after the last send
 	sendCount      int     // number of sends so far
 
-	observations   observations // responses and failures of this node alone
+	observations   observations // responses, timeouts and full queues of this node alone
 	latency        float64      // estimated time to a response, in seconds
 	pressure       float64      // estimated fraction of the latency objectives spent waiting, 0 to 1
 	lastResponseAt Time         // time of the last response, or when the node joined or restarted
--- a/scheduler/outcomes.go
+++ b/scheduler/outcomes.go
@@ -1,6 +1,6 @@
 package scheduler
 
-// recordOutcome updates the state of a node by an attempt's outcome: its estimated latency and
+// recordOutcome updates the state of a node from an attempt's outcome: its estimated latency and
 // pressure, its concurrency window and its circuit breaker. Cancelled and NotSent attempts say nothing
 // about the node.
 func (s *Scheduler) recordOutcome(n *node, a *attempt, e AttemptEnded) {
--- a/scheduler/reference_test.go
+++ b/scheduler/reference_test.go
@@ -6,8 +6,9 @@
 // Read this file if TestSameAsReference fails and the first differing action does not explain the
 // failure, or before a change that is meant to change decisions. Such a change is made here as well,
 // in the most direct form. The reference is not part of the gateway, and its logic is kept as it was
-// written. Constants, types, fields and methods have the names of their counterparts in the scheduler
-// and mean the same. One line deviates on purpose and is marked.
+// written. Most constants, types, fields and methods have the name of their counterpart in the
+// scheduler and mean the same. One line deviates on purpose from the earlier form and is marked.
+// Events that the histories do not contain, AttemptStalled and AttemptResumed, are not handled.
 package scheduler_test
 
 import (
@@ -227,7 +228,7 @@
 	a.Units = max(a.Units, 0)
 	r := &request{Arrival: a, sequence: ref.sequence, class: &ref.settings.Classes[a.Class], volume: ref.upsertVolume(a)}
 	r.deadline = ref.now + a.TimeRemaining
-	r.latencyDeadline = min(ref.now+r.class.LatencyObjective, r.deadline) // deviates on purpose: no latency deadline is after the deadline
+	r.latencyDeadline = min(ref.now+r.class.LatencyObjective, r.deadline) // deviates on purpose, as the scheduler does: no latency deadline is after the deadline
 	r.expiresAt = max(ref.now+Time(firstAttemptWaitFraction*float64(a.TimeRemaining)), r.latencyDeadline)
 	if c := r.class; a.ClientRetry && c.Deadline > a.TimeRemaining {
 		r.latencyDeadline = min(r.latencyDeadline, ref.now+c.LatencyObjective-(c.Deadline-a.TimeRemaining))
@@ -445,7 +446,7 @@
 func (ref *reference) observe(n *node, latencySeconds, fraction float64, isResponse bool) {
 	fraction = min(max(fraction, 0), 1)
 	if n.observations.add(ref.now, 1, latencySeconds, fraction); isResponse {
-		ref.allNodes.add(ref.now, 1, latencySeconds, fraction) // a failure counts for its node alone
+		ref.allNodes.add(ref.now, 1, latencySeconds, fraction) // timeouts and full queues count for their node alone
 	}
 }
 
--- a/scheduler/requests.go
+++ b/scheduler/requests.go
@@ -21,7 +21,7 @@
 const (
 	// awaitingResponse requests have no response yet.
 	awaitingResponse requestState = iota
-	// responding requests have sent part of a streamed response to the client.
+	// responding requests have a streamed response of which the client was sent a part.
 	responding
 	// completed requests have their final response, or their client disconnected. An attempt may still
 	// be in flight.
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -30,7 +30,7 @@
 	maxPriorityWeight float64       // the highest priority weight of a unit, over all classes and plans
 
 	requests      map[uint64]*request    // requests without a final response, by id
-	expiryReasons map[uint64]Reason      // of the requests that the current call of Handle ended, see ExpiryReason
+	expiryReasons map[uint64]Reason      // wait reasons of requests that the last call of Handle ended, see ExpiryReason
 	attempts      map[attemptID]*attempt // attempts without an outcome
 	volumes       map[string]*volume
 	keyOrders     map[string]*keyOrder
--- a/scheduler/send_rules.go
+++ b/scheduler/send_rules.go
@@ -3,7 +3,7 @@
 // Send rules: the conditions that keep a ready request from being sent. A request waits while a rule
 // blocks it. Dispatch evaluates the rules of a node first, then those of a profile, then those of
 // single requests, so that it does not have to look at most requests. WaitReason evaluates all rules
-// in the order of the reasons, except for suspended requests.
+// in the order of the reasons, but none of them for a suspended request, which is not ready.
 
 // Reason says why a request is not sent now.
 type Reason int
@@ -38,8 +38,8 @@
 	reasonCount
 )
 
-// reasonNames are the values of wait_reason in the log. The log gives the reasons only of requests
-// that wait at a node, so no-node does not occur there.
+// reasonNames are the values of wait_reason in the log. The log gives the reason of the request that
+// expires first at a node, and of a request that was not sent in time.
 var reasonNames = [reasonCount]string{
 	ReasonAllowed:       "allowed",
 	ReasonNoNode:        "no-node",
--- a/scheduler/window.go
+++ b/scheduler/window.go
@@ -67,8 +67,8 @@
 // nextSendAt returns when the window allows the next send. While the window has room, the result is 0,
 // for at once. While it is full, the result is never, because only a response makes room. A window of
 // less than 1 paces sends: there is one request in flight at a time, and the gap between sends is the
-// latency of the node divided by the window (as in Swift), varied at random so that instances do not
-// send in step.
+// latency of the node divided by the window (as in the Swift congestion control), varied at random so
+// that instances do not send in step.
 func (n *node) nextSendAt() Time {
 	switch {
 	case float64(len(n.inFlight))+1 <= n.window:
--- a/scheduler/window_test.go
+++ b/scheduler/window_test.go
@@ -22,7 +22,7 @@
 }
 
 // Guards against a slow node whose queue stays full, so that it serves next to nothing. This happens
-// if each of a hundred instances keeps one request in flight there. After a time-out or a full queue,
+// if each of a hundred instances keeps one request in flight there. After a timeout or a full queue,
 // the window allows one request for all instances together.
 func TestTimeoutCollapsesWindow(t *testing.T) {
 	for _, c := range []struct {
@@ -32,9 +32,9 @@
 		outcome         Outcome
 		want            float64
 	}{
-		{"time-out at a single instance", 1, 1, TimedOut, 1},
+		{"timeout at a single instance", 1, 1, TimedOut, 1},
 		{"more instances reported than there are", 4, 99, TimedOut, 1.0 / 4},
-		{"time-out at many instances", 100, 10, TimedOut, 1 / (instancesPerNodeFactor * 10)},
+		{"timeout at many instances", 100, 10, TimedOut, 1 / (instancesPerNodeFactor * 10)},
 		{"queue full at many instances", 100, 10, QueueFull, 1 / (instancesPerNodeFactor * 10)},
 	} {
 		t.Run(c.name, func(t *testing.T) {
