--- a/internal/invariant/checker.go
+++ b/internal/invariant/checker.go
@@ -7,7 +7,7 @@
 	Rule      Rule
 	Withheld  bool   // true if the attempt was withheld, so that the rule was not violated
 	Request   uint64 // the gateway's number of the request
-	RequestID string // the client's ID of the request, or the gateway's; set by the gateway
+	RequestID string // the client's ID of the request, or the gateway's if it has none; set by the gateway
 	Node      string // node of the attempt; "" if the rule does not concern attempts
 	Attempt   int    // number of the attempt, counted from 0
 	Now       Time   // time of the check
--- a/internal/invariant/rules.go
+++ b/internal/invariant/rules.go
@@ -85,8 +85,8 @@
 	// disconnectGrace is the time after a client's disconnection within which an attempt may still
 	// be written.
 	disconnectGrace = 100 * time.Millisecond
-	// maxEncodingAge is the longest time between the encoding of an attempt, which contains the
-	// timeout that was left at that moment, and its write.
+	// maxEncodingAge is the longest tolerated time between the encoding of an attempt and its write.
+	// The encoded attempt contains the timeout as of its encoding.
 	maxEncodingAge = 20 * time.Millisecond
 )
 
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -37,8 +37,8 @@
 	Addr     string             // host:port
 	// AddressChanged is set if the node is new, has a new address or start time, or is missing from a
 	// full list. Connections opened and addresses cached before the change then lead to another
-	// address or to an incarnation that has ended. A removal by an update that is not Full does not
-	// set AddressChanged.
+	// address or to an incarnation that has ended. A removal by an update that is not Full does not by
+	// itself set AddressChanged.
 	AddressChanged bool
 }
 
--- a/internal/orderedset/orderedset.go
+++ b/internal/orderedset/orderedset.go
@@ -1,5 +1,5 @@
-// Package orderedset provides a set that is sorted by an integer key. Best also finds the best item
-// by another order among the items whose key is at least a given value.
+// Package orderedset provides a set that is sorted by an integer key. Among the items whose key is at
+// least a given value, the set also finds the best one by another order.
 //
 // The set is a treap in which each node stores the best item of its subtree by each of the other
 // orders. Add, Remove and Best take expected time logarithmic in the size of the set. The priorities
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -6,9 +6,9 @@
 
 import "time"
 
-// Site is the settings object. The JSON keys are the names that users know, the fields have the names
-// that the scheduler uses; scheduler.Settings describes their meaning. All times are in microseconds
-// (see Microseconds). Unknown keys are ignored.
+// Site is the settings object. The JSON keys are the names that users know. The fields have the names
+// that the scheduler uses, and scheduler.Settings describes their meaning. All times are in
+// microseconds (see Microseconds). Unknown keys are ignored.
 type Site struct {
 	Instances  int        `json:"fleetSize"`
 	Discovery  string     `json:"discovery"` // discoveryPoll; any other value means pushed updates
--- a/internal/settings/validate.go
+++ b/internal/settings/validate.go
@@ -21,7 +21,8 @@
 }
 
 // Validate returns nil, or a joined error with one *Error for each invalid value. It rejects unknown
-// effects because their zero value, scheduler.Safe, would let writes run twice.
+// effects because Settings would convert them to the zero value, scheduler.Safe, and writes could
+// then run twice.
 func (site *Site) Validate() error {
 	var p problems
 	for i := range site.Classes {
--- a/internal/waitqueue/queue.go
+++ b/internal/waitqueue/queue.go
@@ -5,7 +5,8 @@
 //
 // A request is queued from Add until Remove or RemoveExpired. While queued it is Ready, Deferred or
 // Suspended. A request's profile is everything that the caller's rules depend on, apart from times
-// and order. Ready requests with the same profile are in the same subqueue.
+// and order. Ready requests with the same profile are in the same subqueue. A request's owner is the
+// tenant that it belongs to. The scheduler has one queue for each node, and the owners are volumes.
 package waitqueue
 
 import (
@@ -19,8 +20,8 @@
 // Queue holds the requests that wait for one server. Use New. A Queue is not safe for concurrent use.
 //
 // The set queued holds every queued request, and the set deferred also holds the Deferred requests.
-// A Ready request is also in one subqueue of its owner and, unless the owner is isolated, in the
-// shared subqueue of its profile.
+// A Ready request is also in one subqueue of its owner and, unless the owner is isolated (see
+// Isolate), in the shared subqueue of its profile.
 type Queue[R Waiter[R, P, O], P, O comparable] struct {
 	// Shared lists the shared subqueues, one for each profile. They hold the ready requests of all
 	// owners that are not isolated. Some may be empty.
