--- a/scheduler/events.go
+++ b/scheduler/events.go
@@ -60,9 +60,9 @@
 	// Cancelled means that this instance gave the attempt up, for example because the client
 	// disconnected.
 	Cancelled
-	// NotSent means that the attempt did not run, for a reason other than the node: its time to start
-	// had passed (Send.StartBefore), its request was over, or a reused connection was closed before
-	// the attempt was written to it.
+	// NotSent means that the attempt did not run, for a reason other than the node. For example, its
+	// time to start had passed (Send.StartBefore), its request was over, this instance could open no
+	// further connection, or a reused connection was closed before the attempt was written to it.
 	NotSent
 )
 
--- a/scheduler/fair_queue_test.go
+++ b/scheduler/fair_queue_test.go
@@ -26,8 +26,8 @@
 		// φ = 1/4, so cost 1 adds 4 to F. The delay is the two units sent elsewhere, below its bound
 		// of 2/(3/4) = 2.67.
 		{"two nodes", testSettings(twoPlans), []step{{"f", 0, 0, 1, 0, 4}, {"f", 0, 1, 2, 0, 8}, {"f", 0, 0, 2, 4 + 8, 20}}},
-		// Nine units were sent elsewhere. The delay is bounded to 1/(3/4) = 4/3, which adds 16/3 at φ
-		// = 1/4.
+		// Nine units were sent elsewhere. The delay is bounded to 1/(3/4) = 4/3, which at φ = 1/4 adds
+		// 16/3.
 		{"the bound on the delay", testSettings(twoPlans), []step{{"f", 0, 0, 1, 0, 4}, {"f", 0, 1, 9, 0, 36}, {"f", 0, 0, 1, 4 + 16.0/3, 8 + 16.0/3}}},
 		{"weights", testSettings(twoPlans), []step{{"f", 0, 0, 3, 0, 12}, {"g", 1, 0, 3, 0, 4}, {"g", 1, 0, 3, 4, 8}}},
 		{"zero weights count as equal", testSettings(twoPlans, func(s *Settings) { s.Plans[0].Weight, s.Plans[1].Weight = 0, 0 }),
--- a/scheduler/slow_start.go
+++ b/scheduler/slow_start.go
@@ -18,8 +18,8 @@
 	// slowStartRateFraction divides an instance's even share for one overload window. This fraction
 	// (two thirds) is added to the bucket within a window, and the rest is the capacity of the bucket.
 	// The units sent within any window thus do not exceed the even share, except for the debt into
-	// which one request may take the bucket. The share by units served before is not divided in this
-	// way, because it is a lower bound of the capacity of the node.
+	// which one request may take the bucket. The share in proportion to the units served before is not
+	// divided in this way, because it is a lower bound of the capacity of the node.
 	slowStartRateFraction = 0.67
 	// servedHalfLife is the time after which the units served on a shard count half.
 	servedHalfLife = 30 * time.Second
