--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -17,8 +17,8 @@
 	"maddergap/internal/gateway"
 )
 
-// Daemon is a gateway instance with its event loop. Fields that are not atomic are accessed only by
-// the goroutine that calls Run, once Run has been called.
+// Daemon is a gateway instance with its event loop. While Run runs, only its goroutine may use
+// the gateway and the loop (except for Wake), or change a field that is not atomic.
 type Daemon struct {
 	config      *config.Config // configuration in effect
 	startConfig *config.Config // configuration at the start; nil on a platform
@@ -138,7 +138,8 @@
 	return nil
 }
 
-// onWake handles the requests of other goroutines. It is called on the loop's goroutine after a wake.
+// onWake carries out a reload or a stop that another goroutine has requested, and notifies the membership
+// source. It is called on the loop's goroutine after a wake.
 func (d *Daemon) onWake() {
 	d.members.onWake()
 	if d.reloadRequested.Swap(false) {
--- a/internal/daemon/discovery_log.go
+++ b/internal/daemon/discovery_log.go
@@ -9,8 +9,8 @@
 	"maddergap/internal/gateway"
 )
 
-// outageAfter is the time without a usable response after which an outage of discovery is logged. The
-// time until which discovery may hold a watch does not count.
+// outageAfter is the time without a usable response after which an outage of discovery is logged. Time
+// during which discovery may hold a watch does not count.
 const outageAfter = time.Second
 
 // outageLog logs when discovery becomes unavailable, why its responses are rejected during the outage,
@@ -58,10 +58,11 @@
 // maxNodeStateLines bounds the number of nodes that are logged at a time.
 const maxNodeStateLines = 64
 
-// nodeStateLog logs, at an interval, the scheduler's state of each node and the connections to it. The
-// scheduler's number of attempts in flight may differ from the number of connections with an attempt
-// until the scheduler is notified of a change. in_window also leaves out attempts that were written off
-// when the node's circuit breaker opened.
+// nodeStateLog logs, at an interval, the scheduler's state of each node and the connections to it. A
+// line has "mismatch" set if in_flight, the scheduler's number of attempts, differs from
+// active_connections, the number of connections with an attempt. The two may differ for a moment, until
+// the scheduler is notified of a change. in_window leaves out attempts that were written off when the
+// node's circuit breaker opened.
 type nodeStateLog struct {
 	log      *slog.Logger
 	interval time.Duration // nothing is logged if 0
--- a/internal/daemon/discovery_log_test.go
+++ b/internal/daemon/discovery_log_test.go
@@ -13,7 +13,7 @@
 
 // Verifies that the log has exactly one line for each change, however often the instance calls
 // discovery: discovery sends no usable list for ten seconds, recovers, and fails again after that.
-// Silence while discovery may hold a watch is no outage.
+// Silence while discovery may hold a watch is not logged as an outage.
 func TestOutageLogHasOneLineForEachChange(t *testing.T) {
 	var b bytes.Buffer
 	o := outageLog{log: slog.New(slog.NewTextHandler(&b, nil)), startedAt: time.Hour}
--- a/internal/daemon/iterations.go
+++ b/internal/daemon/iterations.go
@@ -18,8 +18,8 @@
 	slowIterationLinesPerSecond = 1
 	// slowPhaseThreshold is the duration from which a phase is included in such a line.
 	slowPhaseThreshold = time.Millisecond
-	// longestPeriod is the length of the periods for which the longest iteration is kept. The values of
-	// the current and the previous period are kept.
+	// longestPeriod is the length of the periods whose longest durations are recorded. Those of the
+	// current and the previous period are kept.
 	longestPeriod = time.Minute
 )
 
--- a/internal/daemon/listeners.go
+++ b/internal/daemon/listeners.go
@@ -8,8 +8,8 @@
 	"maddergap/internal/eventloop"
 )
 
-// OpenListeners opens the listeners that the workers of a configuration share. It returns a loop that
-// holds them and is not run itself.
+// OpenListeners opens the listeners that the workers of a configuration share. The returned loop only
+// holds them and is not run.
 func OpenListeners(c *config.Config) (*eventloop.Loop, error) {
 	loop, err := eventloop.New(0, 0)
 	if err != nil {
@@ -24,8 +24,8 @@
 	return loop, nil
 }
 
-// listen opens the daemon's own listeners. If filter is nil, known clients share the
-// listen queue with all other clients.
+// listen opens the daemon's own listeners. If filter is nil, known clients share the listen
+// queue with all other clients.
 func (d *Daemon) listen(filter []bpf.RawInstruction) error {
 	for _, addr := range d.config.Listen {
 		bound, err := d.loop.Listen(addr, filter)
--- a/internal/daemon/node_list_source.go
+++ b/internal/daemon/node_list_source.go
@@ -28,7 +28,7 @@
 	log       *slog.Logger
 	loop      *eventloop.Loop
 	gateway   *gateway.Gateway
-	text      []byte          // as last read, valid or not; unchanged text is not applied again
+	text      []byte          // content of the file as last read, valid or not; unchanged text is not applied again
 	initial   []nodelist.Node // first list; nil after start
 	isPollDue atomic.Bool     // set by background, cleared by onWake
 }
@@ -96,8 +96,8 @@
 }
 
 // CheckNodes reads the node list of a configuration and checks that each shard of each volume has a
-// node. It returns the number of nodes. Mistakes in the list and shards without a
-// node are reported as joined errors of type *config.Error.
+// node. It returns the number of nodes. Mistakes in the list and shards without a node are reported as
+// joined errors of type *config.Error.
 func CheckNodes(c *config.Config) (int, error) {
 	text, err := os.ReadFile(c.NodeList)
 	if err != nil {
--- a/internal/daemon/observer.go
+++ b/internal/daemon/observer.go
@@ -20,7 +20,7 @@
 
 const (
 	// rejectionLinesPerSecond and violationLinesPerSecond limit the log lines about rejected
-	// connections and about invariants.
+	// connections and about violated invariants.
 	rejectionLinesPerSecond = 5
 	violationLinesPerSecond = 5
 	// maxNamedNodes is the maximum number of nodes named in a line about a membership change.
@@ -58,7 +58,7 @@
 
 func (o *observer) close() { o.spans.close() }
 
-// Request logs a completed request and writes its span.
+// Request writes the span of a completed request, and logs the request if logRequests is set.
 func (o *observer) Request(s *gateway.Span) {
 	failure := ""
 	if s.Outcome != gateway.Served && s.Outcome != gateway.AnsweredLocally {
@@ -87,7 +87,7 @@
 	scheduler.NotSent:       "not sent",
 }
 
-// Attempt writes the span of an attempt, and logs the attempt if it failed.
+// Attempt writes the span of an attempt, and logs the attempt if it failed and logRequests is set.
 func (o *observer) Attempt(s *gateway.Span) {
 	failure := ""
 	if s.AttemptOutcome != scheduler.OK {
--- a/internal/daemon/role.go
+++ b/internal/daemon/role.go
@@ -13,7 +13,7 @@
 	"maddergap/internal/supervisor"
 )
 
-// role implements what differs between a standalone instance, a worker and an instance on a platform.
+// role is the behavior that differs between a standalone instance, a worker and an instance on a platform.
 // A daemon's role does not change.
 type role interface {
 	// openListeners opens the daemon's listeners, or takes over inherited ones, and sets addrs.
--- a/internal/daemon/shutdown.go
+++ b/internal/daemon/shutdown.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	// handshakeGrace is the time to complete handshakes that have begun, after the kernel takes no new
-	// ones. It is many round-trip times within a data center.
+	// handshakeGrace is the time for handshakes in progress to complete, after the kernel has been told to
+	// drop new connections. It is many round-trip times within a data center.
 	handshakeGrace = 20 * time.Millisecond
 	// abortGrace is the time for clients to read the responses to aborted requests.
 	abortGrace = 100 * time.Millisecond
@@ -29,8 +29,8 @@
 	// phaseDraining: new connections and requests are still accepted, because clients learn of the
 	// stop late. The next response to each client tells it to close its connection.
 	phaseDraining
-	// phaseStopping: the listeners are being closed, and accepted requests get their responses. A
-	// connection without a request has a short time to send one.
+	// phaseStopping: the listeners are being closed, and accepted requests get their responses.
+	// Connections without a request are closed, after a short wait if one may be on its way.
 	phaseStopping
 	// phaseAborting: the shutdown timeout has passed, the pending requests were aborted, and their
 	// responses are being written.
