--- a/internal/atomicfile/atomicfile_test.go
+++ b/internal/atomicfile/atomicfile_test.go
@@ -23,8 +23,8 @@
 	}
 }
 
-// Verifies that a failed replacement leaves no temporary file behind and what stood at the path
-// unchanged. The rename fails because the path is a directory.
+// Verifies that a failed replacement leaves no temporary file behind and does not change the existing
+// directory entry. The rename fails because the path is a directory.
 func TestReplaceFails(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "config.json")
--- a/internal/eventloop/accept.go
+++ b/internal/eventloop/accept.go
@@ -31,7 +31,7 @@
 	maxClients      int           // maximum number of open client connections
 	firstListener   int           // index of the listener that the next round starts with, modulo their number
 	resumeAt        time.Duration // end of the current pause; 0 if accepting is not paused
-	transientErrors int           // number of transient errors in a row, not counting EAGAIN
+	transientErrors int           // number of transient errors in a row; EAGAIN does not reset it
 }
 
 func (a *acceptState) paused() bool { return a.resumeAt > 0 }
--- a/internal/eventloop/connections.go
+++ b/internal/eventloop/connections.go
@@ -64,8 +64,8 @@
 	closeWritePending bool
 }
 
-// missedByEpoll reports whether epoll is not registered for some wanted event. The loop then polls
-// the socket instead.
+// missedByEpoll reports whether the socket is not registered with epoll for some wanted event. The
+// loop then polls the socket instead.
 func (s *socket) missedByEpoll() bool { return !s.inEpoll || s.wanted&^s.registered != 0 }
 
 // connTable holds the sockets of the open connections, indexed by the gateway's slot and
--- a/internal/eventloop/dial.go
+++ b/internal/eventloop/dial.go
@@ -100,7 +100,7 @@
 }
 
 // reportDialDelay tells the gateway that a dial is delayed, and whether the cause is a shortage
-// of resources, which no peer can bring about.
+// of resources, which no peer can cause.
 func (l *Loop) reportDialDelay(id gateway.ConnID) {
 	if isShortage(l.dials.err) {
 		l.Gateway.DialShortOfResources(l.Now(), id)
--- a/internal/eventloop/listen.go
+++ b/internal/eventloop/listen.go
@@ -11,8 +11,8 @@
 const listenBacklog = 4096
 
 // listener is one listening socket with its queue. An address may have two: the second is for
-// the known clients, which a filter in the kernel directs to it, so that they do not wait
-// behind a burst of other clients.
+// the known clients (see package admission). A filter in the kernel directs them to it, so that
+// they do not wait behind a burst of other clients.
 type listener struct {
 	fd           int
 	addressKey   int  // identifies the address; the same in both of its queues
--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -98,8 +98,8 @@
 }
 
 // Verifies that an iteration accepts a bounded number of connections when a burst of 600 clients
-// connects, and that later iterations accept the rest. Only as many rejected connections are
-// kept open for their response as New was told; the others are closed at once.
+// connects, and that later iterations accept the rest. At most maxRejected of the rejected
+// connections (see New) are kept open for the client to read its response; the others are closed at once.
 func TestAcceptsPerIterationAreBounded(t *testing.T) {
 	l, g, addrs := newLoop(t, 1)
 	for i := range 600 {
--- a/internal/eventloop/queue_wait.go
+++ b/internal/eventloop/queue_wait.go
@@ -6,8 +6,8 @@
 // accepting was paused. The kernel does not report when a connection arrived, only the length
 // of the queue. If the length is n at the end of a pause, the next n accepted connections may
 // have waited since the start of the pause, and the connections after them have not. Without
-// the count, new connections would be regarded as delayed too, and the time for their requests
-// as used up.
+// the count, new connections would be regarded as delayed too, and their requests rejected
+// because their time seems to be used up.
 type queueWait struct {
 	// delayedSince is the start of the earliest pause during which a connection of the queue
 	// may have arrived, or 0 if no connection is delayed.
--- a/internal/eventloop/stalled.go
+++ b/internal/eventloop/stalled.go
@@ -8,8 +8,8 @@
 	"maddergap/internal/gateway"
 )
 
-// stalledConns holds the connections on which a system call failed with a local error: epoll
-// is not registered for all their wanted events, or a read, write or shutdown has to be
+// stalledConns holds the connections on which a system call failed with a local error: they are
+// not registered with epoll for all their wanted events, or a read, write or shutdown has to be
 // repeated.
 type stalledConns struct {
 	ids     []gateway.ConnID
--- a/internal/eventloop/wakeup.go
+++ b/internal/eventloop/wakeup.go
@@ -56,7 +56,7 @@
 }
 
 // serveWakeup resets the eventfd and calls OnWake. It also rearms the shared listeners, because
-// the kernel may have notified a process that hangs of a new connection.
+// the kernel may have sent the notification of a new connection to a hung process.
 func (l *Loop) serveWakeup(fd int) {
 	var counter [8]byte
 	unix.Read(fd, counter[:])
--- a/internal/supervisor/run.go
+++ b/internal/supervisor/run.go
@@ -33,8 +33,8 @@
 // Options configures Run.
 type Options struct {
 	Workers int // number of worker processes
-	// ShutdownTimeout is the timeout of a worker's own graceful shutdown. A worker that still runs
-	// exitGrace after it is killed.
+	// ShutdownTimeout is the timeout of a worker's own graceful shutdown. A worker that is
+	// still running exitGrace after this timeout is killed.
 	ShutdownTimeout time.Duration
 	// Command returns the command that starts worker i.
 	Command func(i int) *exec.Cmd
--- a/internal/supervisor/supervisor.go
+++ b/internal/supervisor/supervisor.go
@@ -7,7 +7,7 @@
 //   - A worker that exited is restarted after a backoff. The backoff doubles with each exit,
 //     and is reset to its minimum if the worker ran for StableAfter before it exited.
 //   - A worker that sends no heartbeat for HeartbeatTimeout is killed, and is restarted when it has
-//     exited. Until its first heartbeat it has StartupTimeout.
+//     exited. Before its first heartbeat, StartupTimeout applies instead.
 //   - If a worker exits before any worker has sent a heartbeat, all workers are terminated. The
 //     cause is then taken to be the configuration, which restarts cannot fix.
 //   - During a shutdown no worker is started, all workers are terminated, and workers that still
@@ -77,7 +77,7 @@
 	config         Config
 	now            Time
 	workers        []worker
-	everResponsive bool // some worker has sent a heartbeat, now or earlier
+	everResponsive bool // a worker has sent a heartbeat since New
 	stopping       bool
 	killAt         Time  // time at which workers that still run are killed; valid if stopping
 	terminateSent  bool  // Terminate was returned for the running workers; set only if stopping
