--- a/internal/syscalls/faulty.go
+++ b/internal/syscalls/faulty.go
@@ -48,8 +48,8 @@
 }
 
 // drawFault decides by random draws whether a fault applies to a call now, and returns the
-// fault's errno. fails also covers errno 0, a transfer of one byte.
-func (f *Faulty) drawFault(call string) (errno unix.Errno, fails bool) {
+// fault's errno, which is 0 for a transfer of one byte.
+func (f *Faulty) drawFault(call string) (errno unix.Errno, applies bool) {
 	age := time.Since(f.start)
 	for i := range f.table.Faults {
 		fault := &f.table.Faults[i]
@@ -71,7 +71,7 @@
 
 // EpollWait is Calls.EpollWait with injected faults.
 func (f *Faulty) EpollWait(epollFD int, events []unix.EpollEvent, timeout int) (int, error) {
-	if errno, fails := f.drawFault("epoll_wait"); fails {
+	if errno, applies := f.drawFault("epoll_wait"); applies {
 		return -1, errno
 	}
 	return f.Calls.EpollWait(epollFD, events, timeout)
@@ -79,7 +79,7 @@
 
 // EpollCtl is Calls.EpollCtl with injected faults. The removal of a descriptor never fails.
 func (f *Faulty) EpollCtl(epollFD, op, fd int, event *unix.EpollEvent) error {
-	if errno, fails := f.drawFault("epoll_ctl"); fails && op != unix.EPOLL_CTL_DEL {
+	if errno, applies := f.drawFault("epoll_ctl"); applies && op != unix.EPOLL_CTL_DEL {
 		return errno
 	}
 	return f.Calls.EpollCtl(epollFD, op, fd, event)
@@ -87,7 +87,7 @@
 
 // Poll is Calls.Poll with injected faults.
 func (f *Faulty) Poll(fds []unix.PollFd) (int, error) {
-	if errno, fails := f.drawFault("poll"); fails {
+	if errno, applies := f.drawFault("poll"); applies {
 		return -1, errno
 	}
 	return f.Calls.Poll(fds)
@@ -95,7 +95,7 @@
 
 // Socket is Calls.Socket with injected faults.
 func (f *Faulty) Socket(family int) (int, error) {
-	if errno, fails := f.drawFault("socket"); fails {
+	if errno, applies := f.drawFault("socket"); applies {
 		return -1, errno
 	}
 	return f.Calls.Socket(family)
@@ -104,7 +104,7 @@
 // Connect is Calls.Connect with injected faults. With EINTR the connection attempt goes on in
 // the background, as described in connect(2).
 func (f *Faulty) Connect(fd int, to unix.Sockaddr) error {
-	if errno, fails := f.drawFault("connect"); fails {
+	if errno, applies := f.drawFault("connect"); applies {
 		if errno == unix.EINTR {
 			f.Calls.Connect(fd, to)
 		}
@@ -116,7 +116,7 @@
 // Accept is Calls.Accept with injected faults. After a fault the connection stays in the listen
 // queue.
 func (f *Faulty) Accept(fd int) (int, unix.Sockaddr, error) {
-	if errno, fails := f.drawFault("accept"); fails {
+	if errno, applies := f.drawFault("accept"); applies {
 		return -1, nil, errno
 	}
 	return f.Calls.Accept(fd)
@@ -124,7 +124,7 @@
 
 // Read is Calls.Read with injected faults.
 func (f *Faulty) Read(fd int, p []byte) (int, error) {
-	if errno, fails := f.drawFault("read"); fails {
+	if errno, applies := f.drawFault("read"); applies {
 		if errno != 0 {
 			return -1, errno
 		}
@@ -135,7 +135,7 @@
 
 // Write is Calls.Write with injected faults.
 func (f *Faulty) Write(fd int, p []byte) (int, error) {
-	if errno, fails := f.drawFault("write"); fails {
+	if errno, applies := f.drawFault("write"); applies {
 		if errno != 0 {
 			return -1, errno
 		}
@@ -146,7 +146,7 @@
 
 // Shutdown is Calls.Shutdown with injected faults.
 func (f *Faulty) Shutdown(fd, how int) error {
-	if errno, fails := f.drawFault("shutdown"); fails {
+	if errno, applies := f.drawFault("shutdown"); applies {
 		return errno
 	}
 	return f.Calls.Shutdown(fd, how)
