--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -24,11 +24,11 @@
 	"golang.org/x/time/rate"
 )
 
-// Time is a clock reading.
+// Time is a reading of the caller's monotonic clock.
 type Time = time.Duration
 
-// ErrTableSizeChanged is returned by Reconfigure for a configuration with another size of a
-// table, which takes effect at a restart only.
+// ErrTableSizeChanged is returned by Reconfigure for a configuration that changes the size of
+// a table. Such a change requires a restart.
 var ErrTableSizeChanged = errors.New("the tables' sizes change with a restart only")
 
 // Admission tracks the client connections of one gateway and enforces the limits of its
@@ -46,8 +46,9 @@
 	// knownAddresses is a separate table, so that a flood of unknown addresses cannot fill it.
 	knownAddresses *table
 	learned        *learnedClients
-	rejections     *rate.Limiter // of the responses to rejected connections
-	// preemptible holds a queue of connections for each class, oldest state first.
+	rejections     *rate.Limiter // limits the responses to rejected connections
+	// preemptible holds a queue of connections for each preemption class. The connection that
+	// has been in its state longest is at the front.
 	preemptible [classCount]list.List
 }
 
@@ -117,7 +118,7 @@
 }
 
 // exceededLimit returns the first limit that rejects a new connection, or ReasonNone. The
-// limits of its address and prefix are checked before those in total and of the listener.
+// limits of its address and prefix are checked before MaxConns and the cap of the listener.
 func (a *Admission) exceededLimit(origin client, listener int) Reason {
 	var limit Reason
 	if origin.known {
@@ -162,11 +163,12 @@
 	return ReasonNone
 }
 
-// BeginRequest is called when the request header on a connection is complete. complete is
+// BeginRequest is called when the request header on a connection is complete. complete reports
 // whether the request body is complete too, and buffered is the size of the buffers of all
-// connections in bytes. BeginRequest returns whether the request may proceed. If not, the
-// caller rejects the request for the returned reason and closes the connection. The
-// connection of an incomplete request may be preempted until RequestAccepted is called.
+// connections in bytes. BeginRequest reports whether the request may proceed. If not, the
+// caller rejects the request for the returned reason and closes the connection. While the body
+// is incomplete, the connection of an unknown client may be preempted until RequestAccepted is
+// called.
 func (a *Admission) BeginRequest(now Time, id uint64, buffered int64, complete bool) (bool, Reason) {
 	a.advance(now)
 	c := a.conns[id]
@@ -186,7 +188,7 @@
 	return true, ReasonNone
 }
 
-// maxBuffered returns the size of all buffers, in bytes, below which another request may
+// maxBuffered returns the size of all buffers, in bytes, from which on no further request may
 // begin. The share of the reserved connections is for known clients only.
 func (a *Admission) maxBuffered(known bool) int64 {
 	total := a.config.Buffers.TotalBytes
@@ -216,8 +218,8 @@
 	}
 }
 
-// EndRequest reports that the response to the request on a connection was written. served is
-// whether the request succeeded and the client read the response in time.
+// EndRequest reports that the response to the request on a connection was written. served
+// reports whether the request succeeded and the client read the response in time.
 func (a *Admission) EndRequest(now Time, id uint64, served bool) {
 	a.advance(now)
 	c := a.conns[id]
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// testConfig returns a small configuration with a value for every limit but Buffers. Clients in
-// 10.9.0.0/16 are known.
+// testConfig returns a small configuration with a value for every limit except Buffers. Clients
+// in 10.9.0.0/16 are known.
 func testConfig() Config {
 	return Config{
 		MaxConns:   20,
--- a/internal/admission/config.go
+++ b/internal/admission/config.go
@@ -12,8 +12,9 @@
 type Config struct {
 	// MaxConns is the maximum number of open connections, at least 1.
 	MaxConns int
-	// Reserve is the number of connections, out of MaxConns, that unknown clients with a
-	// request under way leave to known clients; 0 for none.
+	// Reserve is the number of connections, out of MaxConns, that are kept for requests of
+	// known clients; 0 for none. At most MaxConns-Reserve connections of unknown clients may
+	// have a request under way, and the others can be preempted.
 	Reserve      int
 	Caps         Caps
 	Rates        Rates
@@ -60,8 +61,7 @@
 // whose earlier requests were served.
 type KnownClients struct {
 	Prefixes []netip.Prefix // listed prefixes; they must not overlap
-	// CapMultiple is the factor by which the cap of a known address exceeds Caps.Address;
-	// 0 counts as 1.
+	// CapMultiple times Caps.Address is the cap of a known address; 0 counts as 1.
 	CapMultiple int
 	// LearnSeconds is the number of points at which an address becomes known. It gets one
 	// point for each second in which a request was served. 0 turns learning off.
@@ -74,7 +74,7 @@
 
 // Buffers limits the memory of all client connections.
 type Buffers struct {
-	TotalBytes   int64 // of all connections; 0 for no limit
+	TotalBytes   int64 // maximum size of the buffers of all connections; 0 for no limit
 	MinConnBytes int   // minimum that every connection may use, even past TotalBytes
 }
 
--- a/internal/admission/conn.go
+++ b/internal/admission/conn.go
@@ -102,7 +102,8 @@
 	}
 }
 
-// setState moves a connection to a state, and to the preemption queue that this implies.
+// setState sets the state of a connection and adds it to the queue of its preemption class, if
+// it has one.
 func (a *Admission) setState(c *conn, newState connState) {
 	a.resetState(c)
 	c.state, c.stateSince = newState, a.now
@@ -120,7 +121,7 @@
 	}
 }
 
-// resetState sets a connection's state to connIdle and removes it from its preemption queue.
+// resetState sets a connection's state to connIdle and removes it from its queues.
 func (a *Admission) resetState(c *conn) {
 	if c.state != connIdle && !c.client.known {
 		a.unknownRequests--
--- a/internal/admission/filter.go
+++ b/internal/admission/filter.go
@@ -31,7 +31,7 @@
 // KnownClientFilter returns a classic BPF program that returns 1 for packets whose source
 // address is in KnownClients.Prefixes and 0 for others. The kernel uses it to put known
 // clients into a separate listen queue. In a shared queue, a burst of unknown clients could
-// delay known clients or fill the queue, so that their connections are dropped.
+// delay known clients, or fill the queue so that the kernel drops connections of known clients.
 //
 // base is the offset of the network header. The result is nil if there are no known
 // prefixes, or more than fit into a program (about 1,000 IPv4 or 300 IPv6 prefixes). All
--- a/internal/admission/learned.go
+++ b/internal/admission/learned.go
@@ -8,12 +8,13 @@
 )
 
 // learnedClients keeps a score of the addresses whose requests were served lately. An address
-// gets at most one point per second, if a request was served, so that it takes time and not
-// many requests to become known. Points decay by half within each half-life. An address becomes
-// known at the threshold, and stays known until its points are below half of the threshold.
+// gets at most one point per second, if a request was served. Becoming known thus takes time,
+// however many requests an address sends. Points decay by half within each half-life. An address
+// becomes known at the threshold, and stays known until its points are below half of the threshold.
 //
-// The number of addresses is bounded. If it is reached, a new address replaces one of those
-// at the front of evictionOrder: the one with the fewest points that is not known.
+// The number of addresses is bounded. When the bound is reached, a new address replaces one of
+// the first evictionSample addresses in evictionOrder: of those that are not known, the one with
+// the fewest points.
 type learnedClients struct {
 	capacity      int     // maximum number of addresses, 0 turns learning off
 	threshold     float64 // points needed to become known, 0 turns learning off
--- a/internal/admission/preemption_test.go
+++ b/internal/admission/preemption_test.go
@@ -7,8 +7,8 @@
 )
 
 // Verifies that unknown clients may open all connections, including the reserved ones, but may
-// not begin requests on the last Reserve ones. Known clients get in by preempting idle
-// connections, never those with a request under way.
+// not begin requests on the last Reserve ones. Known clients are accepted by preempting idle
+// connections, never connections with a request under way.
 func TestIdleReserveIsReclaimed(t *testing.T) {
 	c := testConfig()
 	c.Rates.Address.PerSecond, c.Rates.Prefix.PerSecond, c.Caps.Listener = 0, 0, 0
--- a/internal/admission/table.go
+++ b/internal/admission/table.go
@@ -10,7 +10,7 @@
 	"golang.org/x/time/rate"
 )
 
-// slotsPerSet is the number of slots in a set, each of which a key of that set may take.
+// slotsPerSet is the number of slots in a set. A key may take any slot of its set.
 const slotsPerSet = 8
 
 // entry holds the open connections and the rate limit of an address or a prefix in a table.
--- a/internal/admission/table_test.go
+++ b/internal/admission/table_test.go
@@ -8,8 +8,8 @@
 )
 
 // Verifies that a flood from many addresses, which fills the table, does not grow it and evicts no
-// address that has used up its rate (eviction of the oldest entry would). Known clients still
-// connect.
+// address that has used up its rate. A table that evicts its oldest entry would evict that address.
+// Known clients can still connect.
 func TestFloodOfAddresses(t *testing.T) {
 	c := testConfig()
 	c.Caps.Address, c.Caps.Prefix, c.Rates.Prefix.PerSecond = 0, 0, 0
