--- a/internal/discovery/agent_test.go
+++ b/internal/discovery/agent_test.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// Verifies that a change is received within a second although a watch hangs, at once or within its
-// response, and up to three of the following calls fail: the connection is refused, is never
-// established or is closed, or the server does not respond or responds with an error. The change
-// counts as delivered after 6 s.
+// Verifies that a change is received within a second although a watch hangs, before or within its
+// response, and up to three of the following calls fail. A call fails if the connection is refused,
+// is never established or is closed, or if the server does not respond or responds with an error.
+// The bound is well below the 6 s after which the change counts as delivered.
 func TestChangeReceivedWithinGrace(t *testing.T) {
 	const bound = time.Second
 	worst := Time(0)
@@ -27,7 +27,8 @@
 	t.Logf("longest time in 2,000 runs: %v", worst)
 }
 
-// callFault is a fault that the test server injects into a call. Faults of the dial come first.
+// callFault is a fault that the test server injects into a call. The faults of a dial come before
+// unresponsiveCall, the first fault of a request.
 type callFault int
 
 const (
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -140,8 +140,8 @@
 
 // sendRequest returns the request to write for a call that is ready, and marks it as written.
 func (c *Client) sendRequest(now Time, k *call) []byte {
-	// Drawn for every kind of request, so that the sequence of random numbers, and with it a run
-	// with a fixed seed, does not depend on the responses.
+	// The hold is drawn for every kind of request, so that the sequence of random numbers, and with
+	// it a run with a fixed seed, does not depend on the responses.
 	hold := c.schedule.hold()
 	k.kind = c.list.nextRequest()
 	if k.kind != watchRequest {
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -31,7 +31,7 @@
 	Address string `json:"address"` // host:port; ignored for a removed node
 	Zone    string `json:"zone"`
 	Group   int    `json:"group"`  // number of the shard that the node holds
-	Status  string `json:"status"` // a key of statusStates
+	Status  string `json:"status"` // a key of statesByStatus
 	// Since is the Unix time at which the node started, in milliseconds; 0 if it was long ago.
 	Since float64 `json:"since_ms"`
 }
@@ -67,7 +67,7 @@
 
 // number returns the number of a zone. It adds a new zone if the table has fewer than
 // nodelist.MaxNodes entries; all further zones get the same number. The limit keeps a server that
-// sends ever new names from using up the memory.
+// sends new names all the time from using up the memory.
 func (z zoneTable) number(name string) int {
 	number, known := z[name]
 	if known {
@@ -90,7 +90,7 @@
 		return nodelist.Node{}, malformed("endpoint %s: %.60q is not an address and port", e.Name, e.Address)
 	}
 	if !(e.Since >= 0 && e.Since < maxSinceMillis) { // also false for NaN
-		return nodelist.Node{}, malformed("endpoint %s: since_ms is %v", e.Name, e.Since)
+		return nodelist.Node{}, malformed("endpoint %s: since_ms is %v, want a Unix time in milliseconds, or 0", e.Name, e.Since)
 	}
 	node := nodelist.Node{Name: e.Name, Addr: e.Address, Zone: z.number(e.Zone), Shard: e.Group, State: state}
 	if e.Since > 0 {
--- a/internal/discovery/list_state.go
+++ b/internal/discovery/list_state.go
@@ -66,7 +66,7 @@
 }
 
 // callFailed updates the state after a call that brought no usable list:
-//   - A rejected call changes nothing, as the server sent no changes on it.
+//   - A rejected call changes nothing, as the server sent no changes in response.
 //   - A call without a complete response may have lost changes, unless its connection was lost
 //     before the request was sent.
 //   - After any other error, client and server may disagree, and the full list is required.
