--- a/internal/http1/body.go
+++ b/internal/http1/body.go
@@ -3,8 +3,8 @@
 import "bytes"
 
 const (
-	// maxSkippedBytes limits the bytes between the data of two chunks, and after the last chunk. They
-	// are line breaks, chunk sizes with their extensions, and the trailer, and are discarded.
+	// maxSkippedBytes limits the bytes between the data of two chunks, and after the last chunk. These
+	// bytes are discarded: line breaks, chunk sizes with their extensions, and the trailer.
 	maxSkippedBytes = 4 << 10
 	// maxHexDigits is the maximum length of a chunk size. Any number of 15 digits fits into an int64.
 	maxHexDigits = 15
@@ -94,8 +94,8 @@
 	return p[:n], p[n:]
 }
 
-// readChunkLines parses the lines before the data of a chunk, and the trailer. A line may come in
-// several calls.
+// readChunkLines parses the lines before the data of a chunk, and the trailer. A line may be
+// split over several calls.
 func (b *BodyDecoder) readChunkLines(p []byte) (unconsumed []byte, err error) {
 	for len(p) > 0 && !b.done && b.chunk != inChunkData {
 		n := bytes.IndexByte(p, '\n') + 1
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -66,8 +66,8 @@
 	}
 }
 
-// decode decodes the body at the start of wire in pieces of up to pieceSize bytes. remaining is what
-// follows the body.
+// decode decodes the body at the start of wire in pieces of up to pieceSize bytes. remaining holds the
+// bytes after the body.
 func decode(m *Message, wire []byte, pieceSize int) (body, remaining []byte, err error) {
 	var b BodyDecoder
 	b.Reset(m)
@@ -158,8 +158,8 @@
 	}
 }
 
-// FuzzRequest checks that net/http parses a request that this parser accepts with the same method and
-// framing. Request smuggling needs two parsers that interpret a header differently.
+// FuzzRequest checks that net/http finds the same method and framing as this parser in each request
+// that both accept. Request smuggling needs two parsers that interpret a header differently.
 func FuzzRequest(f *testing.F) {
 	f.Add([]byte("GET / HTTP/1.1\r\nHost: h\r\n\r\n"))
 	f.Add([]byte("PUT /a HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n"))
--- a/internal/platform/bounds.go
+++ b/internal/platform/bounds.go
@@ -44,9 +44,9 @@
 	// minConnDescriptors and minMemoryMB are the smallest values with which a gateway can serve.
 	minConnDescriptors = 32
 	minMemoryMB        = 16
-	// runtimeMemoryFraction is the Go runtime's fraction of the platform's memory limit. The rest is
-	// for memory that the runtime does not count and for exceeding its own limit: the platform kills
-	// a process that exceeds the platform's limit.
+	// runtimeMemoryFraction is the Go runtime's fraction of the platform's memory limit. The rest
+	// covers memory that the runtime does not count, and times at which the runtime exceeds its own
+	// limit. The platform kills a process that exceeds the platform's limit.
 	runtimeMemoryFraction = 0.6
 	// The runtime's memory divided by these is the limit of all client buffers, of all buffered
 	// responses and of one response. Four responses of the largest size can be buffered at a time.
@@ -71,7 +71,7 @@
 	}
 	connDescriptors := descriptors - reservedDescriptors - acceptMargin - maxRejectionConns
 	if connDescriptors < minConnDescriptors || memoryMB < minMemoryMB {
-		return b, fmt.Errorf("limits: %d sockets and %v MB are less than a gateway needs", descriptors, memoryMB)
+		return b, fmt.Errorf("limits: %d sockets or %v MB is less than a gateway needs", descriptors, memoryMB)
 	}
 	// Clients get the larger part: a node connection is in use only while an attempt is in flight, a
 	// client connection also while a request waits and between requests.
--- a/internal/platform/node_test.go
+++ b/internal/platform/node_test.go
@@ -9,8 +9,9 @@
 	"maddergap/scheduler"
 )
 
-// Verifies that an attempt has the end-to-end fields of the client's request, also one that the gateway
-// does not know and by which a node deduplicates, no hop-by-hop fields, and its own timeout.
+// Verifies that an attempt has the end-to-end fields of the client's request, no hop-by-hop fields, and
+// its own timeout. Fields that the gateway does not know are forwarded too, such as Idempotency-Key, by
+// which a node deduplicates.
 func TestAppendRequest(t *testing.T) {
 	p := newProtocol(t)
 	var r http1.Request
--- a/internal/platform/request_test.go
+++ b/internal/platform/request_test.go
@@ -67,8 +67,8 @@
 	}
 }
 
-// FuzzParseRequest checks that any request is either responded to by the gateway itself or has all
-// numbers in their ranges, and that the attempt is parsed to the same values.
+// FuzzParseRequest checks that the gateway either responds to a request itself or finds all its numbers
+// in their ranges, and that an attempt of the request is parsed to the same values.
 func FuzzParseRequest(f *testing.F) {
 	f.Add([]byte(goodRequest))
 	f.Add([]byte("GET /api HTTP/1.1\r\nHost: b\r\nX-Remaining: 1u\r\nIO-Info: units=1,shard=0,hosts=1,volume=0000000000000000\r\n\r\n"))
--- a/internal/route/classify.go
+++ b/internal/route/classify.go
@@ -43,15 +43,15 @@
 	}
 }
 
-// isRead reports whether the request is a read, whose size is that of the response instead of that of a
-// request body.
+// isRead reports whether the request is a read. The size of a read is that of its response, the size of
+// any other request that of its body.
 func (r *RequestHeader) isRead() bool {
 	return r.Method == "GET" || r.Method == "HEAD" || r.Method == "PROPFIND"
 }
 
 // expectedSize returns the number of bytes that a request transfers in its body or, for a read, in its
-// response. The size of a response is estimated from the requested range and from earlier responses. It
-// is unknownSize if there is neither.
+// response, or unknownSize. The size of a response is estimated from the requested range and from earlier
+// responses; it is unknownSize if there is neither.
 func (t *Table) expectedSize(r RequestHeader) int64 {
 	switch {
 	case r.Method == "HEAD":
--- a/internal/webdav/multistatus.go
+++ b/internal/webdav/multistatus.go
@@ -74,8 +74,8 @@
 // MergeMultistatus merges the multistatus bodies that the shards sent for the same collection into one.
 // Of several response elements with the same href, for instance that of the collection itself, only the
 // first is kept. The error is ErrMalformedListing or, if the result exceeds maxBytes, ErrListingTooLarge.
-// One malformed body is an error for the whole, since the part of a shard must not be missing
-// unnoticed.
+// A single malformed body fails the whole merge; otherwise the members on that shard would be missing
+// from the listing unnoticed.
 func MergeMultistatus(bodies [][]byte, maxBytes int) ([]byte, error) {
 	var merged bytes.Buffer
 	merged.WriteString(multistatusStart)
