--- a/internal/config/args.go
+++ b/internal/config/args.go
@@ -14,8 +14,8 @@
 const maxDuration = 365 * 24 * time.Hour
 
 // Args reads the arguments of a directive one after the other. It records the first mistake; the values
-// that it returns after a mistake are meaningless. The methods use their parameter name for the argument
-// in error messages.
+// that it returns after a mistake are meaningless. Error messages refer to an argument by the
+// name that was passed to the method.
 type Args struct {
 	words []string // remaining arguments
 	err   error    // first mistake
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -48,7 +48,8 @@
 }
 
 // checkAdmission sets the admission limits that depend on other directives, and records the limits that
-// are inconsistent. The mistakes are reported for the last line that sets any of the limits.
+// are inconsistent. The mistakes are reported for the last line with one of the directives admit,
+// known and buffers.
 func (p *parser) checkAdmission() {
 	a := &p.c.Admission
 	a.MaxConns = p.c.Limits.Clients
@@ -99,7 +100,7 @@
 	for _, v := range c.Volumes {
 		line := p.lineOf["volume "+v.Name]
 		if v.Instances < c.Processes {
-			p.errorf(line, "volume %s is served by %d heads, but there are %d processes: its limit would be applied too often", v.Name, v.Instances, c.Processes)
+			p.errorf(line, "volume %s is served by %d heads, but there are %d processes: together they would exceed its limit", v.Name, v.Instances, c.Processes)
 		}
 		if v.Instances > c.Scheduler.Instances {
 			p.errorf(line, "volume %s is served by %d heads, but there are only %d", v.Name, v.Instances, c.Scheduler.Instances)
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -78,15 +78,15 @@
 	// ResponseMargin is the part of each deadline that is reserved for sending the response to the
 	// client. Default 20ms.
 	ResponseMargin time.Duration
-	// UploadRate, in bytes per second, extends the deadline of a request whose body exceeds
-	// Limits.BodyBuffer by the time that the upload takes at this rate. Default 1 MiB.
+	// UploadRate is the assumed rate of uploads in bytes per second. If a request's body exceeds
+	// Limits.BodyBuffer, its deadline is extended by the time of the upload at this rate. Default 1 MiB.
 	UploadRate int64
 }
 
 // Timeouts limit how long the gateway waits on a connection and during a shutdown.
 type Timeouts struct {
-	// Header is the time within which the header of a request must arrive, from its first byte on.
-	// Default 10s.
+	// Header is the time within which the header of a request must arrive, from its first byte on. On a
+	// new connection, the first byte must arrive within the same time. Default 10s.
 	Header time.Duration
 	// Idle is the time after which a client connection without a request is closed. Default 60s.
 	Idle time.Duration
@@ -135,7 +135,8 @@
 	// Response is the minimum rate at which a client receives a response, in bytes per second.
 	// Default 1000.
 	Response int64
-	// Grace is the duration of a transfer from which on the minimum rate applies. Default 30s.
+	// Grace is subtracted from the duration of a transfer when its average rate is compared with the
+	// minimum. Default 30s.
 	Grace time.Duration
 }
 
@@ -157,8 +158,8 @@
 	// defaultClientBufferBytes is the default size of the buffers of all client connections, unless
 	// defaultBuffersPerClient results in more.
 	defaultClientBufferBytes = 512 << 20
-	// defaultBuffersPerClient is the minimum of that default for each client connection, in multiples
-	// of minConnBufferBytes.
+	// defaultBuffersPerClient sets a minimum of that default: this number of buffers of
+	// minConnBufferBytes for each client connection.
 	defaultBuffersPerClient = 4
 )
 
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -36,8 +36,8 @@
 	}
 }
 
-// Verifies that each kind of mistake is reported as an Error with the line and a reason. An operator
-// corrects a file by these messages of the check subcommand.
+// Verifies that each kind of mistake is reported as an Error with the line and a reason. The check
+// subcommand prints these messages, and operators correct a file by them.
 func TestParseErrors(t *testing.T) {
 	for _, c := range []struct{ from, to, want string }{
 		{"heads 2", "heads two", "m.conf:4: heads: number is \"two\", want a whole number"},
--- a/internal/config/directives.go
+++ b/internal/config/directives.go
@@ -147,29 +147,29 @@
 
 func (p *parser) admission(_ int, a *Args) {
 	limits := &p.c.Admission
-	count := func(n *int, high int) func(string) {
+	intReader := func(n *int, high int) func(string) {
 		return func(k string) { *n = a.Int(k, 1, high) }
 	}
 	a.pairs(keywords{
-		"address":       count(&limits.Caps.Address, maxConnections),
-		"wide":          count(&limits.Caps.Prefix, maxConnections),
-		"listener":      count(&limits.Caps.Listener, maxConnections),
-		"reserve":       count(&limits.Reserve, maxConnections),
-		"known-times":   count(&limits.KnownClients.CapMultiple, 1000),
+		"address":       intReader(&limits.Caps.Address, maxConnections),
+		"wide":          intReader(&limits.Caps.Prefix, maxConnections),
+		"listener":      intReader(&limits.Caps.Listener, maxConnections),
+		"reserve":       intReader(&limits.Reserve, maxConnections),
+		"known-times":   intReader(&limits.KnownClients.CapMultiple, 1000),
 		"address-rate":  func(k string) { limits.Rates.Address.PerSecond = a.Float(k) },
-		"address-burst": count(&limits.Rates.Address.Burst, maxConnections),
+		"address-burst": intReader(&limits.Rates.Address.Burst, maxConnections),
 		"wide-rate":     func(k string) { limits.Rates.Prefix.PerSecond = a.Float(k) },
-		"wide-burst":    count(&limits.Rates.Prefix.Burst, maxConnections),
-		"v6":            count(&limits.PrefixBits.AddressIPv6, 128),
-		"wide4":         count(&limits.PrefixBits.IPv4, 32),
-		"wide6":         count(&limits.PrefixBits.IPv6, 128),
-		"learn":         count(&limits.KnownClients.LearnSeconds, 1<<20),
+		"wide-burst":    intReader(&limits.Rates.Prefix.Burst, maxConnections),
+		"v6":            intReader(&limits.PrefixBits.AddressIPv6, 128),
+		"wide4":         intReader(&limits.PrefixBits.IPv4, 32),
+		"wide6":         intReader(&limits.PrefixBits.IPv6, 128),
+		"learn":         intReader(&limits.KnownClients.LearnSeconds, 1<<20),
 		"forget":        func(k string) { limits.KnownClients.HalfLife = a.Duration(k, time.Second) },
-		"entries":       count(&limits.TableEntries, 1<<24),
-		"learned":       count(&limits.KnownClients.MaxLearned, 1<<20),
+		"entries":       intReader(&limits.TableEntries, 1<<24),
+		"learned":       intReader(&limits.KnownClients.MaxLearned, 1<<20),
 		"answers":       func(k string) { limits.Rejections.PerSecond = a.Float(k) },
-		"answers-burst": count(&limits.Rejections.Burst, 1<<16),
-		"left":          count(&limits.Preemption.MinFreeConns, maxConnections),
+		"answers-burst": intReader(&limits.Rejections.Burst, 1<<16),
+		"left":          intReader(&limits.Preemption.MinFreeConns, maxConnections),
 		"idle":          func(k string) { limits.Preemption.MaxIdle = a.Duration(k, 0) },
 	})
 }
--- a/internal/config/lines.go
+++ b/internal/config/lines.go
@@ -21,8 +21,8 @@
 }
 
 // Lines splits a file of the line-based format into its directives. Empty lines and comments are left
-// out. The error joins an Error for each line that is not valid text, or is one for a file that is too
-// large.
+// out. The error joins an Error for each line that is not valid text, or consists of one Error for a file
+// that is too large.
 func Lines(file string, data []byte) ([]Line, error) {
 	lines, mistakes := splitLines(file, data)
 	return lines, joinErrors(mistakes)
--- a/internal/config/parse.go
+++ b/internal/config/parse.go
@@ -5,7 +5,7 @@
 	"os"
 )
 
-// Load reads and checks a configuration file. The error is that of reading the file or of Parse.
+// Load reads and checks a configuration file. It returns an error of package os or of Parse.
 func Load(file string) (*Config, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
@@ -37,8 +37,10 @@
 	classes, plans map[string]int // index in the configuration, by name
 	classRefs      []reference    // uses of classes
 	planRefs       []reference    // uses of plans
-	lineOf         map[string]int // line of each directive or named item that may occur only once
-	errs           []*Error       // mistakes in the order in which they were found
+	// lineOf contains the line of each directive or name that may occur only once, and the last line of
+	// the directive known.
+	lineOf map[string]int
+	errs   []*Error // mistakes in the order in which they were found
 }
 
 // reference is the use of a class or plan, which may be defined in a later line.
--- a/internal/config/scheduling.go
+++ b/internal/config/scheduling.go
@@ -18,7 +18,7 @@
 		return "", false
 	}
 	if strings.ContainsAny(name, "/%?\\\"<>&") || name == "." || name == ".." || len(name) > 100 {
-		a.Errorf("the name %.40q cannot be used as a path segment", name)
+		a.Errorf("the name %.40q cannot be used as a path segment of at most 100 bytes", name)
 		return "", false
 	}
 	return name, p.checkUnique(line, kind+" "+name)
--- a/internal/config/worker.go
+++ b/internal/config/worker.go
@@ -9,8 +9,8 @@
 
 // ForWorker returns the configuration of worker i of the Processes that share the listeners. The limits on
 // connections, rates and buffers are divided evenly among the workers; numbers of connections are rounded
-// up. Each worker has its own metrics port, trace file and seed. A client address can open between one
-// worker's part of the cap and the whole cap, depending on which workers its connections reach.
+// up. Each worker has its own metrics port, trace file and seed. How many connections a client
+// address can open depends on which workers they reach: from one worker's part of the cap to the whole cap.
 func (c *Config) ForWorker(i int) *Config {
 	worker := *c
 	worker.Limits.Clients = divideCap(c.Limits.Clients, c.Processes)
--- a/internal/nodelist/nodelist.go
+++ b/internal/nodelist/nodelist.go
@@ -132,8 +132,8 @@
 	return []byte(b.String())
 }
 
-// Replace atomically replaces the contents of a file by a list, using a rename. Readers see either the
-// old list or the new one, never a part. The errors are those of package os.
+// Replace atomically replaces the contents of a file with a list, using a rename. Readers see either the
+// old list or the new one, never a part of a list. The errors are those of package os.
 func Replace(file string, nodes []Node) error {
 	return atomicfile.Replace(file, Format(nodes))
 }
