--- a/cmd/maddergap/demo_test.go
+++ b/cmd/maddergap/demo_test.go
@@ -27,8 +27,8 @@
 		if err := cmd.Start(); err != nil {
 			t.Fatal(err)
 		}
-		out := bufio.NewReader(pipe)
-		line, err := out.ReadString('\n')
+		stdout := bufio.NewReader(pipe)
+		line, err := stdout.ReadString('\n')
 		if err != nil || !regexp.MustCompile(`^ready http://127\.0\.0\.1:\d+/\n$`).MatchString(line) {
 			t.Fatalf("got first line %q, error %v, want the ready line; standard error:\n%s", line, err, stderr.String())
 		}
@@ -42,9 +42,9 @@
 			resp.Body.Close()
 		}
 		cmd.Process.Signal(sig)
-		rest, _ := io.ReadAll(out)
-		if err := cmd.Wait(); err != nil || len(rest) > 0 {
-			t.Errorf("after signal %v: got error %v, further output %q, want neither; standard error:\n%s", sig, err, rest, stderr.String())
+		furtherOutput, _ := io.ReadAll(stdout)
+		if err := cmd.Wait(); err != nil || len(furtherOutput) > 0 {
+			t.Errorf("after signal %v: got error %v, further output %q, want neither; standard error:\n%s", sig, err, furtherOutput, stderr.String())
 		}
 	}
 }
@@ -77,8 +77,8 @@
 	for _, example := range strings.Split(strings.TrimSpace(block), "\n") {
 		sh := exec.Command("sh", "-c", strings.ReplaceAll(example, "127.0.0.1:8080", addr))
 		sh.Dir = "../.."
-		if out, err := sh.CombinedOutput(); err != nil {
-			t.Errorf("%s: %v\n%s", example, err, out)
+		if output, err := sh.CombinedOutput(); err != nil {
+			t.Errorf("%s: %v\n%s", example, err, output)
 		}
 	}
 }
--- a/cmd/maddergap/main_test.go
+++ b/cmd/maddergap/main_test.go
@@ -40,11 +40,11 @@
 		}
 		return file
 	}
-	good := fmt.Sprintf(demoConf, "127.0.0.1:0", 1, 1)
+	validConf := fmt.Sprintf(demoConf, "127.0.0.1:0", 1, 1)
 	write("nodes.list", "node n0 127.0.0.1:1 shard 0 state serving\nnode n1 127.0.0.1:2 shard 1 state serving\n")
-	fine := write("fine.conf", good)
-	bad := write("bad.conf", strings.Replace(good, "effect unsafe", "effect wild", 1))
-	missingShard := write("thin.conf", strings.Replace(good, "shards 0-1", "shards 0-2", 1))
+	fine := write("fine.conf", validConf)
+	invalid := write("bad.conf", strings.Replace(validConf, "effect unsafe", "effect wild", 1))
+	missingShard := write("thin.conf", strings.Replace(validConf, "shards 0-1", "shards 0-2", 1))
 	for _, c := range []struct {
 		args string
 		code int
@@ -54,7 +54,7 @@
 		{"version", 0, "maddergap ", ""},
 		{"--help", 0, "Usage: maddergap", ""},
 		{"check --config " + fine, 0, "good; 2 volumes, 3 classes", ""},
-		{"check --config " + bad, 1, "", "bad.conf:6: class: effect is \"wild\""},
+		{"check --config " + invalid, 1, "", "bad.conf:6: class: effect is \"wild\""},
 		{"check --config " + missingShard, 1, "", "no node has shard 2 of volume feed-a"},
 		{"check --config " + filepath.Join(dir, "none"), 1, "", "no such file"},
 		{"check", 2, "", "missing flags"},
@@ -65,7 +65,7 @@
 		{"scenario --length 1ms", 2, "", "out of range"},
 		{"badday --story --seed 4", 0, "head 1: killed at", ""}, // the former name of scenario
 		{"scenario --story --seed 4", 0, "head 1: killed at", ""},
-		{"serve --config " + bad, 1, "", "effect is \"wild\""},
+		{"serve --config " + invalid, 1, "", "effect is \"wild\""},
 	} {
 		var out, errs bytes.Buffer
 		if code := run(strings.Fields(c.args), &out, &errs); code != c.code || !strings.Contains(out.String(), c.out) || !strings.Contains(errs.String(), c.err) {
--- a/cmd/maddergap/scenario_test.go
+++ b/cmd/maddergap/scenario_test.go
@@ -28,7 +28,7 @@
 	if !report.Passed() {
 		t.Errorf("%s", text.String())
 	}
-	if share := report.EarnedWeight / report.OfferedWeight; share < 0.5 || report.Served < 1000 {
+	if fraction := report.EarnedWeight / report.OfferedWeight; fraction < 0.5 || report.Served < 1000 {
 		t.Errorf("less than half of the offered weight was earned, or fewer than 1000 requests were served:\n%s", text.String())
 	}
 	t.Log("\n" + text.String())
--- a/cmd/maddergap/serve.go
+++ b/cmd/maddergap/serve.go
@@ -84,11 +84,11 @@
 	return serve(file, open, ready, logAttrs...)
 }
 
-// serve runs a daemon that logs to out. SIGINT or SIGTERM stops it, SIGHUP makes it reload its
+// serve runs a daemon that logs to logOutput. SIGINT or SIGTERM stops it, SIGHUP makes it reload its
 // configuration. The signals are caught before the daemon is created, so that none of them ends the
 // process while it listens.
-func serve(out io.Writer, open newDaemonFunc, ready readyFunc, logAttrs ...any) error {
-	sink := daemon.NewLogSink(out)
+func serve(logOutput io.Writer, open newDaemonFunc, ready readyFunc, logAttrs ...any) error {
+	sink := daemon.NewLogSink(logOutput)
 	defer sink.Close()
 	log := slog.New(slog.NewJSONHandler(sink, nil)).With(logAttrs...)
 	signals := make(chan os.Signal, 4)
--- a/cmd/maddergap/serve_workers_test.go
+++ b/cmd/maddergap/serve_workers_test.go
@@ -41,12 +41,12 @@
 }
 
 // pids returns the process ids of the workers, in the order in which they were started.
-func (l *lockedBuffer) pids() (out []int) {
+func (l *lockedBuffer) pids() (processIDs []int) {
 	for _, match := range regexp.MustCompile(`"worker started","worker":\d+,"pid":(\d+)`).FindAllStringSubmatch(l.String(), -1) {
 		pid, _ := strconv.Atoi(match[1])
-		out = append(out, pid)
+		processIDs = append(processIDs, pid)
 	}
-	return out
+	return processIDs
 }
 
 // Verifies that two workers that share a port survive the loss of one, first when it is killed and then
@@ -226,8 +226,8 @@
 	for _, stat := range threads {
 		state := byte('?')
 		if b, err := os.ReadFile(stat); err == nil {
-			if _, rest, ok := bytes.Cut(b, []byte(") ")); ok && len(rest) > 0 {
-				state = rest[0]
+			if _, fields, ok := bytes.Cut(b, []byte(") ")); ok && len(fields) > 0 {
+				state = fields[0]
 			}
 		}
 		states = append(states, state)
