--- a/internal/discovery/call.go
+++ b/internal/discovery/call.go
@@ -44,8 +44,8 @@
 	*k = call{conn: k.conn, state: ready, notBefore: notBefore, response: responseDecoder{undecoded: k.response.undecoded[:0]}}
 }
 
-// requestSent reports whether the request of the call was written.
-func (k *call) requestSent() bool { return k.state >= awaitingResponse }
+// isRequestSent reports whether the request of the call was written.
+func (k *call) isRequestSent() bool { return k.state >= awaitingResponse }
 
 // requestKind is the kind of request that a call makes.
 type requestKind uint8
@@ -151,6 +151,6 @@
 	return d.body.Done(), nil
 }
 
-// connReusable reports whether the connection can carry another call after a complete response:
+// isConnReusable reports whether the connection can carry another call after a complete response:
 // the server keeps the connection open, and sent no further bytes.
-func (d *responseDecoder) connReusable() bool { return !d.header.Close && len(d.undecoded) == 0 }
+func (d *responseDecoder) isConnReusable() bool { return !d.header.Close && len(d.undecoded) == 0 }
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -69,7 +69,7 @@
 // seconds. An agent responds at no cost, so the full list is requested from it regardless.
 // ResumeFrom has to be called before the first Step.
 func (c *Client) ResumeFrom(version int64, nodes []nodelist.Node) {
-	if c.schedule.policy.overlapping() || len(nodes) == 0 {
+	if c.schedule.policy.allowsOverlap() || len(nodes) == 0 {
 		return
 	}
 	c.list.resume(version, nodes)
--- a/internal/discovery/errors.go
+++ b/internal/discovery/errors.go
@@ -39,9 +39,9 @@
 // statusRejected is the HTTP status with which an overloaded service rejects a call.
 const statusRejected = 503
 
-// rejected reports whether an error means that an overloaded service rejected the call. The
+// isRejection reports whether an error means that an overloaded service rejected the call. The
 // service has done no work for such a call.
-func rejected(err error) bool {
+func isRejection(err error) bool {
 	var status *StatusError
 	return errors.As(err, &status) && status.Status == statusRejected
 }
--- a/internal/discovery/events.go
+++ b/internal/discovery/events.go
@@ -27,7 +27,7 @@
 func (c *Client) Closed(now Time, conn int) {
 	if k := c.findCall(conn); k != nil {
 		c.removeCall(k)
-		c.callFailed(now, k, ErrConnectionLost)
+		c.handleCallFailure(now, k, ErrConnectionLost)
 	}
 }
 
@@ -37,7 +37,7 @@
 	if k == nil || len(p) == 0 {
 		return
 	}
-	if !k.requestSent() {
+	if !k.isRequestSent() {
 		c.abort(now, k, ErrUnsolicitedData)
 		return
 	}
@@ -51,7 +51,7 @@
 	case err != nil:
 		c.abort(now, k, err)
 	case complete:
-		c.callCompleted(now, k)
+		c.handleCallCompletion(now, k)
 	}
 }
 
@@ -68,21 +68,21 @@
 // abort ends a call that failed while its connection is open.
 func (c *Client) abort(now Time, k *call, cause error) {
 	c.closeCall(k)
-	c.callFailed(now, k, cause)
+	c.handleCallFailure(now, k, cause)
 }
 
-// callFailed records the error of a failed call, which is no longer under way, and schedules the
+// handleCallFailure records the error of a failed call, which is no longer under way, and schedules the
 // next call.
-func (c *Client) callFailed(now Time, k *call, cause error) {
-	c.list.callFailed(k.requestSent(), cause)
+func (c *Client) handleCallFailure(now Time, k *call, cause error) {
+	c.list.handleCallFailure(k.isRequestSent(), cause)
 	c.status.WatchHeldUntil = min(c.status.WatchHeldUntil, now)
 	c.status.LastError = fmt.Errorf("discovery at %s: %w", c.addr, cause)
-	c.schedule.callFailed(now, k.startedAt)
+	c.schedule.handleCallFailure(now, k.startedAt)
 }
 
-// callCompleted applies the list of a complete response. It ends all other calls, as none of them
+// handleCallCompletion applies the list of a complete response. It ends all other calls, as none of them
 // would bring a newer list sooner. The connection is reused for the next call if possible.
-func (c *Client) callCompleted(now Time, k *call) {
+func (c *Client) handleCallCompletion(now Time, k *call) {
 	list, err := k.response.list.finish()
 	if err == nil {
 		err = c.list.apply(k.kind, list, c.status.LastResponseAt)
@@ -102,7 +102,7 @@
 			c.closeCall(other)
 		}
 	}
-	if !k.response.connReusable() {
+	if !k.response.isConnReusable() {
 		c.closeCall(k)
 		c.schedule.restart(now)
 		return
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -31,7 +31,7 @@
 	Address string `json:"address"` // host:port; ignored for a removed node
 	Zone    string `json:"zone"`
 	Group   int    `json:"group"`  // number of the shard that the node holds
-	Status  string `json:"status"` // a key of statusStates
+	Status  string `json:"status"` // a key of statesByStatus
 	// Since is the Unix time at which the node started, in milliseconds; 0 if it was long ago.
 	Since float64 `json:"since_ms"`
 }
--- a/internal/discovery/list_state.go
+++ b/internal/discovery/list_state.go
@@ -65,14 +65,14 @@
 	return fullListRequest
 }
 
-// callFailed updates the state after a call that brought no usable list:
+// handleCallFailure updates the state after a call that brought no usable list:
 //   - A rejected call changes nothing, as the server sent no changes on it.
 //   - A call without a complete response may have lost changes, unless its connection was lost
 //     before the request was sent.
 //   - After any other error, client and server may disagree, and the full list is required.
-func (s *listState) callFailed(requestSent bool, cause error) {
+func (s *listState) handleCallFailure(requestSent bool, cause error) {
 	switch {
-	case rejected(cause):
+	case isRejection(cause):
 	case errors.Is(cause, ErrNoResponse):
 		s.markStale()
 	case errors.Is(cause, ErrConnectionLost):
--- a/internal/discovery/policy.go
+++ b/internal/discovery/policy.go
@@ -57,8 +57,8 @@
 	maxBackoff:           800 * time.Millisecond,
 }
 
-// overlapping reports whether calls may overlap: a further call is made while one has no response.
-func (p *callPolicy) overlapping() bool { return p.maxCallAge > 0 }
+// allowsOverlap reports whether calls may overlap: a further call is made while one has no response.
+func (p *callPolicy) allowsOverlap() bool { return p.maxCallAge > 0 }
 
 const (
 	// maxResponseDeferral is the maximum time, from its first byte on, for which a response that is
--- a/internal/discovery/policy_test.go
+++ b/internal/discovery/policy_test.go
@@ -21,7 +21,7 @@
 	p := agentPolicy
 	check(t, "the hold ends before the next call is due", p.watchHold+p.watchHoldJitter < p.maxCallAge)
 	check(t, "the maximum age of a call is at most the grace of a drain less a stall", p.maxCallAge <= drainGrace-gatewayStall)
-	check(t, "calls overlap", p.overlapping() && p.maxCalls > 1)
+	check(t, "calls overlap", p.allowsOverlap() && p.maxCalls > 1)
 	check(t, "the timeout of the oldest call is longer than all further calls take to start", p.listTimeout > Time(p.maxCalls)*p.maxCallAge && p.watchResponseTimeout >= p.listTimeout)
 	check(t, "the backoff grows and is at most the maximum age of a call", p.minBackoff < p.maxBackoff && p.maxBackoff <= p.maxCallAge)
 	check(t, "a stalled response does not defer the next call", responseStallTimeout < p.maxCallAge && responseStallTimeout < maxResponseDeferral)
@@ -34,7 +34,7 @@
 // count as delivered.
 func TestPollPolicyRelations(t *testing.T) {
 	p := pollPolicy
-	check(t, "calls do not overlap", !p.overlapping() && p.maxCalls == 1)
+	check(t, "calls do not overlap", !p.allowsOverlap() && p.maxCalls == 1)
 	check(t, "the timeout exceeds the response time of an overloaded service", p.listTimeout > overloadedService)
 	check(t, "a hung watch is retried before the changes that it missed count as delivered", p.watchResponseTimeout+p.minBackoff*3/2 < missedChangeGrace)
 	check(t, "the protocol allows the hold", p.watchHold+p.watchHoldJitter <= maxProtocolHold)
--- a/internal/discovery/schedule.go
+++ b/internal/discovery/schedule.go
@@ -35,19 +35,19 @@
 // callStarted schedules the call after one that starts now.
 func (s *callSchedule) callStarted(now Time) {
 	s.nextCallAt = never
-	if s.policy.overlapping() {
+	if s.policy.allowsOverlap() {
 		s.nextCallAt = now + s.policy.maxCallAge
 	}
 }
 
-// callFailed schedules the retry of a call that started at the given time. If calls overlap, the
+// handleCallFailure schedules the retry of a call that started at the given time. If calls overlap, the
 // failure never delays the next call. It can only make it earlier: one backoff after the start of
 // the failed call, or now. If calls do not overlap, the retry waits for 0.5 to 1.5 times the
 // backoff, so that instances whose calls failed together do not retry together.
-func (s *callSchedule) callFailed(now, startedAt Time) {
+func (s *callSchedule) handleCallFailure(now, startedAt Time) {
 	backoff := s.backoff
 	s.backoff = min(2*s.backoff, s.policy.maxBackoff)
-	if s.policy.overlapping() {
+	if s.policy.allowsOverlap() {
 		s.nextCallAt = min(s.nextCallAt, max(now, startedAt+backoff))
 		return
 	}
@@ -80,7 +80,7 @@
 	if now < s.nextCallAt {
 		return false
 	}
-	if !s.policy.overlapping() {
+	if !s.policy.allowsOverlap() {
 		return len(calls) == 0
 	}
 	return now >= deferredUntil(calls)
@@ -101,7 +101,7 @@
 // wakeAt returns the time at which the next call, request or deadline is due if no event comes first.
 func (s *callSchedule) wakeAt(now Time, calls []*call) Time {
 	at := never
-	if s.policy.overlapping() {
+	if s.policy.allowsOverlap() {
 		at = max(s.nextCallAt, deferredUntil(calls))
 	} else if len(calls) == 0 {
 		at = s.nextCallAt
--- a/internal/eventloop/accept.go
+++ b/internal/eventloop/accept.go
@@ -34,7 +34,7 @@
 	transientErrors int           // number of transient errors in a row, not counting EAGAIN
 }
 
-func (a *acceptState) paused() bool { return a.resumeAt > 0 }
+func (a *acceptState) isPaused() bool { return a.resumeAt > 0 }
 
 // pauseAccepting stops accepting for acceptPause. Without the pause, a listener that has
 // connections waiting would keep waking the loop although no descriptor or slot is free for them.
@@ -61,7 +61,7 @@
 // processes instead of going to the same process each time.
 func (l *Loop) rearmSharedListeners() {
 	for _, ln := range l.listeners {
-		if ln.shared && !l.accepting.paused() {
+		if ln.shared && !l.accepting.isPaused() {
 			l.rewatchListener(ln)
 		}
 	}
@@ -128,13 +128,13 @@
 		}
 		more = true
 		budget.remaining--
-		if budget.remaining == 0 || l.accepting.paused() || l.Now() >= budget.until {
+		if budget.remaining == 0 || l.accepting.isPaused() || l.Now() >= budget.until {
 			l.accepting.firstListener++
 			budget.exhausted = true
 			return false
 		}
 	}
-	if l.accepting.paused() {
+	if l.accepting.isPaused() {
 		budget.exhausted = true
 	}
 	return more
@@ -145,7 +145,7 @@
 // false if accepting is paused, for example for lack of descriptors; the caller then calls
 // it again later.
 func (l *Loop) DrainListenQueues() bool {
-	if l.accepting.paused() {
+	if l.accepting.isPaused() {
 		if l.Now() < l.accepting.resumeAt {
 			return false
 		}
@@ -157,7 +157,7 @@
 				break
 			}
 		}
-		if l.accepting.paused() {
+		if l.accepting.isPaused() {
 			return false
 		}
 	}
--- a/internal/eventloop/connections.go
+++ b/internal/eventloop/connections.go
@@ -64,9 +64,9 @@
 	closeWritePending bool
 }
 
-// missedByEpoll reports whether epoll is not registered for some wanted event. The loop then polls
+// isMissedByEpoll reports whether epoll is not registered for some wanted event. The loop then polls
 // the socket instead.
-func (s *socket) missedByEpoll() bool { return !s.inEpoll || s.wanted&^s.registered != 0 }
+func (s *socket) isMissedByEpoll() bool { return !s.inEpoll || s.wanted&^s.registered != 0 }
 
 // connTable holds the sockets of the open connections, indexed by the gateway's slot and
 // by descriptor. A pointer to a socket is valid until the next add.
--- a/internal/eventloop/dial.go
+++ b/internal/eventloop/dial.go
@@ -12,7 +12,7 @@
 	"maddergap/internal/gateway"
 )
 
-// delayedDials holds the dials that wait to be retried after a local error (see isLocal).
+// delayedDials holds the dials that wait to be retried after a local error (see isLocalError).
 type delayedDials struct {
 	waiting []gateway.Action
 	backoff backoff
@@ -56,7 +56,7 @@
 	inProgress := err == nil || errors.Is(err, unix.EINPROGRESS) || errors.Is(err, unix.EINTR)
 	if !inProgress {
 		unix.Close(fd)
-		if isLocal(err) {
+		if isLocalError(err) {
 			l.delayDial(a, err)
 		} else {
 			l.Gateway.Closed(l.Now(), a.Conn)
@@ -73,7 +73,7 @@
 	id := s.id
 	code, err := l.calls.SocketError(s.fd)
 	switch {
-	case err != nil || code != 0 && isLocal(code):
+	case err != nil || code != 0 && isLocalError(code):
 		a := gateway.Action{Op: gateway.Dial, Conn: id, Addr: s.address}
 		l.closeSocket(s, false)
 		l.delayDial(a, cmp.Or(err, error(code)))
@@ -102,7 +102,7 @@
 // reportDialDelay tells the gateway that a dial is delayed, and whether the cause is a shortage
 // of resources, which no peer can bring about.
 func (l *Loop) reportDialDelay(id gateway.ConnID) {
-	if isShortage(l.dials.err) {
+	if isResourceShortage(l.dials.err) {
 		l.Gateway.DialShortOfResources(l.Now(), id)
 	} else {
 		l.Gateway.Stalled(l.Now(), id)
--- a/internal/eventloop/io.go
+++ b/internal/eventloop/io.go
@@ -146,7 +146,7 @@
 // call is retried.
 func (l *Loop) shutdownWrite(s *socket) {
 	err := l.calls.Shutdown(s.fd, unix.SHUT_WR)
-	s.closeWritePending = err != nil && isLocal(err)
+	s.closeWritePending = err != nil && isLocalError(err)
 	if s.closeWritePending {
 		l.stall(s)
 	}
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -174,7 +174,7 @@
 // close a rejected connection, to retry a call, or to resume accepting.
 func (l *Loop) nextOwnTimer() time.Duration {
 	next := min(l.rejected.next(), l.dials.next(), l.stalled.next())
-	if l.accepting.paused() {
+	if l.accepting.isPaused() {
 		next = min(next, l.accepting.resumeAt)
 	}
 	return next
@@ -211,7 +211,7 @@
 	}
 	l.rejected.closeExpired(l.phaseStart)
 	switch {
-	case l.accepting.paused():
+	case l.accepting.isPaused():
 		if l.phaseStart >= l.accepting.resumeAt {
 			l.resumeAccepting()
 		}
--- a/internal/eventloop/retry.go
+++ b/internal/eventloop/retry.go
@@ -20,8 +20,8 @@
 	maxInterrupts = 8
 )
 
-// isLocal reports whether an error is caused by the gateway's own machine and not by the peer.
-func isLocal(err error) bool {
+// isLocalError reports whether an error is caused by the gateway's own machine and not by the peer.
+func isLocalError(err error) bool {
 	for _, errno := range []unix.Errno{unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM, unix.ENOSPC, unix.EAGAIN, unix.EINTR,
 		unix.EADDRNOTAVAIL, unix.ENETUNREACH, unix.ENETDOWN} {
 		if errors.Is(err, errno) {
@@ -31,10 +31,10 @@
 	return false
 }
 
-// isShortage reports whether an error is a local lack of descriptors, memory or ports, which no
+// isResourceShortage reports whether an error is a local lack of descriptors, memory or ports, which no
 // peer can cause. An unreachable network is a local error too, but it may affect one peer only.
-func isShortage(err error) bool {
-	return isLocal(err) && !errors.Is(err, unix.ENETUNREACH) && !errors.Is(err, unix.ENETDOWN)
+func isResourceShortage(err error) bool {
+	return isLocalError(err) && !errors.Is(err, unix.ENETUNREACH) && !errors.Is(err, unix.ENETDOWN)
 }
 
 // isOutOfMemory reports whether the kernel had no memory or buffer for a read or write.
--- a/internal/eventloop/retry_test.go
+++ b/internal/eventloop/retry_test.go
@@ -70,12 +70,12 @@
 // Verifies that errors of the gateway's own machine are distinguished from errors of the peer.
 func TestLocalErrors(t *testing.T) {
 	for _, errno := range []unix.Errno{unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.EADDRNOTAVAIL, unix.ENETUNREACH} {
-		if !isLocal(errno) {
+		if !isLocalError(errno) {
 			t.Errorf("%v is not regarded as a local error", errno)
 		}
 	}
 	for _, errno := range []unix.Errno{unix.ECONNREFUSED, unix.ETIMEDOUT, unix.EHOSTUNREACH, unix.ECONNRESET} {
-		if isLocal(errno) {
+		if isLocalError(errno) {
 			t.Errorf("%v is regarded as a local error", errno)
 		}
 	}
--- a/internal/eventloop/stalled.go
+++ b/internal/eventloop/stalled.go
@@ -76,7 +76,7 @@
 	var ids []gateway.ConnID
 	var fds []unix.PollFd
 	for _, id := range l.stalled.ids {
-		if s := l.conns.lookup(id); s != nil && s.missedByEpoll() {
+		if s := l.conns.lookup(id); s != nil && s.isMissedByEpoll() {
 			ids = append(ids, id)
 			fds = append(fds, unix.PollFd{Fd: int32(s.fd), Events: int16(s.wanted)})
 		}
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -119,7 +119,7 @@
 		HasLoadReport: attempt.hasLoadReport,
 	}
 	if req := attempt.req.live(); req != nil {
-		g.notePossibleExecution(req, attempt, outcome)
+		g.recordPossibleExecution(req, attempt, outcome)
 		req.stopUpload(attempt)
 		g.withdrawResponse(req, attempt)
 		event.Responded = false
--- a/internal/gateway/buffered_protocol.go
+++ b/internal/gateway/buffered_protocol.go
@@ -66,7 +66,7 @@
 	return attempt.conn.response.ContentLength <= limit
 }
 
-func (b bufferedProtocol) responseData(g *Gateway, _ *request, attempt *nodeAttempt, data []byte) bool {
+func (b bufferedProtocol) forwardResponseData(g *Gateway, _ *request, attempt *nodeAttempt, data []byte) bool {
 	limit, totalLimit := b.p.MaxResponseBytes()
 	g.buffers.responseBytes += int64(len(data)) // subtracted when the attempt ends
 	attempt.responseBody = append(attempt.responseBody, data...)
@@ -84,7 +84,7 @@
 	client.output = append(g.appendHeaderEnd(output, client, req), attempt.responseBody...)
 	g.endAttempt(attempt, scheduler.OK)
 	g.reportRequestEnd(req, Served)
-	g.responseQueued(req)
+	g.handleResponseQueued(req)
 }
 
 // maxDiscardedBytes returns the limit on response bodies, so that every permitted response is
@@ -109,7 +109,7 @@
 	return b.p.AppendRetryAfter(dst, after)
 }
 
-func (b bufferedProtocol) requestEnded(req *request, outcome Outcome) {
+func (b bufferedProtocol) handleRequestEnd(req *request, outcome Outcome) {
 	if req.id != 0 {
 		b.p.EndRequest(req.info.ID, outcome)
 	}
--- a/internal/gateway/client_conn.go
+++ b/internal/gateway/client_conn.go
@@ -112,7 +112,7 @@
 			g.setDeadline(c, never)
 		}
 	} else if allWritten {
-		g.clientIdle(c)
+		g.handleClientIdle(c)
 	}
 }
 
@@ -144,7 +144,7 @@
 	case c.phase >= clientDiscarding, len(c.pending()) > 0 && g.clock.now >= c.readDeadline: // the client does not read its response
 		g.dropClient(c, Abort, Dropped)
 	case req != nil && !req.body.complete && !req.response.final:
-		g.uploadTimedOut(c, req)
+		g.handleUploadTimeout(c, req)
 	case len(c.pending()) > 0: // the timer had been set for the request body
 		g.setDeadline(c, c.readDeadline)
 	case req != nil: // the scheduler's deadline for the request applies
@@ -174,10 +174,10 @@
 	}
 }
 
-// responseQueued is called when the complete response to a request has been queued. If the
+// handleResponseQueued is called when the complete response to a request has been queued. If the
 // client is still connected, it detaches the request from the connection, and schedules the
 // connection's next request.
-func (g *Gateway) responseQueued(req *request) {
+func (g *Gateway) handleResponseQueued(req *request) {
 	c := req.client
 	if c == nil {
 		g.recycle(req)
@@ -221,13 +221,13 @@
 		g.storeUnread(c, g.consumeClientData(c, c.unread))
 	}
 	if !c.closed && c.req == nil && len(c.pending()) == 0 {
-		g.clientIdle(c)
+		g.handleClientIdle(c)
 	}
 }
 
-// clientIdle is called for a client connection without a request and without pending output.
+// handleClientIdle is called for a client connection without a request and without pending output.
 // It starts the idle timeout, or ends the connection if no further request is read from it.
-func (g *Gateway) clientIdle(c *clientConn) {
+func (g *Gateway) handleClientIdle(c *clientConn) {
 	switch {
 	case c.inReadyClients: // startNextRequest processes pipelined input first
 	case c.phase >= clientClosing, g.intake == intakeClosed, c.peer != peerConnected:
--- a/internal/gateway/client_end.go
+++ b/internal/gateway/client_end.go
@@ -8,10 +8,10 @@
 // last response; see lingeringClose.
 const lingerTimeout = 2 * time.Second
 
-// uploadTimedOut ends a request whose body makes no progress, or is slower than the minimum
+// handleUploadTimeout ends a request whose body makes no progress, or is slower than the minimum
 // rate. A submitted request is cancelled. The client is answered with 408, or its connection
 // is reset if a part of a node's response was already written.
-func (g *Gateway) uploadTimedOut(c *clientConn, req *request) {
+func (g *Gateway) handleUploadTimeout(c *clientConn, req *request) {
 	if req.id != 0 {
 		g.cancelRequest(req, AnsweredLocally)
 	}
--- a/internal/gateway/client_input.go
+++ b/internal/gateway/client_input.go
@@ -78,7 +78,7 @@
 // the client if there is no room for it. It returns the same as consumeHeader.
 func (g *Gateway) consumeBody(c *clientConn, data []byte) (unconsumed []byte, more bool) {
 	req := c.req
-	if g.uploadBlocked(req) {
+	if g.isUploadBlocked(req) {
 		g.pauseReading(c)
 		g.stopUploadTimer(c) // the client waits for the gateway
 		return data, false
@@ -94,10 +94,10 @@
 	return unconsumed, true
 }
 
-// uploadBlocked reports whether there is no room for more of a request body: a submitted
+// isUploadBlocked reports whether there is no room for more of a request body: a submitted
 // request has filled its buffer, or the node takes the body more slowly than the client
 // sends it.
-func (g *Gateway) uploadBlocked(req *request) bool {
+func (g *Gateway) isUploadBlocked(req *request) bool {
 	if uploading := req.attempts.uploading; uploading != nil {
 		return len(uploading.conn.pending()) > g.bufferAllowance()
 	}
--- a/internal/gateway/conn_events.go
+++ b/internal/gateway/conn_events.go
@@ -5,9 +5,9 @@
 	g.clock.advance(now)
 	switch c := g.conns.find(id).(type) {
 	case *nodeConn:
-		g.nodeConnected(c)
+		g.handleNodeConnected(c)
 	case *discoveryConn:
-		g.discoveryConnected(c)
+		g.handleDiscoveryConnected(c)
 	}
 }
 
@@ -86,6 +86,6 @@
 	case *clientConn:
 		c.mayHaveUnreadRequest = true
 	case *nodeConn:
-		g.nodeConnStalled(c)
+		g.handleNodeConnStalled(c)
 	}
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -177,10 +177,10 @@
 	case scheduler.Send:
 		g.startAttempt(g.requests.byID[a.ID], a.Node, a.StartBefore)
 	case scheduler.Reject:
-		g.noteExpiryReason(a.ID)
+		g.recordExpiryReason(a.ID)
 		g.reject(g.requests.byID[a.ID], a.RetryAfter)
 	case scheduler.Fail:
-		g.noteExpiryReason(a.ID)
+		g.recordExpiryReason(a.ID)
 		g.fail(g.requests.byID[a.ID])
 	case scheduler.SetTimer:
 		g.scheduler.setTimer(g.clock.now + a.After)
--- a/internal/gateway/idle_conns.go
+++ b/internal/gateway/idle_conns.go
@@ -31,7 +31,7 @@
 	if n == nil || len(n.idleConns) == 0 {
 		return nil
 	}
-	if c := n.longIdleConn(g.clock.now); c != nil {
+	if c := n.reusableIdleConn(g.clock.now); c != nil {
 		n.keepsConnsOpen = true
 		return c
 	}
@@ -41,9 +41,9 @@
 	return n.idleConns[0]
 }
 
-// longIdleConn returns the most recently used of the connections that have been idle for
+// reusableIdleConn returns the most recently used of the connections that have been idle for
 // reuseDelay, or nil if there is none.
-func (n *node) longIdleConn(now Time) *nodeConn {
+func (n *node) reusableIdleConn(now Time) *nodeConn {
 	for _, c := range slices.Backward(n.idleConns) {
 		if now-c.idleSince >= reuseDelay {
 			return c
@@ -52,11 +52,11 @@
 	return nil
 }
 
-// noteEarlyClose is called when a connection to a node is lost. If that was less than
+// recordEarlyClose is called when a connection to a node is lost. If that was less than
 // reuseDelay after the connection was last made idle, the node has closed it right after a
 // response, and is no longer assumed to keep connections open. As idleSince stays set when the
 // connection is reused, this includes a connection that is already carrying its next attempt.
-func (g *Gateway) noteEarlyClose(c *nodeConn) {
+func (g *Gateway) recordEarlyClose(c *nodeConn) {
 	if c.idleSince > 0 && g.clock.now-c.idleSince < reuseDelay {
 		c.node.keepsConnsOpen = false
 	}
--- a/internal/gateway/invariant_checks.go
+++ b/internal/gateway/invariant_checks.go
@@ -60,9 +60,9 @@
 	return prior
 }
 
-// notePossibleExecution records that an attempt may have been executed, unless its outcome
+// recordPossibleExecution records that an attempt may have been executed, unless its outcome
 // proves that it was not. Only the first such attempt of a request is recorded.
-func (g *Gateway) notePossibleExecution(req *request, attempt *nodeAttempt, outcome scheduler.Outcome) {
+func (g *Gateway) recordPossibleExecution(req *request, attempt *nodeAttempt, outcome scheduler.Outcome) {
 	execution := &req.attempts.mayHaveExecuted
 	if execution.known || outcome.ProvesNotRun() {
 		return
--- a/internal/gateway/local_response.go
+++ b/internal/gateway/local_response.go
@@ -14,9 +14,9 @@
 	reasonTimedOut = "no answer in time; whether the request took effect is not known"
 )
 
-// noteExpiryReason records, for the report to the observer, what kept a request from being sent
+// recordExpiryReason records, for the report to the observer, what kept a request from being sent
 // before the scheduler decided to reject or fail it.
-func (g *Gateway) noteExpiryReason(id uint64) {
+func (g *Gateway) recordExpiryReason(id uint64) {
 	if req := g.requests.byID[id]; req != nil {
 		req.response.waitReason = g.scheduler.expiryReason(id)
 	}
@@ -123,7 +123,7 @@
 		b = append(b, body...)
 	}
 	c.output = b
-	g.responseQueued(req)
+	g.handleResponseQueued(req)
 }
 
 // localContentType returns the media type of a response of the gateway's own: XML for a listing
--- a/internal/gateway/membership_source.go
+++ b/internal/gateway/membership_source.go
@@ -86,7 +86,7 @@
 	g.actions.dial(c.id, op.Dial)
 }
 
-func (g *Gateway) discoveryConnected(c *discoveryConn) {
+func (g *Gateway) handleDiscoveryConnected(c *discoveryConn) {
 	if !c.connected {
 		c.connected = true
 		g.membership.source.Connected(g.clock.now, c.sourceConnID)
@@ -98,8 +98,8 @@
 	g.flush(c)
 }
 
-// discoveryConnLost removes a connection that was lost, and notifies the source.
-func (g *Gateway) discoveryConnLost(c *discoveryConn, closedByDriver bool) {
+// handleDiscoveryConnLost removes a connection that was lost, and notifies the source.
+func (g *Gateway) handleDiscoveryConnLost(c *discoveryConn, closedByDriver bool) {
 	g.removeLost(c, closedByDriver)
 	if g.membership.conns[c.sourceConnID] == c {
 		delete(g.membership.conns, c.sourceConnID)
@@ -113,9 +113,9 @@
 
 func (c *discoveryConn) handleWritten(*Gateway, int) {}
 
-func (c *discoveryConn) handleEOF(g *Gateway) { g.discoveryConnLost(c, false) }
+func (c *discoveryConn) handleEOF(g *Gateway) { g.handleDiscoveryConnLost(c, false) }
 
-func (c *discoveryConn) handleClosed(g *Gateway) { g.discoveryConnLost(c, true) }
+func (c *discoveryConn) handleClosed(g *Gateway) { g.handleDiscoveryConnLost(c, true) }
 
 func (c *discoveryConn) handleTimer(*Gateway) {}
 
--- a/internal/gateway/node_conn.go
+++ b/internal/gateway/node_conn.go
@@ -58,9 +58,9 @@
 	g.setDeadline(c, min(g.clock.now+g.config.Timeouts.Dial, attempt.identity.deadline))
 }
 
-// nodeConnected is called when a connection is established. It sends the connection's
+// handleNodeConnected is called when a connection is established. It sends the connection's
 // attempt, unless the request has its final response or the time to start has passed.
-func (g *Gateway) nodeConnected(c *nodeConn) {
+func (g *Gateway) handleNodeConnected(c *nodeConn) {
 	if c.state != nodeDialing {
 		return
 	}
@@ -120,19 +120,19 @@
 
 func (c *nodeConn) handleEOF(g *Gateway) {
 	if c.attempt != nil && c.state == nodeReadingBody && c.responseBody.InputEnded() {
-		g.noteEarlyClose(c) // the body ends with the connection
-		g.responseComplete(c)
+		g.recordEarlyClose(c) // the body ends with the connection
+		g.handleResponseComplete(c)
 		return
 	}
-	g.nodeConnLost(c, false)
+	g.handleNodeConnLost(c, false)
 }
 
-func (c *nodeConn) handleClosed(g *Gateway) { g.nodeConnLost(c, true) }
+func (c *nodeConn) handleClosed(g *Gateway) { g.handleNodeConnLost(c, true) }
 
-// nodeConnLost removes a connection that was lost, and ends its attempt. closedByDriver:
+// handleNodeConnLost removes a connection that was lost, and ends its attempt. closedByDriver:
 // the driver has closed the connection already.
-func (g *Gateway) nodeConnLost(c *nodeConn, closedByDriver bool) {
-	g.noteEarlyClose(c)
+func (g *Gateway) handleNodeConnLost(c *nodeConn, closedByDriver bool) {
+	g.recordEarlyClose(c)
 	attempt := c.attempt
 	if attempt == nil {
 		g.nodes.removeIdle(c)
@@ -201,10 +201,10 @@
 
 func (c *nodeConn) handleRemoved(g *Gateway) { g.nodes.connClosed(c.node) }
 
-// nodeConnStalled is called when a system call on a connection was deferred for lack of
+// handleNodeConnStalled is called when a system call on a connection was deferred for lack of
 // local resources. It notifies the scheduler, so that the delay does not count against the
 // node.
-func (g *Gateway) nodeConnStalled(c *nodeConn) {
+func (g *Gateway) handleNodeConnStalled(c *nodeConn) {
 	if c.state == nodeDialing {
 		c.dialStalled = true
 	}
--- a/internal/gateway/node_response.go
+++ b/internal/gateway/node_response.go
@@ -21,11 +21,11 @@
 			data, more = g.consumeResponseHeader(c, data)
 		}
 		if c.state == nodeReadingBody && c.responseBody.Done() && !c.closed {
-			g.responseComplete(c)
+			g.handleResponseComplete(c)
 		}
 	}
 	if c.attempt != nil && !c.closed {
-		g.responseProgressed(c)
+		g.handleResponseProgress(c)
 	}
 	return data
 }
@@ -115,14 +115,14 @@
 		}
 		return
 	}
-	if !g.protocol.responseData(g, req, attempt, data) {
+	if !g.protocol.forwardResponseData(g, req, attempt, data) {
 		g.abortNodeConn(attempt.conn, g.protocol.brokenResponseOutcome())
 	}
 }
 
-// responseProgressed restarts the no-progress timeout of a response that has begun. It
+// handleResponseProgress restarts the no-progress timeout of a response that has begun. It
 // notifies the scheduler once when a streamed response begins to be passed on.
-func (g *Gateway) responseProgressed(c *nodeConn) {
+func (g *Gateway) handleResponseProgress(c *nodeConn) {
 	attempt := c.attempt
 	if attempt.bufferResponse {
 		g.setDeadline(c, min(attempt.identity.deadline, g.clock.now+attempt.noProgressTimeout))
@@ -140,9 +140,9 @@
 	}
 }
 
-// responseComplete ends an attempt whose response was read completely. It makes the
+// handleResponseComplete ends an attempt whose response was read completely. It makes the
 // connection idle if it can be reused, and closes it otherwise.
-func (g *Gateway) responseComplete(c *nodeConn) {
+func (g *Gateway) handleResponseComplete(c *nodeConn) {
 	attempt := c.attempt
 	c.attempt = nil
 	c.state = nodeIdle
--- a/internal/gateway/node_table.go
+++ b/internal/gateway/node_table.go
@@ -21,7 +21,7 @@
 	conns     int         // number of open connections, including those being dialed
 	idleConns []*nodeConn // connections without an attempt, most recently used last; see addIdle
 	// keepsConnsOpen is set when an idle connection is found open after reuseDelay, and
-	// cleared when a connection is lost sooner (see noteEarlyClose) or the node moves.
+	// cleared when a connection is lost sooner (see recordEarlyClose) or the node moves.
 	keepsConnsOpen bool
 }
 
--- a/internal/gateway/observer.go
+++ b/internal/gateway/observer.go
@@ -146,7 +146,7 @@
 		g.invariants.RecordDuplicateResponse(g.clock.now, req.id)
 	}
 	req.response.reported = true
-	g.protocol.requestEnded(req, outcome)
+	g.protocol.handleRequestEnd(req, outcome)
 	if g.observer == nil {
 		return
 	}
--- a/internal/gateway/protocol.go
+++ b/internal/gateway/protocol.go
@@ -27,11 +27,11 @@
 	// or whose client has left. The response is read and dropped. If beginUnwantedResponse
 	// returns false, the attempt ends with brokenResponseOutcome.
 	beginUnwantedResponse(attempt *nodeAttempt) bool
-	// beginResponse, responseData and endResponse forward a response whose outcome is OK. They
+	// beginResponse, forwardResponseData and endResponse forward a response whose outcome is OK. They
 	// are called only while the request has no final response. If beginResponse or
-	// responseData returns false, the attempt ends with brokenResponseOutcome.
+	// forwardResponseData returns false, the attempt ends with brokenResponseOutcome.
 	beginResponse(g *Gateway, req *request, attempt *nodeAttempt) bool
-	responseData(g *Gateway, req *request, attempt *nodeAttempt, data []byte) bool
+	forwardResponseData(g *Gateway, req *request, attempt *nodeAttempt, data []byte) bool
 	endResponse(g *Gateway, req *request, attempt *nodeAttempt)
 
 	// maxDiscardedBytes returns how many bytes of an unwanted response body are read in order to
@@ -50,8 +50,8 @@
 	eofMeansDisconnect() bool
 	// appendRetryAfter appends the header fields that tell a client when to retry.
 	appendRetryAfter(b []byte, after time.Duration) []byte
-	// requestEnded is called when a request has ended.
-	requestEnded(req *request, outcome Outcome)
+	// handleRequestEnd is called when a request has ended.
+	handleRequestEnd(req *request, outcome Outcome)
 }
 
 // ResponseInfo is the information that a protocol extracts from the header of a response.
--- a/internal/gateway/random_histories_test.go
+++ b/internal/gateway/random_histories_test.go
@@ -46,13 +46,13 @@
 	case 10, 11:
 		x.nodeSendsRemainder()
 	case 12:
-		x.shutdownAdvances()
+		x.advanceShutdown()
 	}
 }
 
-// shutdownAdvances sometimes calls Drain, Shutdown or, after Shutdown, AbortRemaining. Other events
+// advanceShutdown sometimes calls Drain, Shutdown or, after Shutdown, AbortRemaining. Other events
 // go on after each of them.
-func (x *randomHistory) shutdownAdvances() {
+func (x *randomHistory) advanceShutdown() {
 	switch step := rapid.IntRange(0, 7).Draw(x.rt, "shutdown"); {
 	case step == 0:
 		x.gateway.Drain(x.now)
--- a/internal/gateway/request_lifecycle.go
+++ b/internal/gateway/request_lifecycle.go
@@ -95,7 +95,7 @@
 
 // receiveBody processes a piece of a request body.
 func (g *Gateway) receiveBody(c *clientConn, req *request, data []byte) {
-	g.noteBodyReceived(c, req, len(data))
+	g.recordBodyReceived(c, req, len(data))
 	if req.listing != nil && req.id == 0 {
 		g.receiveListingBody(req, data)
 		return
@@ -104,9 +104,9 @@
 	g.submitWhenBuffered(c, req)
 }
 
-// noteBodyReceived counts n decoded bytes of a body, and stops the upload timer at the end of
+// recordBodyReceived counts n decoded bytes of a body, and stops the upload timer at the end of
 // the body.
-func (g *Gateway) noteBodyReceived(c *clientConn, req *request, n int) {
+func (g *Gateway) recordBodyReceived(c *clientConn, req *request, n int) {
 	req.body.received += int64(n)
 	req.body.complete = req.body.decoder.Done()
 	req.body.continueHandled = true // a client that sends its body does not wait for 100 (Continue)
--- a/internal/gateway/webdav_protocol.go
+++ b/internal/gateway/webdav_protocol.go
@@ -187,7 +187,7 @@
 	g.flushClient(c)
 }
 
-func (webdavProtocol) responseData(g *Gateway, req *request, attempt *nodeAttempt, data []byte) bool {
+func (webdavProtocol) forwardResponseData(g *Gateway, req *request, attempt *nodeAttempt, data []byte) bool {
 	if req.listing != nil {
 		if !g.receivePartData(req, data) {
 			g.abortNodeConn(attempt.conn, scheduler.Cancelled)
@@ -220,7 +220,7 @@
 	}
 	g.endAttempt(attempt, scheduler.OK)
 	g.reportRequestEnd(req, Served)
-	g.responseQueued(req)
+	g.handleResponseQueued(req)
 }
 
 // maxDiscardedBytes returns a limit that is small compared with the length of a streamed response.
@@ -238,7 +238,7 @@
 	return appendRetryAfter(b, after)
 }
 
-func (webdavProtocol) requestEnded(*request, Outcome) {}
+func (webdavProtocol) handleRequestEnd(*request, Outcome) {}
 
 // learnSize records the size of a resource, which is used to classify later requests.
 func (g *Gateway) learnSize(req *request, r *http1.Response) {
