--- a/scheduler/membership_test.go
+++ b/scheduler/membership_test.go
@@ -38,7 +38,7 @@
 
 // Guards against memory that grows as nodes are replaced in a fleet: nodes that are removed from the
 // list must leave no state behind.
-func TestRemovedNodesAreForgotten(t *testing.T) {
+func TestRemovedNodesAreDeleted(t *testing.T) {
 	h := newHarness(t, testSettings())
 	for i := range 5000 {
 		name := "n" + strconv.Itoa(i)
--- a/scheduler/scheduler_test.go
+++ b/scheduler/scheduler_test.go
@@ -89,7 +89,7 @@
 
 // Verifies that the scheduler is deterministic: the same events give the same actions.
 func TestSchedulerIsDeterministic(t *testing.T) {
-	play := func() (all []Action) {
+	runHistory := func() (all []Action) {
 		h := newHarness(t, testSettings(func(s *Settings) { s.Plans[0].Reserve, s.Instances = 5, 3 }), nodeA, nodeB)
 		for id := uint64(1); id <= 300; id++ {
 			volume := string(rune('a' + id%17))
@@ -101,5 +101,5 @@
 		}
 		return append(all, h.runFor(12*time.Second)...)
 	}
-	assertEqual(t, "actions of the second run", play(), play())
+	assertEqual(t, "actions of the second run", runHistory(), runHistory())
 }
