--- a/internal/gateway/connection_reuse_test.go
+++ b/internal/gateway/connection_reuse_test.go
@@ -174,7 +174,7 @@
 // an unwanted one.
 type longResponses struct{ fakeProtocol }
 
-func (longResponses) MaxResponseBytes() (one, all int64) { return 1 << 18, 1 << 20 }
+func (longResponses) MaxResponseBytes() (perResponse, total int64) { return 1 << 18, 1 << 20 }
 
 // Guards against node connections that are closed because a client has left. With a protocol that
 // buffers its messages, an unwanted response of any permitted length is read to its end, and the
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -211,7 +211,7 @@
 
 // Verifies that nothing is kept of removed nodes and their connections. Otherwise frequent
 // rolling upgrades would increase the memory use without limit.
-func TestReplacedNodesAreForgotten(t *testing.T) {
+func TestReplacedNodesAreDeleted(t *testing.T) {
 	h := newHarness(t, "")
 	for i := range 3000 {
 		name := fmt.Sprint("x", i)
--- a/internal/gateway/shutdown_test.go
+++ b/internal/gateway/shutdown_test.go
@@ -14,10 +14,10 @@
 	h.deliver(h.nodeConn(0), okResponse("zero"))
 	h.takeWritten(idle)
 	c := h.connectClient(getRequest("/feed-a/s/1") + getRequest("/feed-a/s/2"))
-	noRequest, fresh, half := h.connectClient(""), h.connectClient(""), h.connectClient(getRequest("/feed-b/s/0"))
+	noRequest, fresh, partial := h.connectClient(""), h.connectClient(""), h.connectClient(getRequest("/feed-b/s/0"))
 	h.deliver(h.nodeConn(1), okResponse("zero"))
-	h.takeWritten(half)
-	h.deliver(half, "GET /feed-a/s/4 HTT")
+	h.takeWritten(partial)
+	h.deliver(partial, "GET /feed-a/s/4 HTT")
 	h.gateway.Shutdown(h.now)
 	h.runActions()
 	if h.gateway.Idle() {
@@ -32,7 +32,7 @@
 	for _, late := range []struct {
 		c    ConnID
 		text string
-	}{{fresh, getRequest("/feed-a/s/3")}, {half, getRequest("/feed-a/s/4")[19:]}} {
+	}{{fresh, getRequest("/feed-a/s/3")}, {partial, getRequest("/feed-a/s/4")[19:]}} {
 		h.deliver(late.c, late.text)
 		h.deliver(h.nodeConn(0), okResponse("late"))
 		h.wantContains("the response", h.takeWritten(late.c), "200 OK", "Connection: close")
--- a/internal/platform/protocol.go
+++ b/internal/platform/protocol.go
@@ -80,7 +80,7 @@
 
 // MaxResponseBytes returns the maximum size of one response, and of all responses that are buffered at
 // a time.
-func (p *Protocol) MaxResponseBytes() (one, all int64) {
+func (p *Protocol) MaxResponseBytes() (perResponse, total int64) {
 	return p.maxResponseBytes, p.maxBufferedResponseBytes
 }
 
