--- a/cmd/maddergap/descriptors_test.go
+++ b/cmd/maddergap/descriptors_test.go
@@ -23,20 +23,20 @@
 	node := startNode(t, fakenode.Options{Cores: 8, QueueLimit: 64, UnitTime: 150 * time.Millisecond})
 	addr := loopback.Addr(99, 2, 18099)
 	pid := startInstance(t, addr, writeDemoConf(t, addr, node, nil)).Process.Pid
-	var early []net.Conn // connected before the limit is lowered
+	var connsBefore []net.Conn // connected before the limit is lowered
 	for range 6 {
-		early = append(early, dial(t, addr))
+		connsBefore = append(connsBefore, dial(t, addr))
 	}
-	sendPut(early[0], "/feed-a/before")
+	sendPut(connsBefore[0], "/feed-a/before")
 	time.Sleep(100 * time.Millisecond) // the node has received it
 	raiseLimit := lowerDescriptorLimit(t, pid)
-	var late []net.Conn
+	var connsAtLimit []net.Conn
 	for range 20 { // accept fails at the limit
 		c := dial(t, addr)
-		late = append(late, c)
+		connsAtLimit = append(connsAtLimit, c)
 		sendPut(c, "/feed-a/late")
 	}
-	for i, c := range early[1:] { // connecting to the node fails at the limit
+	for i, c := range connsBefore[1:] { // connecting to the node fails at the limit
 		sendPut(c, fmt.Sprint("/feed-a/held", i))
 	}
 	before := cpuTicks(t, pid)
@@ -44,18 +44,18 @@
 	if used := cpuTicks(t, pid) - before; used > 30 {
 		t.Errorf("used %d hundredths of a second of CPU time in 1 s, want at most 30: the event loop spins", used)
 	}
-	if status := statusOf(t, early[0]); status != 201 {
+	if status := statusOf(t, connsBefore[0]); status != 201 {
 		t.Errorf("request pending when the limit was lowered: got status %d, want 201", status)
 	}
 	statuses := map[int]int{}
-	for _, c := range early[1:] {
+	for _, c := range connsBefore[1:] {
 		statuses[statusOf(t, c)]++
 	}
-	if statuses[201]+statuses[503] != len(early)-1 {
+	if statuses[201]+statuses[503] != len(connsBefore)-1 {
 		t.Errorf("requests sent under the lowered limit: got counts by status %v, want only 201 and 503", statuses)
 	}
 	raiseLimit()
-	for _, c := range late { // these waited in the listen queue
+	for _, c := range connsAtLimit { // these waited in the listen queue
 		if status := statusOf(t, c); status != 201 && status != 204 && status != 503 {
 			t.Errorf("connection accepted after the limit was raised: got status %d, want 201, 204 or 503", status)
 		}
--- a/cmd/maddergap/main_test.go
+++ b/cmd/maddergap/main_test.go
@@ -42,7 +42,7 @@
 	}
 	validConf := fmt.Sprintf(demoConf, "127.0.0.1:0", 1, 1)
 	write("nodes.list", "node n0 127.0.0.1:1 shard 0 state serving\nnode n1 127.0.0.1:2 shard 1 state serving\n")
-	fine := write("fine.conf", validConf)
+	valid := write("fine.conf", validConf)
 	invalid := write("bad.conf", strings.Replace(validConf, "effect unsafe", "effect wild", 1))
 	missingShard := write("thin.conf", strings.Replace(validConf, "shards 0-1", "shards 0-2", 1))
 	for _, c := range []struct {
@@ -53,7 +53,7 @@
 	}{
 		{"version", 0, "maddergap ", ""},
 		{"--help", 0, "Usage: maddergap", ""},
-		{"check --config " + fine, 0, "good; 2 volumes, 3 classes", ""},
+		{"check --config " + valid, 0, "good; 2 volumes, 3 classes", ""},
 		{"check --config " + invalid, 1, "", "bad.conf:6: class: effect is \"wild\""},
 		{"check --config " + missingShard, 1, "", "no node has shard 2 of volume feed-a"},
 		{"check --config " + filepath.Join(dir, "none"), 1, "", "no such file"},
--- a/cmd/maddergap/misbehaving_peers_test.go
+++ b/cmd/maddergap/misbehaving_peers_test.go
@@ -170,8 +170,8 @@
 	pathCount     int       // paths that path has returned
 }
 
-// violation records an error that a client found.
-func (l *clientLoad) violation(format string, args ...any) {
+// recordViolation records an error that a client found.
+func (l *clientLoad) recordViolation(format string, args ...any) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.violations = append(l.violations, fmt.Sprintf(format, args...))
@@ -253,7 +253,7 @@
 	if err != nil {
 		// While the instance shuts down, it may close an idle connection just as the next request arrives.
 		if first || !signalledBefore && !l.wasSignalled() {
-			l.violation("%s (%.60q), first on its connection: %v, half-closed: %v: no response after %v: %v",
+			l.recordViolation("%s (%.60q), first on its connection: %v, half-closed: %v: no response after %v: %v",
 				method, text, first, halfClose, time.Since(startedAt).Round(time.Millisecond), err)
 		}
 		return false
