--- a/cmd/maddergap/soak.go
+++ b/cmd/maddergap/soak.go
@@ -32,7 +32,7 @@
 			return usageError{err}
 		}
 		if c.Script {
-			soak.DrawPlan(o).Write(io.out)
+			soak.GeneratePlan(o).Write(io.out)
 			continue
 		}
 		passed, err := c.runSeed(o, io)
--- a/internal/discoverytest/agent.go
+++ b/internal/discoverytest/agent.go
@@ -35,12 +35,12 @@
 	endpoints endpointsByName
 	// lastChangeIndex holds, for each endpoint by name, the version in which it changed last.
 	lastChangeIndex map[string]int64
-	// lastRemovalIndex is the last version in which an endpoint was removed. A response with
-	// changes cannot contain removals, so there are no changes since an older version.
+	// lastRemovalIndex is the last version in which an endpoint was removed. A list of
+	// changes cannot express removals, so a watch from an older version gets the full list.
 	lastRemovalIndex int64
 }
 
-// newAgent returns an agent without a list that does not listen yet.
+// newAgent returns an agent that has no list yet and does not listen.
 func newAgent(r *Registry, instance int) *Agent {
 	return &Agent{
 		registry: r,
--- a/internal/discoverytest/faults.go
+++ b/internal/discoverytest/faults.go
@@ -68,9 +68,9 @@
 	return a.faults.recoveredAt, a.faults.firstResponseAt
 }
 
-// HangWatches makes the open connections hang permanently. A drain recorded within hungWatchGrace
+// HangConnections makes the open connections hang permanently. A drain recorded within hungWatchGrace
 // counts as delivered only at the end of that time, since the open watches do not report it.
-func (a *Agent) HangWatches() {
+func (a *Agent) HangConnections() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.faults.hangConns()
--- a/internal/discoverytest/notices.go
+++ b/internal/discoverytest/notices.go
@@ -9,13 +9,13 @@
 )
 
 const (
-	// hungWatchGrace and reloadGrace are the longest delays that the protocol allows before a
-	// change counts as delivered, after a watch hung and after a reload with a new address of the
-	// agent.
+	// hungWatchGrace and reloadGrace are the times that the protocol grants a gateway to learn of a
+	// change after its watch hung, and after it reloaded its configuration with a new address of
+	// the agent. After that time, the change counts as delivered.
 	hungWatchGrace = 6 * time.Second
 	reloadGrace    = 4 * time.Second
-	// minReachableTime is the time for which an agent must be up after it received a list, or the
-	// list does not count as delivered. In a shorter time, a gateway may not have called the agent.
+	// minReachableTime is the time for which an agent must be up after it received a list, for
+	// the list to count as delivered. In a shorter time, the gateway may not have called the agent.
 	minReachableTime = 350 * time.Millisecond
 )
 
--- a/internal/e2e/platform_node_test.go
+++ b/internal/e2e/platform_node_test.go
@@ -45,8 +45,8 @@
 	t.Helper()
 	return startPlatformNode(t, func(*http.Request) scriptednode.Response {
 		return scriptednode.Response{
-			Text:   "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 4\r\n\r\nfine",
-			Ending: scriptednode.Close,
+			Text:       "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 4\r\n\r\nfine",
+			ConnAction: scriptednode.Close,
 		}
 	})
 }
@@ -58,7 +58,7 @@
 	quit := make(chan struct{})
 	node := startPlatformNode(t, func(*http.Request) scriptednode.Response {
 		<-quit
-		return scriptednode.Response{Ending: scriptednode.Close}
+		return scriptednode.Response{ConnAction: scriptednode.Close}
 	})
 	t.Cleanup(func() { close(quit) }) // runs before node.Close, which waits for the handlers
 	return node
--- a/internal/scriptednode/scriptednode.go
+++ b/internal/scriptednode/scriptednode.go
@@ -19,26 +19,26 @@
 // makes the peer's kernel discard received bytes that the peer has not read yet.
 const flushDelay = 10 * time.Millisecond
 
-// Ending tells what the node does with a connection after a request.
-type Ending int
+// ConnAction tells what the node does with a connection after a request.
+type ConnAction int
 
 // The ways to treat a connection after a request.
 const (
-	KeepAlive Ending = iota // read the next request
+	KeepAlive ConnAction = iota // read the next request
 	Close
 	Reset // close the connection with a TCP reset
 	Hang  // write nothing; keep the connection open until the peer or the node closes it
 )
 
-// String returns the name of the ending.
-func (e Ending) String() string {
-	return [...]string{"keep alive", "close", "reset", "hang"}[e]
+// String returns the name of the action.
+func (a ConnAction) String() string {
+	return [...]string{"keep alive", "close", "reset", "hang"}[a]
 }
 
 // Response tells what a node does in response to a request.
 type Response struct {
-	Text   string // bytes to write unchanged, may be empty; not written if Ending is Hang
-	Ending Ending
+	Text       string // bytes to write unchanged, may be empty; not written if ConnAction is Hang
+	ConnAction ConnAction
 }
 
 // OK returns a response with status 200 and a body that keeps the connection alive.
@@ -116,8 +116,8 @@
 	}
 }
 
-// addConn registers an accepted connection. It returns false if the node has been shut down
-// meanwhile: nothing would close the connection.
+// addConn registers an accepted connection, so that shutDown closes it. It returns false if the node
+// has been shut down already; the caller must then close the connection itself.
 func (n *Node) addConn(c net.Conn) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -167,18 +167,18 @@
 
 // respond carries out a response and reports whether to read another request from the connection.
 func respond(c net.Conn, response Response) bool {
-	if response.Ending == Hang {
+	if response.ConnAction == Hang {
 		io.Copy(io.Discard, c) // returns when either side closes the connection
 		return false
 	}
 	if _, err := io.WriteString(c, response.Text); err != nil {
 		return false
 	}
-	if response.Ending == Reset {
+	if response.ConnAction == Reset {
 		if response.Text != "" {
 			time.Sleep(flushDelay)
 		}
 		reset(c)
 	}
-	return response.Ending == KeepAlive
+	return response.ConnAction == KeepAlive
 }
--- a/internal/scriptednode/scriptednode_test.go
+++ b/internal/scriptednode/scriptednode_test.go
@@ -41,7 +41,7 @@
 	return c
 }
 
-// Verifies that the handler gets each request with its body, and that a connection with the ending
+// Verifies that the handler gets each request with its body, and that a connection with the action
 // KeepAlive serves further requests.
 func TestKeepAlive(t *testing.T) {
 	n := start(t, func(r *http.Request) Response {
@@ -64,11 +64,11 @@
 	}
 }
 
-// Verifies which bytes and which error or end the peer reads for each ending.
-func TestEndings(t *testing.T) {
+// Verifies which bytes and which error or end the peer reads for each action.
+func TestConnActions(t *testing.T) {
 	const text = "malformed"
 	for _, c := range []struct {
-		ending  Ending
+		action  ConnAction
 		want    string
 		wantErr func(error) bool
 	}{
@@ -77,16 +77,16 @@
 		{Hang, "", isTimeout},
 		{KeepAlive, text, isTimeout},
 	} {
-		t.Run(c.ending.String(), func(t *testing.T) {
-			n := start(t, func(*http.Request) Response { return Response{Text: text, Ending: c.ending} })
+		t.Run(c.action.String(), func(t *testing.T) {
+			n := start(t, func(*http.Request) Response { return Response{Text: text, ConnAction: c.action} })
 			conn := dial(t, n)
 			conn.SetDeadline(time.Now().Add(300 * time.Millisecond))
 			got, err := io.ReadAll(conn)
 			// On a busy machine the reset may arrive before the test has read the bytes written before
 			// it. The kernel then discards the bytes.
-			discarded := c.ending == Reset && len(got) == 0
+			discarded := c.action == Reset && len(got) == 0
 			if string(got) != c.want && !discarded || !c.wantErr(err) {
-				t.Errorf("read %q, error %v; want %q and the error or end for this ending", got, err, c.want)
+				t.Errorf("read %q, error %v; want %q and the error or end for this action", got, err, c.want)
 			}
 		})
 	}
@@ -103,7 +103,7 @@
 	requestRead := make(chan struct{})
 	n := start(t, func(*http.Request) Response {
 		close(requestRead)
-		return Response{Ending: Hang}
+		return Response{ConnAction: Hang}
 	})
 	c := dial(t, n)
 	<-requestRead
@@ -121,7 +121,7 @@
 	requestRead := make(chan struct{})
 	n := start(t, func(*http.Request) Response {
 		close(requestRead)
-		return Response{Ending: Hang}
+		return Response{ConnAction: Hang}
 	})
 	c := dial(t, n)
 	<-requestRead
--- a/internal/soak/client_test.go
+++ b/internal/soak/client_test.go
@@ -65,11 +65,13 @@
 		{"response to another request", func(*http.Request) scriptednode.Response { return scriptednode.OK(responseBody("other")) },
 			func(r audit.RequestRecord) bool { return r.Responses == 2 }},
 		{"truncated response", func(*http.Request) scriptednode.Response {
-			return scriptednode.Response{Text: "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nbody", Ending: scriptednode.Close}
+			return scriptednode.Response{Text: "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nbody", ConnAction: scriptednode.Close}
 		}, func(r audit.RequestRecord) bool { return r.Truncated && r.RespondedAt == 0 }},
-		{"closed without a response", func(*http.Request) scriptednode.Response { return scriptednode.Response{Ending: scriptednode.Close} },
+		{"closed without a response", func(*http.Request) scriptednode.Response {
+			return scriptednode.Response{ConnAction: scriptednode.Close}
+		},
 			func(r audit.RequestRecord) bool { return r.ConnectionLostAt > 0 && r.Responses == 0 }},
-		{"no response in time", func(*http.Request) scriptednode.Response { return scriptednode.Response{Ending: scriptednode.Hang} },
+		{"no response in time", func(*http.Request) scriptednode.Response { return scriptednode.Response{ConnAction: scriptednode.Hang} },
 			func(r audit.RequestRecord) bool { return r.ConnectionLostAt > r.Deadline && r.Responses == 0 }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -91,7 +93,7 @@
 		defer mu.Unlock()
 		requests = append(requests, r.Header.Get("X-Txn"))
 		if len(requests) == 2 {
-			return scriptednode.Response{Ending: scriptednode.Close}
+			return scriptednode.Response{ConnAction: scriptednode.Close}
 		}
 		return respondOK(r)
 	})
--- a/internal/soak/inject.go
+++ b/internal/soak/inject.go
@@ -65,7 +65,7 @@
 	case AgentOutage:
 		a.StartOutage()
 	case AgentHangWatches:
-		a.HangWatches()
+		a.HangConnections()
 	case AgentDelayResponses:
 		a.SetResponseDelay(fault.Duration / responseDelayDivisor)
 	}
--- a/internal/soak/node.go
+++ b/internal/soak/node.go
@@ -110,9 +110,9 @@
 	n.recordEffect(index, fault == responseFaultNone)
 	switch fault {
 	case responseFaultHang:
-		return scriptednode.Response{Ending: scriptednode.Hang}
+		return scriptednode.Response{ConnAction: scriptednode.Hang}
 	case responseFaultReset:
-		return scriptednode.Response{Ending: scriptednode.Reset}
+		return scriptednode.Response{ConnAction: scriptednode.Reset}
 	case responseFaultMalformed:
 		return scriptednode.Response{Text: "\x00\xffnoise\r\n\r\n"}
 	}
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -20,7 +20,7 @@
 }
 
 // Periods at the beginning and at the end of a run in which none of Plan.Faults starts, except for
-// faults that coincide with an earlier one (see DrawPlan). The fleet starts up without these faults,
+// faults that coincide with an earlier one (see GeneratePlan). The fleet starts up without these faults,
 // and has time to recover from them before it is shut down.
 const (
 	faultFreeStart = 1500 * time.Millisecond
@@ -67,11 +67,11 @@
 	end     time.Duration // end of the period in which faults start; see faultFreeEnd
 }
 
-// DrawPlan returns the plan determined by the options. The same options give the same plan. Faults are
+// GeneratePlan returns the plan determined by the options. The same options give the same plan. Faults are
 // independent, except for those that coincide on purpose: drains with the end of an outage of
 // discovery, several reloads with each other and with a drain, and a reload and a drain with a
 // planned restart.
-func DrawPlan(o *Options) *Plan {
+func GeneratePlan(o *Options) *Plan {
 	p := &planner{
 		plan:    &Plan{},
 		options: o,
--- a/internal/soak/plan_test.go
+++ b/internal/soak/plan_test.go
@@ -15,7 +15,7 @@
 func TestPlanFollowsFromSeed(t *testing.T) {
 	other := testOptions
 	other.Seed++
-	first, again, different := DrawPlan(&testOptions), DrawPlan(&testOptions), DrawPlan(&other)
+	first, again, different := GeneratePlan(&testOptions), GeneratePlan(&testOptions), GeneratePlan(&other)
 	if !reflect.DeepEqual(first, again) {
 		t.Error("got different plans for the same seed")
 	}
@@ -34,7 +34,7 @@
 	for seed := range uint64(50) {
 		o := testOptions
 		o.Seed = seed
-		plan := DrawPlan(&o)
+		plan := GeneratePlan(&o)
 		for _, fault := range plan.Faults {
 			faultCounts[fault.Kind]++
 			targets := o.Nodes
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -23,7 +23,7 @@
 		return nil, err
 	}
 	f := newFleet(o)
-	plan := DrawPlan(o)
+	plan := GeneratePlan(o)
 	stalls := stallwatch.Start()
 	defer stalls.Stop()
 	defer f.close()
