--- a/internal/fakenode/handler.go
+++ b/internal/fakenode/handler.go
@@ -15,7 +15,7 @@
 // Header fields that the node and the gateway exchange.
 const (
 	attemptHeader    = "Maddergap-Attempt"     // number of the attempt
-	ranHeader        = "Maddergap-Ran"         // "no" in the response to a request that was not executed
+	ranHeader        = "Maddergap-Ran"         // "no" in a 503, as the full queue prevented execution
 	loadReportHeader = "endpoint-load-metrics" // number of requests in flight, in each response
 )
 
@@ -92,8 +92,8 @@
 	change()
 }
 
-// units returns the work of a request in units, rounded up and at least 1. It is the size of the
-// body, or for a GET the size of the resource or of the requested range.
+// units returns the work of a request in units, rounded up and at least 1. It depends on the size of
+// the body or, for a GET, of the resource or the requested range.
 func (n *Node) units(r *http.Request, bodySize int) float64 {
 	size := int64(bodySize)
 	if r.Method == http.MethodGet {
--- a/internal/fakenode/if_header.go
+++ b/internal/fakenode/if_header.go
@@ -5,12 +5,11 @@
 	"strings"
 )
 
-// condition is one condition of an If header, on a lock token or on an entity tag. The other field
-// is empty.
+// condition is one condition of an If header. It is either on a lock token or on an entity tag.
 type condition struct {
-	negated bool // preceded by "Not"
-	token   string
-	etag    string
+	negated bool   // preceded by "Not"
+	token   string // "" if the condition is on an entity tag
+	etag    string // "" if the condition is on a lock token
 }
 
 // conditionList is one parenthesized list of an If header. A list holds if all of its conditions
--- a/internal/fakenode/node_test.go
+++ b/internal/fakenode/node_test.go
@@ -54,8 +54,8 @@
 	return response, string(text), err
 }
 
-// waitFor waits until a condition holds and fails the test after 5 seconds. description says what
-// is waited for.
+// waitFor waits until a condition holds and fails the test after 5 seconds. description names the
+// condition in the failure message.
 func waitFor(t *testing.T, description string, condition func() bool) {
 	t.Helper()
 	for deadline := time.Now().Add(5 * time.Second); !condition(); time.Sleep(time.Millisecond) {
@@ -186,7 +186,7 @@
 			t.Errorf("fault %v: the client got a response", fault)
 		}
 		if e := node.Entries()[0]; e.RespondedAt != 0 || e.Status != 0 {
-			t.Errorf("fault %v: %+v", fault, e)
+			t.Errorf("fault %v: got entry %+v, want no response", fault, e)
 		}
 	}
 }
--- a/internal/fakenode/options.go
+++ b/internal/fakenode/options.go
@@ -27,8 +27,9 @@
 	// with a larger body are rejected with 413.
 	MaxBodyBytes int64
 	// After a restart by the script, the node warms up: its capacity starts at InitialFraction of
-	// the full capacity and reaches all of it after WarmupDuration. If the load received within an
-	// OverloadWindow exceeds OverloadFactor times the current capacity, the node fails permanently.
+	// the full capacity and reaches all of it after WarmupDuration. If the work received within an
+	// OverloadWindow exceeds OverloadFactor times the work that the node can do in that time at its
+	// current capacity, the node fails permanently.
 	// A WarmupDuration of 0 means no warm-up, an OverloadFactor of 0 a node that never fails.
 	WarmupDuration  time.Duration
 	InitialFraction float64
--- a/internal/fakenode/script.go
+++ b/internal/fakenode/script.go
@@ -19,12 +19,11 @@
 	Pause
 	// Slow makes processing take Step.Factor times as long.
 	Slow
-	// Refuse closes the listener and all connections until the step ends.
+	// Refuse closes all connections and refuses new ones until the step ends.
 	Refuse
 	// Reset makes the node reset a connection instead of responding to an executed request.
 	Reset
-	// Restart closes the listener and all connections until the step ends. The node warms up
-	// afterwards.
+	// Restart acts like Refuse, and the node warms up afterwards.
 	Restart
 )
 
