--- a/internal/e2e/admission_test.go
+++ b/internal/e2e/admission_test.go
@@ -18,7 +18,7 @@
 	addr func(n int) string // returns the source address of the n-th connection
 	// indistinguishable is set if the flood comes from known addresses that each stay below the
 	// limit per address. The gateway cannot tell these clients from legitimate ones, so only the
-	// number of log lines is checked. Excluding them is up to the list of known prefixes.
+	// number of log lines is checked. Only a narrower list of known prefixes can exclude them.
 	indistinguishable bool
 	// unknownServed is set if unknown clients must still be served, including a client at the
 	// source address of the flood.
--- a/internal/e2e/flood_harness_test.go
+++ b/internal/e2e/flood_harness_test.go
@@ -20,12 +20,12 @@
 	// It limits the descriptors that the test process needs.
 	maxHeldConnections = 3000
 	// firstHeldConnections is the number of connections at the beginning of a flood that are held
-	// until the end, as the gateway may have admitted them.
+	// until the end, since the gateway may have admitted them.
 	firstHeldConnections = 200
 )
 
-// flood opens a number of connections, the n-th from the address addr(n). Beyond
-// maxHeldConnections it closes the oldest one after the first firstHeldConnections.
+// flood opens a number of connections, the n-th from the address addr(n). When more than
+// maxHeldConnections are open, it closes the oldest, but never the first firstHeldConnections.
 func (i *testInstance) flood(connections int, addr func(n int) string) {
 	i.t.Helper()
 	var held []net.Conn
--- a/internal/e2e/platform_idle_test.go
+++ b/internal/e2e/platform_idle_test.go
@@ -31,7 +31,7 @@
 	time.Sleep(150 * time.Millisecond)
 	instance.roundTrip(instance.newRead(0, "1200m").text)
 	if open := countOpen(idle); open > 256/4 {
-		t.Errorf("%d idle connections are open, want at most 64 with 256 descriptors: the platform lets its clients hold 85", open)
+		t.Errorf("%d idle connections are open, want at most 64, a quarter of the descriptors; the platform lets its clients occupy a third", open)
 	}
 	for _, c := range idle {
 		c.SetReadDeadline(start.Add(3 * time.Second))
--- a/internal/e2e/platform_races_test.go
+++ b/internal/e2e/platform_races_test.go
@@ -187,7 +187,7 @@
 }
 
 func testResetAfterResponse(t *testing.T, delay time.Duration) {
-	var sequential sync.Mutex // held while a connection is served, so that only one is at a time
+	var sequential sync.Mutex // locked while a connection is served: one at a time
 	addr := startRawNode(t, func(c *net.TCPConn, r *bufio.Reader) {
 		sequential.Lock()
 		defer sequential.Unlock()
--- a/internal/e2e/platform_shutdown_test.go
+++ b/internal/e2e/platform_shutdown_test.go
@@ -173,8 +173,8 @@
 	}
 }
 
-// Verifies that an instance that was never ready, as discovery does not respond, stops within 2 s,
-// also right after a reload.
+// Verifies that an instance that was never ready because discovery does not respond stops within
+// 2 s, also right after a reload.
 func TestPlatformShutdownBeforeReady(t *testing.T) {
 	instance := startPlatform(t, startUnresponsiveDiscovery(t), platformOptions{})
 	start := time.Now()
