--- a/cmd/maddergap/demo.go
+++ b/cmd/maddergap/demo.go
@@ -67,9 +67,9 @@
 	if err != nil {
 		return err
 	}
-	open := func(log *slog.Logger) (*daemon.Daemon, error) { return daemon.New(conf, log) }
+	newDaemon := func(log *slog.Logger) (*daemon.Daemon, error) { return daemon.New(conf, log) }
 	ready := func(d *daemon.Daemon, _ *slog.Logger) { fmt.Fprintf(io.out, "ready http://%s/\n", d.Addrs()[0]) }
-	return serveConfig(conf, io, open, ready)
+	return serveConfig(conf, io, newDaemon, ready)
 }
 
 func demoNodeName(shard int) string { return fmt.Sprint("n", shard) }
--- a/cmd/maddergap/flood.go
+++ b/cmd/maddergap/flood.go
@@ -96,8 +96,8 @@
 	besideFlood bool
 }
 
-// runs returns the measurements in the order in which they are made. printRun compares the floods with
-// the two earlier ones.
+// runs returns the measurements in the order in which they are made. The first two must come before
+// the others, since printRun compares the others with them.
 func (c *floodCmd) runs() []floodRun {
 	return []floodRun{
 		{"calm", admissionConf, 0, false},
@@ -107,9 +107,9 @@
 	}
 }
 
-// measureAll makes all measurements and prints the results. The 99th percentile of the known clients'
-// latency is compared with that at an instance without a flood, and with that at an instance while
-// another one is flooded.
+// measureAll makes all measurements and prints the results. It compares the known clients' latency
+// (see knownP99) with that at an instance without a flood, and with that while another instance is
+// flooded.
 func (c *floodCmd) measureAll(io *streams) error {
 	node, err := fakenode.Start(fakenode.Options{Listen: "127.0.0.1:0", Name: "n0", Cores: 16, QueueLimit: 1024, UnitTime: 2 * time.Millisecond, DiscardRecord: true})
 	if err != nil {
@@ -134,8 +134,8 @@
 	return nil
 }
 
-// printRun prints a measurement. calm and besideFlood are the latencies, in microseconds, that it
-// is compared with: without a flood, and with the flood directed at another instance.
+// printRun prints a measurement. calm and besideFlood are the latencies to compare it with, in
+// microseconds: without a flood, and with the flood directed at another instance.
 func (c *floodCmd) printRun(io *streams, run floodRun, m *floodMeasurement, calm, besideFlood int64) {
 	fmt.Fprintln(io.out, run.name+":")
 	if run.attempts > 0 {
--- a/cmd/maddergap/serve.go
+++ b/cmd/maddergap/serve.go
@@ -72,29 +72,29 @@
 
 // serveConfig runs a daemon that logs to the file named in its configuration, or else to standard error.
 // logAttrs are added to every log line.
-func serveConfig(c *config.Config, std *streams, open newDaemonFunc, ready readyFunc, logAttrs ...any) error {
+func serveConfig(c *config.Config, std *streams, newDaemon newDaemonFunc, ready readyFunc, logAttrs ...any) error {
 	if c.Telemetry.LogFile == "" {
-		return serve(std.err, open, ready, logAttrs...)
+		return serve(std.err, newDaemon, ready, logAttrs...)
 	}
 	file, err := os.OpenFile(c.Telemetry.LogFile, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
 		return err
 	}
 	defer file.Close()
-	return serve(file, open, ready, logAttrs...)
+	return serve(file, newDaemon, ready, logAttrs...)
 }
 
 // serve runs a daemon that logs to out. SIGINT or SIGTERM stops it, SIGHUP makes it reload its
 // configuration. The signals are caught before the daemon is created, so that none of them ends the
 // process while it listens.
-func serve(out io.Writer, open newDaemonFunc, ready readyFunc, logAttrs ...any) error {
+func serve(out io.Writer, newDaemon newDaemonFunc, ready readyFunc, logAttrs ...any) error {
 	sink := daemon.NewLogSink(out)
 	defer sink.Close()
 	log := slog.New(slog.NewJSONHandler(sink, nil)).With(logAttrs...)
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGINT, syscall.SIGTERM, syscall.SIGHUP)
 	defer signal.Stop(signals)
-	d, err := open(log)
+	d, err := newDaemon(log)
 	if err != nil {
 		return err
 	}
--- a/cmd/maddergap/serve_platform.go
+++ b/cmd/maddergap/serve_platform.go
@@ -26,11 +26,11 @@
 	}
 	runtime.GOMAXPROCS(1) // the platform grants one core, which other processes may share
 	debug.SetMemoryLimit(c.Bounds.RuntimeMemoryBytes)
-	open := func(log *slog.Logger) (*daemon.Daemon, error) {
+	newDaemon := func(log *slog.Logger) (*daemon.Daemon, error) {
 		return daemon.NewPlatform(c, load, log, daemon.WithNodeStateLog(s.NodeStateInterval))
 	}
 	ready := func(d *daemon.Daemon, log *slog.Logger) {
 		log.Info("serving", "listen", d.Addrs(), "discovery", c.DiscoveryAddr, "bounds", c.Bounds, "pid", os.Getpid())
 	}
-	return serve(io.err, open, ready, "instance", c.InstanceName)
+	return serve(io.err, newDaemon, ready, "instance", c.InstanceName)
 }
--- a/cmd/maddergap/serve_workers.go
+++ b/cmd/maddergap/serve_workers.go
@@ -122,8 +122,8 @@
 	}
 	heartbeat := os.NewFile(uintptr(supervisor.HeartbeatFD(len(queues))), "heartbeat")
 	worker := daemon.Worker{Index: s.Worker, Queues: queues, Heartbeat: heartbeat}
-	open := func(log *slog.Logger) (*daemon.Daemon, error) {
+	newDaemon := func(log *slog.Logger) (*daemon.Daemon, error) {
 		return daemon.NewWorker(worker, c, log, s.options()...)
 	}
-	return serveConfig(c, io, open, logServing(c), "worker", s.Worker)
+	return serveConfig(c, io, newDaemon, logServing(c), "worker", s.Worker)
 }
