--- a/scheduler/attempts.go
+++ b/scheduler/attempts.go
@@ -16,9 +16,9 @@
 	filledWindow bool
 }
 
-// inFlightSince returns the time since which the attempt has been in flight: the time of its send,
+// stallAdjustedSentAt returns the time since which the attempt has been in flight: the time of its send,
 // moved forward by the length of its stalls, including the current one.
-func (a *attempt) inFlightSince(now Time) Time {
+func (a *attempt) stallAdjustedSentAt(now Time) Time {
 	if a.stalledAt > 0 {
 		return a.sentAt + now - a.stalledAt
 	}
@@ -59,7 +59,7 @@
 func (s *Scheduler) handleAttemptResumed(e AttemptResumed) {
 	a := s.attempts[attemptID{e.ID, uint64(e.Attempt)}]
 	if a != nil && a.stalledAt > 0 {
-		a.sentAt, a.stalledAt = a.inFlightSince(s.now), 0
+		a.sentAt, a.stalledAt = a.stallAdjustedSentAt(s.now), 0
 	}
 }
 
--- a/scheduler/circuit_breaker.go
+++ b/scheduler/circuit_breaker.go
@@ -57,7 +57,7 @@
 		return
 	}
 	responseTimeout := max(responseTimeoutObjectives*s.shortestObjective.Seconds(), responseTimeoutLatencies*n.latency)
-	sinceResponse := s.now - max(n.lastResponseAt, n.inFlight[0].inFlightSince(s.now))
+	sinceResponse := s.now - max(n.lastResponseAt, n.inFlight[0].stallAdjustedSentAt(s.now))
 	if sinceResponse.Seconds() >= responseTimeout {
 		s.openBreaker(n)
 	}
--- a/scheduler/estimates.go
+++ b/scheduler/estimates.go
@@ -6,7 +6,8 @@
 )
 
 // Estimates of the state of nodes: the latency of a response, and the pressure, which is the time
-// spent waiting at the node as a fraction of the latency objective.
+// spent waiting at the node as a fraction of the latency objective. A unit (of work) is the measure
+// of a request's cost, see Arrival.Units.
 
 const (
 	// observationHalfLife is the time after which an observation counts half.
@@ -14,11 +15,12 @@
 	// serviceTimeStep is the fraction by which a response changes the estimated service time of a
 	// unit.
 	serviceTimeStep = 0.02
-	// serviceTimeDecreaseSteps is the number of such steps that a decrease takes. With 3 the estimate
-	// settles where one response in four is faster: the fastest responses are those that did not wait.
+	// serviceTimeDecreaseSteps is the number of such steps that a decrease takes. With 3, the estimate
+	// converges to the 25th percentile of the observed times. The percentile is low because the
+	// fastest responses are those that did not wait at the node.
 	serviceTimeDecreaseSteps = 3
-	// priorWeight is the maximum number of observations that the mean of all nodes counts for in a
-	// node's estimate.
+	// priorWeight is the maximum weight of the mean of all nodes in a node's estimate, where one
+	// recent observation of the node has weight 1.
 	priorWeight = 4.0
 	// oldestInFlightFraction limits the expected latency from below: to this fraction of the time that
 	// the oldest attempt at the node has been in flight.
@@ -36,7 +38,8 @@
 
 func newEstimates() estimates { return estimates{servedUnitsByShard: map[int]*decayingSum{}} }
 
-// observation is the measurement of one response. A timeout or a full queue is counted like a response.
+// observation is the measurement of one response, or of a timeout or a full queue, which are counted for
+// their node only (see observeAtNode).
 type observation struct {
 	latency         float64 // seconds
 	waitingFraction float64 // fraction of the latency objective spent waiting at the node
@@ -101,7 +104,8 @@
 
 // waitingTime returns the seconds of a response's latency that were spent waiting: the latency less
 // the estimated service time, which this response has already updated. If the node reported its load,
-// the result is the average of this time and the service time of as many requests of mean size.
+// which is the number of requests in flight or queued there, the result is the average of this time
+// and the time that the node needs to serve that number of requests of mean size.
 // Because the report counts only half, a node whose reports are stale or wrong is still judged by its
 // latency. An invalid report is ignored.
 func (s *Scheduler) waitingTime(latency float64, r *request, e AttemptEnded) float64 {
@@ -119,7 +123,7 @@
 func (s *Scheduler) expectedLatency(n *node, units float64) time.Duration {
 	seconds := max(n.latency+s.estimates.unitServiceTime*(units-s.settings.MeanUnits), 0)
 	if len(n.inFlight) > 0 {
-		seconds = max(seconds, (s.now-n.inFlight[0].inFlightSince(s.now)).Seconds()*oldestInFlightFraction)
+		seconds = max(seconds, (s.now-n.inFlight[0].stallAdjustedSentAt(s.now)).Seconds()*oldestInFlightFraction)
 	}
 	return time.Duration(seconds * float64(time.Second))
 }
--- a/scheduler/outcomes.go
+++ b/scheduler/outcomes.go
@@ -4,7 +4,7 @@
 // pressure, its concurrency window and its circuit breaker. Cancelled and NotSent attempts say nothing
 // about the node.
 func (s *Scheduler) recordOutcome(n *node, a *attempt, e AttemptEnded) {
-	latency := (s.now - a.inFlightSince(s.now)).Seconds()
+	latency := (s.now - a.stallAdjustedSentAt(s.now)).Seconds()
 	switch e.Outcome {
 	case OK, Failed:
 		s.recordResponse(n, a, e, latency)
--- a/scheduler/send_rules.go
+++ b/scheduler/send_rules.go
@@ -2,7 +2,9 @@
 
 // Send rules: the conditions that keep a ready request from being sent. A request waits while a rule
 // blocks it. Dispatch evaluates the rules of a node first, then those of a profile, then those of
-// single requests, so that it does not have to look at most requests. WaitReason evaluates all rules
+// single requests. A profile holds the properties of a request that the rules of the second kind
+// depend on, and one evaluation holds for all requests with the same profile. Dispatch therefore
+// examines only a few of the requests one by one. WaitReason evaluates all rules
 // in the order of the reasons, but none of them for a suspended request, which is not ready.
 
 // Reason says why a request is not sent now.
@@ -31,7 +33,8 @@
 	ReasonSlowStart
 	// ReasonTooLate: no response is expected by its deadline.
 	ReasonTooLate
-	// ReasonDeduplication: another attempt on its node could make it run twice.
+	// ReasonDeduplication: another attempt on its node could make it run twice. That is so if the node
+	// does not drop repeats of the request, or the deduplication window has ended.
 	ReasonDeduplication
 	// ReasonTenantLimit: its volume has used up the limit of its plan.
 	ReasonTenantLimit
@@ -72,7 +75,7 @@
 // candidate is the input of a send rule: a node, and the profile or request that might be sent to it.
 type candidate struct {
 	node *node
-	// profile is nil for nodeRules.
+	// profile holds the properties that all requests of the profile share, nil for nodeRules.
 	profile *profile
 	// request is one request of the profile, nil for nodeRules and profileRules.
 	request *request
--- a/scheduler/status.go
+++ b/scheduler/status.go
@@ -22,7 +22,8 @@
 	Window float64
 	// ExpectedLatency is the estimated latency of a response.
 	ExpectedLatency time.Duration
-	// Pressure is the estimated fraction of the latency objectives spent waiting, 0 to 1.
+	// Pressure is the estimated time spent waiting at the node as a fraction of the latency objectives,
+	// 0 to 1.
 	Pressure    float64
 	BreakerOpen bool
 	WarmingUp   bool
