--- a/internal/gateway/client_conn.go
+++ b/internal/gateway/client_conn.go
@@ -69,7 +69,7 @@
 	upload         transferProgress // progress of the request body
 	download       transferProgress // progress of the response
 	readDeadline   Time             // time by which the client has to read more of the pending bytes, if there are any
-	outputWritten  int64            // number of bytes written since the connection was accepted
+	totalWritten   int64            // number of bytes written since the connection was accepted
 	accountedBytes int              // share of this connection in bufferPool.clientBytes
 }
 
@@ -93,7 +93,7 @@
 // handleWritten restarts the timeout for reading the response, or stops it if everything is
 // written. It resumes the node's connection if that was paused because the client reads slowly.
 func (c *clientConn) handleWritten(g *Gateway, n int) {
-	c.outputWritten += int64(n)
+	c.totalWritten += int64(n)
 	c.download.bytes += int64(n)
 	g.accountClientBytes(c)
 	allWritten := len(c.pending()) == 0
--- a/internal/gateway/client_flow.go
+++ b/internal/gateway/client_flow.go
@@ -81,7 +81,7 @@
 // resumeClientInput resumes reading from a paused client, and processes the bytes that were
 // read before the pause.
 func (g *Gateway) resumeClientInput(c *clientConn) {
-	if !c.paused {
+	if !c.readingPaused {
 		return
 	}
 	g.resumeReading(c)
--- a/internal/gateway/conn.go
+++ b/internal/gateway/conn.go
@@ -31,8 +31,8 @@
 	unread        []byte // bytes received and not consumed yet
 	headerScanned int    // number of bytes of unread already searched for the end of a header
 	output        []byte // output buffer, including bytes that are already written
-	written       int    // number of bytes of output that are already written
-	paused        bool   // set while the driver is asked not to read
+	written       int    // number of bytes at the start of output that are already written
+	readingPaused bool   // set while the driver is asked not to read
 	flushPending  bool   // set from the request of a Flush to the next call of PendingOutput
 	closed        bool
 	timer         connTimer
@@ -98,8 +98,8 @@
 // pauseReading asks the driver to stop reading from a connection (flow control).
 func (g *Gateway) pauseReading(c connection) {
 	base := c.base()
-	if !base.paused && !base.closed {
-		base.paused = true
+	if !base.readingPaused && !base.closed {
+		base.readingPaused = true
 		g.actions.add(Pause, base.id)
 	}
 }
@@ -108,8 +108,8 @@
 // before the pause stay in unread; resumeClientInput and resumeNodeInput process those too.
 func (g *Gateway) resumeReading(c connection) {
 	base := c.base()
-	if base.paused && !base.closed {
-		base.paused = false
+	if base.readingPaused && !base.closed {
+		base.readingPaused = false
 		g.actions.add(Resume, base.id)
 	}
 }
--- a/internal/gateway/node_conn.go
+++ b/internal/gateway/node_conn.go
@@ -83,7 +83,7 @@
 // resumeNodeInput resumes reading from a paused connection, and processes the bytes that
 // were read before the pause.
 func (g *Gateway) resumeNodeInput(c *nodeConn) {
-	if !c.paused {
+	if !c.readingPaused {
 		return
 	}
 	g.resumeReading(c)
@@ -112,7 +112,7 @@
 	if req == nil || req.attempts.uploading != attempt {
 		return
 	}
-	if client := req.client; client != nil && client.paused && len(c.pending()) <= g.bufferAllowance()/2 {
+	if client := req.client; client != nil && client.readingPaused && len(c.pending()) <= g.bufferAllowance()/2 {
 		g.restartUploadTimer(client)
 		g.resumeClientInput(client)
 	}
--- a/internal/gateway/node_response.go
+++ b/internal/gateway/node_response.go
@@ -136,7 +136,7 @@
 		attempt.responseStarted = true
 		g.scheduler.notify(scheduler.ResponseStarted{ID: attempt.identity.id, Attempt: attempt.number})
 	}
-	if !c.paused {
+	if !c.readingPaused {
 		g.setDeadline(c, g.clock.now+g.config.Timeouts.NoProgress)
 	}
 }
--- a/internal/gateway/random_histories_test.go
+++ b/internal/gateway/random_histories_test.go
@@ -195,7 +195,7 @@
 		return
 	}
 	for id, req := range g.requests.byID {
-		x.rt.Logf("%d: %s, %d attempts in flight of %d, final %v, deadline %v; now %v, scheduler's timer %v, next %v, %d timers",
+		x.rt.Logf("%d: %s, %d attempts in flight of %d, final %v, deadline %v; now %v, scheduler's timer %v, next Advance due at %v, %d timers",
 			id, req.method, req.attempts.inFlight, req.attempts.count, req.response.final, req.deadline, x.now, g.scheduler.wakeAt, x.next, len(g.timers.heap))
 	}
 	x.rt.Log(x.actionLog.String())
@@ -224,7 +224,7 @@
 
 // Guards against requests that are lost or answered twice when clients and nodes leave, go silent,
 // or send incomplete or malformed messages. Each submitted request ends once and by its deadline,
-// no request is left, no object serves two requests, and the gateway runs out of actions.
+// no request is left, no object serves two requests, and Advance returns no endless series of actions.
 func TestRandomHistories(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		x := newRandomHistory(t, rt)
--- a/internal/gateway/unsent_response.go
+++ b/internal/gateway/unsent_response.go
@@ -7,7 +7,7 @@
 
 // outputEnd returns the number of bytes that were written to the client or are pending, since the
 // connection was accepted. That is the position of the next byte to be queued.
-func (c *clientConn) outputEnd() int64 { return c.outputWritten + int64(len(c.pending())) }
+func (c *clientConn) outputEnd() int64 { return c.totalWritten + int64(len(c.pending())) }
 
 // withdrawResponse removes the queued part of an attempt's incomplete response, if no byte of it
 // was written.
@@ -28,22 +28,23 @@
 // withdrawOutput removes the output of a client from the position start on. It returns false, and
 // removes nothing, if some of that output was already written.
 func (g *Gateway) withdrawOutput(c *clientConn, start int64) bool {
-	if c.outputWritten > start {
+	if c.totalWritten > start {
 		return false
 	}
-	c.output = c.output[:c.written+int(start-c.outputWritten)]
+	c.output = c.output[:c.written+int(start-c.totalWritten)]
 	if len(c.pending()) > 0 {
 		return true // the rest belongs to the previous response
 	}
 	g.discardOutput(c)
 	c.download = transferProgress{}
-	if c.req.body.complete || c.paused {
+	if c.req.body.complete || c.readingPaused {
 		g.setDeadline(c, never)
 	}
 	return true
 }
 
-// discardPart discards the received part of the response to a listing's part.
+// discardPart discards the bytes received in response to a part of the listing. A part is the request
+// that the gateway sends for the entries of one shard; index is its index in l.parts.
 func (l *listing) discardPart(index int) {
 	l.bytes -= len(l.bodies[index])
 	l.bodies[index] = nil
