--- a/internal/config/directives.go
+++ b/internal/config/directives.go
@@ -40,10 +40,13 @@
 	"route":       (*parser).route,
 	"cold":        (*parser).slowStart,
 	"budget":      (*parser).retryBudget,
-	"units":       (*parser).units,
+	"units":       (*parser).units, // units of work, in which the cost of a request is counted
 	"attempts":    func(p *parser, _ int, a *Args) { p.c.Scheduler.MaxAttempts = a.Int("number", 1, 100) },
 	"retry-after": func(p *parser, _ int, a *Args) { p.c.Scheduler.MaxRetryAfter = a.Duration("time", time.Second) },
-	"order-rest":  func(p *parser, _ int, a *Args) { p.c.Scheduler.KeyCooldown = a.Duration("time", 0) },
+	// order-rest is the pause before the next request of an ordered key after an attempt that may
+	// still be running.
+	"order-rest": func(p *parser, _ int, a *Args) { p.c.Scheduler.KeyCooldown = a.Duration("time", 0) },
+	// share-worth is the fraction of the priority weight that units beyond a plan's reserve are worth.
 	"share-worth": func(p *parser, _ int, a *Args) { p.c.Scheduler.ExcessWeight = a.Fraction("share") },
 
 	// Timeouts.
@@ -62,12 +65,13 @@
 	"buffer":           func(p *parser, _ int, a *Args) { p.c.Limits.ConnBuffer = a.BytesUpTo("size", 4096, maxBufferBytes) },
 	"buffers":          func(p *parser, _ int, a *Args) { p.c.Admission.Buffers.TotalBytes = a.Bytes("size", 1) },
 	"listing-max":      func(p *parser, _ int, a *Args) { p.c.Limits.ListingBytes = a.BytesUpTo("size", 1024, maxBufferBytes) },
-	"sizes":            func(p *parser, _ int, a *Args) { p.c.Limits.SizeEntries = a.Int("entries", 1, 1<<24) },
-	"body":             (*parser).body,
-	"header":           (*parser).headerLimits,
-	"pace":             (*parser).minRates,
-	"known":            (*parser).knownClients,
-	"admit":            (*parser).admission,
+	// sizes is the number of object sizes that are cached to estimate the cost of reads.
+	"sizes":  func(p *parser, _ int, a *Args) { p.c.Limits.SizeEntries = a.Int("entries", 1, 1<<24) },
+	"body":   (*parser).body,
+	"header": (*parser).headerLimits,
+	"pace":   (*parser).minRates,
+	"known":  (*parser).knownClients,
+	"admit":  (*parser).admission,
 }
 
 // path reads a path. A relative path refers to the folder of the configuration file.
@@ -145,6 +149,8 @@
 	}
 }
 
+// admission reads the limits on accepting connections. In the keywords, wide stands for an address
+// prefix, which groups addresses; answers are the responses to rejected connections.
 func (p *parser) admission(_ int, a *Args) {
 	limits := &p.c.Admission
 	intReader := func(n *int, high int) func(string) {
--- a/internal/config/order_test.go
+++ b/internal/config/order_test.go
@@ -33,7 +33,7 @@
 			"plan standard shards", "plan gold shards", "multiple 2", "multiple 0.5", "route * class read", "route GET class read").Replace(validConfig) + "\x01\n", []string{
 			`m.conf:4: nodes is already given in line 3`,
 			`m.conf:9: there is no plan "gold"`,
-			`m.conf:13: cold: multiple is 0.5, want at least 1: load up to its capacity does not overload a node`,
+			`m.conf:13: cold: multiple is 0.5, want at least 1: a node is not overloaded by load up to its capacity`,
 			`m.conf:15: contains a control character or is not valid UTF-8`,
 			`m.conf: the last route must match every request: route * class NAME`,
 		}},
--- a/internal/config/scheduling.go
+++ b/internal/config/scheduling.go
@@ -12,13 +12,14 @@
 const maxShard = 100_000
 
 // name reads the name of a new class, plan or volume. ok is false if the name is invalid or already used.
+// A volume's name is a segment of the paths of requests; the same rules apply to the other names.
 func (p *parser) name(line int, a *Args, kind string) (name string, ok bool) {
 	name = a.Word("name")
 	if name == "" {
 		return "", false
 	}
 	if strings.ContainsAny(name, "/%?\\\"<>&") || name == "." || name == ".." || len(name) > 100 {
-		a.Errorf("the name %.40q cannot be used as a path segment of at most 100 bytes", name)
+		a.Errorf("the name %.40q cannot be used as a path segment: want at most 100 bytes, not . or .., and none of / %% ? \\ \" < > &", name)
 		return "", false
 	}
 	return name, p.checkUnique(line, kind+" "+name)
@@ -29,6 +30,7 @@
 	class := scheduler.Class{Name: name, PriorityWeight: 1}
 	var deadline time.Duration
 	a.pairs(keywords{
+		// The values safe, keyed and unsafe stand for Safe, Idempotent and NonIdempotent.
 		"effect": func(k string) { class.Effect = scheduler.Effect(a.OneOf(k, "safe", "keyed", "unsafe")) },
 		"group": func(k string) {
 			class.DeduplicationScope = scheduler.DeduplicationScope(a.OneOf(k, "all", "zone", "cell"))
@@ -46,7 +48,7 @@
 	case deadline < class.LatencyObjective:
 		a.Errorf("the deadline %v is before the aim %v", deadline, class.LatencyObjective)
 	case class.Effect == scheduler.Idempotent && class.DeduplicationWindow == 0:
-		a.Errorf("a keyed class needs a window, the time for which its nodes deduplicate")
+		a.Errorf("a keyed class needs a window: the time for which nodes drop repeats of a request")
 	case class.Effect != scheduler.Idempotent && class.DeduplicationWindow > 0:
 		a.Errorf("only a keyed class may have a window")
 	}
@@ -87,7 +89,8 @@
 	a.pairs(keywords{
 		"plan":   func(k string) { plan = a.Word(k) },
 		"shards": func(k string) { volume.Shards = a.IntList(k, maxShard) },
-		"heads":  func(k string) { volume.Instances = a.Int(k, 1, maxInstances) },
+		// heads is the number of gateway instances that receive requests for the volume.
+		"heads": func(k string) { volume.Instances = a.Int(k, 1, maxInstances) },
 	}, "plan", "shards")
 	if a.Failed() || !ok {
 		return
@@ -130,7 +133,8 @@
 	p.classRefs = append(p.classRefs, reference{line, class, func(index int) { p.c.Routes[i].Class = index }})
 }
 
-// slowStart reads the settings for warming up nodes that have just started.
+// slowStart reads the settings for warming up nodes that have just started. The value of units is the
+// number of units of work that any starting node can serve within the window.
 func (p *parser) slowStart(_ int, a *Args) {
 	s := &p.c.Scheduler.SlowStart
 	a.pairs(keywords{
@@ -141,7 +145,7 @@
 		"multiple": func(k string) { s.OverloadFactor = a.Float(k) },
 	}, "for", "from", "units", "window", "multiple")
 	if !a.Failed() && s.OverloadFactor < 1 {
-		a.Errorf("multiple is %v, want at least 1: load up to its capacity does not overload a node", s.OverloadFactor)
+		a.Errorf("multiple is %v, want at least 1: a node is not overloaded by load up to its capacity", s.OverloadFactor)
 	}
 }
 
--- a/internal/config/worker.go
+++ b/internal/config/worker.go
@@ -7,10 +7,11 @@
 	"maddergap/internal/admission"
 )
 
-// ForWorker returns the configuration of worker i of the Processes that share the listeners. The limits on
-// connections, rates and buffers are divided evenly among the workers; numbers of connections are rounded
-// up. Each worker has its own metrics port, trace file and seed. How many connections a client
-// address can open depends on which workers they reach: from one worker's part of the cap to the whole cap.
+// ForWorker returns the configuration of worker i. The number of workers that share the listeners is
+// c.Processes. The limits on connections, rates and buffers are divided evenly among the workers; numbers
+// of connections are rounded up. Each worker has its own metrics port, trace file and seed. If all
+// connections of a client address reach the same worker, the address can open only this worker's part
+// of the cap; if they reach all workers, it can open as many as the whole cap allows.
 func (c *Config) ForWorker(i int) *Config {
 	worker := *c
 	worker.Limits.Clients = divideCap(c.Limits.Clients, c.Processes)
