--- a/internal/daemon/discovery_log.go
+++ b/internal/daemon/discovery_log.go
@@ -9,15 +9,16 @@
 	"maddergap/internal/gateway"
 )
 
-// outageAfter is the time without a usable response after which an outage of discovery is logged. Time
-// during which discovery may hold a watch does not count.
+// outageAfter is the time without a usable response after which an outage of discovery is logged. A
+// watch is a call to which discovery may delay its response while nothing changes (it holds the watch).
+// The time for which it may do so does not count.
 const outageAfter = time.Second
 
 // outageLog logs when discovery becomes unavailable, why its responses are rejected during the outage,
 // and when it recovers. It writes one line for each change, regardless of the number of calls.
 type outageLog struct {
 	log       *slog.Logger
-	startedAt time.Duration // time of the loop's clock at which the instance began to call discovery
+	startedAt time.Duration // time, on the event loop's clock, at which the instance began to call discovery
 
 	// The last outage that was logged, if any. The fields below describe it.
 	unavailable        bool
@@ -61,8 +62,8 @@
 // nodeStateLog logs, at an interval, the scheduler's state of each node and the connections to it. A
 // line has "mismatch" set if in_flight, the scheduler's number of attempts, differs from
 // active_connections, the number of connections with an attempt. The two may differ for a moment, until
-// the scheduler is notified of a change. in_window leaves out attempts that were written off when the
-// node's circuit breaker opened.
+// the scheduler is notified of a change. in_window is the part of in_flight that counts against the
+// node's concurrency window. Attempts that were in flight when the node's circuit breaker opened do not.
 type nodeStateLog struct {
 	log      *slog.Logger
 	interval time.Duration // nothing is logged if 0
--- a/internal/daemon/iterations.go
+++ b/internal/daemon/iterations.go
@@ -18,9 +18,9 @@
 	slowIterationLinesPerSecond = 1
 	// slowPhaseThreshold is the duration from which a phase is included in such a line.
 	slowPhaseThreshold = time.Millisecond
-	// longestPeriod is the length of the periods whose longest durations are recorded. Those of the
-	// current and the previous period are kept.
-	longestPeriod = time.Minute
+	// maximaPeriod is the length of a period of iterationStats, which records the longest iteration
+	// and phases of the current and of the previous period.
+	maximaPeriod = time.Minute
 )
 
 // iterationStats records the durations of the loop's iterations and of their phases. Its methods are
@@ -63,7 +63,7 @@
 
 // observe records a completed iteration, and logs it if it was slow.
 func (s *iterationStats) observe(now time.Duration, it *eventloop.Iteration) {
-	if now >= s.periodStart+longestPeriod {
+	if now >= s.periodStart+maximaPeriod {
 		s.previous = s.current
 		s.current = phaseDurations{}
 		s.periodStart = now
--- a/internal/discovery/call.go
+++ b/internal/discovery/call.go
@@ -47,13 +47,14 @@
 // isRequestSent reports whether the request of the call was written.
 func (k *call) isRequestSent() bool { return k.state >= awaitingResponse }
 
-// requestKind is the kind of request that a call makes.
+// requestKind is the kind of request that a call makes. The server may delay its response to a watch
+// while nothing changes; the time for which it may do so is the hold of the watch.
 type requestKind uint8
 
 const (
 	fullListRequest requestKind = iota // the full list, without delay
 	changesRequest                     // the changes since a version, without delay
-	watchRequest                       // the changes since a version, once there are any or the hold ends
+	watchRequest                       // the changes since a version, when there are any or when the hold has ended
 )
 
 func (k requestKind) String() string {
--- a/internal/discovery/policy.go
+++ b/internal/discovery/policy.go
@@ -25,8 +25,9 @@
 }
 
 // agentPolicy is for an agent on the gateway's own machine. The agent responds at once and at no
-// cost. During an outage of discovery it does not respond, and when it recovers, all changes until
-// then count as delivered at that moment. A call made during the outage may never get a response. A
+// cost. During an outage of discovery it does not respond. When it recovers, the changes made until
+// then count as delivered: whether or not the gateway has received them, the grace period of a drain
+// begins at that moment. A call made during the outage may never get a response. A
 // gateway that waits for that response, or backs off after the failure, would send requests to a
 // draining node until the grace period of the drain is over. So the newest call is never older than
 // maxCallAge, unless a response is being received (see maxResponseDeferral). The client thus
@@ -45,8 +46,9 @@
 // calls at a time and rejects the rest. If instances abandoned calls before the response arrives and
 // repeated them, the service would do useless work and stay overloaded. So an instance makes one
 // call at a time, with timeouts longer than the response times of the service under load. A watch
-// counts as a call too, so watches are long. A change that a hung watch missed counts as delivered
-// 2 s after the end of the hold, so the client requests changes before that time.
+// is one of these calls too, so watches are long. A change that a hung watch did not report counts as
+// delivered (see agentPolicy) 2 s after the end of the hold. The timeout of a watch ends well before
+// that time, so that the client can request the change with another call.
 var pollPolicy = callPolicy{
 	watchHold:            12 * time.Second,
 	watchHoldJitter:      6 * time.Second, // keeps the watches of all instances from ending together
@@ -61,8 +63,8 @@
 func (p *callPolicy) allowsOverlap() bool { return p.maxCallAge > 0 }
 
 const (
-	// maxResponseDeferral is the maximum time, from its first byte on, for which a response that is
-	// being received defers the next call.
+	// maxResponseDeferral limits how long a response that is being received defers the next call. It
+	// is counted from the first byte of the response.
 	maxResponseDeferral = 500 * time.Millisecond
 	// responseStallTimeout is the time without further bytes after which a response no longer defers
 	// the next call.
