--- a/internal/eventloop/listen.go
+++ b/internal/eventloop/listen.go
@@ -186,10 +186,10 @@
 	return unix.SetsockoptSockFprog(fd, unix.SOL_SOCKET, option, &unix.SockFprog{Len: uint16(len(program)), Filter: &program[0]})
 }
 
-// DropNewConnections makes the kernel drop the first packet (SYN) of new connections.
-// Handshakes in progress still complete and enter the listen queues. Otherwise a
-// connection established between the last accept and the close of its listener would be
-// reset by the close, and its request lost. A queue shared with other processes is left
+// DropNewConnections makes the kernel drop the first packet (SYN) of new connections. If it
+// did not, a connection established between the last accept and the close of its listener
+// would be reset by the close, and its request lost. Handshakes in progress still complete,
+// and their connections enter the listen queues. A queue shared with other processes is left
 // unchanged, and so is every queue if the kernel does not support the filter.
 func (l *Loop) DropNewConnections() {
 	const (
--- a/internal/eventloop/queue_wait.go
+++ b/internal/eventloop/queue_wait.go
@@ -5,9 +5,9 @@
 // queueWait estimates how long the connections of a listen queue may have waited because
 // accepting was paused. The kernel does not report when a connection arrived, only the length
 // of the queue. If the length is n at the end of a pause, the next n accepted connections may
-// have waited since the start of the pause, and the connections after them have not. Without
-// the count, new connections would be regarded as delayed too, and their requests rejected
-// because their time seems to be used up.
+// have waited since the start of the pause, and the connections after them have not. If these
+// were regarded as delayed too, the delay would be subtracted from the time that remains for
+// their requests, and requests that still have time would be rejected.
 type queueWait struct {
 	// delayedSince is the start of the earliest pause during which a connection of the queue
 	// may have arrived, or 0 if no connection is delayed.
@@ -61,8 +61,8 @@
 	ln.wait.endPause(length)
 }
 
-// recordEmptyQueues records that all listen queues are empty. It is called when epoll reported
-// no event of a listener although all of them are registered.
+// recordEmptyQueues records that all listen queues are empty. It is called when all listeners
+// are registered with epoll and epoll reports an event for none of them.
 func (l *Loop) recordEmptyQueues() {
 	for _, ln := range l.listeners {
 		ln.wait.recordEmpty()
--- a/internal/waitqueue/owners.go
+++ b/internal/waitqueue/owners.go
@@ -4,7 +4,9 @@
 
 const (
 	// maxEmptySharedSubqueues is the number of shared subqueues that are kept even if all of them are
-	// empty. The same profiles tend to recur, and a new subqueue costs an allocation.
+	// empty. Each is for one profile: the properties that requests of one kind share (see the package
+	// comment). The next request often has a profile that occurred before, and finding its subqueue
+	// saves the allocation of a new one.
 	maxEmptySharedSubqueues = 16
 	// maxEmptyOwnerSubqueues is the corresponding number for the subqueues of one owner.
 	maxEmptyOwnerSubqueues = maxEmptySharedSubqueues / 4
@@ -24,10 +26,11 @@
 func (q *Queue[R, P, O]) SubqueuesOf(owner O) []*Subqueue[R, P] { return q.owners[owner].Subqueues }
 
 // Isolate removes the ready requests of an owner from the shared subqueues. Callers isolate an owner
-// whose requests may not be sent for now, so that these do not hide requests of other owners. The
-// owner stays isolated until it has no ready requests. Until then its new ready requests enter no
-// shared subqueue, so each request is moved at most once. The owner must have a ready request and
-// must not be isolated yet.
+// while its requests must not be sent, so that its requests do not stand before requests of other
+// owners in these subqueues. The owner stays isolated until it has no ready requests. Requests that
+// become ready before then enter only the owner's own subqueues, so each request is removed from a
+// shared subqueue in this way at most once. The owner must have a ready request and must not be
+// isolated yet.
 func (q *Queue[R, P, O]) Isolate(owner O) {
 	ownerQueue := q.owners[owner]
 	ownerQueue.isolated, q.Isolated = true, append(q.Isolated, ownerQueue)
@@ -81,7 +84,8 @@
 	}
 	if len(q.Shared) >= q.pruneThreshold {
 		q.Shared = q.prune(q.Shared, q.sharedByProfile)
-		// At twice the remaining length, pruning takes amortized constant time per new subqueue.
+		// With a threshold of twice the remaining length, pruning takes amortized constant time per
+		// new subqueue.
 		q.pruneThreshold = max(maxEmptySharedSubqueues, 2*len(q.Shared))
 	}
 	sub := q.newSubqueue(profile)
@@ -102,7 +106,8 @@
 }
 
 // prune removes the empty subqueues from a list and returns the shortened list. If index is not
-// nil, it is the list's index by profile, and they are removed from it as well.
+// nil, it maps each profile to its subqueue in the list, and the empty subqueues are removed from
+// it as well.
 func (q *Queue[R, P, O]) prune(list []*Subqueue[R, P], index map[P]*Subqueue[R, P]) []*Subqueue[R, P] {
 	return slices.DeleteFunc(list, func(sub *Subqueue[R, P]) bool {
 		if !sub.Empty() {
