--- a/internal/simwire/reader.go
+++ b/internal/simwire/reader.go
@@ -45,16 +45,16 @@
 	return &Reader{input: bufio.NewReaderSize(input, bufferSize)}
 }
 
-// Read returns the next batch. The error is io.EOF if the input ends after a complete batch, otherwise
-// a *SyntaxError, which also wraps an error of reading the input.
+// Read returns the next batch. It returns io.EOF if the input ends after a complete batch. Any other
+// error is a *SyntaxError; if the input cannot be read, it wraps the error of the read.
 func (r *Reader) Read() (Batch, error) {
-	first, err := r.nextLine()
+	firstLine, err := r.nextLine()
 	if err == io.EOF {
 		return Batch{}, err
 	}
 	var batch Batch
 	if err == nil {
-		batch, err = r.readBatch(first)
+		batch, err = r.readBatch(firstLine)
 	}
 	if err == io.EOF || errors.Is(err, io.ErrUnexpectedEOF) {
 		return batch, &SyntaxError{Line: r.line + 1, Err: ErrTruncated}
@@ -79,11 +79,11 @@
 	return strings.TrimRight(line, "\r\n"), nil
 }
 
-// readBatch reads the batch that begins with the line first.
-func (r *Reader) readBatch(first string) (batch Batch, err error) {
-	f := newFields(first)
+// readBatch reads the rest of the batch that begins with firstLine.
+func (r *Reader) readBatch(firstLine string) (batch Batch, err error) {
+	f := newFields(firstLine)
 	if f.text() != kindBatch {
-		return batch, fmt.Errorf("a batch starts with clock, got %.40q", first)
+		return batch, fmt.Errorf("want a line of kind \"clock\" at the start of a batch, got %.40q", firstLine)
 	}
 	batch.Time, batch.Number = f.duration(), f.text()
 	if err := f.done(); err != nil {
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -50,7 +50,7 @@
 // index of the value.
 func TestReadMalformedInput(t *testing.T) {
 	for _, c := range []struct{ name, input, want string }{
-		{"no clock", "hello\n", "line 1: a batch starts with clock"},
+		{"no clock", "hello\n", "line 1: want a line of kind \"clock\" at the start of a batch"},
 		{"clock is no number", "clock x 1\n", "line 1: value 1"},
 		{"unknown message", "clock 1 1\nwhat head_1\n", "line 2: unknown message"},
 		{"missing value", "clock 1 1\ndropped head_1\n", "line 2: dropped: value 2 is missing"},
