--- a/cmd/maddergap/flood.go
+++ b/cmd/maddergap/flood.go
@@ -108,8 +108,8 @@
 }
 
 // measureAll makes all measurements and prints the results. It compares the known clients' latency
-// (see knownP99) with that at an instance without a flood, and with that while another instance is
-// flooded.
+// (see knownP99) with two baselines: the measurement without a flood, and the measurement during a
+// flood of another instance.
 func (c *floodCmd) measureAll(io *streams) error {
 	node, err := fakenode.Start(fakenode.Options{Listen: "127.0.0.1:0", Name: "n0", Cores: 16, QueueLimit: 1024, UnitTime: 2 * time.Millisecond, DiscardRecord: true})
 	if err != nil {
--- a/internal/bench/nodes.go
+++ b/internal/bench/nodes.go
@@ -3,9 +3,11 @@
 import "fmt"
 
 const (
-	// objectsPerNode is the number of objects divided by the larger number of nodes.
+	// objectsPerNode is the number of objects for each node of the larger gateway that Nodes
+	// measures. The smaller one has the same objects.
 	objectsPerNode = 4
-	// clientStride is the distance between the first objects of two consecutive clients.
+	// clientStride is the difference between the indexes of the objects that two consecutive clients
+	// request first. Each client then requests the objects in order.
 	clientStride = 31
 )
 
--- a/internal/bench/testbed.go
+++ b/internal/bench/testbed.go
@@ -29,7 +29,11 @@
 func proxyAddr() string   { return loopback.Addr(loopbackNetwork, proxyHost, port) }
 
 // gatewayConf is the gateway's configuration. It has no limits that would affect the measurements. Its
-// verbs are the address to listen on and the number of the last shard.
+// two formatting verbs take the address to listen on and the number of the last shard.
+//
+// In class, aim is the latency objective and worth the priority weight; late is the fraction of that
+// weight which is left after the objective. In units, bytes is the size of a unit of work; mean and
+// most are the costs of the mean and of the largest request, in units.
 const gatewayConf = `listen %s
 nodes nodes.list
 log-requests no
@@ -75,7 +79,7 @@
 			Name:          name,
 			Cores:         nodeCores,
 			QueueLimit:    nodeQueueLimit,
-			DiscardRecord: true,
+			DiscardRecord: true, // keep no record of the finished requests
 		})
 		if err != nil {
 			closeNodes(nodes)
--- a/internal/e2e/platform_discovery_outage_test.go
+++ b/internal/e2e/platform_discovery_outage_test.go
@@ -89,7 +89,7 @@
 	o.firstDraining = []discovery.Endpoint{endpointOf("a", first, 0, "draining"), endpointOf("b", second, 0, "up")}
 	o.fakeDiscovery = startDiscovery(t)
 	o.setEndpoints(o.firstUp...)
-	o.instance = startPlatform(t, o.addr, platformOptions{})
+	o.instance = startPlatformInstance(t, o.addr, platformOptions{})
 	within(t, 2*time.Second, o.instance.ready)
 	quit := make(chan struct{})
 	var load sync.WaitGroup
--- a/internal/e2e/platform_discovery_test.go
+++ b/internal/e2e/platform_discovery_test.go
@@ -170,12 +170,12 @@
 	oldList := strings.NewReplacer(`"settings":{`, fmt.Sprintf(`"known":%s,"settings":{`, marshalEndpointList(t, endpointOf("old", old, 0, "up"))))
 	d := startDiscovery(t)
 	d.setEndpoints(endpointOf("old", old, 0, "draining"), endpointOf("now", current, 0, "up"))
-	instance := startPlatform(t, d.addr, platformOptions{configChange: oldList})
+	instance := startPlatformInstance(t, d.addr, platformOptions{configChange: oldList})
 	if status, body := instance.roundTrip(instance.newRead(0, "1200m").text); status != 200 || body != "now" || len(old.received()) != 0 {
 		t.Errorf("status %d, body %q, %d requests sent to the node of the old list; want 200, \"now\" and 0", status, body, len(old.received()))
 	}
 
-	instance = startPlatform(t, startUnresponsiveDiscovery(t), platformOptions{configChange: oldList})
+	instance = startPlatformInstance(t, startUnresponsiveDiscovery(t), platformOptions{configChange: oldList})
 	start := time.Now()
 	if instance.ready() {
 		t.Error("the instance was ready before discovery had a second to respond")
--- a/internal/e2e/platform_harness_test.go
+++ b/internal/e2e/platform_harness_test.go
@@ -16,8 +16,8 @@
 	"maddergap/internal/syscalls"
 )
 
-// platformInstance is an instance that serves the platform's protocol, with a JSON
-// configuration file and discovery.
+// platformInstance is a gateway instance that serves a platform's protocol (see package
+// platform), with a JSON configuration file and discovery.
 type platformInstance struct {
 	*testInstance
 	configFile   string
@@ -49,7 +49,7 @@
 // attempts in flight has to equal the number of node connections with an attempt.
 func startPlatformReady(t *testing.T, d *fakeDiscovery, options platformOptions) *platformInstance {
 	t.Helper()
-	i := startPlatform(t, d.addr, options)
+	i := startPlatformInstance(t, d.addr, options)
 	t.Cleanup(func() {
 		i.stop()
 		if log := i.log.String(); strings.Contains(log, "mismatch=true") || !strings.Contains(log, `msg="instance state"`) {
@@ -60,8 +60,8 @@
 	return i
 }
 
-// startPlatform runs an instance without waiting until it is ready.
-func startPlatform(t *testing.T, discoveryAddr string, options platformOptions) *platformInstance {
+// startPlatformInstance runs an instance without waiting until it is ready.
+func startPlatformInstance(t *testing.T, discoveryAddr string, options platformOptions) *platformInstance {
 	t.Helper()
 	i := &platformInstance{testInstance: newTestInstance(t), configChange: options.configChange}
 	i.configFile = filepath.Join(i.dir, "config.json")
--- a/internal/e2e/platform_node_test.go
+++ b/internal/e2e/platform_node_test.go
@@ -39,9 +39,9 @@
 	return startPlatformNode(t, func(*http.Request) scriptednode.Response { return okResponse(body) })
 }
 
-// startNodeClosing runs a node that responds to each request with 200 and then closes the connection,
+// startNodeClosingConns runs a node that responds to each request with 200 and then closes the connection,
 // so that the gateway has to dial for each request.
-func startNodeClosing(t *testing.T) *platformNode {
+func startNodeClosingConns(t *testing.T) *platformNode {
 	t.Helper()
 	return startPlatformNode(t, func(*http.Request) scriptednode.Response {
 		return scriptednode.Response{
--- a/internal/e2e/platform_shutdown_test.go
+++ b/internal/e2e/platform_shutdown_test.go
@@ -56,7 +56,7 @@
 func TestPlatformShutdownServesListenQueue(t *testing.T) {
 	for range 4 {
 		node := startNodeResponding(t, "fine")
-		instance := startPlatform(t, startDiscovery(t, node).addr, platformOptions{})
+		instance := startPlatformInstance(t, startDiscovery(t, node).addr, platformOptions{})
 		within(t, 2*time.Second, instance.ready)
 		quit := make(chan struct{})
 		var clients sync.WaitGroup
@@ -176,7 +176,7 @@
 // Verifies that an instance that was never ready because discovery does not respond stops within
 // 2 s, also right after a reload.
 func TestPlatformShutdownBeforeReady(t *testing.T) {
-	instance := startPlatform(t, startUnresponsiveDiscovery(t), platformOptions{})
+	instance := startPlatformInstance(t, startUnresponsiveDiscovery(t), platformOptions{})
 	start := time.Now()
 	instance.daemon.Reload()
 	if err := instance.stop(); err != nil || time.Since(start) > 2*time.Second {
--- a/internal/e2e/platform_syscall_faults_test.go
+++ b/internal/e2e/platform_syscall_faults_test.go
@@ -38,8 +38,8 @@
 func testFailingSystemCalls(t *testing.T, faults string) {
 	// The node closes the connection after each response, so that the gateway has to dial for each
 	// request.
-	node := startNodeClosing(t)
-	instance := startPlatform(t, startDiscovery(t, node).addr, platformOptions{syscallFaults: faults})
+	node := startNodeClosingConns(t)
+	instance := startPlatformInstance(t, startDiscovery(t, node).addr, platformOptions{syscallFaults: faults})
 	within(t, 2*time.Second, instance.ready)
 	var clients sync.WaitGroup
 	deadline := time.Now().Add(900 * time.Millisecond)
@@ -73,9 +73,9 @@
 // epoll: epoll_ctl fails with ENOSPC for a second. The event loop then polls the connections.
 func TestServesWithoutEpoll(t *testing.T) {
 	const minServed = 20
-	node := startNodeClosing(t)
+	node := startNodeClosingConns(t)
 	start := time.Now()
-	instance := startPlatform(t, startDiscovery(t, node).addr, platformOptions{syscallFaults: "epoll_ctl ENOSPC from 300ms for 1s"})
+	instance := startPlatformInstance(t, startDiscovery(t, node).addr, platformOptions{syscallFaults: "epoll_ctl ENOSPC from 300ms for 1s"})
 	within(t, 250*time.Millisecond, instance.ready)
 	time.Sleep(time.Until(start.Add(350 * time.Millisecond)))
 	served := 0
@@ -91,8 +91,8 @@
 	}
 }
 
-// Verifies that no request is lost if system calls fail during a shutdown, from before it begins until
-// after the listener is closed. The requests on open connections and on new ones, which may still be
+// Verifies that no request is lost if system calls fail around a shutdown. The failures start before
+// the shutdown begins and end after the listener is closed. The requests on open connections and on new ones, which may still be
 // in the listen queue, are served, and the instance stops.
 func TestStopWhileSystemCallsFail(t *testing.T) {
 	for _, faults := range []string{
@@ -117,9 +117,9 @@
 func testStopWhileSystemCallsFail(t *testing.T, faults string) {
 	// The node closes the connection after each response, so that the gateway has to dial for each
 	// request.
-	node := startNodeClosing(t)
+	node := startNodeClosingConns(t)
 	start := time.Now()
-	instance := startPlatform(t, startDiscovery(t, node).addr, platformOptions{syscallFaults: faults})
+	instance := startPlatformInstance(t, startDiscovery(t, node).addr, platformOptions{syscallFaults: faults})
 	within(t, 600*time.Millisecond, instance.ready)
 	open := make([]net.Conn, 4) // established before any system call fails
 	for n := range open {
@@ -154,8 +154,8 @@
 // gateway's machine. 90 % of the socket calls fail with EMFILE, so that some dials succeed and
 // others are retried until their requests time out.
 func TestDescriptorShortageOpensNoBreaker(t *testing.T) {
-	node := startNodeClosing(t)
-	instance := startPlatform(t, startDiscovery(t, node).addr, platformOptions{syscallFaults: "socket EMFILE chance 0.9 from 300ms"})
+	node := startNodeClosingConns(t)
+	instance := startPlatformInstance(t, startDiscovery(t, node).addr, platformOptions{syscallFaults: "socket EMFILE chance 0.9 from 300ms"})
 	within(t, 2*time.Second, instance.ready)
 	var clients sync.WaitGroup
 	deadline := time.Now().Add(3 * time.Second)
--- a/internal/scenario/clients.go
+++ b/internal/scenario/clients.go
@@ -21,7 +21,7 @@
 	// can report how late the response is.
 	responseGrace = 2 * time.Second
 	// surplusResponseWait is how long each idle connection is read at the end of the scenario. Data
-	// that arrives then is a response to no request.
+	// that arrives then is a surplus response, as the connection's last request has its response.
 	surplusResponseWait = 2 * time.Millisecond
 )
 
@@ -203,8 +203,8 @@
 	}
 }
 
-// finish waits for all requests, closes the connections and returns the records. A response that
-// arrives without a request counts as another response to the last request of its connection.
+// finish waits for all requests, closes the connections and returns the records. A surplus response
+// counts as another response to the last request of its connection.
 func (c *clients) finish() []audit.RequestRecord {
 	c.inFlight.Wait()
 	for _, idle := range c.idle {
--- a/internal/soak/node_test.go
+++ b/internal/soak/node_test.go
@@ -15,15 +15,15 @@
 )
 
 const (
-	testNetwork = 240
-	testShard   = 1
+	testLoopbackNetwork = 240 // third byte of the nodes' loopback addresses
+	testShard           = 1
 )
 
-// startNode starts a node that holds testShard, at an address with a host number. The node is
-// killed when the test ends.
+// startNode starts a node that holds testShard. host is the last byte of its loopback address. The
+// node is killed when the test ends.
 func startNode(t *testing.T, host int) *node {
 	t.Helper()
-	n := newNode("s-00", testShard, loopback.Addr(testNetwork, host, nodePort), 1)
+	n := newNode("s-00", testShard, loopback.Addr(testLoopbackNetwork, host, nodePort), 1)
 	if err := n.start(); err != nil {
 		t.Fatal(err)
 	}
@@ -49,8 +49,9 @@
 	return r.StatusCode, string(text), err
 }
 
-// Verifies the records that a node makes for the audit: of a request that it served, and of one that it
-// rejected without executing it, because the node does not hold the shard.
+// Verifies that a node records each request, since the audit checks a run by the nodes' records. The
+// first request is served. The second is rejected without being executed, because the node does not
+// hold its shard.
 func TestNodeRecordsRequests(t *testing.T) {
 	n := startNode(t, 1)
 	if status, body, err := get(t, n, testShard); status != http.StatusOK || body != responseBody("7") || err != nil {
@@ -65,15 +66,15 @@
 	}
 	served, rejected := records[0], records[1]
 	if served.Status != http.StatusOK || served.ExecutedAt == 0 || served.Timeout != 1500 || served.Traceparent != "7" {
-		t.Errorf("got record %+v of the served request, want it executed, with status 200, timeout 1500 and trace ID 7", served)
+		t.Errorf("got record %+v of the served request, want it executed, with status 200, timeout 1500 and the X-Txn value 7 as Traceparent", served)
 	}
 	if rejected.Status != http.StatusServiceUnavailable || rejected.ExecutedAt != 0 || rejected.Sequence != 2 {
 		t.Errorf("got record %+v of the rejected request, want it not executed, with status 503 and sequence number 2", rejected)
 	}
 }
 
-// Verifies that each fault makes a request fail for its sender as intended, and that the request is still
-// recorded as executed, without a response.
+// Verifies that each response fault fails a request in its own way: with a timeout, a connection reset
+// or a malformed response. The node still records the request as executed, without a response.
 func TestNodeResponseFaults(t *testing.T) {
 	n := startNode(t, 2)
 	for fault, isExpected := range map[responseFault]func(error) bool{
@@ -86,7 +87,7 @@
 			t.Errorf("fault %d: got status %d and unexpected error %v", fault, status, err)
 		}
 	}
-	for _, record := range n.records() {
+	for _, record := range n.records() { // wanted: executed, without a status and a response time
 		if record.ExecutedAt == 0 || record.Status != 0 || record.RespondedAt != 0 {
 			t.Errorf("%+v", record)
 		}
